--- a/crates/bench/src/policy/reclaim/carry.rs
+++ b/crates/bench/src/policy/reclaim/carry.rs
@@ -168,7 +168,7 @@
     fn start_engine(&mut self, now: Time) {
         let index = self.engines.start();
         self.endpoints
-            .publish(now, self.engines.all[index].record.clone());
+            .apply_record(now, self.engines.all[index].record.clone());
     }
 
     fn arrive(&mut self, now: Time, index: usize) {
@@ -435,7 +435,7 @@
 
     fn told_to_leave(&mut self, now: Time, engine: usize) {
         let key = self.engines.all[engine].key;
-        self.endpoints.leave(now, key);
+        self.endpoints.mark_leaving(now, key);
         for id in self.at_engine(engine) {
             self.advance(now, id);
         }
@@ -455,7 +455,8 @@
     fn gone(&mut self, now: Time, engine: usize) {
         let runs = self.at_engine(engine);
         self.engines.all[engine].is_gone = true;
-        self.endpoints.leave(now, self.engines.all[engine].key);
+        self.endpoints
+            .mark_leaving(now, self.engines.all[engine].key);
         for id in 0..self.generations.len() {
             let on_it = |copy: &Copy| copy.engine == engine;
             let one = &mut self.generations[id];
--- a/crates/bench/src/policy/reclaim/fleet.rs
+++ b/crates/bench/src/policy/reclaim/fleet.rs
@@ -93,9 +93,9 @@
             address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 80),
             data_centre: DATA_CENTRES[index % DATA_CENTRES.len()].to_owned(),
             slots: LIMITS.slots,
-            born: None,
+            started_unix_ms: None,
             leaving: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
         };
         self.all.push(Engine {
             key,
--- a/crates/core/src/gateway/choose.rs
+++ b/crates/core/src/gateway/choose.rs
@@ -333,7 +333,7 @@
 
 /// Returns whether an endpoint is believed to serve, by what is seen here and elsewhere.
 fn is_trusted(world: World<'_>, endpoint: &Endpoint) -> bool {
-    !endpoint.is_ejected(world.now) && !world.others.passed_over.contains(&endpoint.key)
+    !endpoint.is_ejected(world.now) && !world.others.ejected.contains(&endpoint.key)
 }
 
 /// Returns whether an engine is believed to keep a copy.
--- a/crates/core/src/gateway/cordons.rs
+++ b/crates/core/src/gateway/cordons.rs
@@ -53,7 +53,7 @@
 
 impl Cordons {
     /// Takes in a word of the operator.
-    pub fn hear(&mut self, now: Time, cordon: &Cordon) -> CordonEffect {
+    pub fn apply(&mut self, now: Time, cordon: &Cordon) -> CordonEffect {
         let known = self.known.get(&cordon.data_centre);
         if known.is_some_and(|it| it.revision >= cordon.revision) {
             return CordonEffect::Outdated;
--- a/crates/core/src/gateway/endpoints.rs
+++ b/crates/core/src/gateway/endpoints.rs
@@ -42,7 +42,7 @@
     pub name: String,
     /// The Unix millisecond of its start, which tells its lives apart. A process that
     /// tells none has one life.
-    pub born: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// The service.
     pub service: String,
     /// Where it is reached.
@@ -54,13 +54,13 @@
     /// Whether it says that it is leaving.
     pub leaving: bool,
     /// For how long it will be slow after its start.
-    pub cold: Duration,
+    pub cold_for: Duration,
 }
 
 impl EndpointRecord {
     /// Returns the key of this life.
     pub fn key(&self) -> EndpointKey {
-        match self.born {
+        match self.started_unix_ms {
             Some(born) => EndpointKey::of(&format!("{}@{born}", self.name)),
             None => EndpointKey::of(&self.name),
         }
@@ -69,16 +69,16 @@
     /// Returns what the record means to this product, as the parts of a
     /// [`Mark`](super::replica::Mark). The time that is left until it is warm falls with
     /// each heartbeat, so that only whether there is any counts.
-    pub fn meaning(&self) -> String {
+    pub fn canonical_form(&self) -> String {
         let EndpointRecord {
             name,
-            born,
+            started_unix_ms: born,
             service,
             address,
             data_centre,
             slots,
             leaving,
-            cold,
+            cold_for: cold,
         } = self;
         let is_cold = !cold.is_zero();
         format!(
@@ -99,7 +99,7 @@
     },
     /// Its entry cannot be read any more, so that it names no endpoint to use. It may be
     /// written again.
-    Unnamed,
+    Unreadable,
     /// It takes nothing new, for good.
     Leaving {
         /// Since when that is known.
@@ -180,18 +180,19 @@
     /// What goes wrong where lives are not told apart: an engine that started again looks
     /// as full as it was and as broken, copies that it lost are gone on from, and the
     /// news that its former life left keeps it from its callers for good.
-    pub fn publish(&mut self, now: Time, record: EndpointRecord) -> Vec<EndpointKey> {
+    pub fn apply_record(&mut self, now: Time, record: EndpointRecord) -> Vec<EndpointKey> {
         let key = record.key();
         let mut began = Vec::new();
         if let Some(&(born, before)) = self.newest.get(&record.name) {
-            if born > record.born {
+            if born > record.started_unix_ms {
                 return began;
             }
-            if before != key && self.leave(now, before) {
+            if before != key && self.mark_leaving(now, before) {
                 began.push(before);
             }
         }
-        self.newest.insert(record.name.clone(), (record.born, key));
+        self.newest
+            .insert(record.name.clone(), (record.started_unix_ms, key));
         if self.publish_life(now, key, record) {
             began.push(key);
         }
@@ -200,7 +201,7 @@
 
     fn publish_life(&mut self, now: Time, key: EndpointKey, record: EndpointRecord) -> bool {
         let leaving = record.leaving || self.left.contains_key(&key);
-        let cold_until = now + record.cold;
+        let cold_until = now + record.cold_for;
         let endpoint = self.endpoints.entry(key).or_insert_with(|| Endpoint {
             key,
             record: record.clone(),
@@ -215,9 +216,9 @@
         endpoint.cold_until = cold_until;
         endpoint.said_at = now;
         if leaving {
-            return self.leave(now, key);
+            return self.mark_leaving(now, key);
         }
-        if let EndpointState::Lapsed { .. } | EndpointState::Unnamed = endpoint.state {
+        if let EndpointState::Lapsed { .. } | EndpointState::Unreadable = endpoint.state {
             endpoint.state = EndpointState::Serving;
         }
         false
@@ -227,7 +228,7 @@
     /// (`unsettled`) it may come back.
     ///
     /// Returns the endpoint if it began to leave.
-    pub fn vanish(&mut self, now: Time, name: &str, unsettled: bool) -> Option<EndpointKey> {
+    pub fn remove_record(&mut self, now: Time, name: &str, unsettled: bool) -> Option<EndpointKey> {
         let Some(&(_, key)) = self.newest.get(name) else {
             self.left.insert(EndpointKey::of(name), now);
             return None;
@@ -237,22 +238,22 @@
                 endpoint.state = EndpointState::Lapsed { since: now };
                 None
             }
-            _ => self.leave(now, key).then_some(key),
+            _ => self.mark_leaving(now, key).then_some(key),
         }
     }
 
     /// Takes in that an entry cannot be read any more. What runs there goes on; nothing
     /// new is sent until the entry is written again.
-    pub fn cannot_read(&mut self, name: &str) {
+    pub fn mark_unreadable(&mut self, name: &str) {
         let newest = self.newest.get(name);
         let endpoint = newest.and_then(|(_, key)| self.endpoints.get_mut(key));
         if let Some(endpoint) = endpoint.filter(|it| it.takes_work()) {
-            endpoint.state = EndpointState::Unnamed;
+            endpoint.state = EndpointState::Unreadable;
         }
     }
 
     /// Notes that an endpoint leaves; returns whether that is news.
-    pub fn leave(&mut self, now: Time, key: EndpointKey) -> bool {
+    pub fn mark_leaving(&mut self, now: Time, key: EndpointKey) -> bool {
         self.left.entry(key).or_insert(now);
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
@@ -280,7 +281,7 @@
             .map(|it| it.key)
             .collect();
         for &key in &gone {
-            self.leave(now, key);
+            self.mark_leaving(now, key);
         }
         self.left
             .retain(|_, since| now.since(*since) < REMEMBER_GONE);
@@ -294,8 +295,8 @@
     }
 
     /// Takes in the operator's word about a data centre.
-    pub fn hear_cordon(&mut self, now: Time, cordon: &Cordon) -> CordonEffect {
-        self.cordons.hear(now, cordon)
+    pub fn apply_cordon(&mut self, now: Time, cordon: &Cordon) -> CordonEffect {
+        self.cordons.apply(now, cordon)
     }
 
     /// Returns the operator's words about data centres.
@@ -310,7 +311,7 @@
     }
 
     /// Takes in for how long an endpoint says that it will still be cold.
-    pub fn told_cold(&mut self, now: Time, key: EndpointKey, left: Duration) {
+    pub fn observe_cold(&mut self, now: Time, key: EndpointKey, left: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.cold_until = now + left;
             endpoint.said_at = now;
@@ -392,7 +393,7 @@
     }
 
     /// Returns the endpoints that are passed over here, to tell the home of their service.
-    pub fn passed_over(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
+    pub fn ejected(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
         let endpoints = self.endpoints.values();
         endpoints
             .filter(move |endpoint| endpoint.takes_work() && endpoint.is_ejected(now))
@@ -400,7 +401,7 @@
     }
 
     /// Notes that an endpoint began to answer, so that it is there.
-    pub fn on_answer(&mut self, key: EndpointKey) {
+    pub fn on_response(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.failures = 0;
             endpoint.ejected_until = Time::ZERO;
@@ -409,7 +410,7 @@
 
     /// Notes that a request went well.
     pub fn on_success(&mut self, key: EndpointKey) {
-        self.on_answer(key);
+        self.on_response(key);
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.failure_share *= 1.0 - FAILURE_WEIGHT;
         }
--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -172,7 +172,7 @@
     /// Returns what all instances but `except` run.
     pub fn others(&self, now: Time, except: Option<SocketAddrV4>) -> Others {
         let mut others = Others::default();
-        others.passed_over.extend(self.doubts.passed_over(now));
+        others.ejected.extend(self.doubts.passed_over(now));
         let counted = self.reporters.iter().filter(|it| Some(*it.0) != except);
         for (_, reporter) in counted {
             for &(key, used) in reporter.used.iter().chain(reporter.reserved.values()) {
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -195,7 +195,7 @@
     pub fn publish_endpoint(&mut self, now: Time, record: EndpointRecord) -> Vec<EndpointKey> {
         let name = record.name.clone();
         let before = self.endpoints.newest(&name);
-        let began = self.endpoints.publish(now, record);
+        let began = self.endpoints.apply_record(now, record);
         if self.endpoints.newest(&name) != before {
             // Another life is there now, so that the one before ended.
             self.endpoints_ended(now, before.as_slice());
@@ -208,7 +208,7 @@
     pub fn endpoint_vanished(&mut self, now: Time, name: &str) -> Option<EndpointKey> {
         let unsettled = self.is_unsettled(now);
         let newest = self.endpoints.newest(name);
-        let gone = self.endpoints.vanish(now, name, unsettled);
+        let gone = self.endpoints.remove_record(now, name, unsettled);
         if !unsettled {
             self.endpoints_ended(now, newest.as_slice());
         }
@@ -302,7 +302,7 @@
     /// Takes in what the store says about a data centre; returns what that is to this instance.
     /// Peers are told of it soon.
     pub fn publish_cordon(&mut self, now: Time, cordon: Cordon) -> CordonEffect {
-        let heard = self.endpoints.hear_cordon(now, &cordon);
+        let heard = self.endpoints.apply_cordon(now, &cordon);
         if heard != CordonEffect::Outdated {
             let instances = self.instances();
             self.outbox.add_cordon(cordon, instances);
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -179,7 +179,7 @@
             self.members.hear_of(now, update, change);
         }
         for endpoint in news.leaving {
-            if self.endpoints.leave(now, endpoint) {
+            if self.endpoints.mark_leaving(now, endpoint) {
                 heard.leaving.push(endpoint);
             }
         }
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -343,7 +343,7 @@
                 .filter(|(key, _)| of_service(key))
                 .collect(),
             failing: self.endpoints.failing().filter(of_service).collect(),
-            passed_over: self.endpoints.passed_over(now).filter(of_service).collect(),
+            passed_over: self.endpoints.ejected(now).filter(of_service).collect(),
             known: u32::try_from(self.fleet.known()).unwrap_or(u32::MAX),
             requests: self.asks.of(service).map(|it| it.to_tell(now)).collect(),
         };
--- a/crates/core/src/gateway/usage.rs
+++ b/crates/core/src/gateway/usage.rs
@@ -47,7 +47,7 @@
     /// Endpoints of which the last that somebody saw was a failure.
     pub failing: BTreeSet<EndpointKey>,
     /// Endpoints that several of them cannot use.
-    pub passed_over: BTreeSet<EndpointKey>,
+    pub ejected: BTreeSet<EndpointKey>,
 }
 
 impl Others {
@@ -56,7 +56,7 @@
         Others {
             used: BTreeMap::new(),
             failing: BTreeSet::new(),
-            passed_over: BTreeSet::new(),
+            ejected: BTreeSet::new(),
         }
     }
 
--- a/crates/core/tests/gateway_choose.rs
+++ b/crates/core/tests/gateway_choose.rs
@@ -35,11 +35,11 @@
             address: "10.0.0.1:80".parse().expect("an address"),
             data_centre: (*data_centre).to_owned(),
             slots: 24,
-            born: None,
+            started_unix_ms: None,
             leaving: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
         };
-        table.publish(Time::ZERO, record);
+        table.apply_record(Time::ZERO, record);
     }
     Tables {
         endpoints: table,
@@ -134,7 +134,7 @@
 #[test]
 fn endpoints_that_leave_or_were_tried_are_not_chosen() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
-    tables.endpoints.leave(Time::ZERO, key("e-1"));
+    tables.endpoints.mark_leaving(Time::ZERO, key("e-1"));
 
     let chosen = choose(tables.world(), &demand(3_000, &[key("e-2")]), no_draw);
 
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -42,7 +42,7 @@
 fn record(name: &str, service: &str, cold: Duration) -> EndpointRecord {
     EndpointRecord {
         service: service.to_owned(),
-        cold,
+        cold_for: cold,
         ..instances::engine(name)
     }
 }
@@ -350,7 +350,7 @@
     assert!(!is_cold(&one, open + COLD.after_return()));
     assert!(is_cold(&one, open + COLD.lasts));
     let word = open + Duration::from_millis(100);
-    one.endpoints.told_cold(word, key, Duration::ZERO);
+    one.endpoints.observe_cold(word, key, Duration::ZERO);
     assert!(!is_cold(&one, word), "its own word is fresher");
 }
 
@@ -362,7 +362,7 @@
     let now = Time::from_secs(50);
     assert!(!one.endpoints.is_cold(now, key, &COLD));
 
-    one.endpoints.told_cold(now, key, Duration::from_secs(2));
+    one.endpoints.observe_cold(now, key, Duration::from_secs(2));
 
     assert!(
         one.endpoints
--- a/crates/core/tests/gateway_endpoints.rs
+++ b/crates/core/tests/gateway_endpoints.rs
@@ -12,15 +12,15 @@
         address: "10.0.0.1:80".parse().expect("an address"),
         data_centre: "north".to_owned(),
         slots: 6,
-        born: None,
+        started_unix_ms: None,
         leaving,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     }
 }
 
 fn table() -> (EndpointTable, EndpointKey) {
     let mut table = EndpointTable::default();
-    table.publish(Time::ZERO, record("e-1", false));
+    table.apply_record(Time::ZERO, record("e-1", false));
     (table, EndpointKey::of("e-1"))
 }
 
@@ -35,11 +35,11 @@
 fn leaving_is_final() {
     let (mut table, key) = table();
 
-    assert!(table.leave(Time::from_secs(1), key));
-    table.publish(Time::from_secs(2), record("e-1", false));
+    assert!(table.mark_leaving(Time::from_secs(1), key));
+    table.apply_record(Time::from_secs(2), record("e-1", false));
 
     assert!(!takes_work(&table, key));
-    assert!(!table.leave(Time::from_secs(3), key), "no news");
+    assert!(!table.mark_leaving(Time::from_secs(3), key), "no news");
 }
 
 #[test]
@@ -47,8 +47,8 @@
     let mut table = EndpointTable::default();
     let key = EndpointKey::of("e-1");
 
-    table.leave(Time::ZERO, key);
-    table.publish(Time::from_secs(1), record("e-1", false));
+    table.mark_leaving(Time::ZERO, key);
+    table.apply_record(Time::from_secs(1), record("e-1", false));
 
     assert!(!takes_work(&table, key));
 }
@@ -59,9 +59,9 @@
 fn entries_that_lapsed_in_an_outage_may_come_back() {
     let (mut table, key) = table();
 
-    table.vanish(Time::from_secs(1), "e-1", true);
+    table.remove_record(Time::from_secs(1), "e-1", true);
     let during = table.tick(Time::from_secs(9), true);
-    table.publish(Time::from_secs(10), record("e-1", false));
+    table.apply_record(Time::from_secs(10), record("e-1", false));
     let after = table.tick(Time::from_secs(60), false);
 
     assert!(during.is_empty() && after.is_empty());
@@ -72,7 +72,7 @@
 fn entries_that_stay_away_after_an_outage_are_gone() {
     let (mut table, key) = table();
 
-    table.vanish(Time::from_secs(1), "e-1", true);
+    table.remove_record(Time::from_secs(1), "e-1", true);
     let gone = table.tick(Time::from_secs(1) + LAPSE_GRACE, false);
 
     assert_eq!(gone, [key]);
@@ -83,7 +83,10 @@
 fn an_entry_that_vanishes_in_quiet_times_is_gone_at_once() {
     let (mut table, key) = table();
 
-    assert_eq!(table.vanish(Time::from_secs(1), "e-1", false), Some(key));
+    assert_eq!(
+        table.remove_record(Time::from_secs(1), "e-1", false),
+        Some(key)
+    );
 
     assert!(!takes_work(&table, key));
 }
@@ -114,7 +117,7 @@
     table.on_failure(now, key);
     assert_eq!(table.failing().collect::<Vec<_>>(), [key]);
 
-    table.on_answer(key);
+    table.on_response(key);
 
     assert_eq!(table.failing().count(), 0);
 }
@@ -124,7 +127,7 @@
     let (mut table, key) = table();
     table.on_failure(Time::from_secs(1), key);
 
-    table.leave(Time::from_secs(2), key);
+    table.mark_leaving(Time::from_secs(2), key);
 
     assert_eq!(table.failing().count(), 0);
 }
@@ -145,7 +148,7 @@
 /// A life of the endpoint `e-1`.
 fn life(born: u64, leaving: bool) -> EndpointRecord {
     EndpointRecord {
-        born: Some(born),
+        started_unix_ms: Some(born),
         ..record("e-1", leaving)
     }
 }
@@ -158,11 +161,11 @@
     let mut table = EndpointTable::default();
     let (first, second) = (life(1_000, false), life(2_000, false));
     let now = Time::from_secs(1);
-    table.publish(now, first.clone());
+    table.apply_record(now, first.clone());
     table.on_unreachable(now, first.key());
-    table.leave(now, first.key());
+    table.mark_leaving(now, first.key());
 
-    table.publish(now, second.clone());
+    table.apply_record(now, second.clone());
 
     let reborn = table.get(second.key()).expect("it is known");
     assert!(takes_work(&table, second.key()));
@@ -177,9 +180,9 @@
 fn the_life_before_leaves_when_a_new_one_is_published() {
     let mut table = EndpointTable::default();
     let now = Time::from_secs(1);
-    table.publish(now, life(1_000, false));
+    table.apply_record(now, life(1_000, false));
 
-    let began = table.publish(now, life(2_000, false));
+    let began = table.apply_record(now, life(2_000, false));
 
     assert_eq!(began, [life(1_000, false).key()]);
 }
@@ -190,9 +193,9 @@
 fn an_older_record_brings_no_old_life_back() {
     let mut table = EndpointTable::default();
     let now = Time::from_secs(1);
-    table.publish(now, life(2_000, false));
+    table.apply_record(now, life(2_000, false));
 
-    let began = table.publish(now, life(1_000, true));
+    let began = table.apply_record(now, life(1_000, true));
 
     assert!(began.is_empty());
     assert!(takes_work(&table, life(2_000, false).key()));
@@ -204,10 +207,10 @@
 fn the_newest_life_vanishes_with_the_entry() {
     let mut table = EndpointTable::default();
     let now = Time::from_secs(1);
-    table.publish(now, life(1_000, false));
-    table.publish(now, life(2_000, false));
+    table.apply_record(now, life(1_000, false));
+    table.apply_record(now, life(2_000, false));
 
-    let gone = table.vanish(now, "e-1", false);
+    let gone = table.remove_record(now, "e-1", false);
 
     assert_eq!(gone, Some(life(2_000, false).key()));
 }
@@ -218,10 +221,10 @@
     let (mut table, key) = table();
     let now = Time::from_secs(1);
 
-    table.cannot_read("e-1");
+    table.mark_unreadable("e-1");
     let meanwhile = takes_work(&table, key);
     table.tick(now, false);
-    table.publish(now, record("e-1", false));
+    table.apply_record(now, record("e-1", false));
 
     assert!(!meanwhile);
     assert!(takes_work(&table, key));
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -35,7 +35,7 @@
 fn engines(count: usize) -> EndpointTable {
     let mut table = EndpointTable::default();
     for number in 0..count {
-        table.publish(Time::ZERO, instances::engine(&format!("e-{number}")));
+        table.apply_record(Time::ZERO, instances::engine(&format!("e-{number}")));
     }
     table
 }
@@ -376,7 +376,7 @@
         scene
             .home
             .others(scene.now, None)
-            .passed_over
+            .ejected
             .contains(&engine(0))
     );
     scene.passed_over.clear();
@@ -385,7 +385,7 @@
     assert_eq!(scene.decision(1), Some(Decision::Granted(engine(0))));
     scene.now += Duration::from_secs(5);
 
-    assert!(scene.home.others(scene.now, None).passed_over.is_empty());
+    assert!(scene.home.others(scene.now, None).ejected.is_empty());
 }
 
 /// Symptom: an instance whose request waits for room gets no copy for its other generations,
@@ -424,7 +424,7 @@
     let ask = [request(1, 5, Want::Place)];
     scene.report(1, &[], &ask);
     let first = granted(scene.decision(1)).expect("there is room");
-    scene.endpoints.leave(scene.now, first);
+    scene.endpoints.mark_leaving(scene.now, first);
 
     scene.report(1, &[], &ask);
 
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -313,7 +313,7 @@
     one.told_limit(now, key, now, ToldLimit::PerSecond(RATE));
 
     let later = EndpointRecord {
-        born: Some(5),
+        started_unix_ms: Some(5),
         ..record(IN_NEED)
     };
     let new_key = later.key();
--- a/crates/core/tests/gateway_queue.rs
+++ b/crates/core/tests/gateway_queue.rs
@@ -46,7 +46,7 @@
     for (number, &tokens) in taken.iter().enumerate() {
         fleet
             .endpoints
-            .publish(Time::ZERO, instances::engine(&format!("e-{number}")));
+            .apply_record(Time::ZERO, instances::engine(&format!("e-{number}")));
         if tokens > 0 {
             fleet.usage.begin(engine(number), tokens, 0);
         }
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -262,9 +262,9 @@
         address: address(99),
         data_centre: "north".to_owned(),
         slots: 6,
-        born: None,
+        started_unix_ms: None,
         leaving: false,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     };
     one.publish_endpoint(now, record.clone());
     let mut unsettled = beacon(3, 1, 0);
--- a/crates/core/tests/gateway_replica.rs
+++ b/crates/core/tests/gateway_replica.rs
@@ -30,13 +30,13 @@
         address: "10.0.0.1:80".parse().expect("an address"),
         data_centre: "north".to_owned(),
         slots: 24,
-        born: None,
+        started_unix_ms: None,
         leaving,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     };
     let written = format!("{revision} heartbeats, leaving: {leaving}");
     let record = record("e-1", revision, Some(&written));
-    let mark = Mark::of(&record.key, &[endpoint.meaning().as_bytes()]);
+    let mark = Mark::of(&record.key, &[endpoint.canonical_form().as_bytes()]);
     (record, mark)
 }
 
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -453,7 +453,7 @@
     gateway.publish_endpoint(
         Time::from_secs(4),
         EndpointRecord {
-            born: Some(7),
+            started_unix_ms: Some(7),
             ..engine("e-1")
         },
     );
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -151,7 +151,7 @@
             state.told(now, place.key, load);
         }
         if let Some(left) = head.cold {
-            state.endpoints.told_cold(now, place.key, left);
+            state.endpoints.observe_cold(now, place.key, left);
         }
         let limit = match head.replaced {
             true => None,
@@ -186,7 +186,7 @@
     /// Notes that another process answers at the address of an endpoint.
     pub fn note_replaced(&self, place: &Place) {
         let now = self.cx.now();
-        if self.cx.state().endpoints.leave(now, place.key) {
+        if self.cx.state().endpoints.mark_leaving(now, place.key) {
             self.cx.tell_leaving(&[place.key]);
         }
     }
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -153,7 +153,7 @@
     pub fn mark(&self, record: &Record) -> Mark {
         match self {
             Published::Endpoint(endpoint) => {
-                Mark::of(&record.key, &[endpoint.meaning().as_bytes()])
+                Mark::of(&record.key, &[endpoint.canonical_form().as_bytes()])
             }
             Published::Cordon { cordon, .. } if cordon.is_closed => {
                 Mark::of(&record.key, &[b"closed"])
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -340,7 +340,7 @@
             Delivery::Gap => return Some(Pause::Gap),
         }
         if is_first_here {
-            self.job.cx.state().endpoints.on_answer(self.source.key);
+            self.job.cx.state().endpoints.on_response(self.source.key);
             self.in_use.first_byte();
         }
         self.pace.on_event(Instant::now());
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -301,7 +301,7 @@
     let used = state.used(endpoint.key);
     let record = &endpoint.record;
     let takes = match endpoint.state {
-        EndpointState::Leaving { .. } | EndpointState::Unnamed => Takes::Nothing,
+        EndpointState::Leaving { .. } | EndpointState::Unreadable => Takes::Nothing,
         _ if state.endpoints.is_cordoned(endpoint.key) => Takes::Cordoned,
         EndpointState::Lapsed { .. } => Takes::Lapsed,
         EndpointState::Serving if endpoint.is_ejected(now) => Takes::PassedOver,
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -216,7 +216,7 @@
             }
             Published::Other => {}
             Published::EndpointUnreadable { name, why } => {
-                cx.state().endpoints.cannot_read(&name);
+                cx.state().endpoints.mark_unreadable(&name);
                 note_unreadable(&record, &why);
             }
             Published::Unreadable(why) => note_unreadable(&record, &why),
