--- a/crates/bench/src/policy/reclaim/carry.rs
+++ b/crates/bench/src/policy/reclaim/carry.rs
@@ -10,11 +10,13 @@
 use core::cmp::Reverse;
 use core::time::Duration;
 use oriolemux_core::gateway::Demand;
-use oriolemux_core::gateway::choose::{World, choose};
+use oriolemux_core::gateway::choose::{PlacementContext, choose};
 use oriolemux_core::gateway::endpoints::EndpointTable;
-use oriolemux_core::gateway::lengths::{Length, LengthTable, expected_memory};
-use oriolemux_core::gateway::relocation::{GoOnFrom, Relocation, Step, View, silence_limit};
-use oriolemux_core::gateway::usage::{Others, UsageTable};
+use oriolemux_core::gateway::lengths::{LengthEstimate, LengthTable, expected_kv_tokens};
+use oriolemux_core::gateway::relocation::{
+    EngineView, Relocation, ResumeFrom, Step, silence_timeout,
+};
+use oriolemux_core::gateway::usage::{PeerUsage, UsageTable};
 use oriolemux_core::ids::EndpointKey;
 use oriolemux_core::time::Time;
 use rand::rngs::StdRng;
@@ -66,7 +68,7 @@
 /// One generation.
 struct Generation {
     ask: Ask,
-    length: Length,
+    length: LengthEstimate,
     state: Relocation,
     epoch: Epoch,
     /// The engine, while it runs.
@@ -93,7 +95,7 @@
     endpoints: EndpointTable,
     usage: UsageTable,
     /// One instance serves all, so that there are none.
-    others: Others,
+    others: PeerUsage,
     lengths: LengthTable,
     generations: Vec<Generation>,
     asks: Vec<Ask>,
@@ -113,7 +115,7 @@
             engines: Engines::new(),
             endpoints: EndpointTable::default(),
             usage: UsageTable::default(),
-            others: Others::default(),
+            others: PeerUsage::default(),
             lengths: LengthTable::default(),
             generations: Vec::new(),
             asks,
@@ -174,14 +176,14 @@
     fn arrive(&mut self, now: Time, index: usize) {
         let ask = self.asks[index];
         let hint = Some(ask.hint);
-        let length = self.lengths.expect(ask.kind.entry, ask.kind.cap, hint);
+        let length = self.lengths.estimate(ask.kind.entry, ask.kind.cap, hint);
         self.counts.summary.asked += 1;
         self.counts.summary.long += u64::from(ask.kind.is_long);
         self.waiting.insert(self.generations.len());
         self.generations.push(Generation {
             ask,
             length,
-            state: Relocation::new(silence_limit(ask.kind.target, GAP_TARGET)),
+            state: Relocation::new(silence_timeout(ask.kind.target, GAP_TARGET)),
             epoch: 0,
             at: None,
             counted: 0,
@@ -200,7 +202,7 @@
         let one = &self.generations[id];
         match self.way {
             Way::Oracle => one.ask.prompt + one.ask.output,
-            _ => expected_memory(one.ask.prompt, one.length, one.state.tokens()),
+            _ => expected_kv_tokens(one.ask.prompt, one.length, one.state.tokens()),
         }
     }
 
@@ -246,8 +248,8 @@
         choose(world, &demand, || rng.random()).ok()
     }
 
-    fn world(&mut self, now: Time) -> (World<'_>, &mut StdRng) {
-        let world = World {
+    fn world(&mut self, now: Time) -> (PlacementContext<'_>, &mut StdRng) {
+        let world = PlacementContext {
             now,
             endpoints: &self.endpoints,
             usage: &self.usage,
@@ -260,7 +262,7 @@
     /// Lets a generation go on at an engine that has `present` tokens of its memory.
     fn move_to(&mut self, now: Time, id: usize, engine: usize, present: u32) {
         let one = &mut self.generations[id];
-        one.state.moved(now);
+        one.state.on_relocated(now);
         one.moving = true;
         self.counts.summary.relocated += 1;
         self.send(now, id, engine, 0, present);
@@ -336,7 +338,7 @@
         if !whole {
             return;
         }
-        let begins = !one.state.has_begun_here();
+        let begins = !one.state.has_event_here();
         let number = u64::from(made.div_ceil(EVENT_TOKENS));
         one.state.on_bytes(now);
         one.state.on_event(now, Some(number));
@@ -355,7 +357,7 @@
         };
         if begins {
             let unread = core::mem::take(&mut one.unread);
-            self.usage.first_byte(self.engines.all[at].key, unread);
+            self.usage.on_first_byte(self.engines.all[at].key, unread);
             self.due(now, Due::Standing(id, epoch));
         }
         self.advance(now, id);
@@ -377,23 +379,23 @@
             let target = one.ahead.or(one.standing);
             let quiet = target.is_some_and(|copy| {
                 let key = self.engines.all[copy.engine].key;
-                self.usage.own(key).unread == 0
+                self.usage.own(key).pending_prefill == 0
             });
-            let view = View {
-                leaves_for: leaves.map(|since| now.since(since)),
-                standing_takes_work: takes_work(one.standing),
+            let view = EngineView {
+                leaving_for: leaves.map(|since| now.since(since)),
+                standby_is_usable: takes_work(one.standing),
                 target_is_quiet: quiet,
-                may_go_on_anew: false,
+                may_recompute: false,
                 is_budget_spent: false,
             };
             match one.state.next(now, &view) {
-                Step::CopyAhead => self.copy_ahead(now, id, at),
-                Step::Leave | Step::GiveUp => {
-                    let from = one.state.go_on_from(now, view.standing_takes_work);
+                Step::PreCopy => self.copy_ahead(now, id, at),
+                Step::Relocate | Step::FailOver => {
+                    let from = one.state.resume_from(now, view.standby_is_usable);
                     self.go_on(now, id, from);
                 }
                 // Nothing here may be read anew, see the view.
-                Step::GoOnAnew => return,
+                Step::Recompute => return,
                 Step::Wait(until) => {
                     if until < Time::NEVER {
                         self.due(until, Due::Wake(id, one.epoch));
@@ -487,8 +489,8 @@
         }
         let one = &self.generations[id];
         let from = match (one.ahead, one.standing) {
-            (Some(copy), _) if copy.tokens > 0 => Some(GoOnFrom::Ahead),
-            (_, Some(_)) => Some(GoOnFrom::Standing),
+            (Some(copy), _) if copy.tokens > 0 => Some(ResumeFrom::PreCopy),
+            (_, Some(_)) => Some(ResumeFrom::Standby),
             _ => None,
         };
         self.go_on(now, id, from);
@@ -504,7 +506,7 @@
         self.counts.complete += 1;
         self.counts.summary.late += u64::from(!in_aim);
         self.counts.long_in_aim += u64::from(in_aim && ask.kind.is_long);
-        self.lengths.learn(ask.kind.entry, ask.output);
+        self.lengths.record(ask.kind.entry, ask.output);
         for copy in copies {
             self.drop_copy(id, copy);
         }
--- a/crates/bench/src/policy/reclaim/carry/copies.rs
+++ b/crates/bench/src/policy/reclaim/carry/copies.rs
@@ -2,8 +2,8 @@
 
 use super::{CALL_TIME, Carrier, Copy, Due, STANDING_EVERY, demand};
 use crate::policy::reclaim::Way;
-use oriolemux_core::gateway::choose::{CopyKind, choose_copy};
-use oriolemux_core::gateway::relocation::{GoOnFrom, STANDING_MIN_TOKENS};
+use oriolemux_core::gateway::choose::{CopyKind, choose_copy_target};
+use oriolemux_core::gateway::relocation::{ResumeFrom, STANDBY_MIN_TOKENS};
 use oriolemux_core::time::Time;
 use rand::Rng;
 
@@ -15,22 +15,22 @@
         let (world, rng) = self.world(now);
         let source = world.endpoints.get(source)?;
         let demand = demand(tokens, &[]);
-        let key = choose_copy(world, &demand, source, kind, || rng.random())?;
+        let key = choose_copy_target(world, &demand, source, kind, || rng.random())?;
         self.engines.index_of(key)
     }
 
     pub(super) fn choose_standing(&mut self, now: Time, id: usize) {
         let one = &self.generations[id];
         let wanted =
-            self.way == Way::Ours && one.length.rest(one.state.tokens()) >= STANDING_MIN_TOKENS;
+            self.way == Way::Ours && one.length.remaining(one.state.tokens()) >= STANDBY_MIN_TOKENS;
         let engine = match wanted {
-            true => self.copy_engine(now, id, CopyKind::Standing),
+            true => self.copy_engine(now, id, CopyKind::Standby),
             false => None,
         };
         let copy = engine.map(|engine| self.count_copy(id, engine));
         let one = &mut self.generations[id];
         one.standing = copy;
-        one.state.set_standing(copy.is_some());
+        one.state.set_standby(copy.is_some());
     }
 
     pub(super) fn count_copy(&mut self, id: usize, engine: usize) -> Copy {
@@ -62,8 +62,8 @@
 
     pub(super) fn copy_ahead(&mut self, now: Time, id: usize, at: usize) {
         if self.generations[id].ahead.is_none() {
-            let Some(engine) = self.copy_engine(now, id, CopyKind::Ahead) else {
-                self.generations[id].state.ahead_impossible(now);
+            let Some(engine) = self.copy_engine(now, id, CopyKind::PreCopy) else {
+                self.generations[id].state.pre_copy_refused(now);
                 return;
             };
             let copy = self.count_copy(id, engine);
@@ -81,7 +81,7 @@
             None => now + CALL_TIME,
         };
         let one = &mut self.generations[id];
-        one.state.ahead_begun(now);
+        one.state.pre_copy_started(now);
         let epoch = one.epoch;
         self.due(ends, Due::Copied(id, epoch, room));
     }
@@ -93,7 +93,7 @@
             copy.tokens = tokens;
         }
         let complete = tokens.is_some() && there;
-        if !one.state.ahead_ended(now, complete) {
+        if !one.state.pre_copy_ended(now, complete) {
             let copy = one.ahead.take();
             self.drop_copy(id, copy);
         }
@@ -127,13 +127,13 @@
     }
 
     /// Goes on from a copy; the generation is lost if that holds nothing.
-    pub(super) fn go_on(&mut self, now: Time, id: usize, from: Option<GoOnFrom>) {
+    pub(super) fn go_on(&mut self, now: Time, id: usize, from: Option<ResumeFrom>) {
         self.leave_engine(now, id);
         let one = &mut self.generations[id];
         let (standing, ahead) = (one.standing.take(), one.ahead.take());
         let (used, other) = match from {
-            Some(GoOnFrom::Ahead) => (ahead, standing),
-            Some(GoOnFrom::Standing) => (standing, ahead),
+            Some(ResumeFrom::PreCopy) => (ahead, standing),
+            Some(ResumeFrom::Standby) => (standing, ahead),
             None => (None, standing.or(ahead)),
         };
         let there = |copy: &Copy| copy.tokens > 0 && !self.engines.all[copy.engine].is_gone;
--- a/crates/bench/src/policy/reclaim/fleet.rs
+++ b/crates/bench/src/policy/reclaim/fleet.rs
@@ -38,8 +38,8 @@
 /// What every engine bears.
 pub(super) const LIMITS: EngineLimits = EngineLimits {
     slots: 24,
-    memory_tokens: 34_240,
-    standing_copies: true,
+    kv_cache_tokens: 34_240,
+    standby_copies: true,
 };
 
 fn config() -> EngineConfig {
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -15,7 +15,7 @@
 //! | [`endpoints`] | which endpoints exist, which of them leave, which are not trusted |
 //! | [`lengths`] | how long a generation will still be |
 //! | [`usage`] | what this instance runs at each endpoint, and what others run as far as is known |
-//! | [`ask`] | what an instance asks of the home of a service's engines, and does without one |
+//! | [`placement`] | what an instance asks of the home of a service's engines, and does without one |
 //! | [`home`] | what a home knows, and how it gives away the room of its engines |
 //! | [`queue`] | in which order requests that wait get room |
 //! | [`choose`] | the endpoint for a request, and the one that holds its standing copy |
@@ -30,7 +30,6 @@
 //! | [`catch_up`] | how an instance that missed something gets it |
 //! | [`state`] | all of the above behind one type |
 
-pub mod ask;
 pub mod beacons;
 pub mod budget;
 pub mod catalogue;
@@ -44,6 +43,7 @@
 pub mod home;
 pub mod lengths;
 pub mod members;
+pub mod placement;
 pub mod queue;
 pub mod rate_limits;
 pub mod reader;
@@ -53,7 +53,7 @@
 pub mod suspects;
 pub mod usage;
 
-pub use catalogue::{Catalogue, CatalogueSource, EntryId, HttpEntry, Repeat, ServiceId};
+pub use catalogue::{Catalogue, CatalogueSource, EntryId, HttpEntry, RequestKind, ServiceId};
 pub use choose::Demand;
 pub use cordons::{Cordon, CordonEffect};
 pub use endpoints::{Endpoint, EndpointRecord, EndpointState};
--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -61,38 +61,38 @@
 
 /// Why a request is sent to one endpoint more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum RepeatKind {
+pub enum RetryKind {
     /// retry
     Retry,
     /// read_anew
-    ReadAnew,
+    Recompute,
     /// go_on
-    GoOn,
+    Resume,
     /// go_on_again
-    GoOnAgain,
+    ResumeAgain,
 }
 
-impl RepeatKind {
+impl RetryKind {
     /// Returns whether a generation goes on that its caller holds a part of.
-    pub fn is_move(self) -> bool {
-        matches!(self, RepeatKind::GoOn | RepeatKind::GoOnAgain)
+    pub fn is_resume(self) -> bool {
+        matches!(self, RetryKind::Resume | RetryKind::ResumeAgain)
     }
 }
 
 /// Whether a request may be sent to one endpoint more, and what that was decided by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatDecision {
+pub struct RetryDecision {
     /// Whether it may.
     pub is_allowed: bool,
     /// Instances that are heard, this one included.
-    pub heard: usize,
+    pub live_instances: usize,
     /// Instances that are known, this one and those that were lost lately included; 0 while this
     /// instance may know a part of the fleet only.
-    pub known: usize,
+    pub known_instances: usize,
     /// For how long this instance has run.
-    pub age: Duration,
+    pub uptime: Duration,
     /// Repeats that are left.
-    pub left: f64,
+    pub remaining: f64,
 }
 
 /// What this instance has earned for one service and not spent.
@@ -108,7 +108,7 @@
 
 /// What this instance may spend on repeats, by service.
 #[derive(Clone, Debug)]
-pub struct SharedBudget {
+pub struct SharedRetryBudget {
     cfg: BudgetConfig,
     /// Since when `known` is what it is. Accounts that are opened later have earned since then.
     known_since: Time,
@@ -117,10 +117,10 @@
     accounts: BTreeMap<String, Account>,
 }
 
-impl SharedBudget {
+impl SharedRetryBudget {
     /// Returns the budget of an instance that begins now, which has earned nothing.
     pub fn new(now: Time, cfg: BudgetConfig) -> Self {
-        SharedBudget {
+        SharedRetryBudget {
             cfg,
             known_since: now,
             known: None,
@@ -135,7 +135,7 @@
     }
 
     /// Notes how many instances share the allowance; nothing if that is not known.
-    pub fn set_known(&mut self, now: Time, known: Option<usize>) {
+    pub fn set_fleet_size(&mut self, now: Time, known: Option<usize>) {
         if known == self.known {
             return;
         }
@@ -159,11 +159,17 @@
 
     /// Spends one repeat if this instance holds one. Where generations may have to go on, other
     /// repeats leave them a part of what may be held.
-    pub fn spend(&mut self, now: Time, service: &str, kind: RepeatKind, has_moves: bool) -> bool {
+    pub fn try_spend(
+        &mut self,
+        now: Time,
+        service: &str,
+        kind: RetryKind,
+        has_moves: bool,
+    ) -> bool {
         let (cfg, known) = (self.cfg, self.known);
         let account = self.account(service);
         account.settle(now, &cfg, known);
-        let needed = match has_moves && !kind.is_move() {
+        let needed = match has_moves && !kind.is_resume() {
             true => (1.0 + KEPT_FOR_MOVES).min(account.limit(&cfg, known).max(1.0)),
             false => 1.0,
         };
@@ -175,7 +181,7 @@
     }
 
     /// Returns how many repeats are left.
-    pub fn left(&mut self, now: Time, service: &str) -> f64 {
+    pub fn remaining(&mut self, now: Time, service: &str) -> f64 {
         let (cfg, known) = (self.cfg, self.known);
         let account = self.account(service);
         account.settle(now, &cfg, known);
--- a/crates/core/src/gateway/catalogue.rs
+++ b/crates/core/src/gateway/catalogue.rs
@@ -27,11 +27,11 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Repeat {
+pub enum RequestKind {
     /// A call that is idempotent.
     Idempotent,
     /// A call that runs at most once.
-    Once,
+    AtMostOnce,
     /// A generation, streamed as events, that runs at most once.
     Stream,
     /// A generation, streamed as events, that any engine may go on with after the last
@@ -40,15 +40,15 @@
     ResumableStream,
 }
 
-impl Repeat {
+impl RequestKind {
     /// Returns whether the request may run more than once.
     pub const fn is_idempotent(self) -> bool {
-        matches!(self, Repeat::Idempotent | Repeat::ResumableStream)
+        matches!(self, RequestKind::Idempotent | RequestKind::ResumableStream)
     }
 
     /// Returns whether the answer is a stream of events.
     pub const fn is_stream(self) -> bool {
-        matches!(self, Repeat::Stream | Repeat::ResumableStream)
+        matches!(self, RequestKind::Stream | RequestKind::ResumableStream)
     }
 }
 
@@ -71,7 +71,7 @@
     /// The path prefix; it begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub kind: RequestKind,
     /// The longest that a request may be kept.
     pub timeout: Duration,
     /// Within which time an answer, or a stream's first event, is wanted.
@@ -94,9 +94,9 @@
     /// Generations that run at once.
     pub slots: u32,
     /// Tokens that its memory holds.
-    pub memory_tokens: u32,
+    pub kv_cache_tokens: u32,
     /// Whether a generation's memory can be kept at a second engine as it grows.
-    pub standing_copies: bool,
+    pub standby_copies: bool,
 }
 
 /// A service: endpoints that do the same work.
@@ -184,7 +184,7 @@
 
 /// How a request is judged by a catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum RequestMatch {
     /// It may be served.
     Serve {
         /// Under this entry.
@@ -289,7 +289,7 @@
             name: entry.name,
             host: entry.host,
             prefix: entry.prefix,
-            repeat: entry.repeat,
+            kind: entry.kind,
             timeout: entry.timeout,
             target: entry.target,
             gap_target: entry.gap_target,
@@ -344,18 +344,23 @@
     }
 
     /// Judges a request by its host, path and the digest of the key it carries.
-    pub fn judge(&self, host: &str, path: &str, key_digest: Option<&[u8; 32]>) -> Judgement {
+    pub fn match_request(
+        &self,
+        host: &str,
+        path: &str,
+        key_digest: Option<&[u8; 32]>,
+    ) -> RequestMatch {
         let Some(entry) = self.find(host, path) else {
-            return Judgement::NoEntry;
+            return RequestMatch::NoEntry;
         };
         let workspace = key_digest
             .and_then(|digest| self.by_key.get(digest))
             .copied();
         let open = self.workspaces.is_empty() || self.entries[entry].public;
         if workspace.is_none() && !open {
-            return Judgement::UnknownKey;
+            return RequestMatch::UnknownKey;
         }
-        Judgement::Serve { entry, workspace }
+        RequestMatch::Serve { entry, workspace }
     }
 
     /// Finds the entry with the longest prefix of `path`. A host may carry a port.
@@ -376,7 +381,7 @@
     }
 
     /// Returns the service for a request of `entry`; `draw` is uniform below one.
-    pub fn draw_service(&self, entry: EntryId, draw: f64) -> ServiceId {
+    pub fn pick_service(&self, entry: EntryId, draw: f64) -> ServiceId {
         let services = &self.entries[entry].services;
         let total: u64 = services.iter().map(|it| u64::from(it.weight)).sum();
         let mut at = (draw * total as f64) as u64;
--- a/crates/core/src/gateway/choose.rs
+++ b/crates/core/src/gateway/choose.rs
@@ -7,8 +7,8 @@
 
 use super::catalogue::EngineLimits;
 use super::endpoints::{Endpoint, EndpointState, EndpointTable};
-use super::queue::{Asking, Waiter};
-use super::usage::{Others, UsageTable, Used};
+use super::queue::{QueuedPlacement, QueuedRequest};
+use super::usage::{PeerUsage, Usage, UsageTable};
 use crate::ids::EndpointKey;
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
@@ -86,7 +86,7 @@
 
 /// The tables that a choice looks at.
 #[derive(Clone, Copy, Debug)]
-pub struct World<'a> {
+pub struct PlacementContext<'a> {
     /// The time.
     pub now: Time,
     /// All endpoints.
@@ -94,22 +94,22 @@
     /// What this instance runs where.
     pub usage: &'a UsageTable,
     /// What others run.
-    pub others: &'a Others,
+    pub others: &'a PeerUsage,
     /// The data centre of this instance.
     pub data_centre: &'a str,
 }
 
-impl World<'_> {
-    fn used(self, endpoint: &Endpoint) -> Used {
+impl PlacementContext<'_> {
+    fn used(self, endpoint: &Endpoint) -> Usage {
         self.usage
             .own(endpoint.key)
-            .and(self.others.of(endpoint.key))
+            .plus(self.others.of(endpoint.key))
     }
 }
 
 /// Why there is no endpoint for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoPlace {
+pub enum PlacementError {
     /// There is none, or all that there are fail or leave.
     NoEndpoint,
     /// All are full.
@@ -117,7 +117,7 @@
     /// All that there are lie in data centres that the operator closed to new work.
     Cordoned,
     /// All that there are have named a limit, and take no more for now.
-    Limited,
+    RateLimited,
 }
 
 /// Returns the endpoint with the least cost. `jitter` draws a number below one
@@ -127,10 +127,10 @@
 ///
 /// Returns why there is none.
 pub fn choose(
-    world: World<'_>,
+    world: PlacementContext<'_>,
     demand: &Demand<'_>,
     mut jitter: impl FnMut() -> f64,
-) -> Result<EndpointKey, NoPlace> {
+) -> Result<EndpointKey, PlacementError> {
     let mut full = false;
     let trusted = |endpoint: &Endpoint| is_trusted(world, endpoint);
     let chosen = cheapest(candidates(world, demand, trusted), |endpoint| {
@@ -138,7 +138,7 @@
         let (cost, away) = match demand.engine {
             Some(limits) => {
                 let room = fits(used, demand.tokens, limits, MEMORY_SHARE);
-                if !room || used.unread >= MAX_UNREAD {
+                if !room || used.pending_prefill >= MAX_UNREAD {
                     full = true;
                     return None;
                 }
@@ -150,16 +150,16 @@
     });
     match chosen {
         Some(key) => Ok(key),
-        None if full => Err(NoPlace::Full),
+        None if full => Err(PlacementError::Full),
         None => Err(why_none(world, demand.service)),
     }
 }
 
 /// Returns why a service has no endpoint that may be chosen.
-fn why_none(world: World<'_>, service: &str) -> NoPlace {
+fn why_none(world: PlacementContext<'_>, service: &str) -> PlacementError {
     match world.endpoints.is_service_cordoned(service) {
-        true => NoPlace::Cordoned,
-        false => NoPlace::NoEndpoint,
+        true => PlacementError::Cordoned,
+        false => PlacementError::NoEndpoint,
     }
 }
 
@@ -174,7 +174,7 @@
 struct EngineCapacity<'a> {
     key: EndpointKey,
     data_centre: &'a str,
-    used: Used,
+    used: Usage,
     /// What the state of the engine costs beside its load.
     state_cost: f64,
     /// Whether its room is kept for somebody.
@@ -189,11 +189,11 @@
 ///
 /// Returns why there is no engine.
 pub(super) fn capacities<'a>(
-    world: World<'a>,
+    world: PlacementContext<'a>,
     demand: &Demand<'_>,
     bounded_left: impl Fn(EndpointKey) -> Option<u32>,
-) -> Result<EngineCapacities<'a>, NoPlace> {
-    let limits = demand.engine.ok_or(NoPlace::NoEndpoint)?;
+) -> Result<EngineCapacities<'a>, PlacementError> {
+    let limits = demand.engine.ok_or(PlacementError::NoEndpoint)?;
     let trusted = |endpoint: &Endpoint| is_trusted(world, endpoint);
     let engines: Vec<EngineCapacity<'_>> = candidates(world, demand, trusted)
         .map(|endpoint| EngineCapacity {
@@ -217,14 +217,16 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub(super) fn give(&mut self, asking: &Asking) -> Result<EndpointKey, NoPlace> {
+    pub(super) fn reserve(
+        &mut self,
+        asking: &QueuedPlacement,
+    ) -> Result<EndpointKey, PlacementError> {
         let tried = |capacity: &EngineCapacity<'_>| asking.request.exclude.contains(&capacity.key);
         if self.engines.iter().all(tried) {
-            return Err(NoPlace::NoEndpoint);
+            return Err(PlacementError::NoEndpoint);
         }
-        let avoided = |capacity: &EngineCapacity<'_>| {
-            tried(capacity) || asking.avoids.contains(&capacity.key)
-        };
+        let avoided =
+            |capacity: &EngineCapacity<'_>| tried(capacity) || asking.avoid.contains(&capacity.key);
         match self.engines.iter().all(avoided) {
             true => self.give_unless(asking, tried),
             false => self.give_unless(asking, avoided),
@@ -233,17 +235,17 @@
 
     fn give_unless(
         &mut self,
-        asking: &Asking,
+        asking: &QueuedPlacement,
         excluded: impl Fn(&EngineCapacity<'_>) -> bool,
-    ) -> Result<EndpointKey, NoPlace> {
-        let Waiter { tokens, prompt, .. } = asking.request.waiter;
+    ) -> Result<EndpointKey, PlacementError> {
+        let QueuedRequest { tokens, prompt, .. } = asking.request.queued;
         let data_centre = asking.data_centre.as_str();
         let limits = self.limits;
         let fitting = self.engines.iter_mut().filter(|capacity| {
             !capacity.is_kept
                 && capacity.bounded_left != Some(0)
                 && !excluded(capacity)
-                && capacity.used.unread < MAX_UNREAD
+                && capacity.used.pending_prefill < MAX_UNREAD
                 && fits(capacity.used, tokens, limits, MEMORY_SHARE)
         });
         let cost = |capacity: &EngineCapacity<'_>| {
@@ -255,18 +257,21 @@
             engine_cost(capacity.used, limits) + capacity.state_cost + away
         };
         let capacity = fitting.min_by(|a, b| cost(a).total_cmp(&cost(b)));
-        let capacity = capacity.ok_or(NoPlace::Full)?;
+        let capacity = capacity.ok_or(PlacementError::Full)?;
         capacity.bounded_left = capacity.bounded_left.map(|it| it.saturating_sub(1));
         capacity.used.running = capacity.used.running.saturating_add(1);
         capacity.used.tokens = capacity.used.tokens.saturating_add(tokens);
-        capacity.used.unread = capacity.used.unread.saturating_add(prompt);
+        capacity.used.pending_prefill = capacity.used.pending_prefill.saturating_add(prompt);
         Ok(capacity.key)
     }
 
     /// Keeps the engine with the most room for a request that fits nowhere yet.
-    pub(super) fn keep_largest(&mut self) {
+    pub(super) fn hold_largest(&mut self) {
         let taken = |capacity: &EngineCapacity<'_>| {
-            capacity.used.tokens.saturating_add(capacity.used.copied)
+            capacity
+                .used
+                .tokens
+                .saturating_add(capacity.used.copy_tokens)
         };
         let free = self.engines.iter_mut().filter(|capacity| !capacity.is_kept);
         if let Some(capacity) = free.min_by_key(|capacity| taken(capacity)) {
@@ -279,14 +284,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyKind {
     /// It is kept up to date as the generation grows, in case its engine leaves.
-    Standing,
+    Standby,
     /// Its engine leaves; the generation will go on from it.
-    Ahead,
+    PreCopy,
 }
 
 /// Returns the engine with the most room for a copy of a generation that runs at `source`.
-pub fn choose_copy(
-    world: World<'_>,
+pub fn choose_copy_target(
+    world: PlacementContext<'_>,
     demand: &Demand<'_>,
     source: &Endpoint,
     kind: CopyKind,
@@ -294,8 +299,8 @@
 ) -> Option<EndpointKey> {
     let limits = demand.engine?;
     let (share, away_cost, draw_width) = match kind {
-        CopyKind::Standing => (COPY_SHARE, AWAY_COST, DRAW_WIDTH),
-        CopyKind::Ahead => (AHEAD_SHARE, AWAY_AHEAD_COST, AHEAD_DRAW_WIDTH),
+        CopyKind::Standby => (COPY_SHARE, AWAY_COST, DRAW_WIDTH),
+        CopyKind::PreCopy => (AHEAD_SHARE, AWAY_AHEAD_COST, AHEAD_DRAW_WIDTH),
     };
     let exclude = [demand.exclude, &[source.key]].concat();
     let elsewhere = Demand {
@@ -332,7 +337,7 @@
 }
 
 /// Returns whether an endpoint is believed to serve, by what is seen here and elsewhere.
-fn is_trusted(world: World<'_>, endpoint: &Endpoint) -> bool {
+fn is_trusted(world: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
     !endpoint.is_ejected(world.now) && !world.others.ejected.contains(&endpoint.key)
 }
 
@@ -341,7 +346,7 @@
 /// What goes wrong otherwise: while the store is away, an engine that died still has its
 /// entry. It looks empty, draws all copies to itself, and the generations that lean on
 /// them are lost with their engines. Whoever had work there has seen it fail, and says so.
-fn keeps_copies(world: World<'_>, endpoint: &Endpoint) -> bool {
+fn keeps_copies(world: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
     let failing = endpoint.is_failing() || world.others.failing.contains(&endpoint.key);
     !failing && is_trusted(world, endpoint)
 }
@@ -349,7 +354,7 @@
 /// Returns the endpoints that may be chosen; those that are not `trusted` only if
 /// there are no others.
 fn candidates<'w>(
-    world: World<'w>,
+    world: PlacementContext<'w>,
     demand: &Demand<'_>,
     trusted: impl Fn(&Endpoint) -> bool,
 ) -> impl Iterator<Item = &'w Endpoint> {
@@ -359,27 +364,27 @@
     usable().filter(move |endpoint| !any_trusted || trusted(endpoint))
 }
 
-fn fits(used: Used, tokens: u32, limits: EngineLimits, share: f64) -> bool {
-    let room = f64::from(limits.memory_tokens) * share;
-    let taken = f64::from(used.tokens) + f64::from(used.copied);
+fn fits(used: Usage, tokens: u32, limits: EngineLimits, share: f64) -> bool {
+    let room = f64::from(limits.kv_cache_tokens) * share;
+    let taken = f64::from(used.tokens) + f64::from(used.copy_tokens);
     let empty = used.running == 0;
     u32::from(used.running) < limits.slots && (empty || taken + f64::from(tokens) <= room)
 }
 
-fn engine_cost(used: Used, limits: EngineLimits) -> f64 {
-    let taken = f64::from(used.tokens) + f64::from(used.copied);
-    let memory = taken / f64::from(limits.memory_tokens.max(1));
-    f64::from(used.running) + UNREAD_COST * f64::from(used.unread) + MEMORY_COST * memory
+fn engine_cost(used: Usage, limits: EngineLimits) -> f64 {
+    let taken = f64::from(used.tokens) + f64::from(used.copy_tokens);
+    let memory = taken / f64::from(limits.kv_cache_tokens.max(1));
+    f64::from(used.running) + UNREAD_COST * f64::from(used.pending_prefill) + MEMORY_COST * memory
 }
 
-fn plain_cost(world: World<'_>, endpoint: &Endpoint, used: Used) -> f64 {
+fn plain_cost(world: PlacementContext<'_>, endpoint: &Endpoint, used: Usage) -> f64 {
     let counted = f64::from(used.running);
-    let told = world.usage.told_lately(world.now, endpoint.key);
+    let told = world.usage.recent_load(world.now, endpoint.key);
     let told = told.map_or(0.0, |load| f64::from(load.running + load.waiting));
     counted.max(told)
 }
 
-fn state_cost(world: World<'_>, endpoint: &Endpoint, away: f64) -> f64 {
+fn state_cost(world: PlacementContext<'_>, endpoint: &Endpoint, away: f64) -> f64 {
     let mut cost = FAILURE_COST * endpoint.failure_share();
     if endpoint.record.data_centre != world.data_centre {
         cost += away;
--- a/crates/core/src/gateway/cold.rs
+++ b/crates/core/src/gateway/cold.rs
@@ -8,7 +8,7 @@
 //! * the requests that a plain service bears in one second are divided among all known instances,
 //!   by rendezvous hashing, without a message; of less than one a second the first in rank has all;
 //! * generations are granted by the home of their service, within its part of the bound
-//!   ([`HOME_PART`]) times the part of all known instances that it hears. Homes on two sides of a
+//!   ([`HOME_SHARE`]) times the part of all known instances that it hears. Homes on two sides of a
 //!   cut hear disjoint parts.
 //!
 //! The bound is the rate itself. What the operator allows above it is left to requests that were
@@ -28,11 +28,11 @@
 
 /// The part of the bound that a home may grant: the home of a service and the next in rank may
 /// both be asked while one of them is silent to some.
-pub const HOME_PART: f64 = 0.375;
+pub const HOME_SHARE: f64 = 0.375;
 
 /// The part of the bound of an engine that instances may use without a home, each its share: for
 /// generations that go on there.
-pub const OWN_PART: f64 = 0.25;
+pub const LOCAL_SHARE: f64 = 0.25;
 
 /// The window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
@@ -57,26 +57,26 @@
     /// Requests a second at one endpoint, above zero.
     pub per_second: f64,
     /// How long an endpoint is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 impl ColdLimits {
     /// Returns how long an endpoint of a data centre that is open again counts as cold.
-    pub fn after_return(&self) -> Duration {
-        self.lasts + RETURN_MARGIN
+    pub fn after_uncordon(&self) -> Duration {
+        self.duration + RETURN_MARGIN
     }
 }
 
 /// Requests to cold endpoints, counted in a sliding window.
 #[derive(Clone, Debug, Default)]
-pub struct SlidingCount {
+pub struct SlidingWindowCounter {
     sent: BTreeMap<EndpointKey, VecDeque<Time>>,
 }
 
-impl SlidingCount {
+impl SlidingWindowCounter {
     /// Returns how many more requests may be sent now where `rate` a second are allowed. Below
     /// one a second the window is as long as one request takes.
-    pub fn left(&self, now: Time, endpoint: EndpointKey, rate: f64) -> u32 {
+    pub fn remaining(&self, now: Time, endpoint: EndpointKey, rate: f64) -> u32 {
         if rate <= 0.0 {
             return 0;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Counts a request.
-    pub fn note(&mut self, now: Time, endpoint: EndpointKey) {
+    pub fn record(&mut self, now: Time, endpoint: EndpointKey) {
         self.sent.entry(endpoint).or_default().push_back(now);
     }
 
@@ -112,7 +112,7 @@
     looked: Time,
     /// Since when this instance runs without a pause.
     runs_since: Time,
-    sent: SlidingCount,
+    sent: SlidingWindowCounter,
 }
 
 impl RateShares {
@@ -121,7 +121,7 @@
         RateShares {
             looked: now,
             runs_since: now,
-            sent: SlidingCount::default(),
+            sent: SlidingWindowCounter::default(),
         }
     }
 
@@ -136,7 +136,7 @@
 
     /// Returns how many more requests of `rate` a second in all the instance at `own` may send to
     /// an endpoint now without asking anybody.
-    pub fn left(
+    pub fn remaining(
         &self,
         now: Time,
         own: SocketAddrV4,
@@ -148,17 +148,17 @@
             return 0;
         }
         self.sent
-            .left(now, endpoint, share(own, fleet, endpoint, rate))
+            .remaining(now, endpoint, share(own, fleet, endpoint, rate))
     }
 
     /// Counts a request of this instance.
-    pub fn note(&mut self, now: Time, endpoint: EndpointKey) {
-        self.sent.note(now, endpoint);
+    pub fn record(&mut self, now: Time, endpoint: EndpointKey) {
+        self.sent.record(now, endpoint);
     }
 }
 
 /// Returns how many requests a second an endpoint bears from all instances, if that is bounded.
-pub fn rate_bound(
+pub fn rate_limit(
     now: Time,
     endpoint: EndpointKey,
     endpoints: &EndpointTable,
--- a/crates/core/src/gateway/endpoints.rs
+++ b/crates/core/src/gateway/endpoints.rs
@@ -326,7 +326,7 @@
         };
         let lifted = self.cordons.lifted_at(&endpoint.record.data_centre);
         let may_have_cooled = lifted
-            .is_some_and(|at| endpoint.said_at <= at && now.since(at) < limits.after_return());
+            .is_some_and(|at| endpoint.said_at <= at && now.since(at) < limits.after_uncordon());
         may_have_cooled || now < endpoint.cold_until
     }
 
--- a/crates/core/src/gateway/fleet_size.rs
+++ b/crates/core/src/gateway/fleet_size.rs
@@ -21,7 +21,7 @@
 
 /// What an instance tells its peers of the fleet's size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSize {
+pub struct FleetSizeReport {
     /// How many instances there are; 0 while the sender does not know.
     pub count: u32,
     /// For how many seconds that was not seen by anybody.
@@ -61,7 +61,7 @@
     }
 
     /// Takes in what a peer tells.
-    pub fn hear(&mut self, now: Time, told: ToldSize) {
+    pub fn on_report(&mut self, now: Time, told: FleetSizeReport) {
         if told.count == 0 {
             return;
         }
@@ -74,17 +74,17 @@
     }
 
     /// Returns what this instance tells its peers.
-    pub fn to_tell(&self, now: Time) -> ToldSize {
+    pub fn report(&self, now: Time) -> FleetSizeReport {
         if !self.is_settled {
-            return ToldSize::default();
+            return FleetSizeReport::default();
         }
         let own = u32::try_from(self.seen()).unwrap_or(u32::MAX);
         match self.told {
-            Some((count, at)) if count > own => ToldSize {
+            Some((count, at)) if count > own => FleetSizeReport {
                 count,
                 age_s: u16::try_from(now.since(at).as_secs()).unwrap_or(u16::MAX),
             },
-            _ => ToldSize {
+            _ => FleetSizeReport {
                 count: own,
                 age_s: 0,
             },
@@ -92,14 +92,14 @@
     }
 
     /// Returns how many instances there are, this one and those that were lost lately included.
-    pub fn known(&self) -> usize {
+    pub fn count(&self) -> usize {
         let told = self.told.map_or(0, |(count, _)| count as usize);
         self.seen().max(told)
     }
 
     /// Returns the same, or nothing while this instance may know a part of the fleet only.
     pub fn settled(&self) -> Option<usize> {
-        self.is_settled.then(|| self.known())
+        self.is_settled.then(|| self.count())
     }
 
     /// Returns the other instances that were seen lately.
--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -8,10 +8,10 @@
 
 use super::beacons::Beacon;
 use super::cordons::Cordon;
-use super::fleet_size::ToldSize;
+use super::fleet_size::FleetSizeReport;
 use super::home::{Answer, Report};
 use super::members::Update;
-use super::rate_limits::LimitWord;
+use super::rate_limits::LimitReport;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 use crate::suspects::{Blame, TurnAnswer, TurnReport};
@@ -62,7 +62,7 @@
     /// Which data centres are closed to new work, or open again.
     pub cordons: Vec<Cordon>,
     /// Which endpoints named a limit, or name none any more.
-    pub limits: Vec<LimitWord>,
+    pub limits: Vec<LimitReport>,
 }
 
 impl Items {
@@ -91,7 +91,7 @@
     /// What that comes to, see [`Replica::digest`](super::replica::Replica::digest).
     pub digest: u64,
     /// How many instances there are, as the sender knows.
-    pub fleet: ToldSize,
+    pub fleet: FleetSizeReport,
     /// What it is about.
     pub body: Body,
 }
--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -1,6 +1,6 @@
 //! What the home of a service's engines knows, and how it gives away their room.
 //!
-//! Instances report what they run and what they wait for ([`ask`](super::ask)). The home keeps
+//! Instances report what they run and what they wait for ([`placement`](super::placement)). The home keeps
 //! the last report of each, works out who is next ([`queue`](super::queue)) and reserves what
 //! it grants until the instance's next report shows it. An instance that falls silent is forgotten
 //! after a second, with its use, its placement requests and its reservations: a frozen instance
@@ -11,14 +11,14 @@
 
 pub use message::{Answer, PlacementMessage, Report};
 
-use super::ask::{Decision, PlacementRequest, Want};
 use super::catalogue::EngineLimits;
-use super::choose::{Demand, NoPlace, World, choose, choose_copy};
-use super::cold::{self, ColdLimits, HOME_PART, SlidingCount};
+use super::choose::{Demand, PlacementContext, PlacementError, choose, choose_copy_target};
+use super::cold::{self, ColdLimits, HOME_SHARE, SlidingWindowCounter};
 use super::endpoints::EndpointTable;
-use super::queue::{Asking, MAX_WAITING, assign, service_hash};
+use super::placement::{PlacementDecision, PlacementKind, PlacementRequest};
+use super::queue::{MAX_QUEUED_PER_INSTANCE, QueuedPlacement, assign, service_hash};
 use super::rate_limits::RateLimits;
-use super::usage::{Others, UsageTable, Used};
+use super::usage::{PeerUsage, Usage, UsageTable};
 use crate::ids::{EndpointKey, Incarnation};
 use crate::time::Time;
 use core::time::Duration;
@@ -43,7 +43,7 @@
     number: u64,
     heard: Time,
     data_centre: String,
-    used: Vec<(EndpointKey, Used)>,
+    used: Vec<(EndpointKey, Usage)>,
     failing: Vec<EndpointKey>,
     passed_over: Vec<EndpointKey>,
     /// How many instances it knows, those that were lost included.
@@ -55,7 +55,7 @@
     owed: bool,
     viewed: Option<Time>,
     /// What was granted and is not in a report yet.
-    reserved: BTreeMap<u64, (EndpointKey, Used)>,
+    reserved: BTreeMap<u64, (EndpointKey, Usage)>,
 }
 
 /// The instances that reported about one service.
@@ -65,11 +65,11 @@
     /// Engines that instances could not use lately.
     doubts: Doubts,
     /// Requests that were granted at engines that bear few.
-    bounded_granted: SlidingCount,
+    bounded_granted: SlidingWindowCounter,
 }
 
 /// What was decided, by the instance that is to be told.
-type Decided = BTreeMap<SocketAddrV4, Vec<(u64, Decision)>>;
+type Decided = BTreeMap<SocketAddrV4, Vec<(u64, PlacementDecision)>>;
 
 /// What a home needs to know of a service to decide.
 #[derive(Clone, Copy, Debug)]
@@ -93,7 +93,7 @@
 impl Engines<'_> {
     /// Returns how many requests a second an engine bears from all instances, if that is bounded.
     fn rate_bound(&self, now: Time, engine: EndpointKey) -> Option<f64> {
-        cold::rate_bound(now, engine, self.endpoints, self.cold.as_ref(), self.named)
+        cold::rate_limit(now, engine, self.endpoints, self.cold.as_ref(), self.named)
     }
 
     fn bounded(&self, now: Time) -> Vec<EndpointKey> {
@@ -115,9 +115,9 @@
             Some(known) => (known.viewed, core::mem::take(&mut known.reserved)),
             None => (None, BTreeMap::new()),
         };
-        let requests = report.requests.into_iter().take(MAX_WAITING);
+        let requests = report.requests.into_iter().take(MAX_QUEUED_PER_INSTANCE);
         let requests: Vec<PlacementRequest> = requests.map(|it| it.at(now)).collect();
-        reserved.retain(|id, _| requests.iter().any(|it| it.waiter.id == *id));
+        reserved.retain(|id, _| requests.iter().any(|it| it.queued.id == *id));
         for &engine in &report.passed_over {
             let known = self.reporters.get(&from);
             if !known.is_some_and(|it| it.passed_over.contains(&engine)) {
@@ -166,12 +166,14 @@
     pub fn waiting(&self) -> usize {
         let asking = self.reporters.values().filter(|it| it.decides);
         let requests = asking.flat_map(|it| &it.requests);
-        requests.filter(|it| it.want == Want::Place).count()
+        requests
+            .filter(|it| it.kind == PlacementKind::Queued)
+            .count()
     }
 
     /// Returns what all instances but `except` run.
-    pub fn others(&self, now: Time, except: Option<SocketAddrV4>) -> Others {
-        let mut others = Others::default();
+    pub fn others(&self, now: Time, except: Option<SocketAddrV4>) -> PeerUsage {
+        let mut others = PeerUsage::default();
         others.ejected.extend(self.doubts.passed_over(now));
         let counted = self.reporters.iter().filter(|it| Some(*it.0) != except);
         for (_, reporter) in counted {
@@ -194,14 +196,16 @@
         let mut answers = Vec::new();
         for (from, reporter) in &mut self.reporters {
             let told = decided.remove(from).unwrap_or_default();
-            let has_grant = told.iter().any(|(_, it)| !matches!(it, Decision::Waits(_)));
+            let has_grant = told
+                .iter()
+                .any(|(_, it)| !matches!(it, PlacementDecision::Queued(_)));
             if told.is_empty() || !(has_grant || reporter.owed) {
                 continue;
             }
             reporter.owed = false;
             reporter.requests.retain(|request| {
-                let is_denied = |&(id, it): &(u64, Decision)| {
-                    id == request.waiter.id && matches!(it, Decision::Denied(_))
+                let is_denied = |&(id, it): &(u64, PlacementDecision)| {
+                    id == request.queued.id && matches!(it, PlacementDecision::Denied(_))
                 };
                 !told.iter().any(is_denied)
             });
@@ -238,11 +242,11 @@
     fn granted_part(&self, engines: &Engines<'_>) -> f64 {
         let told = self.reporters.values().map(|it| it.known as usize).max();
         let known = engines.known.max(told.unwrap_or(0)).max(engines.live);
-        HOME_PART * engines.live as f64 / known.max(1) as f64
+        HOME_SHARE * engines.live as f64 / known.max(1) as f64
     }
 
     /// Returns what others run, if the instance at `from` is to be told now.
-    fn view_for(&mut self, now: Time, from: SocketAddrV4) -> Option<Others> {
+    fn view_for(&mut self, now: Time, from: SocketAddrV4) -> Option<PeerUsage> {
         let reporter = self.reporters.get_mut(&from)?;
         let is_due = reporter
             .viewed
@@ -260,7 +264,7 @@
         &mut self,
         now: Time,
         engines: Engines<'_>,
-        others: &mut Others,
+        others: &mut PeerUsage,
         decided: &mut Decided,
     ) {
         let any_waits = self.reporters.values().any(Reporter::waits_in_turn);
@@ -268,12 +272,12 @@
         for urgent in [true, false] {
             for (from, reporter) in self.reporters.iter_mut().filter(|(_, it)| it.decides) {
                 for request in &reporter.requests {
-                    if request.want == Want::Place || request.is_urgent() != urgent {
+                    if request.kind == PlacementKind::Queued || request.is_urgent() != urgent {
                         continue;
                     }
-                    let id = request.waiter.id;
+                    let id = request.queued.id;
                     let granted = reporter.reserved.get(&id).map(|(key, _)| *key);
-                    let world = World {
+                    let world = PlacementContext {
                         now,
                         endpoints: engines.endpoints,
                         usage: &none,
@@ -282,12 +286,14 @@
                     };
                     let place = match granted {
                         Some(key) => Ok(key),
-                        None if request.want == Want::Aside && any_waits => Err(NoPlace::Full),
+                        None if request.kind == PlacementKind::Immediate && any_waits => {
+                            Err(PlacementError::Full)
+                        }
                         None => at_once(world, engines, request),
                     };
                     let decision = match place {
-                        Ok(key) => Decision::Granted(key),
-                        Err(why) => Decision::Denied(why),
+                        Ok(key) => PlacementDecision::Granted(key),
+                        Err(why) => PlacementDecision::Denied(why),
                     };
                     if let (Ok(key), None) = (place, granted) {
                         let used = request.reserves();
@@ -305,11 +311,11 @@
         &mut self,
         now: Time,
         engines: Engines<'_>,
-        others: &Others,
+        others: &PeerUsage,
         decided: &mut Decided,
     ) {
         let none = UsageTable::default();
-        let world = World {
+        let world = PlacementContext {
             now,
             endpoints: engines.endpoints,
             usage: &none,
@@ -318,10 +324,14 @@
         };
         let mut waiting = Vec::new();
         for (from, reporter) in self.reporters.iter().filter(|(_, it)| it.decides) {
-            for request in reporter.requests.iter().filter(|it| it.want == Want::Place) {
-                match reporter.reserved.get(&request.waiter.id) {
+            for request in reporter
+                .requests
+                .iter()
+                .filter(|it| it.kind == PlacementKind::Queued)
+            {
+                match reporter.reserved.get(&request.queued.id) {
                     Some((key, _)) => {
-                        let told = (request.waiter.id, Decision::Granted(*key));
+                        let told = (request.queued.id, PlacementDecision::Granted(*key));
                         decided.entry(*from).or_default().push(told);
                     }
                     None => waiting.push((*from, reporter.asking(request))),
@@ -331,7 +341,7 @@
         let part = self.granted_part(&engines);
         let left = |engine| {
             let bound = engines.rate_bound(now, engine);
-            bound.map(|rate| self.bounded_granted.left(now, engine, rate * part))
+            bound.map(|rate| self.bounded_granted.remaining(now, engine, rate * part))
         };
         let places = assign(
             world,
@@ -340,14 +350,14 @@
             waiting.iter().map(|(_, asking)| asking),
         );
         for ((from, asking), place) in waiting.iter().zip(places) {
-            let id = asking.request.waiter.id;
+            let id = asking.request.queued.id;
             let decision = match place {
-                Ok(key) => Decision::Granted(key),
-                Err(why) => Decision::Waits(why),
+                Ok(key) => PlacementDecision::Granted(key),
+                Err(why) => PlacementDecision::Queued(why),
             };
             if let (Ok(key), Some(reporter)) = (place, self.reporters.get_mut(from)) {
                 if engines.rate_bound(now, key).is_some() {
-                    self.bounded_granted.note(now, key);
+                    self.bounded_granted.record(now, key);
                 }
                 reporter
                     .reserved
@@ -359,42 +369,47 @@
 }
 
 impl Reporter {
-    fn asking(&self, request: &PlacementRequest) -> Asking {
-        Asking {
+    fn asking(&self, request: &PlacementRequest) -> QueuedPlacement {
+        QueuedPlacement {
             request: request.clone(),
             data_centre: self.data_centre.clone(),
-            avoids: self.passed_over.clone(),
+            avoid: self.passed_over.clone(),
         }
     }
 
     fn waits_in_turn(&self) -> bool {
         let mut requests = self.requests.iter();
-        requests.any(|it| it.want == Want::Place && !self.reserved.contains_key(&it.waiter.id))
+        requests.any(|it| {
+            it.kind == PlacementKind::Queued && !self.reserved.contains_key(&it.queued.id)
+        })
     }
 }
 
 /// Chooses for a placement request that waits for nothing.
 fn at_once(
-    world: World<'_>,
+    world: PlacementContext<'_>,
     engines: Engines<'_>,
     request: &PlacementRequest,
-) -> Result<EndpointKey, NoPlace> {
+) -> Result<EndpointKey, PlacementError> {
     // What bears few requests gets them in their turn only, within its bound.
     let mut exclude = request.exclude.clone();
     exclude.extend(engines.bounded(world.now));
     let demand = Demand {
         service: engines.service,
         engine: Some(engines.limits),
-        tokens: request.waiter.tokens,
+        tokens: request.queued.tokens,
         exclude: &exclude,
     };
     // One instance decides for all, one request after the other: nothing is to be parted.
     let no_draw = || 0.0;
-    match request.want {
-        Want::Place | Want::Aside => choose(world, &demand, no_draw),
-        Want::Copy { source, kind } => {
-            let source = world.endpoints.get(source).ok_or(NoPlace::NoEndpoint)?;
-            choose_copy(world, &demand, source, kind, no_draw).ok_or(NoPlace::Full)
+    match request.kind {
+        PlacementKind::Queued | PlacementKind::Immediate => choose(world, &demand, no_draw),
+        PlacementKind::Copy { source, kind } => {
+            let source = world
+                .endpoints
+                .get(source)
+                .ok_or(PlacementError::NoEndpoint)?;
+            choose_copy_target(world, &demand, source, kind, no_draw).ok_or(PlacementError::Full)
         }
     }
 }
--- a/crates/core/src/gateway/home/message.rs
+++ b/crates/core/src/gateway/home/message.rs
@@ -1,9 +1,9 @@
 //! What instances and homes tell each other.
 
-use crate::gateway::ask::{Decision, PlacementRequest, Want};
 use crate::gateway::choose::CopyKind;
-use crate::gateway::queue::{Waiter, Waiting};
-use crate::gateway::usage::{Others, Used};
+use crate::gateway::placement::{PlacementDecision, PlacementKind, PlacementRequest};
+use crate::gateway::queue::{QueuedRequest, QueuedRequestReport};
+use crate::gateway::usage::{PeerUsage, Usage};
 use crate::ids::EndpointKey;
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
@@ -12,9 +12,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementMessage {
     /// The request.
-    pub waiting: Waiting,
+    pub waiting: QueuedRequestReport,
     /// What it wants.
-    pub want: Want,
+    pub want: PlacementKind,
     /// Endpoints that are not to be chosen.
     pub exclude: Vec<EndpointKey>,
 }
@@ -31,7 +31,7 @@
     /// Whether the receiver is to decide.
     pub decides: bool,
     /// What the instance runs where.
-    pub used: Vec<(EndpointKey, Used)>,
+    pub used: Vec<(EndpointKey, Usage)>,
     /// Engines of which the last that the instance saw was a failure.
     pub failing: Vec<EndpointKey>,
     /// Engines that it cannot use at the moment.
@@ -48,17 +48,17 @@
     /// The hash of the service's name.
     pub service: u64,
     /// What it decided.
-    pub decisions: Vec<(u64, Decision)>,
+    pub decisions: Vec<(u64, PlacementDecision)>,
     /// What others run where, now and then.
-    pub view: Option<Others>,
+    pub view: Option<PeerUsage>,
 }
 
 impl PlacementRequest {
     /// Returns the placement request as it travels.
     pub fn to_tell(&self, now: Time) -> PlacementMessage {
         PlacementMessage {
-            waiting: self.waiter.to_tell(now),
-            want: self.want,
+            waiting: self.queued.to_report(now),
+            want: self.kind,
             exclude: self.exclude.clone(),
         }
     }
@@ -66,27 +66,27 @@
     /// Returns whether a generation is lost without it.
     pub(super) fn is_urgent(&self) -> bool {
         matches!(
-            self.want,
-            Want::Copy {
-                kind: CopyKind::Ahead,
+            self.kind,
+            PlacementKind::Copy {
+                kind: CopyKind::PreCopy,
                 ..
             }
         )
     }
 
     /// Returns what is kept for it until its instance counts it.
-    pub(super) fn reserves(&self) -> Used {
-        let Waiter { tokens, prompt, .. } = self.waiter;
-        match self.want {
-            Want::Place | Want::Aside => Used {
+    pub(super) fn reserves(&self) -> Usage {
+        let QueuedRequest { tokens, prompt, .. } = self.queued;
+        match self.kind {
+            PlacementKind::Queued | PlacementKind::Immediate => Usage {
                 running: 1,
-                unread: prompt,
+                pending_prefill: prompt,
                 tokens,
-                copied: 0,
+                copy_tokens: 0,
             },
-            Want::Copy { .. } => Used {
-                copied: tokens,
-                ..Used::default()
+            PlacementKind::Copy { .. } => Usage {
+                copy_tokens: tokens,
+                ..Usage::default()
             },
         }
     }
@@ -95,8 +95,8 @@
 impl PlacementMessage {
     pub(super) fn at(self, now: Time) -> PlacementRequest {
         PlacementRequest {
-            waiter: Waiter::told(now, &self.waiting),
-            want: self.want,
+            queued: QueuedRequest::from_report(now, &self.waiting),
+            kind: self.want,
             exclude: self.exclude,
         }
     }
--- a/crates/core/src/gateway/lengths.rs
+++ b/crates/core/src/gateway/lengths.rs
@@ -29,15 +29,15 @@
 /// What is expected of one generation: mean and variance of the logarithm of its
 /// length in tokens, and the most tokens allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Length {
+pub struct LengthEstimate {
     log_mean: f64,
     log_deviation: f64,
     cap: f64,
 }
 
-impl Length {
+impl LengthEstimate {
     /// Returns how many tokens are expected beyond `age`.
-    pub fn rest(&self, age: u32) -> u32 {
+    pub fn remaining(&self, age: u32) -> u32 {
         let age = f64::from(age);
         let mut sum = 0.0;
         let mut longer = 0.0;
@@ -71,8 +71,8 @@
 
 /// Returns how many tokens of memory a generation is expected to take that has read a
 /// prompt of `prompt` tokens and made `made`.
-pub fn expected_memory(prompt: u32, length: Length, made: u32) -> u32 {
-    let rest = (f64::from(length.rest(made)) * OUTPUT_SHARE) as u32;
+pub fn expected_kv_tokens(prompt: u32, length: LengthEstimate, made: u32) -> u32 {
+    let rest = (f64::from(length.remaining(made)) * OUTPUT_SHARE) as u32;
     prompt.saturating_add(made).saturating_add(rest).max(1)
 }
 
@@ -84,7 +84,7 @@
 
 impl LengthTable {
     /// Learns the length of an answer that ended by itself.
-    pub fn learn(&mut self, entry: &str, tokens: u32) {
+    pub fn record(&mut self, entry: &str, tokens: u32) {
         let log = f64::from(tokens.max(1)).ln();
         if !self.entries.contains_key(entry) {
             self.entries.insert(entry.to_owned(), Learnt::default());
@@ -99,7 +99,7 @@
 
     /// Returns what is expected of a generation of `entry` with at most `cap` tokens,
     /// of which its caller expects `hint`.
-    pub fn expect(&self, entry: &str, cap: u32, hint: Option<u32>) -> Length {
+    pub fn estimate(&self, entry: &str, cap: u32, hint: Option<u32>) -> LengthEstimate {
         let cap = f64::from(cap.max(1));
         let prior = (cap * PRIOR_SHARE).ln();
         let learnt = self.entries.get(entry).copied().unwrap_or_default();
@@ -111,7 +111,7 @@
             Some(hint) => weigh(mean, variance, f64::from(hint.max(1)).ln()),
             None => (mean, variance),
         };
-        Length {
+        LengthEstimate {
             log_mean: mean,
             log_deviation: variance.sqrt(),
             cap,
--- a/crates/core/src/gateway/ask.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -10,9 +10,9 @@
 //! its own view meanwhile, from what it runs itself and what a home last told it. Both may
 //! then give away the same room, for as long as a report is under way.
 
-use super::choose::{CopyKind, NoPlace};
-use super::queue::Waiter;
-use super::usage::Others;
+use super::choose::{CopyKind, PlacementError};
+use super::queue::QueuedRequest;
+use super::usage::PeerUsage;
 use crate::ids::EndpointKey;
 use crate::time::Time;
 use core::time::Duration;
@@ -22,13 +22,13 @@
 
 /// How long a home may take to answer. A round trip between data centres takes some 3 ms and
 /// the sender gathers changes for 2 ms; the rest is for a home that is short of processor.
-pub const HOME_PATIENCE: Duration = Duration::from_millis(25);
+pub const HOME_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// How often an instance reports while it waits for a home that has not answered.
-pub const REPORT_AGAIN: Duration = Duration::from_millis(10);
+pub const UNANSWERED_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How often an instance reports while its requests wait for room.
-pub const REPORT_WAITING: Duration = Duration::from_millis(100);
+pub const QUEUED_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a home that said "wait" is believed without a word: two of its answers may be
 /// lost.
@@ -39,11 +39,11 @@
 
 /// What a request wants at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Want {
+pub enum PlacementKind {
     /// A place; it waits for one.
-    Place,
+    Queued,
     /// A place at once, where nobody waits: it has an engine already.
-    Aside,
+    Immediate,
     /// A place for a copy of what runs at `source`, at once.
     Copy {
         /// The engine at which the generation runs.
@@ -57,33 +57,33 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementRequest {
     /// The request.
-    pub waiter: Waiter,
+    pub queued: QueuedRequest,
     /// What it wants.
-    pub want: Want,
+    pub kind: PlacementKind,
     /// Endpoints that are not to be chosen, because they were tried.
     pub exclude: Vec<EndpointKey>,
 }
 
 /// What a home decided about a placement request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Decision {
+pub enum PlacementDecision {
     /// It has a place.
     Granted(EndpointKey),
     /// It has none and waits.
-    Waits(NoPlace),
+    Queued(PlacementError),
     /// It has none.
-    Denied(NoPlace),
+    Denied(PlacementError),
 }
 
 /// What an instance goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum PlacementStatus {
     /// A home decided.
-    Decided(Decision),
+    Decided(PlacementDecision),
     /// A home may still answer.
-    Asked,
+    Pending,
     /// No home answered in time: the instance decides by itself.
-    Unanswered,
+    TimedOut,
 }
 
 #[derive(Clone, Debug)]
@@ -92,45 +92,45 @@
     /// Since when a home may answer.
     since: Time,
     /// What it said last, and when.
-    said: Option<(Time, Decision)>,
+    said: Option<(Time, PlacementDecision)>,
 }
 
 /// All placement requests of an instance that are open, and what it knows of homes.
 #[derive(Clone, Debug, Default)]
-pub struct AskTable {
+pub struct PlacementTable {
     asked: BTreeMap<u64, Asked>,
     passed_over: BTreeMap<SocketAddrV4, Time>,
     /// What others run, as a home told last, by service.
-    views: BTreeMap<u64, (Time, Others)>,
+    views: BTreeMap<u64, (Time, PeerUsage)>,
 }
 
-impl AskTable {
+impl PlacementTable {
     /// Takes a placement request in.
-    pub fn enter(&mut self, now: Time, request: PlacementRequest) {
+    pub fn insert(&mut self, now: Time, request: PlacementRequest) {
         let asked = Asked {
             request,
             since: now,
             said: None,
         };
-        self.asked.insert(asked.request.waiter.id, asked);
+        self.asked.insert(asked.request.queued.id, asked);
     }
 
     /// Takes a placement request out, because it has what it wants or gave up.
-    pub fn leave(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         self.asked.remove(&id);
     }
 
     /// Returns the placement requests for `service`.
     pub fn of(&self, service: u64) -> impl Iterator<Item = &PlacementRequest> {
         let asked = self.asked.values().map(|it| &it.request);
-        asked.filter(move |it| it.waiter.service == service)
+        asked.filter(move |it| it.queued.service == service)
     }
 
     /// Returns whether a placement request for `service` was not answered yet, if there are any.
     pub fn is_unanswered(&self, service: u64) -> Option<bool> {
         let asked = self.asked.values();
         let mut of = asked
-            .filter(|it| it.request.waiter.service == service)
+            .filter(|it| it.request.queued.service == service)
             .peekable();
         of.peek()?;
         Some(of.any(|it| it.said.is_none()))
@@ -143,39 +143,39 @@
 
     /// Returns the services for which placement requests are open.
     pub fn services(&self) -> impl Iterator<Item = u64> {
-        self.asked.values().map(|it| it.request.waiter.service)
+        self.asked.values().map(|it| it.request.queued.service)
     }
 
     /// Returns whether a home is passed over at the moment.
-    pub fn is_passed_over(&self, now: Time, home: SocketAddrV4) -> bool {
+    pub fn is_unresponsive(&self, now: Time, home: SocketAddrV4) -> bool {
         self.passed_over
             .get(&home)
             .is_some_and(|&until| now < until)
     }
 
     /// Passes over a home that did not answer.
-    pub fn pass_over(&mut self, now: Time, home: SocketAddrV4) {
+    pub fn mark_unresponsive(&mut self, now: Time, home: SocketAddrV4) {
         self.passed_over.retain(|_, until| now < *until);
         self.passed_over.insert(home, now + PASSED_OVER);
     }
 
     /// Returns what an open placement request goes by.
-    pub fn verdict(&self, now: Time, id: u64) -> Verdict {
+    pub fn status(&self, now: Time, id: u64) -> PlacementStatus {
         let Some(asked) = self.asked.get(&id) else {
-            return Verdict::Unanswered;
+            return PlacementStatus::TimedOut;
         };
         match asked.said {
-            Some((at, Decision::Waits(_))) if now.since(at) >= WAITING_PATIENCE => {
-                Verdict::Unanswered
+            Some((at, PlacementDecision::Queued(_))) if now.since(at) >= WAITING_PATIENCE => {
+                PlacementStatus::TimedOut
             }
-            Some((_, decision)) => Verdict::Decided(decision),
-            None if now.since(asked.since) >= HOME_PATIENCE => Verdict::Unanswered,
-            None => Verdict::Asked,
+            Some((_, decision)) => PlacementStatus::Decided(decision),
+            None if now.since(asked.since) >= HOME_TIMEOUT => PlacementStatus::TimedOut,
+            None => PlacementStatus::Pending,
         }
     }
 
     /// Asks anew for a placement request that was not answered, or was given what cannot be taken.
-    pub fn ask_again(&mut self, now: Time, id: u64) {
+    pub fn reset(&mut self, now: Time, id: u64) {
         if let Some(asked) = self.asked.get_mut(&id) {
             asked.since = now;
             asked.said = None;
@@ -183,28 +183,28 @@
     }
 
     /// Takes in what a home decided about a placement request.
-    pub fn hear(&mut self, now: Time, id: u64, decision: Decision) {
+    pub fn on_decision(&mut self, now: Time, id: u64, decision: PlacementDecision) {
         let Some(asked) = self.asked.get_mut(&id) else {
             return;
         };
         // What was granted stays granted: the home keeps the room until it hears of it.
-        if !matches!(asked.said, Some((_, Decision::Granted(_)))) {
+        if !matches!(asked.said, Some((_, PlacementDecision::Granted(_)))) {
             asked.said = Some((now, decision));
         }
     }
 
     /// Takes in what others run at the engines of a service.
-    pub fn set_view(&mut self, now: Time, service: u64, others: Others) {
+    pub fn set_view(&mut self, now: Time, service: u64, others: PeerUsage) {
         self.views.insert(service, (now, others));
     }
 
     /// Returns what others run at the engines of a service, as a home told last.
-    pub fn view(&self, service: u64) -> Option<&Others> {
+    pub fn view(&self, service: u64) -> Option<&PeerUsage> {
         self.views.get(&service).map(|(_, others)| others)
     }
 
     /// Returns the same if it is at most so old.
-    pub fn fresh_view(&self, now: Time, service: u64, age: Duration) -> Option<&Others> {
+    pub fn fresh_view(&self, now: Time, service: u64, age: Duration) -> Option<&PeerUsage> {
         let (at, others) = self.views.get(&service)?;
         (now.since(*at) <= age).then_some(others)
     }
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -7,9 +7,9 @@
 //! anywhere hear of the room within the same few milliseconds, all take it, and all but one wait
 //! inside an engine that is overfull (`docs/design/policy.md`).
 
-use super::ask::PlacementRequest;
-use super::choose::{Demand, NoPlace, World, capacities};
+use super::choose::{Demand, PlacementContext, PlacementError, capacities};
 use super::home::Engines;
+use super::placement::PlacementRequest;
 use crate::ids::{EndpointKey, stable_hash};
 use crate::time::Time;
 use core::time::Duration;
@@ -21,11 +21,11 @@
 
 /// The most placement requests of one instance that a home takes in. Those beyond are placed by
 /// that instance's own view once nobody answers them.
-pub const MAX_WAITING: usize = 64;
+pub const MAX_QUEUED_PER_INSTANCE: usize = 64;
 
 /// A request that waits for room, as a home is told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct QueuedRequestReport {
     /// Tells requests of one moment apart.
     pub id: u64,
     /// The hash of its service's name.
@@ -44,7 +44,7 @@
 
 /// A request that waits, by this instance's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiter {
+pub struct QueuedRequest {
     /// Tells requests of one moment apart.
     pub id: u64,
     /// The hash of its service's name.
@@ -61,11 +61,11 @@
     pub prompt: u32,
 }
 
-impl Waiter {
+impl QueuedRequest {
     /// Returns what an instance told at `now`.
-    pub fn told(now: Time, waiting: &Waiting) -> Self {
+    pub fn from_report(now: Time, waiting: &QueuedRequestReport) -> Self {
         let age = Duration::from_millis(waiting.age_ms.into());
-        Waiter {
+        QueuedRequest {
             id: waiting.id,
             service: waiting.service,
             priority: waiting.priority,
@@ -77,9 +77,9 @@
     }
 
     /// Returns what a home is told at `now`.
-    pub fn to_tell(&self, now: Time) -> Waiting {
+    pub fn to_report(&self, now: Time) -> QueuedRequestReport {
         let millis = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
-        Waiting {
+        QueuedRequestReport {
             id: self.id,
             service: self.service,
             priority: self.priority,
@@ -111,13 +111,13 @@
 
 /// A request that asks for a place, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asking {
+pub struct QueuedPlacement {
     /// What it wants.
     pub request: PlacementRequest,
     /// The data centre of its instance.
     pub data_centre: String,
     /// Engines that its instance cannot use at the moment; they are taken if there is no other.
-    pub avoids: Vec<EndpointKey>,
+    pub avoid: Vec<EndpointKey>,
 }
 
 /// Returns the place of each of `waiting`.
@@ -126,14 +126,14 @@
 /// with the most room is kept, so that large requests come to their turn and small ones use
 /// what is left elsewhere. `bounded_left` says how many more requests an engine may get that bears a bounded rate.
 pub fn assign<'a>(
-    world: World<'_>,
+    world: PlacementContext<'_>,
     engines: Engines<'_>,
     bounded_left: impl Fn(EndpointKey) -> Option<u32>,
-    waiting: impl Iterator<Item = &'a Asking>,
-) -> Vec<Result<EndpointKey, NoPlace>> {
-    let all: Vec<&Asking> = waiting.collect();
+    waiting: impl Iterator<Item = &'a QueuedPlacement>,
+) -> Vec<Result<EndpointKey, PlacementError>> {
+    let all: Vec<&QueuedPlacement> = waiting.collect();
     let mut order: Vec<usize> = (0..all.len()).collect();
-    order.sort_by_key(|&at| all[at].request.waiter.order(world.now));
+    order.sort_by_key(|&at| all[at].request.queued.order(world.now));
     let demand = Demand {
         service: engines.service,
         engine: Some(engines.limits),
@@ -144,12 +144,12 @@
         Ok(capacities) => capacities,
         Err(why) => return vec![Err(why); all.len()],
     };
-    let mut places = vec![Err(NoPlace::NoEndpoint); all.len()];
+    let mut places = vec![Err(PlacementError::NoEndpoint); all.len()];
     let mut is_kept = false;
     for at in order {
-        places[at] = capacities.give(all[at]);
-        if places[at] == Err(NoPlace::Full) && !is_kept {
-            capacities.keep_largest();
+        places[at] = capacities.reserve(all[at]);
+        if places[at] == Err(PlacementError::Full) && !is_kept {
+            capacities.hold_largest();
             is_kept = true;
         }
     }
--- a/crates/core/src/gateway/rate_limits.rs
+++ b/crates/core/src/gateway/rate_limits.rs
@@ -31,7 +31,7 @@
 
 /// What the head of an answer says about the endpoint's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum ToldLimit {
+pub enum ResponseLimit {
     /// It names none.
     #[default]
     None,
@@ -43,7 +43,7 @@
 
 /// What is known of an endpoint's limit, as it travels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Requests in a thousand seconds; nothing if the limit is over.
@@ -83,17 +83,17 @@
 
 impl RateLimits {
     /// Takes in what an answer to a request sent at `sent` says; returns what that changed.
-    pub fn hear_answer(
+    pub fn observe_limit(
         &mut self,
         now: Time,
         endpoint: EndpointKey,
         sent: Time,
-        told: ToldLimit,
+        told: ResponseLimit,
     ) -> Option<LimitChange> {
         let per_second = match told {
-            ToldLimit::Unreadable => return None,
-            ToldLimit::PerSecond(rate) => Some(rate.clamp(MIN_PER_SECOND, MAX_PER_SECOND)),
-            ToldLimit::None => {
+            ResponseLimit::Unreadable => return None,
+            ResponseLimit::PerSecond(rate) => Some(rate.clamp(MIN_PER_SECOND, MAX_PER_SECOND)),
+            ResponseLimit::None => {
                 let word = self.words.get(&endpoint)?;
                 let was_sent_before = sent <= word.said;
                 if word.per_second.is_none() || was_sent_before {
@@ -106,7 +106,7 @@
     }
 
     /// Takes in what a peer tells; returns what that changed.
-    pub fn hear_word(&mut self, now: Time, told: LimitWord) -> Option<LimitChange> {
+    pub fn on_report(&mut self, now: Time, told: LimitReport) -> Option<LimitChange> {
         let age = Duration::from_millis(told.age_ms.into());
         let said = now.before(age).unwrap_or(Time::ZERO);
         let is_older = |word: &Word| said <= word.said;
@@ -162,7 +162,7 @@
     }
 
     /// Notes that a request is sent to an endpoint.
-    pub fn note_sent(&mut self, now: Time, endpoint: EndpointKey) {
+    pub fn on_request(&mut self, now: Time, endpoint: EndpointKey) {
         if let Some(word) = self.words.get_mut(&endpoint) {
             word.asked = now;
         }
@@ -173,7 +173,7 @@
     ///
     /// Those that have a part hear each answer and tell when the limit is over. They may be gone,
     /// or cut off.
-    pub fn may_ask_again(&self, now: Time, endpoint: EndpointKey, rank: usize) -> bool {
+    pub fn may_probe(&self, now: Time, endpoint: EndpointKey, rank: usize) -> bool {
         let Some(word) = self.words.get(&endpoint) else {
             return false;
         };
@@ -185,10 +185,10 @@
     }
 
     /// Returns what is told of an endpoint now.
-    pub fn word(&self, now: Time, endpoint: EndpointKey) -> Option<LimitWord> {
+    pub fn report(&self, now: Time, endpoint: EndpointKey) -> Option<LimitReport> {
         let word = self.words.get(&endpoint)?;
         let age = now.since(word.said).as_millis();
-        Some(LimitWord {
+        Some(LimitReport {
             endpoint,
             per_1000_s: word.per_second.map(|it| (it * 1_000.0) as u32),
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
--- a/crates/core/src/gateway/relocation.rs
+++ b/crates/core/src/gateway/relocation.rs
@@ -7,11 +7,11 @@
 //! Invariants, which `crates/core/tests/gateway_relocation.rs` holds under random
 //! histories:
 //!
-//! - [`Step::Leave`] is returned only while a copy ahead is complete and not being
-//!   brought up to date, [`Step::GiveUp`] only while a copy to go on from is there or believed to be,
-//!   [`Step::GoOnAnew`] only where the generation needs no copy;
+//! - [`Step::Relocate`] is returned only while a copy ahead is complete and not being
+//!   brought up to date, [`Step::FailOver`] only while a copy to go on from is there or believed to be,
+//!   [`Step::Recompute`] only where the generation needs no copy;
 //! - events are passed on with numbers that follow each other, each once;
-//! - a generation is carried through at most [`MAX_MOVES`] further engines.
+//! - a generation is carried through at most [`MAX_RELOCATIONS`] further engines.
 
 use crate::time::Time;
 use core::time::Duration;
@@ -19,18 +19,18 @@
 /// How long after the notice a generation leaves its engine. Many end by then, and
 /// those that began shortly before it have a copy by then; an engine goes 1.5 s
 /// after its notice at the soonest.
-pub const LEAVE_AFTER: Duration = Duration::from_millis(1_100);
+pub const RELOCATE_AFTER: Duration = Duration::from_millis(1_100);
 
 /// How much sooner a generation may leave, if no prompt waits where it goes on: one
 /// that is read there at the same time delays it by its whole length.
-pub const LEAVE_EARLY: Duration = Duration::from_millis(400);
+pub const EARLY_RELOCATION: Duration = Duration::from_millis(400);
 
 /// How often a generation that may leave looks whether its target is quiet.
 const QUIET_LOOK: Duration = Duration::from_millis(20);
 
 /// An engine that is known to leave, or whose entry vanished, and is silent for this
 /// long is given up, if there is a copy to go on from.
-pub const SILENCE: Duration = Duration::from_millis(1_200);
+pub const LEAVING_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The shortest gap after which callers leave a stream.
 const CALLERS_PATIENCE: Duration = Duration::from_secs(2);
@@ -46,7 +46,7 @@
 /// from a standing copy. Whether that copy is there is not known before it is asked,
 /// and then the engine's stream is closed; an engine that preempted a generation is
 /// silent, too, and at work. So the silence must be one that callers hardly bear.
-pub fn silence_limit(target: Duration, gap_target: Duration) -> Duration {
+pub fn silence_timeout(target: Duration, gap_target: Duration) -> Duration {
     let patience = CALLERS_PATIENCE
         .max(target * PATIENCE_TARGETS)
         .max(gap_target * PATIENCE_PAUSES);
@@ -55,7 +55,7 @@
 
 /// How long after an engine's first event a standing copy is believed to be there: the
 /// memory of the prompt takes some 0.4 s on the link, behind that of others.
-pub const COPY_SETTLES: Duration = Duration::from_millis(1_300);
+pub const STANDBY_READY_AFTER: Duration = Duration::from_millis(1_300);
 
 /// How soon after an engine's first event a standing copy can be there at all: the memory
 /// of a prompt of 3,000 tokens takes some 170 ms on the link, and is sent some times a second.
@@ -90,11 +90,11 @@
 const MAX_AHEAD: u32 = 40;
 
 /// How many further engines one generation may go through.
-pub const MAX_MOVES: u32 = 8;
+pub const MAX_RELOCATIONS: u32 = 8;
 
 /// Generations expected to be shorter than this have no standing copy: they end
 /// within the notice of an engine that leaves.
-pub const STANDING_MIN_TOKENS: u32 = 64;
+pub const STANDBY_MIN_TOKENS: u32 = 64;
 
 /// Tokens that an engine puts into one event.
 const TOKENS_PER_EVENT: u32 = 4;
@@ -102,7 +102,7 @@
 /// An engine that is silent for this long is given up by a generation that any engine may
 /// go on with. Its prompt is read again there in some 0.3 s; a generation that an engine
 /// preempted is silent for about as long.
-pub const RESUMABLE_SILENCE: Duration = Duration::from_millis(1_200);
+pub const RESUMABLE_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// How many times its target a generation waits inside an engine before it is taken back,
 /// if it may run again and another engine has room. One that is taken back sooner loses
@@ -111,7 +111,7 @@
 
 /// Returns how long a generation with such a target waits inside an engine before it is
 /// taken back. A queue inside an engine is one that nobody can leave.
-pub fn take_back_after(target: Duration) -> Duration {
+pub fn reassign_after(target: Duration) -> Duration {
     target.mul_f64(TAKE_BACK_TARGETS)
 }
 
@@ -120,35 +120,35 @@
 
 /// What is to become of one event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Delivery {
+pub enum EventDelivery {
     /// The caller gets it.
-    Pass,
+    Forward,
     /// The caller holds it already.
-    Again,
+    Duplicate,
     /// One before it is missing, so that the stream must end.
     Gap,
 }
 
 /// Which copy a generation would go on from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GoOnFrom {
+pub enum ResumeFrom {
     /// The copy that was made since the notice.
-    Ahead,
+    PreCopy,
     /// The copy that its engine kept up to date.
-    Standing,
+    Standby,
 }
 
 /// What is known of the engines at the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct EngineView {
     /// For how long the present engine is known to leave.
-    pub leaves_for: Option<Duration>,
+    pub leaving_for: Option<Duration>,
     /// Whether the engine of the standing copy is there and takes work.
-    pub standing_takes_work: bool,
+    pub standby_is_usable: bool,
     /// Whether no prompt waits where the generation would go on.
     pub target_is_quiet: bool,
     /// Whether any engine may go on with it without a copy, and attempts are left.
-    pub may_go_on_anew: bool,
+    pub may_recompute: bool,
     /// Whether the fleet's budget of repeats has none left for it.
     pub is_budget_spent: bool,
 }
@@ -157,14 +157,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Begin a copy ahead, or bring it up to date.
-    CopyAhead,
+    PreCopy,
     /// Close the connection and go on from the copy.
-    Leave,
+    Relocate,
     /// The engine has fallen silent: go on from the copy.
-    GiveUp,
+    FailOver,
     /// The engine has fallen silent and there is no copy: go on at another engine that
     /// reads prompt and events anew.
-    GoOnAnew,
+    Recompute,
     /// Nothing until this time, unless something happens before.
     Wait(Time),
 }
@@ -198,7 +198,7 @@
 
 impl Relocation {
     /// Returns a generation that has not begun, of which an engine that stays may be
-    /// silent for so long ([`silence_limit`]).
+    /// silent for so long ([`silence_timeout`]).
     pub fn new(silence: Duration) -> Self {
         Relocation {
             silence,
@@ -224,12 +224,12 @@
     }
 
     /// Returns whether an event of the present engine was passed on.
-    pub fn has_begun_here(&self) -> bool {
+    pub fn has_event_here(&self) -> bool {
         self.first_here.is_some()
     }
 
     /// Returns how often the generation went on at another engine.
-    pub fn moves(&self) -> u32 {
+    pub fn relocations(&self) -> u32 {
         self.moves
     }
 
@@ -246,28 +246,28 @@
     }
 
     /// Takes in one whole event, and says what is to become of it.
-    pub fn on_event(&mut self, now: Time, number: Option<u64>) -> Delivery {
+    pub fn on_event(&mut self, now: Time, number: Option<u64>) -> EventDelivery {
         if let (Some(number), Some(last)) = (number, self.last_event) {
             if number <= last {
-                return Delivery::Again;
+                return EventDelivery::Duplicate;
             }
             if number > last + 1 {
-                return Delivery::Gap;
+                return EventDelivery::Gap;
             }
         }
         self.first_here.get_or_insert(now);
         self.events += 1;
         self.last_event = number.or(self.last_event);
-        Delivery::Pass
+        EventDelivery::Forward
     }
 
     /// Notes whether the present engine keeps a standing copy elsewhere.
-    pub fn set_standing(&mut self, has_standing: bool) {
+    pub fn set_standby(&mut self, has_standing: bool) {
         self.has_standing = has_standing;
     }
 
     /// Notes that a copy ahead was begun.
-    pub fn ahead_begun(&mut self, now: Time) {
+    pub fn pre_copy_started(&mut self, now: Time) {
         debug_assert!(!self.ahead.under_way, "two copies ahead at once");
         self.ahead.under_way = true;
         self.ahead_tries += 1;
@@ -279,24 +279,24 @@
     }
 
     /// Notes that the copy ahead cannot be used, because its engine was withdrawn.
-    pub fn ahead_withdrawn(&mut self) {
+    pub fn pre_copy_lost(&mut self) {
         self.ahead = Ahead::default();
         self.ahead_from = Time::ZERO;
     }
 
     /// Notes that no engine has room for a copy ahead.
-    pub fn ahead_impossible(&mut self, now: Time) {
+    pub fn pre_copy_refused(&mut self, now: Time) {
         self.ahead_from = now + AHEAD_PAUSE;
     }
 
     /// Notes that no engine has room to read the generation anew.
-    pub fn anew_impossible(&mut self, now: Time) {
+    pub fn recompute_refused(&mut self, now: Time) {
         self.anew_from = now + ANEW_PAUSE;
     }
 
     /// Notes how a copy ahead ended; returns whether one is there. One that was
     /// complete stays usable when it could not be brought up to date.
-    pub fn ahead_ended(&mut self, now: Time, complete: bool) -> bool {
+    pub fn pre_copy_ended(&mut self, now: Time, complete: bool) -> bool {
         self.ahead.under_way = false;
         if complete || self.ahead.complete_since.is_some() {
             self.ahead.complete_since = Some(now);
@@ -305,7 +305,7 @@
     }
 
     /// Notes that the generation is asked for at another engine.
-    pub fn moved(&mut self, now: Time) {
+    pub fn on_relocated(&mut self, now: Time) {
         self.moves += 1;
         self.first_here = None;
         self.has_standing = false;
@@ -318,49 +318,49 @@
     ///
     /// What goes wrong otherwise: an engine is asked for a copy of which nothing can have
     /// arrived, fails by itself, and counts as having run the generation a second time.
-    pub fn standing_may_exist(&self, now: Time) -> bool {
+    pub fn standby_may_exist(&self, now: Time) -> bool {
         let first = self.first_here;
         self.has_standing && first.is_some_and(|first| now.since(first) >= COPY_SOONEST)
     }
 
     /// Returns what the generation would go on from if it left now.
-    pub fn go_on_from(&self, now: Time, standing_takes_work: bool) -> Option<GoOnFrom> {
+    pub fn resume_from(&self, now: Time, standing_takes_work: bool) -> Option<ResumeFrom> {
         if self.ahead.complete_since.is_some() {
-            return Some(GoOnFrom::Ahead);
+            return Some(ResumeFrom::PreCopy);
         }
         let first = self.first_here?;
-        let settled = now.since(first) >= COPY_SETTLES;
-        (self.has_standing && settled && standing_takes_work).then_some(GoOnFrom::Standing)
+        let settled = now.since(first) >= STANDBY_READY_AFTER;
+        (self.has_standing && settled && standing_takes_work).then_some(ResumeFrom::Standby)
     }
 
     /// Returns what to do now.
-    pub fn next(&self, now: Time, view: &View) -> Step {
+    pub fn next(&self, now: Time, view: &EngineView) -> Step {
         if self.events == 0 {
             return Step::Wait(Time::NEVER);
         }
-        let from = self.go_on_from(now, view.standing_takes_work);
-        let mut wait = self.silent_at(from, view.leaves_for.is_some());
+        let from = self.resume_from(now, view.standby_is_usable);
+        let mut wait = self.silent_at(from, view.leaving_for.is_some());
         if wait <= now {
             match from {
-                Some(_) => return Step::GiveUp,
+                Some(_) => return Step::FailOver,
                 None => wait = Time::NEVER,
             }
         }
         if let Some(anew) = self.anew_at(from, view) {
             if anew <= now {
-                return Step::GoOnAnew;
+                return Step::Recompute;
             }
             wait = wait.min(anew);
         }
-        let leaves_for = view.leaves_for.filter(|_| self.moves < MAX_MOVES);
+        let leaves_for = view.leaving_for.filter(|_| self.moves < MAX_RELOCATIONS);
         let Some(leaves_for) = leaves_for else {
             return Step::Wait(wait);
         };
         // A copy that is being brought up to date is refused by the engine that keeps it.
-        if from == Some(GoOnFrom::Ahead) && !self.ahead.under_way {
+        if from == Some(ResumeFrom::PreCopy) && !self.ahead.under_way {
             let leave = leave_at(now, leaves_for, view.target_is_quiet);
             match (leave <= now, view.is_budget_spent) {
-                (true, false) => return Step::Leave,
+                (true, false) => return Step::Relocate,
                 // Its engine is there for some time yet.
                 (true, true) => wait = wait.min(now + QUIET_LOOK),
                 (false, _) => wait = wait.min(leave),
@@ -368,7 +368,7 @@
         }
         if let Some(copy) = self.copy_at(now, leaves_for, from) {
             if copy <= now {
-                return Step::CopyAhead;
+                return Step::PreCopy;
             }
             wait = wait.min(copy);
         }
@@ -377,35 +377,35 @@
 
     /// Returns when the engine is given up; never while there is nothing to go on from.
     /// A standing copy that settles later is looked at then.
-    fn silent_at(&self, from: Option<GoOnFrom>, leaves: bool) -> Time {
+    fn silent_at(&self, from: Option<ResumeFrom>, leaves: bool) -> Time {
         let silence = if leaves {
-            SILENCE.min(self.silence)
+            LEAVING_SILENCE_TIMEOUT.min(self.silence)
         } else {
             self.silence
         };
         let silent = self.heard + silence;
         match (from, self.first_here) {
             (Some(_), _) => silent,
-            (None, Some(first)) if self.has_standing => silent.max(first + COPY_SETTLES),
+            (None, Some(first)) if self.has_standing => silent.max(first + STANDBY_READY_AFTER),
             (None, _) => Time::NEVER,
         }
     }
 
     /// Returns when a silent engine is left for one that reads the generation anew.
-    fn anew_at(&self, from: Option<GoOnFrom>, view: &View) -> Option<Time> {
-        let silent = self.heard + RESUMABLE_SILENCE.min(self.silence);
-        let needs_it = view.may_go_on_anew && from.is_none();
+    fn anew_at(&self, from: Option<ResumeFrom>, view: &EngineView) -> Option<Time> {
+        let silent = self.heard + RESUMABLE_SILENCE_TIMEOUT.min(self.silence);
+        let needs_it = view.may_recompute && from.is_none();
         needs_it.then_some(silent.max(self.anew_from))
     }
 
-    fn copy_at(&self, now: Time, leaves_for: Duration, from: Option<GoOnFrom>) -> Option<Time> {
+    fn copy_at(&self, now: Time, leaves_for: Duration, from: Option<ResumeFrom>) -> Option<Time> {
         if self.ahead.under_way || self.ahead_tries >= MAX_AHEAD {
             return None;
         }
         match (self.ahead.complete_since, from) {
             (Some(_), _) if leaves_for > LAST_REFRESH => None,
             (Some(since), _) => Some((since + REFRESH_AFTER).max(self.ahead_from)),
-            (None, Some(GoOnFrom::Standing)) => {
+            (None, Some(ResumeFrom::Standby)) => {
                 let wait = AHEAD_AFTER.saturating_sub(leaves_for);
                 Some((now + wait).max(self.ahead_from))
             }
@@ -415,12 +415,12 @@
 }
 
 fn leave_at(now: Time, leaves_for: Duration, target_is_quiet: bool) -> Time {
-    let early = LEAVE_AFTER - LEAVE_EARLY;
+    let early = RELOCATE_AFTER - EARLY_RELOCATION;
     if leaves_for < early {
         return now + (early - leaves_for);
     }
-    if target_is_quiet || leaves_for >= LEAVE_AFTER {
+    if target_is_quiet || leaves_for >= RELOCATE_AFTER {
         return now;
     }
-    now + QUIET_LOOK.min(LEAVE_AFTER - leaves_for)
+    now + QUIET_LOOK.min(RELOCATE_AFTER - leaves_for)
 }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -7,9 +7,8 @@
 
 pub use peers::{Heard, Ignored, TELL_DELAY, TICK};
 
-use super::ask::AskTable;
 use super::beacons::Beacons;
-use super::budget::{BudgetConfig, SharedBudget};
+use super::budget::{BudgetConfig, SharedRetryBudget};
 use super::catalogue::{Catalogue, CatalogueFinding, CatalogueSource};
 use super::catch_up::CatchUp;
 use super::cold::RateShares;
@@ -20,11 +19,12 @@
 use super::home::Home;
 use super::lengths::LengthTable;
 use super::members::Members;
-use super::rate_limits::{LimitChange, RateLimits, ToldLimit};
+use super::placement::PlacementTable;
+use super::rate_limits::{LimitChange, RateLimits, ResponseLimit};
 use super::reader::StoreReader;
 use super::replica::Replica;
 use super::suspects::Suspects;
-use super::usage::{ToldLoad, UsageTable};
+use super::usage::{ReportedLoad, UsageTable};
 use crate::ids::{EndpointKey, Incarnation};
 use crate::time::Time;
 use places::Reported;
@@ -102,7 +102,7 @@
     /// What is known as the home of a service's engines, by the hash of its name.
     homes: BTreeMap<u64, Home>,
     /// Places that this instance asks for.
-    asks: AskTable,
+    asks: PlacementTable,
     ask_changes: u64,
     reported: BTreeMap<u64, Reported>,
     reports_sent: u64,
@@ -115,7 +115,7 @@
     /// Requests that end endpoints.
     pub suspects: Suspects,
     /// Repeats that may be spent.
-    pub budget: SharedBudget,
+    pub budget: SharedRetryBudget,
     catalogue: Option<Arc<Catalogue>>,
     /// Output tokens of generations, by entry.
     pub lengths: LengthTable,
@@ -132,8 +132,8 @@
         let members = Members::new(now, cfg.address, cfg.incarnation, &cfg.seeds);
         let mut fleet = FleetSize::default();
         fleet.tick(now, core::iter::empty(), members.has_heard_most_seeds());
-        let mut budget = SharedBudget::new(now, cfg.budget);
-        budget.set_known(now, fleet.settled());
+        let mut budget = SharedRetryBudget::new(now, cfg.budget);
+        budget.set_fleet_size(now, fleet.settled());
         Gateway {
             rng: SmallRng::seed_from_u64(cfg.incarnation.0),
             replica: Replica::default(),
@@ -147,7 +147,7 @@
             outbox: Outbox::default(),
             announces: false,
             homes: BTreeMap::new(),
-            asks: AskTable::default(),
+            asks: PlacementTable::default(),
             ask_changes: 0,
             reported: BTreeMap::new(),
             reports_sent: 0,
@@ -317,16 +317,16 @@
         now: Time,
         key: EndpointKey,
         sent: Time,
-        told: ToldLimit,
+        told: ResponseLimit,
     ) -> Option<LimitChange> {
-        let change = self.limits.hear_answer(now, key, sent, told)?;
+        let change = self.limits.observe_limit(now, key, sent, told)?;
         let instances = self.instances();
         self.outbox.add_limit(key, instances);
         Some(change)
     }
 
     /// Notes a load that an endpoint told.
-    pub fn told(&mut self, now: Time, key: EndpointKey, load: ToldLoad) {
-        self.usage.told(now, key, load);
+    pub fn told(&mut self, now: Time, key: EndpointKey, load: ReportedLoad) {
+        self.usage.observe_load(now, key, load);
     }
 }
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -1,12 +1,12 @@
 //! What an instance sends its peers and does about what they send.
 
 use super::{Gateway, Ticked};
-use crate::gateway::ask::REPORT_AGAIN;
 use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, reader_rank};
 use crate::gateway::catch_up::{NotTold, Provider};
 use crate::gateway::cordons::{Cordon, CordonEffect};
 use crate::gateway::gossip::{Body, Datagram, FAN_OUT, GOSSIP_VERSION, Items};
 use crate::gateway::members::{Change, Member};
+use crate::gateway::placement::UNANSWERED_REPORT_INTERVAL;
 use crate::gateway::rate_limits::LimitChange;
 use crate::gateway::reader::{READER_FRESH, READERS, Step};
 use crate::ids::EndpointKey;
@@ -88,7 +88,7 @@
         if from == self.cfg.address {
             return Err(Ignored::Own);
         }
-        self.fleet.hear(now, datagram.fleet);
+        self.fleet.on_report(now, datagram.fleet);
         let mut heard = Heard::default();
         let mut change = Change::default();
         let (revision, digest) = (datagram.revision, datagram.digest);
@@ -189,7 +189,7 @@
             }
         }
         for word in news.limits {
-            if let Some(change) = self.limits.hear_word(now, word) {
+            if let Some(change) = self.limits.on_report(now, word) {
                 let instances = self.instances();
                 self.outbox.add_limit(change.endpoint, instances);
                 heard.limits.push(change);
@@ -237,7 +237,7 @@
     /// Returns the longest time until the next look at what is due.
     pub fn tick_interval(&self) -> Duration {
         match self.asks.any_unanswered() || self.suspects.runs.any_asks() {
-            true => REPORT_AGAIN,
+            true => UNANSWERED_REPORT_INTERVAL,
             false => TICK,
         }
     }
@@ -261,7 +261,7 @@
         let live = self.members.live().map(|(address, _)| address);
         let heard_most_seeds = self.members.has_heard_most_seeds();
         self.fleet.tick(now, live, heard_most_seeds);
-        self.budget.set_known(now, self.fleet.settled());
+        self.budget.set_fleet_size(now, self.fleet.settled());
         self.shares.tick(now);
         let endpoints = &self.endpoints;
         self.limits.tick(now, |it| endpoints.get(it).is_some());
@@ -322,7 +322,7 @@
         let limits = self.outbox.take_limits(peers);
         let limits = limits
             .into_iter()
-            .filter_map(|it| self.limits.word(now, it));
+            .filter_map(|it| self.limits.report(now, it));
         Items {
             limits: limits.collect(),
             ..self.outbox.take(peers)
@@ -349,7 +349,7 @@
             from: self.members.own(),
             revision: self.replica.revision(),
             digest: self.replica.digest(),
-            fleet: self.fleet.to_tell(now),
+            fleet: self.fleet.report(now),
             body,
         }
     }
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -1,15 +1,18 @@
 //! Where requests go: what this instance asks of homes, and what it decides as one.
 
 use super::{Gateway, Place};
-use crate::gateway::ask::{PlacementRequest, REPORT_AGAIN, REPORT_WAITING, Verdict, Want};
-use crate::gateway::choose::{self, Demand, NoPlace, World};
-use crate::gateway::cold::{self, ColdLimits, OWN_PART};
+use crate::gateway::choose::{self, Demand, PlacementContext, PlacementError};
+use crate::gateway::cold::{self, ColdLimits, LOCAL_SHARE};
 use crate::gateway::endpoints::Endpoint;
 use crate::gateway::gossip::Body;
 use crate::gateway::home::{Answer, Engines, REPORT_INTERVAL, Report};
 use crate::gateway::members::Update;
+use crate::gateway::placement::{
+    PlacementKind, PlacementRequest, PlacementStatus, QUEUED_REPORT_INTERVAL,
+    UNANSWERED_REPORT_INTERVAL,
+};
 use crate::gateway::queue::service_hash;
-use crate::gateway::usage::{Others, Used};
+use crate::gateway::usage::{PeerUsage, Usage};
 use crate::ids::{EndpointKey, address_hash};
 use crate::rendezvous;
 use crate::time::Time;
@@ -43,7 +46,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Place, NoPlace> {
+    pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Place, PlacementError> {
         let barred = self.barred(now, demand);
         let both;
         let exclude = match barred.is_empty() {
@@ -58,14 +61,16 @@
         let key = choose::choose(self.world(now, demand.service), &demand, || rng.random());
         let has_limit = |key: &EndpointKey| self.limits.of(*key).is_some();
         let key = key.map_err(|why| match why {
-            NoPlace::NoEndpoint if barred.iter().any(has_limit) => NoPlace::Limited,
-            NoPlace::NoEndpoint if !barred.is_empty() => NoPlace::Full,
+            PlacementError::NoEndpoint if barred.iter().any(has_limit) => {
+                PlacementError::RateLimited
+            }
+            PlacementError::NoEndpoint if !barred.is_empty() => PlacementError::Full,
             why => why,
         })?;
         if self.rate_bound(now, key).is_some() {
             self.note_bounded(now, key);
         }
-        self.place_at(key).ok_or(NoPlace::NoEndpoint)
+        self.place_at(key).ok_or(PlacementError::NoEndpoint)
     }
 
     fn cold_limits(&self, service: &str) -> Option<ColdLimits> {
@@ -77,13 +82,13 @@
     fn rate_bound(&self, now: Time, key: EndpointKey) -> Option<f64> {
         let endpoint = self.endpoints.get(key)?;
         let cold = self.cold_limits(&endpoint.record.service);
-        cold::rate_bound(now, key, &self.endpoints, cold.as_ref(), &self.limits)
+        cold::rate_limit(now, key, &self.endpoints, cold.as_ref(), &self.limits)
     }
 
     /// Counts a request to an endpoint that bears a bounded rate.
     fn note_bounded(&mut self, now: Time, key: EndpointKey) {
-        self.shares.note(now, key);
-        self.limits.note_sent(now, key);
+        self.shares.record(now, key);
+        self.limits.on_request(now, key);
     }
 
     /// Returns the endpoints to which this instance may send nothing now, because they bear few
@@ -105,13 +110,13 @@
     fn has_part(&self, now: Time, key: EndpointKey, rate: f64) -> bool {
         self.part_left(now, key, rate) > 0 || {
             let rank = cold::rank(self.cfg.address, &self.fleet, key);
-            self.limits.may_ask_again(now, key, rank)
+            self.limits.may_probe(now, key, rank)
         }
     }
 
     fn part_left(&self, now: Time, key: EndpointKey, rate: f64) -> u32 {
         let own = self.cfg.address;
-        self.shares.left(now, own, &self.fleet, key, rate)
+        self.shares.remaining(now, own, &self.fleet, key, rate)
     }
 
     /// Returns whether a request for which an endpoint was chosen at `chosen` may still be sent
@@ -134,7 +139,7 @@
         let Some(bound) = self.rate_bound(now, key) else {
             return true;
         };
-        let is_admitted = self.part_left(now, key, bound * OWN_PART) > 0;
+        let is_admitted = self.part_left(now, key, bound * LOCAL_SHARE) > 0;
         if is_admitted {
             self.note_bounded(now, key);
         }
@@ -150,22 +155,26 @@
         &mut self,
         now: Time,
         demand: &Demand<'_>,
-        want: Want,
-    ) -> Result<Place, NoPlace> {
-        let Want::Copy { source, kind } = want else {
+        want: PlacementKind,
+    ) -> Result<Place, PlacementError> {
+        let PlacementKind::Copy { source, kind } = want else {
             return self.place(now, demand);
         };
         let mut rng = self.draws();
         let world = self.world(now, demand.service);
-        let source = world.endpoints.get(source).ok_or(NoPlace::NoEndpoint)?;
+        let source = world
+            .endpoints
+            .get(source)
+            .ok_or(PlacementError::NoEndpoint)?;
         let barred = self.barred(now, demand);
         let exclude = [demand.exclude, &barred].concat();
         let demand = Demand {
             exclude: &exclude,
             ..*demand
         };
-        let key = choose::choose_copy(world, &demand, source, kind, || rng.random());
-        key.and_then(|key| self.place_at(key)).ok_or(NoPlace::Full)
+        let key = choose::choose_copy_target(world, &demand, source, kind, || rng.random());
+        key.and_then(|key| self.place_at(key))
+            .ok_or(PlacementError::Full)
     }
 
     /// Returns an endpoint to which new work may be sent as a place.
@@ -175,43 +184,43 @@
 
     /// Asks for a place.
     pub fn ask(&mut self, now: Time, request: PlacementRequest) {
-        self.asks.enter(now, request);
+        self.asks.insert(now, request);
         self.ask_changes += 1;
     }
 
     /// Asks no longer, because the request has its place or gave up.
     pub fn ask_no_longer(&mut self, id: u64) {
-        self.asks.leave(id);
+        self.asks.remove(id);
         self.ask_changes += 1;
     }
 
     /// Returns what a request that asked for a place goes by.
-    pub fn verdict(&self, now: Time, id: u64) -> Verdict {
-        self.asks.verdict(now, id)
+    pub fn verdict(&self, now: Time, id: u64) -> PlacementStatus {
+        self.asks.status(now, id)
     }
 
     /// Notes that no home answered a request for a place of `service`: the next in rank is
     /// asked.
     pub fn home_unanswered(&mut self, now: Time, service: u64, id: u64) {
         if let Some(home) = self.acting_home(now, service) {
-            self.asks.pass_over(now, home);
+            self.asks.mark_unresponsive(now, home);
         }
         self.ask_again(now, id);
     }
 
     /// Asks anew, because what was granted cannot be taken.
     pub fn ask_again(&mut self, now: Time, id: u64) {
-        self.asks.ask_again(now, id);
+        self.asks.reset(now, id);
         self.ask_changes += 1;
     }
 
     /// Returns what runs at an endpoint, as far as this instance knows.
-    pub fn used(&self, key: EndpointKey) -> Used {
+    pub fn used(&self, key: EndpointKey) -> Usage {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
         let others = service.and_then(|it| self.asks.view(it));
         let others = others.map(|it| it.of(key)).unwrap_or_default();
-        self.usage.own(key).and(others)
+        self.usage.own(key).plus(others)
     }
 
     /// Returns whether no prompt waits at an engine, as far as is known. A generation
@@ -220,8 +229,8 @@
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
         let others = service.and_then(|it| self.asks.fresh_view(now, it, UNREAD_FRESH));
-        let others = others.map_or(0, |it| it.of(key).unread);
-        self.usage.own(key).unread + others == 0
+        let others = others.map_or(0, |it| it.of(key).pending_prefill);
+        self.usage.own(key).pending_prefill + others == 0
     }
 
     /// Returns the home of a service's engines and the next in rank.
@@ -248,7 +257,7 @@
     /// Returns the home that is asked about a service now.
     pub fn acting_home(&self, now: Time, service: u64) -> Option<SocketAddrV4> {
         let [first, second] = self.homes(service);
-        let answers = |it: &SocketAddrV4| !self.asks.is_passed_over(now, *it);
+        let answers = |it: &SocketAddrV4| !self.asks.is_unresponsive(now, *it);
         first.filter(answers).or(second.filter(answers)).or(first)
     }
 
@@ -275,7 +284,7 @@
     /// Takes in what a home answered.
     pub(super) fn hear_answer(&mut self, now: Time, answer: Answer) {
         for (id, decision) in answer.decisions {
-            self.asks.hear(now, id, decision);
+            self.asks.on_decision(now, id, decision);
         }
         if let Some(view) = answer.view {
             self.asks.set_view(now, answer.service, view);
@@ -305,7 +314,7 @@
 
     /// Returns the services of whose engines there is something to report.
     fn reported_services(&self) -> BTreeSet<u64> {
-        let used = self.usage.at_engines();
+        let used = self.usage.engine_usage();
         let endpoints = used.filter_map(|(key, _)| self.endpoints.get(key));
         let used = endpoints.map(|it| service_hash(&it.record.service));
         let spoken = self.reported.iter().filter(|(_, it)| !it.empty);
@@ -317,8 +326,8 @@
         let changes = self.usage.changes() + self.ask_changes;
         let ranks = self.homes(service);
         let interval = match self.asks.is_unanswered(service) {
-            Some(true) => REPORT_AGAIN,
-            Some(false) => REPORT_WAITING,
+            Some(true) => UNANSWERED_REPORT_INTERVAL,
+            Some(false) => QUEUED_REPORT_INTERVAL,
             None => REPORT_INTERVAL,
         };
         let is_due = self.reported.get(&service).is_none_or(|last| {
@@ -339,12 +348,12 @@
             decides: false,
             used: self
                 .usage
-                .at_engines()
+                .engine_usage()
                 .filter(|(key, _)| of_service(key))
                 .collect(),
             failing: self.endpoints.failing().filter(of_service).collect(),
             passed_over: self.endpoints.ejected(now).filter(of_service).collect(),
-            known: u32::try_from(self.fleet.known()).unwrap_or(u32::MAX),
+            known: u32::try_from(self.fleet.count()).unwrap_or(u32::MAX),
             requests: self.asks.of(service).map(|it| it.to_tell(now)).collect(),
         };
         self.reports_sent += 1;
@@ -393,7 +402,7 @@
             endpoints: &self.endpoints,
             cold,
             named: &self.limits,
-            known: self.fleet.known(),
+            known: self.fleet.count(),
             live: 1 + self.members.live().count(),
         };
         let answers = home.decide(now, engines);
@@ -415,10 +424,10 @@
     }
 
     /// Returns the tables that a choice for `service` looks at.
-    fn world(&self, now: Time, service: &str) -> World<'_> {
-        static NOTHING: Others = Others::nothing();
+    fn world(&self, now: Time, service: &str) -> PlacementContext<'_> {
+        static NOTHING: PeerUsage = PeerUsage::empty();
         let others = self.asks.view(service_hash(service));
-        World {
+        PlacementContext {
             now,
             endpoints: &self.endpoints,
             usage: &self.usage,
--- a/crates/core/src/gateway/state/repeats.rs
+++ b/crates/core/src/gateway/state/repeats.rs
@@ -1,27 +1,27 @@
 //! The fleet's repeats, as far as this instance may spend them.
 
 use super::Gateway;
-use crate::gateway::budget::{RepeatDecision, RepeatKind};
+use crate::gateway::budget::{RetryDecision, RetryKind};
 use crate::time::Time;
 
 impl Gateway {
     /// Asks to send a request of `service` to one endpoint more, and spends a repeat if it may.
     /// Everything that sends what was sent before asks this.
-    pub fn spend_repeat(&mut self, now: Time, service: &str, kind: RepeatKind) -> RepeatDecision {
+    pub fn spend_repeat(&mut self, now: Time, service: &str, kind: RetryKind) -> RetryDecision {
         let has_moves = self.has_engines(service);
-        let is_allowed = self.budget.spend(now, service, kind, has_moves);
-        RepeatDecision {
+        let is_allowed = self.budget.try_spend(now, service, kind, has_moves);
+        RetryDecision {
             is_allowed,
-            heard: self.instances(),
-            known: self.fleet.settled().unwrap_or(0),
-            age: now.since(self.started),
-            left: self.budget.left(now, service),
+            live_instances: self.instances(),
+            known_instances: self.fleet.settled().unwrap_or(0),
+            uptime: now.since(self.started),
+            remaining: self.budget.remaining(now, service),
         }
     }
 
     /// Returns whether a generation of `service` may go on at another engine now.
     pub fn may_move(&mut self, now: Time, service: &str) -> bool {
-        self.budget.left(now, service) >= 1.0
+        self.budget.remaining(now, service) >= 1.0
     }
 
     fn has_engines(&self, service: &str) -> bool {
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -146,7 +146,7 @@
             if due.is_unanswered
                 && let Some(home) = self.acting_home(now, key)
             {
-                self.asks.pass_over(now, home);
+                self.asks.mark_unresponsive(now, home);
             }
             let known = self.suspects.ledger.told(now, fingerprint);
             for home in self.homes(key).into_iter().flatten() {
--- a/crates/core/src/gateway/suspects.rs
+++ b/crates/core/src/gateway/suspects.rs
@@ -5,7 +5,7 @@
 //! ([`gossip`](super::gossip)); the turn of a suspect is asked of its home, which is found as
 //! the home of a service is.
 
-use super::ask::HOME_PATIENCE;
+use super::placement::HOME_TIMEOUT;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 use crate::suspects::{HOLD_FRESH, Ledger, Runs, Turns};
@@ -55,7 +55,7 @@
     pub fn new(now: Time) -> Self {
         Suspects {
             ledger: Ledger::default(),
-            runs: Runs::new(HOME_PATIENCE),
+            runs: Runs::new(HOME_TIMEOUT),
             turns: Turns::new(now),
             undecided: Vec::new(),
             told_all: None,
--- a/crates/core/src/gateway/usage.rs
+++ b/crates/core/src/gateway/usage.rs
@@ -12,48 +12,48 @@
 
 /// What one instance runs at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Used {
+pub struct Usage {
     /// Requests sent and not ended.
     pub running: u16,
     /// Prompt tokens of those that were not answered with a first byte.
-    pub unread: u32,
+    pub pending_prefill: u32,
     /// Tokens of memory that generations take or are expected to take.
     pub tokens: u32,
     /// Tokens of memory that standing copies take.
-    pub copied: u32,
+    pub copy_tokens: u32,
 }
 
-impl Used {
+impl Usage {
     /// Returns both together.
-    pub fn and(self, other: Used) -> Used {
-        Used {
+    pub fn plus(self, other: Usage) -> Usage {
+        Usage {
             running: self.running.saturating_add(other.running),
-            unread: self.unread.saturating_add(other.unread),
+            pending_prefill: self.pending_prefill.saturating_add(other.pending_prefill),
             tokens: self.tokens.saturating_add(other.tokens),
-            copied: self.copied.saturating_add(other.copied),
+            copy_tokens: self.copy_tokens.saturating_add(other.copy_tokens),
         }
     }
 
     /// Returns whether anything is at an engine: memory of generations or copies.
     fn takes_memory(self) -> bool {
-        self.tokens > 0 || self.copied > 0
+        self.tokens > 0 || self.copy_tokens > 0
     }
 }
 
 /// What other instances run at endpoints, and where they saw failures.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Others {
-    used: BTreeMap<EndpointKey, Used>,
+pub struct PeerUsage {
+    used: BTreeMap<EndpointKey, Usage>,
     /// Endpoints of which the last that somebody saw was a failure.
     pub failing: BTreeSet<EndpointKey>,
     /// Endpoints that several of them cannot use.
     pub ejected: BTreeSet<EndpointKey>,
 }
 
-impl Others {
+impl PeerUsage {
     /// Returns what is known where nothing is.
-    pub const fn nothing() -> Self {
-        Others {
+    pub const fn empty() -> Self {
+        PeerUsage {
             used: BTreeMap::new(),
             failing: BTreeSet::new(),
             ejected: BTreeSet::new(),
@@ -61,13 +61,13 @@
     }
 
     /// Counts what one more runs at an endpoint.
-    pub fn add(&mut self, endpoint: EndpointKey, used: Used) {
+    pub fn add(&mut self, endpoint: EndpointKey, used: Usage) {
         let sum = self.used.entry(endpoint).or_default();
-        *sum = sum.and(used);
+        *sum = sum.plus(used);
     }
 
     /// Returns what is run at an endpoint.
-    pub fn of(&self, endpoint: EndpointKey) -> Used {
+    pub fn of(&self, endpoint: EndpointKey) -> Usage {
         self.used.get(&endpoint).copied().unwrap_or_default()
     }
 }
@@ -78,7 +78,7 @@
 
 /// How full an endpoint said it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -90,8 +90,8 @@
 /// Own use of every endpoint, and what endpoints told.
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
-    own: BTreeMap<EndpointKey, Used>,
-    told: BTreeMap<EndpointKey, (Time, ToldLoad)>,
+    own: BTreeMap<EndpointKey, Usage>,
+    told: BTreeMap<EndpointKey, (Time, ReportedLoad)>,
     /// Counts the changes that a home is to hear of.
     changes: u64,
 }
@@ -101,15 +101,15 @@
     pub fn begin(&mut self, endpoint: EndpointKey, tokens: u32, unread: u32) {
         let used = self.own.entry(endpoint).or_default();
         used.running = used.running.saturating_add(1);
-        used.unread = used.unread.saturating_add(unread);
+        used.pending_prefill = used.pending_prefill.saturating_add(unread);
         used.tokens = used.tokens.saturating_add(tokens);
         self.changes += u64::from(tokens > 0);
     }
 
     /// Counts the first byte of a request's answer: its prompt was read.
-    pub fn first_byte(&mut self, endpoint: EndpointKey, unread: u32) {
+    pub fn on_first_byte(&mut self, endpoint: EndpointKey, unread: u32) {
         if let Some(used) = self.own.get_mut(&endpoint) {
-            used.unread = used.unread.saturating_sub(unread);
+            used.pending_prefill = used.pending_prefill.saturating_sub(unread);
             self.changes += u64::from(unread > 0);
         }
     }
@@ -122,7 +122,7 @@
         };
         used.running = used.running.saturating_sub(1);
         used.tokens = used.tokens.saturating_sub(tokens);
-        used.unread = used.unread.saturating_sub(unread);
+        used.pending_prefill = used.pending_prefill.saturating_sub(unread);
         self.changes += u64::from(tokens > 0);
         self.drop_if_unused(endpoint);
     }
@@ -137,21 +137,21 @@
     /// Counts a standing copy.
     pub fn begin_copy(&mut self, endpoint: EndpointKey, tokens: u32) {
         let used = self.own.entry(endpoint).or_default();
-        used.copied = used.copied.saturating_add(tokens);
+        used.copy_tokens = used.copy_tokens.saturating_add(tokens);
         self.changes += 1;
     }
 
     /// Counts the end of a standing copy.
     pub fn end_copy(&mut self, endpoint: EndpointKey, tokens: u32) {
         if let Some(used) = self.own.get_mut(&endpoint) {
-            used.copied = used.copied.saturating_sub(tokens);
+            used.copy_tokens = used.copy_tokens.saturating_sub(tokens);
             self.changes += 1;
             self.drop_if_unused(endpoint);
         }
     }
 
     /// Notes what an endpoint told.
-    pub fn told(&mut self, now: Time, endpoint: EndpointKey, load: ToldLoad) {
+    pub fn observe_load(&mut self, now: Time, endpoint: EndpointKey, load: ReportedLoad) {
         self.told.insert(endpoint, (now, load));
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Returns what this instance runs at engines, to tell their home.
-    pub fn at_engines(&self) -> impl Iterator<Item = (EndpointKey, Used)> {
+    pub fn engine_usage(&self) -> impl Iterator<Item = (EndpointKey, Usage)> {
         let own = self.own.iter().filter(|(_, used)| used.takes_memory());
         own.map(|(key, used)| (*key, *used))
     }
@@ -172,18 +172,18 @@
     }
 
     /// Returns what this instance runs at an endpoint.
-    pub fn own(&self, endpoint: EndpointKey) -> Used {
+    pub fn own(&self, endpoint: EndpointKey) -> Usage {
         self.own.get(&endpoint).copied().unwrap_or_default()
     }
 
     /// Returns what the endpoint told lately.
-    pub fn told_lately(&self, now: Time, endpoint: EndpointKey) -> Option<ToldLoad> {
+    pub fn recent_load(&self, now: Time, endpoint: EndpointKey) -> Option<ReportedLoad> {
         let (at, load) = self.told.get(&endpoint)?;
         (now.since(*at) < TOLD_FRESH).then_some(*load)
     }
 
     fn drop_if_unused(&mut self, endpoint: EndpointKey) {
-        if self.own.get(&endpoint) == Some(&Used::default()) {
+        if self.own.get(&endpoint) == Some(&Usage::default()) {
             self.own.remove(&endpoint);
         }
     }
--- a/crates/core/tests/gateway_budget.rs
+++ b/crates/core/tests/gateway_budget.rs
@@ -2,7 +2,7 @@
 
 use core::time::Duration;
 use oriolemux_core::Time;
-use oriolemux_core::gateway::budget::{BudgetConfig, RepeatKind, SharedBudget};
+use oriolemux_core::gateway::budget::{BudgetConfig, RetryKind, SharedRetryBudget};
 use oriolemux_core::gateway::lengths::LengthTable;
 use rstest::rstest;
 
@@ -20,15 +20,15 @@
 const LONG: Duration = Duration::from_secs(60);
 
 /// Returns the budget of one of so many instances, which has run for long.
-fn rested(instances: usize) -> SharedBudget {
-    let mut budget = SharedBudget::new(START, FLEET);
-    budget.set_known(START, Some(instances));
+fn rested(instances: usize) -> SharedRetryBudget {
+    let mut budget = SharedRetryBudget::new(START, FLEET);
+    budget.set_fleet_size(START, Some(instances));
     budget
 }
 
-fn spend_all(budget: &mut SharedBudget, now: Time, service: &str) -> u32 {
+fn spend_all(budget: &mut SharedRetryBudget, now: Time, service: &str) -> u32 {
     let mut spent = 0;
-    while budget.spend(now, service, RepeatKind::Retry, false) {
+    while budget.try_spend(now, service, RetryKind::Retry, false) {
         spent += 1;
     }
     spent
@@ -90,12 +90,12 @@
 /// Guards against an instance that spends anew what the life before it has spent.
 #[test]
 fn an_instance_starts_with_nothing() {
-    let mut budget = SharedBudget::new(START, FLEET);
-    budget.set_known(START, Some(INSTANCES));
+    let mut budget = SharedRetryBudget::new(START, FLEET);
+    budget.set_fleet_size(START, Some(INSTANCES));
 
-    assert!(!budget.spend(START, "desk", RepeatKind::Retry, false));
+    assert!(!budget.try_spend(START, "desk", RetryKind::Retry, false));
     assert!(
-        budget.spend(START + LONG, "desk", RepeatKind::Retry, false),
+        budget.try_spend(START + LONG, "desk", RetryKind::Retry, false),
         "it earns over time"
     );
 }
@@ -103,14 +103,14 @@
 /// Guards against an allowance that an instance takes whole because it knows nobody else.
 #[test]
 fn who_does_not_know_the_fleet_has_no_part_of_the_allowance() {
-    let mut budget = SharedBudget::new(START, FLEET);
+    let mut budget = SharedRetryBudget::new(START, FLEET);
 
-    assert!(!budget.spend(START + LONG, "desk", RepeatKind::Retry, false));
+    assert!(!budget.try_spend(START + LONG, "desk", RetryKind::Retry, false));
     for _ in 0..50 {
         budget.on_request(START + LONG, "desk");
     }
     assert!(
-        budget.spend(START + LONG, "desk", RepeatKind::Retry, false),
+        budget.try_spend(START + LONG, "desk", RetryKind::Retry, false),
         "requests earn repeats"
     );
 }
@@ -120,9 +120,9 @@
 fn retries_leave_room_for_generations_that_go_on() {
     let mut budget = rested(INSTANCES);
     let now = START + LONG;
-    while budget.spend(now, "model", RepeatKind::Retry, true) {}
+    while budget.try_spend(now, "model", RetryKind::Retry, true) {}
 
-    assert!(budget.spend(now, "model", RepeatKind::GoOn, true));
+    assert!(budget.try_spend(now, "model", RetryKind::Resume, true));
 }
 
 #[test]
@@ -131,24 +131,31 @@
     let now = START + LONG;
     spend_all(&mut budget, now, "desk");
 
-    assert!(!budget.spend(now, "desk", RepeatKind::Retry, false));
-    assert!(budget.spend(now, "model", RepeatKind::Retry, false));
+    assert!(!budget.try_spend(now, "desk", RetryKind::Retry, false));
+    assert!(budget.try_spend(now, "model", RetryKind::Retry, false));
 }
 
 #[test]
 fn the_rest_of_a_generation_follows_what_was_learnt() {
     let mut lengths = LengthTable::default();
     for _ in 0..200 {
-        lengths.learn("short", 8);
-        lengths.learn("long", 1_000);
+        lengths.record("short", 8);
+        lengths.record("long", 1_000);
     }
 
-    let short = lengths.expect("short", 2_000, None);
-    let long = lengths.expect("long", 2_000, None);
-    let hinted = lengths.expect("long", 2_000, Some(100));
+    let short = lengths.estimate("short", 2_000, None);
+    let long = lengths.estimate("long", 2_000, None);
+    let hinted = lengths.estimate("long", 2_000, Some(100));
 
-    assert!(short.rest(0) < 40, "{}", short.rest(0));
-    assert!((500..1_500).contains(&long.rest(0)), "{}", long.rest(0));
-    assert!(hinted.rest(0) <= long.rest(0));
-    assert!(long.rest(1_990) <= 10, "nothing beyond the most allowed");
+    assert!(short.remaining(0) < 40, "{}", short.remaining(0));
+    assert!(
+        (500..1_500).contains(&long.remaining(0)),
+        "{}",
+        long.remaining(0)
+    );
+    assert!(hinted.remaining(0) <= long.remaining(0));
+    assert!(
+        long.remaining(1_990) <= 10,
+        "nothing beyond the most allowed"
+    );
 }
--- a/crates/core/tests/gateway_budget_fleet.rs
+++ b/crates/core/tests/gateway_budget_fleet.rs
@@ -8,7 +8,7 @@
 use core::time::Duration;
 use fleet::Fleet;
 use oriolemux_core::Time;
-use oriolemux_core::gateway::budget::{BudgetConfig, RepeatKind};
+use oriolemux_core::gateway::budget::{BudgetConfig, RetryKind};
 use oriolemux_core::gateway::catalogue::{CatalogueSource, EngineLimits, Service};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -109,7 +109,7 @@
             }
             let now = self.fleet.now;
             for (index, since) in core::mem::take(&mut self.to_move) {
-                if self.repeat(index, RepeatKind::GoOn) {
+                if self.repeat(index, RetryKind::Resume) {
                     self.moves += 1;
                 } else if now.since(since) < MOVES_WAIT {
                     self.to_move.push((index, since));
@@ -125,11 +125,11 @@
         }
         self.requests.push(now);
         for _ in 0..TRIES {
-            self.repeat(index, RepeatKind::Retry);
+            self.repeat(index, RetryKind::Retry);
         }
     }
 
-    fn repeat(&mut self, index: usize, kind: RepeatKind) -> bool {
+    fn repeat(&mut self, index: usize, kind: RetryKind) -> bool {
         let now = self.fleet.now;
         let Some(core) = &mut self.fleet.nodes[index].core else {
             return false;
@@ -165,8 +165,8 @@
             name: SERVICE.to_owned(),
             engine: Some(EngineLimits {
                 slots: 24,
-                memory_tokens: 20_000,
-                standing_copies: true,
+                kv_cache_tokens: 20_000,
+                standby_copies: true,
             }),
             cold: None,
         }],
--- a/crates/core/tests/gateway_catalogue.rs
+++ b/crates/core/tests/gateway_catalogue.rs
@@ -2,7 +2,7 @@
 
 use core::time::Duration;
 use oriolemux_core::gateway::catalogue::{
-    Catalogue, CatalogueFinding, CatalogueSource, HttpEntry, Judgement, Repeat, Service,
+    Catalogue, CatalogueFinding, CatalogueSource, HttpEntry, RequestKind, RequestMatch, Service,
     WeightedService, Workspace,
 };
 use rstest::rstest;
@@ -14,7 +14,7 @@
         name: name.to_owned(),
         host: "Desk.example".to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Once,
+        kind: RequestKind::AtMostOnce,
         timeout: Duration::from_secs(2),
         target: Duration::from_millis(100),
         gap_target: Duration::ZERO,
@@ -72,10 +72,10 @@
         entry("long", "/a/b/", "desk"),
     ]);
 
-    let judged = catalogue.judge("desk.example", path, Some(&KEY));
+    let judged = catalogue.match_request("desk.example", path, Some(&KEY));
 
     let name = match judged {
-        Judgement::Serve { entry, .. } => Some(catalogue.entry(entry).name.as_str()),
+        RequestMatch::Serve { entry, .. } => Some(catalogue.entry(entry).name.as_str()),
         _ => None,
     };
     assert_eq!(name, expected);
@@ -88,9 +88,9 @@
 fn hosts_are_told_apart_without_case_or_port(#[case] host: &str, #[case] known: bool) {
     let catalogue = compiled(vec![entry("a", "/a/", "desk")]);
 
-    let judged = catalogue.judge(host, "/a/1", Some(&KEY));
+    let judged = catalogue.match_request(host, "/a/1", Some(&KEY));
 
-    assert_eq!(judged != Judgement::NoEntry, known);
+    assert_eq!(judged != RequestMatch::NoEntry, known);
 }
 
 #[test]
@@ -101,15 +101,15 @@
     };
     let catalogue = compiled(vec![entry("a", "/a/", "desk"), public]);
 
-    let unknown = catalogue.judge("desk.example", "/a/1", Some(&[9; 32]));
-    let missing = catalogue.judge("desk.example", "/a/1", None);
-    let open = catalogue.judge("desk.example", "/open/1", None);
+    let unknown = catalogue.match_request("desk.example", "/a/1", Some(&[9; 32]));
+    let missing = catalogue.match_request("desk.example", "/a/1", None);
+    let open = catalogue.match_request("desk.example", "/open/1", None);
 
-    assert_eq!(unknown, Judgement::UnknownKey);
-    assert_eq!(missing, Judgement::UnknownKey);
+    assert_eq!(unknown, RequestMatch::UnknownKey);
+    assert_eq!(missing, RequestMatch::UnknownKey);
     assert!(matches!(
         open,
-        Judgement::Serve {
+        RequestMatch::Serve {
             workspace: None,
             ..
         }
@@ -160,11 +160,13 @@
         ..entry("a", "/a/", "desk")
     };
     let catalogue = compiled(vec![split]);
-    let Judgement::Serve { entry, .. } = catalogue.judge("desk.example", "/a/1", Some(&KEY)) else {
+    let RequestMatch::Serve { entry, .. } =
+        catalogue.match_request("desk.example", "/a/1", Some(&KEY))
+    else {
         panic!("the entry is there");
     };
 
-    let service = catalogue.draw_service(entry, draw);
+    let service = catalogue.pick_service(entry, draw);
 
     assert_eq!(catalogue.service(service).name, expected);
 }
--- a/crates/core/tests/gateway_choose.rs
+++ b/crates/core/tests/gateway_choose.rs
@@ -2,23 +2,25 @@
 
 use core::time::Duration;
 use oriolemux_core::gateway::catalogue::EngineLimits;
-use oriolemux_core::gateway::choose::{CopyKind, NoPlace, World, choose, choose_copy};
+use oriolemux_core::gateway::choose::{
+    CopyKind, PlacementContext, PlacementError, choose, choose_copy_target,
+};
 use oriolemux_core::gateway::endpoints::EndpointTable;
-use oriolemux_core::gateway::usage::{Others, UsageTable, Used};
+use oriolemux_core::gateway::usage::{PeerUsage, Usage, UsageTable};
 use oriolemux_core::gateway::{Demand, EndpointRecord};
 use oriolemux_core::{EndpointKey, Time};
 use rstest::rstest;
 
 const ENGINE: EngineLimits = EngineLimits {
     slots: 24,
-    memory_tokens: 34_000,
-    standing_copies: true,
+    kv_cache_tokens: 34_000,
+    standby_copies: true,
 };
 
 struct Tables {
     endpoints: EndpointTable,
     usage: UsageTable,
-    others: Others,
+    others: PeerUsage,
 }
 
 fn key(name: &str) -> EndpointKey {
@@ -44,13 +46,13 @@
     Tables {
         endpoints: table,
         usage: UsageTable::default(),
-        others: Others::default(),
+        others: PeerUsage::default(),
     }
 }
 
 impl Tables {
-    fn world(&self) -> World<'_> {
-        World {
+    fn world(&self) -> PlacementContext<'_> {
+        PlacementContext {
             now: Time::from_secs(10),
             endpoints: &self.endpoints,
             usage: &self.usage,
@@ -79,11 +81,11 @@
 #[test]
 fn what_others_run_counts() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
-    let used = Used {
+    let used = Usage {
         running: 1,
-        unread: 3_000,
+        pending_prefill: 3_000,
         tokens: 3_000,
-        copied: 0,
+        copy_tokens: 0,
     };
     tables.others.add(key("e-1"), used);
 
@@ -112,7 +114,7 @@
 
     assert_eq!(
         choose(tables.world(), &demand(4_000, &[]), no_draw),
-        Err(NoPlace::Full)
+        Err(PlacementError::Full)
     );
     tables.usage.end_copy(key("e-1"), 10_000);
     assert_eq!(
@@ -138,7 +140,7 @@
 
     let chosen = choose(tables.world(), &demand(3_000, &[key("e-2")]), no_draw);
 
-    assert_eq!(chosen, Err(NoPlace::NoEndpoint));
+    assert_eq!(chosen, Err(PlacementError::NoEndpoint));
 }
 
 #[test]
@@ -148,8 +150,8 @@
     let source = tables.endpoints.get(key("e-1")).expect("it is there");
     let demand = demand(3_000, &[]);
 
-    let standing = choose_copy(tables.world(), &demand, source, CopyKind::Standing, no_draw);
-    let ahead = choose_copy(tables.world(), &demand, source, CopyKind::Ahead, no_draw);
+    let standing = choose_copy_target(tables.world(), &demand, source, CopyKind::Standby, no_draw);
+    let ahead = choose_copy_target(tables.world(), &demand, source, CopyKind::PreCopy, no_draw);
 
     assert_eq!(standing, None);
     assert_eq!(ahead, Some(key("e-2")));
@@ -169,7 +171,7 @@
     let chosen: std::collections::BTreeSet<_> = (0..8)
         .filter_map(|_| {
             let draw = || draws.next().unwrap_or(0.0);
-            choose_copy(tables.world(), &demand, source, CopyKind::Ahead, draw)
+            choose_copy_target(tables.world(), &demand, source, CopyKind::PreCopy, draw)
         })
         .collect();
 
@@ -195,8 +197,8 @@
     }
     let source = tables.endpoints.get(key("e-1")).expect("an endpoint");
 
-    for kind in [CopyKind::Standing, CopyKind::Ahead] {
-        let chosen = choose_copy(tables.world(), &demand(3_000, &[]), source, kind, no_draw);
+    for kind in [CopyKind::Standby, CopyKind::PreCopy] {
+        let chosen = choose_copy_target(tables.world(), &demand(3_000, &[]), source, kind, no_draw);
         assert_eq!(chosen, Some(key("e-3")), "{kind:?}");
     }
 }
@@ -210,11 +212,11 @@
     tables.endpoints.on_failure(Time::from_secs(10), key("e-2"));
     let source = tables.endpoints.get(key("e-1")).expect("an endpoint");
 
-    let chosen = choose_copy(
+    let chosen = choose_copy_target(
         tables.world(),
         &demand(3_000, &[]),
         source,
-        CopyKind::Standing,
+        CopyKind::Standby,
         no_draw,
     );
 
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -7,11 +7,13 @@
 
 use core::time::Duration;
 use fleet::Fleet;
-use oriolemux_core::gateway::ask::{Decision, PlacementRequest, Verdict, Want};
 use oriolemux_core::gateway::catalogue::{CatalogueSource, EngineLimits, Service};
-use oriolemux_core::gateway::choose::{CopyKind, NoPlace};
+use oriolemux_core::gateway::choose::{CopyKind, PlacementError};
 use oriolemux_core::gateway::cold::ColdLimits;
-use oriolemux_core::gateway::queue::{Waiter, service_hash};
+use oriolemux_core::gateway::placement::{
+    PlacementDecision, PlacementKind, PlacementRequest, PlacementStatus,
+};
+use oriolemux_core::gateway::queue::{QueuedRequest, service_hash};
 use oriolemux_core::gateway::{Cordon, Demand, EndpointRecord, Gateway};
 use oriolemux_core::{EndpointKey, Time};
 use rand::rngs::SmallRng;
@@ -23,13 +25,13 @@
 /// Engines with room for all that the tests send, so that nothing but the bound holds requests back.
 const ENGINE: EngineLimits = EngineLimits {
     slots: 10_000,
-    memory_tokens: 10_000_000,
-    standing_copies: true,
+    kv_cache_tokens: 10_000_000,
+    standby_copies: true,
 };
 
 const COLD: ColdLimits = ColdLimits {
     per_second: 31.0,
-    lasts: Duration::from_secs(1),
+    duration: Duration::from_secs(1),
 };
 
 /// What an operator allows above the rate, as a factor and a number of requests.
@@ -149,7 +151,7 @@
     fn ask(&mut self) {
         self.asked += 1;
         let (id, now, index) = (self.asked, self.fleet.now, self.any());
-        let waiter = Waiter {
+        let waiter = QueuedRequest {
             id,
             service: service_hash("model"),
             priority: 1,
@@ -159,8 +161,8 @@
             prompt: 1,
         };
         let request = PlacementRequest {
-            waiter,
-            want: Want::Place,
+            queued: waiter,
+            kind: PlacementKind::Queued,
             exclude: Vec::new(),
         };
         self.core(index).ask(now, request);
@@ -182,10 +184,10 @@
                 exclude: &[],
             };
             let place = match core.verdict(now, id) {
-                Verdict::Decided(Decision::Granted(key)) => Some(key),
-                Verdict::Unanswered => {
+                PlacementStatus::Decided(PlacementDecision::Granted(key)) => Some(key),
+                PlacementStatus::TimedOut => {
                     core.home_unanswered(now, service_hash("model"), id);
-                    let alone = core.place_alone(now, &demand, Want::Place);
+                    let alone = core.place_alone(now, &demand, PlacementKind::Queued);
                     alone.ok().map(|it| it.key)
                 }
                 _ => None,
@@ -347,8 +349,8 @@
     one.publish_cordon(closed, cordon(7, true));
     one.publish_cordon(open, cordon(8, false));
 
-    assert!(!is_cold(&one, open + COLD.after_return()));
-    assert!(is_cold(&one, open + COLD.lasts));
+    assert!(!is_cold(&one, open + COLD.after_uncordon()));
+    assert!(is_cold(&one, open + COLD.duration));
     let word = open + Duration::from_millis(100);
     one.endpoints.observe_cold(word, key, Duration::ZERO);
     assert!(!is_cold(&one, word), "its own word is fresher");
@@ -376,8 +378,8 @@
 
 /// Guards against copies at an engine that may not be asked to go on with them.
 #[rstest]
-#[case(CopyKind::Standing)]
-#[case(CopyKind::Ahead)]
+#[case(CopyKind::Standby)]
+#[case(CopyKind::PreCopy)]
 fn no_copy_goes_to_a_cold_engine(#[case] kind: CopyKind) {
     let mut one = one_with(&[
         record("e-source", "model", Duration::ZERO),
@@ -392,7 +394,7 @@
     };
     let source = EndpointKey::of("e-source");
 
-    let place = one.place_alone(now, &demand, Want::Copy { source, kind });
+    let place = one.place_alone(now, &demand, PlacementKind::Copy { source, kind });
 
-    assert_eq!(place, Err(NoPlace::Full));
+    assert_eq!(place, Err(PlacementError::Full));
 }
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -7,10 +7,12 @@
 
 use core::time::Duration;
 use fleet::Fleet;
-use oriolemux_core::gateway::ask::{Decision, PlacementRequest, Verdict, Want};
 use oriolemux_core::gateway::catalogue::{CatalogueSource, EngineLimits, Service};
-use oriolemux_core::gateway::choose::{CopyKind, NoPlace};
-use oriolemux_core::gateway::queue::{Waiter, service_hash};
+use oriolemux_core::gateway::choose::{CopyKind, PlacementError};
+use oriolemux_core::gateway::placement::{
+    PlacementDecision, PlacementKind, PlacementRequest, PlacementStatus,
+};
+use oriolemux_core::gateway::queue::{QueuedRequest, service_hash};
 use oriolemux_core::gateway::reader::WATCH_PAUSE;
 use oriolemux_core::gateway::{Cordon, CordonEffect, Demand, EndpointRecord, Gateway};
 use oriolemux_core::{EndpointKey, Time};
@@ -27,8 +29,8 @@
 
 const ENGINE: EngineLimits = EngineLimits {
     slots: 24,
-    memory_tokens: 20_000,
-    standing_copies: true,
+    kv_cache_tokens: 20_000,
+    standby_copies: true,
 };
 
 fn cordon(data_centre: &str, revision: u64, is_closed: bool) -> Cordon {
@@ -215,9 +217,9 @@
     }
 }
 
-fn request(id: u64, want: Want) -> PlacementRequest {
+fn request(id: u64, want: PlacementKind) -> PlacementRequest {
     PlacementRequest {
-        waiter: Waiter {
+        queued: QueuedRequest {
             id,
             service: service_hash("model"),
             priority: 1,
@@ -226,25 +228,25 @@
             tokens: 1_000,
             prompt: 500,
         },
-        want,
+        kind: want,
         exclude: Vec::new(),
     }
 }
 
 /// Each way by which something is sent to an engine.
-fn all_wants() -> Vec<Want> {
+fn all_wants() -> Vec<PlacementKind> {
     let source = EndpointKey::of("e-south");
-    let copy = |kind| Want::Copy { source, kind };
+    let copy = |kind| PlacementKind::Copy { source, kind };
     vec![
-        Want::Place,
-        Want::Aside,
-        copy(CopyKind::Standing),
-        copy(CopyKind::Ahead),
+        PlacementKind::Queued,
+        PlacementKind::Immediate,
+        copy(CopyKind::Standby),
+        copy(CopyKind::PreCopy),
     ]
 }
 
 /// Asks for a place at an instance that is its own home.
-fn granted(one: &mut Gateway, now: Time, want: Want) -> Verdict {
+fn granted(one: &mut Gateway, now: Time, want: PlacementKind) -> PlacementStatus {
     one.ask(now, request(1, want));
     one.tick(now);
     let verdict = one.verdict(now, 1);
@@ -272,7 +274,7 @@
             let verdict = granted(&mut one, now, want);
             let is_closed = |it: &EndpointKey| closed.contains(it);
             assert!(
-                !matches!(verdict, Verdict::Decided(Decision::Granted(it)) if is_closed(&it)),
+                !matches!(verdict, PlacementStatus::Decided(PlacementDecision::Granted(it)) if is_closed(&it)),
                 "{want:?}: {verdict:?}"
             );
         }
@@ -287,9 +289,9 @@
 fn a_place_that_was_granted_before_is_not_taken() {
     let mut one = two_places();
     let now = Time::from_secs(1);
-    one.ask(now, request(1, Want::Place));
+    one.ask(now, request(1, PlacementKind::Queued));
     one.tick(now);
-    let Verdict::Decided(Decision::Granted(key)) = one.verdict(now, 1) else {
+    let PlacementStatus::Decided(PlacementDecision::Granted(key)) = one.verdict(now, 1) else {
         panic!("an empty engine is given");
     };
     let place = one
@@ -306,7 +308,7 @@
     one.tick(now);
 
     assert_eq!(taken, None);
-    let Verdict::Decided(Decision::Granted(other)) = one.verdict(now, 1) else {
+    let PlacementStatus::Decided(PlacementDecision::Granted(other)) = one.verdict(now, 1) else {
         panic!("the other engine is given: {:?}", one.verdict(now, 1));
     };
     assert_ne!(other, key);
@@ -332,11 +334,20 @@
     one.publish_cordon(now, cordon("north", 5, true));
     one.publish_cordon(now, cordon("south", 6, true));
 
-    assert_eq!(one.place(now, &demand("model")), Err(NoPlace::Cordoned));
-    assert_eq!(one.place(now, &demand("desk")), Err(NoPlace::Cordoned));
-    assert_eq!(one.place(now, &demand("other")), Err(NoPlace::NoEndpoint));
-    let verdict = granted(&mut one, now, Want::Place);
-    let waits = Verdict::Decided(Decision::Waits(NoPlace::Cordoned));
+    assert_eq!(
+        one.place(now, &demand("model")),
+        Err(PlacementError::Cordoned)
+    );
+    assert_eq!(
+        one.place(now, &demand("desk")),
+        Err(PlacementError::Cordoned)
+    );
+    assert_eq!(
+        one.place(now, &demand("other")),
+        Err(PlacementError::NoEndpoint)
+    );
+    let verdict = granted(&mut one, now, PlacementKind::Queued);
+    let waits = PlacementStatus::Decided(PlacementDecision::Queued(PlacementError::Cordoned));
     assert_eq!(verdict, waits);
 }
 
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -5,16 +5,17 @@
 
 use core::time::Duration;
 use instances::address;
-use oriolemux_core::gateway::ask::{
-    AskTable, Decision, HOME_PATIENCE, PlacementRequest, Verdict, Want,
-};
 use oriolemux_core::gateway::catalogue::EngineLimits;
-use oriolemux_core::gateway::choose::{CopyKind, NoPlace};
+use oriolemux_core::gateway::choose::{CopyKind, PlacementError};
 use oriolemux_core::gateway::endpoints::EndpointTable;
 use oriolemux_core::gateway::home::{Answer, Engines, Home, REPORT_FRESH, Report};
-use oriolemux_core::gateway::queue::{Waiter, service_hash};
-use oriolemux_core::gateway::rate_limits::{RateLimits, ToldLimit};
-use oriolemux_core::gateway::usage::Used;
+use oriolemux_core::gateway::placement::{
+    HOME_TIMEOUT, PlacementDecision, PlacementKind, PlacementRequest, PlacementStatus,
+    PlacementTable,
+};
+use oriolemux_core::gateway::queue::{QueuedRequest, service_hash};
+use oriolemux_core::gateway::rate_limits::{RateLimits, ResponseLimit};
+use oriolemux_core::gateway::usage::Usage;
 use oriolemux_core::{EndpointKey, Incarnation, Time};
 
 const NOW: Time = Time::from_secs(100);
@@ -23,8 +24,8 @@
 
 const ENGINE: EngineLimits = EngineLimits {
     slots: 24,
-    memory_tokens: 20_000,
-    standing_copies: true,
+    kv_cache_tokens: 20_000,
+    standby_copies: true,
 };
 
 fn engine(number: usize) -> EndpointKey {
@@ -41,10 +42,10 @@
 }
 
 /// A request of 3,000 tokens that arrived so many milliseconds ago.
-fn request(id: u64, age_ms: u64, want: Want) -> PlacementRequest {
+fn request(id: u64, age_ms: u64, want: PlacementKind) -> PlacementRequest {
     let age = Duration::from_millis(age_ms);
     PlacementRequest {
-        waiter: Waiter {
+        queued: QueuedRequest {
             id,
             service: service_hash(MODEL),
             priority: 1,
@@ -53,16 +54,16 @@
             tokens: 3_000,
             prompt: 2_000,
         },
-        want,
+        kind: want,
         exclude: Vec::new(),
     }
 }
 
-fn used(tokens: u32) -> Used {
-    Used {
+fn used(tokens: u32) -> Usage {
+    Usage {
         running: 1,
         tokens,
-        ..Used::default()
+        ..Usage::default()
     }
 }
 
@@ -92,7 +93,7 @@
     fn report(
         &mut self,
         instance: u16,
-        used: &[(EndpointKey, Used)],
+        used: &[(EndpointKey, Usage)],
         requests: &[PlacementRequest],
     ) {
         self.reports += 1;
@@ -133,16 +134,16 @@
     }
 
     /// Returns what was decided about a placement request, if anything was said.
-    fn decision(&mut self, id: u64) -> Option<Decision> {
+    fn decision(&mut self, id: u64) -> Option<PlacementDecision> {
         let answers = self.decide();
         let mut told = answers.iter().flat_map(|(_, it)| &it.decisions);
         told.find(|it| it.0 == id).map(|it| it.1)
     }
 }
 
-fn granted(decision: Option<Decision>) -> Option<EndpointKey> {
+fn granted(decision: Option<PlacementDecision>) -> Option<EndpointKey> {
     match decision {
-        Some(Decision::Granted(key)) => Some(key),
+        Some(PlacementDecision::Granted(key)) => Some(key),
         _ => None,
     }
 }
@@ -154,18 +155,24 @@
     let mut scene = Scene::new(1);
     let taken = [(engine(0), used(15_000))];
     scene.report(9, &taken, &[]);
-    scene.report(1, &[], &[request(1, 5, Want::Place)]);
-    assert_eq!(scene.decision(1), Some(Decision::Granted(engine(0))));
+    scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
+    assert_eq!(
+        scene.decision(1),
+        Some(PlacementDecision::Granted(engine(0)))
+    );
 
-    scene.report(2, &[], &[request(2, 5, Want::Place)]);
+    scene.report(2, &[], &[request(2, 5, PlacementKind::Queued)]);
 
-    assert_eq!(scene.decision(2), Some(Decision::Waits(NoPlace::Full)));
+    assert_eq!(
+        scene.decision(2),
+        Some(PlacementDecision::Queued(PlacementError::Full))
+    );
 }
 
 #[test]
 fn what_was_granted_counts_once_when_it_is_reported() {
     let mut scene = Scene::new(1);
-    scene.report(1, &[], &[request(1, 5, Want::Place)]);
+    scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
     scene.decide();
 
     scene.report(1, &[(engine(0), used(3_000))], &[]);
@@ -180,7 +187,7 @@
 #[test]
 fn a_grant_is_repeated_to_who_asks_again() {
     let mut scene = Scene::new(2);
-    let ask = [request(1, 5, Want::Place)];
+    let ask = [request(1, 5, PlacementKind::Queued)];
     scene.report(1, &[], &ask);
     let first = granted(scene.decision(1));
 
@@ -201,29 +208,41 @@
 fn an_instance_that_falls_silent_holds_nobody_up() {
     let mut scene = Scene::new(1);
     scene.report(9, &[(engine(0), used(16_000))], &[]);
-    scene.report(1, &[], &[request(1, 10, Want::Place)]);
-    let me = request(2, 600, Want::Place);
+    scene.report(1, &[], &[request(1, 10, PlacementKind::Queued)]);
+    let me = request(2, 600, PlacementKind::Queued);
     scene.report(2, &[], std::slice::from_ref(&me));
-    assert_eq!(scene.decision(2), Some(Decision::Waits(NoPlace::Full)));
+    assert_eq!(
+        scene.decision(2),
+        Some(PlacementDecision::Queued(PlacementError::Full))
+    );
 
     scene.now += REPORT_FRESH;
     scene.home.tick(scene.now);
     scene.report(9, &[(engine(0), used(16_000))], &[]);
     scene.report(2, &[], &[me]);
 
-    assert_eq!(scene.decision(2), Some(Decision::Granted(engine(0))));
+    assert_eq!(
+        scene.decision(2),
+        Some(PlacementDecision::Granted(engine(0)))
+    );
 }
 
 #[test]
 fn room_that_comes_is_granted_unasked() {
     let mut scene = Scene::new(1);
     scene.report(9, &[(engine(0), used(19_000))], &[]);
-    scene.report(1, &[], &[request(1, 10, Want::Place)]);
-    assert_eq!(scene.decision(1), Some(Decision::Waits(NoPlace::Full)));
+    scene.report(1, &[], &[request(1, 10, PlacementKind::Queued)]);
+    assert_eq!(
+        scene.decision(1),
+        Some(PlacementDecision::Queued(PlacementError::Full))
+    );
 
     scene.report(9, &[], &[]);
 
-    assert_eq!(scene.decision(1), Some(Decision::Granted(engine(0))));
+    assert_eq!(
+        scene.decision(1),
+        Some(PlacementDecision::Granted(engine(0)))
+    );
 }
 
 /// Symptom: a generation that waits longest is served by an engine that another one was
@@ -254,7 +273,7 @@
     assert_eq!(of_this_life, used(3_000));
     assert_eq!(
         scene.home.others(scene.now, None).of(engine(0)),
-        Used::default()
+        Usage::default()
     );
 }
 
@@ -263,9 +282,9 @@
 #[test]
 fn copies_of_one_engine_part() {
     let mut scene = Scene::new(5);
-    let ahead = Want::Copy {
+    let ahead = PlacementKind::Copy {
         source: engine(0),
-        kind: CopyKind::Ahead,
+        kind: CopyKind::PreCopy,
     };
     for instance in 1..=8_u16 {
         scene.report(instance, &[], &[request(instance.into(), 5, ahead)]);
@@ -275,7 +294,7 @@
     let at = |key| {
         let decisions = answers.iter().flat_map(|(_, it)| &it.decisions);
         decisions
-            .filter(|it| it.1 == Decision::Granted(key))
+            .filter(|it| it.1 == PlacementDecision::Granted(key))
             .count()
     };
     assert_eq!(at(engine(0)), 0, "not at the engine that leaves");
@@ -291,44 +310,50 @@
         &[(engine(0), used(19_000)), (engine(1), used(18_000))],
         &[],
     );
-    scene.report(1, &[], &[request(1, 10, Want::Place)]);
+    scene.report(1, &[], &[request(1, 10, PlacementKind::Queued)]);
     scene.decide();
 
-    scene.report(2, &[], &[request(2, 700, Want::Aside)]);
+    scene.report(2, &[], &[request(2, 700, PlacementKind::Immediate)]);
 
-    assert_eq!(scene.decision(2), Some(Decision::Denied(NoPlace::Full)));
+    assert_eq!(
+        scene.decision(2),
+        Some(PlacementDecision::Denied(PlacementError::Full))
+    );
 }
 
 /// Symptom: requests wait for as long as a frozen home does. Sequence: the home freezes before
 /// it answers, or after it said "wait". Cause: nothing bounded the wait for its word.
 #[test]
 fn a_home_that_says_nothing_is_not_waited_for() {
-    let mut asks = AskTable::default();
-    asks.enter(NOW, request(1, 0, Want::Place));
+    let mut asks = PlacementTable::default();
+    asks.insert(NOW, request(1, 0, PlacementKind::Queued));
     let soon = NOW + Duration::from_millis(5);
-    assert_eq!(asks.verdict(soon, 1), Verdict::Asked);
-    assert_eq!(asks.verdict(NOW + HOME_PATIENCE, 1), Verdict::Unanswered);
+    assert_eq!(asks.status(soon, 1), PlacementStatus::Pending);
+    assert_eq!(
+        asks.status(NOW + HOME_TIMEOUT, 1),
+        PlacementStatus::TimedOut
+    );
 
-    let waits = Decision::Waits(NoPlace::Full);
-    asks.hear(soon, 1, waits);
+    let waits = PlacementDecision::Queued(PlacementError::Full);
+    asks.on_decision(soon, 1, waits);
 
-    let later = NOW + HOME_PATIENCE * 2;
-    assert_eq!(asks.verdict(later, 1), Verdict::Decided(waits));
+    let later = NOW + HOME_TIMEOUT * 2;
+    assert_eq!(asks.status(later, 1), PlacementStatus::Decided(waits));
     let much_later = NOW + Duration::from_secs(1);
-    assert_eq!(asks.verdict(much_later, 1), Verdict::Unanswered);
+    assert_eq!(asks.status(much_later, 1), PlacementStatus::TimedOut);
 }
 
 /// A "wait" that was sent before a grant and arrives after it takes nothing back.
 #[test]
 fn a_grant_is_not_taken_back_by_an_older_word() {
-    let mut asks = AskTable::default();
-    asks.enter(NOW, request(1, 0, Want::Place));
-    let grant = Decision::Granted(engine(3));
+    let mut asks = PlacementTable::default();
+    asks.insert(NOW, request(1, 0, PlacementKind::Queued));
+    let grant = PlacementDecision::Granted(engine(3));
 
-    asks.hear(NOW, 1, grant);
-    asks.hear(NOW, 1, Decision::Waits(NoPlace::Full));
+    asks.on_decision(NOW, 1, grant);
+    asks.on_decision(NOW, 1, PlacementDecision::Queued(PlacementError::Full));
 
-    assert_eq!(asks.verdict(NOW, 1), Verdict::Decided(grant));
+    assert_eq!(asks.status(NOW, 1), PlacementStatus::Decided(grant));
 }
 
 /// Symptom: 120 generations a second are refused within 50 ms, while engines have room.
@@ -344,9 +369,9 @@
     scene.passed_over.clear();
 
     for id in 1..=3 {
-        scene.report(id, &[], &[request(id.into(), 5, Want::Place)]);
+        scene.report(id, &[], &[request(id.into(), 5, PlacementKind::Queued)]);
         let decision = scene.decision(id.into());
-        assert_eq!(decision, Some(Decision::Granted(engine(1))));
+        assert_eq!(decision, Some(PlacementDecision::Granted(engine(1))));
     }
 }
 
@@ -355,13 +380,19 @@
     let mut scene = Scene::new(2);
     scene.report(5, &[(engine(1), used(9_000))], &[]);
     scene.passed_over = vec![engine(0)];
-    scene.report(1, &[], &[request(1, 5, Want::Place)]);
-    assert_eq!(scene.decision(1), Some(Decision::Granted(engine(1))));
+    scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
+    assert_eq!(
+        scene.decision(1),
+        Some(PlacementDecision::Granted(engine(1)))
+    );
 
     scene.passed_over.clear();
-    scene.report(2, &[], &[request(2, 5, Want::Place)]);
+    scene.report(2, &[], &[request(2, 5, PlacementKind::Queued)]);
 
-    assert_eq!(scene.decision(2), Some(Decision::Granted(engine(0))));
+    assert_eq!(
+        scene.decision(2),
+        Some(PlacementDecision::Granted(engine(0)))
+    );
 }
 
 /// An engine that is back gets work again within some seconds, and all engines are used when
@@ -381,8 +412,11 @@
     );
     scene.passed_over.clear();
 
-    scene.report(1, &[], &[request(1, 5, Want::Place)]);
-    assert_eq!(scene.decision(1), Some(Decision::Granted(engine(0))));
+    scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
+    assert_eq!(
+        scene.decision(1),
+        Some(PlacementDecision::Granted(engine(0)))
+    );
     scene.now += Duration::from_secs(5);
 
     assert!(scene.home.others(scene.now, None).ejected.is_empty());
@@ -396,13 +430,13 @@
     let mut scene = Scene::new(3);
     let nearly_full = [(engine(1), used(17_500)), (engine(2), used(17_500))];
     scene.report(9, &nearly_full, &[]);
-    let copy = Want::Copy {
+    let copy = PlacementKind::Copy {
         source: engine(0),
-        kind: CopyKind::Standing,
+        kind: CopyKind::Standby,
     };
     let place = PlacementRequest {
         exclude: vec![engine(0)],
-        ..request(1, 5, Want::Place)
+        ..request(1, 5, PlacementKind::Queued)
     };
 
     scene.report(1, &[], &[place, request(2, 5, copy)]);
@@ -410,8 +444,14 @@
 
     let decisions = &answers[0].1.decisions;
     let about = |id| decisions.iter().find(|it| it.0 == id).map(|it| it.1);
-    assert_eq!(about(1), Some(Decision::Waits(NoPlace::Full)));
-    assert_eq!(about(2), Some(Decision::Denied(NoPlace::Full)));
+    assert_eq!(
+        about(1),
+        Some(PlacementDecision::Queued(PlacementError::Full))
+    );
+    assert_eq!(
+        about(2),
+        Some(PlacementDecision::Denied(PlacementError::Full))
+    );
 }
 
 /// Symptom: a request waits until its target is over and is refused, though engines are free.
@@ -421,7 +461,7 @@
 #[test]
 fn an_engine_that_leaves_is_not_granted_again() {
     let mut scene = Scene::new(2);
-    let ask = [request(1, 5, Want::Place)];
+    let ask = [request(1, 5, PlacementKind::Queued)];
     scene.report(1, &[], &ask);
     let first = granted(scene.decision(1)).expect("there is room");
     scene.endpoints.mark_leaving(scene.now, first);
@@ -437,11 +477,13 @@
 #[test]
 fn an_engine_that_named_a_limit_is_granted_within_it() {
     let mut scene = Scene::new(1);
-    let told = ToldLimit::PerSecond(4.0);
+    let told = ResponseLimit::PerSecond(4.0);
     scene
         .named
-        .hear_answer(scene.now, engine(0), scene.now, told);
-    let ask: Vec<PlacementRequest> = (1..=6).map(|id| request(id, 5, Want::Place)).collect();
+        .observe_limit(scene.now, engine(0), scene.now, told);
+    let ask: Vec<PlacementRequest> = (1..=6)
+        .map(|id| request(id, 5, PlacementKind::Queued))
+        .collect();
 
     let mut grants = 0;
     for _ in 0..4 {
@@ -449,7 +491,7 @@
         for (_, answer) in scene.decide() {
             let granted = answer.decisions.iter();
             grants = granted
-                .filter(|it| matches!(it.1, Decision::Granted(_)))
+                .filter(|it| matches!(it.1, PlacementDecision::Granted(_)))
                 .count();
         }
         scene.now += Duration::from_millis(50);
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -8,8 +8,8 @@
 use core::time::Duration;
 use fleet::Fleet;
 use oriolemux_core::gateway::catalogue::{CatalogueSource, Service};
-use oriolemux_core::gateway::choose::NoPlace;
-use oriolemux_core::gateway::rate_limits::{RateLimits, ToldLimit};
+use oriolemux_core::gateway::choose::PlacementError;
+use oriolemux_core::gateway::rate_limits::{RateLimits, ResponseLimit};
 use oriolemux_core::gateway::{Demand, EndpointRecord, Gateway};
 use oriolemux_core::{EndpointKey, Time};
 use rand::rngs::SmallRng;
@@ -162,7 +162,7 @@
         self.answers.retain(|it| it.0 > now);
         for (_, index, key, sent) in arrived {
             let limit = self.limits.get(&key).copied();
-            let told = limit.map_or(ToldLimit::None, ToldLimit::PerSecond);
+            let told = limit.map_or(ResponseLimit::None, ResponseLimit::PerSecond);
             if limit.is_some() {
                 self.told.entry(index).or_insert(now);
             }
@@ -310,7 +310,7 @@
     let mut one = instances::gateway(1);
     let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
     one.publish_endpoint(now, record(IN_NEED));
-    one.told_limit(now, key, now, ToldLimit::PerSecond(RATE));
+    one.told_limit(now, key, now, ResponseLimit::PerSecond(RATE));
 
     let later = EndpointRecord {
         started_unix_ms: Some(5),
@@ -339,7 +339,7 @@
         refused = refused.or(scene.core(0).place(now, &demand()).err());
     }
 
-    assert_eq!(refused, Some(NoPlace::Limited));
+    assert_eq!(refused, Some(PlacementError::RateLimited));
     for name in names {
         assert!(scene.sent_to(name) >= 3, "{name}: {}", scene.sent_to(name));
     }
@@ -357,10 +357,10 @@
     let mut limits = RateLimits::default();
     let (start, key) = (Time::from_secs(1), EndpointKey::of(IN_NEED));
     let named = start + Duration::from_secs(1);
-    limits.hear_answer(named, key, start, ToldLimit::PerSecond(RATE));
+    limits.observe_limit(named, key, start, ResponseLimit::PerSecond(RATE));
 
     let late = start + Duration::from_secs(2);
-    limits.hear_answer(late, key, start + sent, ToldLimit::None);
+    limits.observe_limit(late, key, start + sent, ResponseLimit::None);
 
     assert_eq!(limits.of(key), expected);
 }
@@ -370,32 +370,37 @@
 fn the_later_word_about_a_limit_holds() {
     let mut limits = RateLimits::default();
     let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
-    limits.hear_answer(now, key, now, ToldLimit::PerSecond(RATE));
-    let word = limits.word(now, key).expect("it is known");
+    limits.observe_limit(now, key, now, ResponseLimit::PerSecond(RATE));
+    let word = limits.report(now, key).expect("it is known");
     let ended = now + Duration::from_secs(2);
-    limits.hear_answer(ended, key, now + Duration::from_secs(1), ToldLimit::None);
+    limits.observe_limit(
+        ended,
+        key,
+        now + Duration::from_secs(1),
+        ResponseLimit::None,
+    );
 
     let later = ended + Duration::from_millis(10);
-    let stale = oriolemux_core::gateway::rate_limits::LimitWord {
+    let stale = oriolemux_core::gateway::rate_limits::LimitReport {
         age_ms: 2_010,
         ..word
     };
 
-    assert_eq!(limits.hear_word(later, stale), None);
+    assert_eq!(limits.on_report(later, stale), None);
     assert_eq!(limits.of(key), None);
 }
 
 /// Guards against values that no rate can be made of.
 #[rstest]
-#[case::unreadable(ToldLimit::Unreadable, None)]
-#[case::zero(ToldLimit::PerSecond(0.0), Some(0.1))]
-#[case::usual(ToldLimit::PerSecond(2.5), Some(2.5))]
-#[case::beyond_use(ToldLimit::PerSecond(1e12), Some(1e6))]
-fn each_value_has_a_meaning(#[case] told: ToldLimit, #[case] expected: Option<f64>) {
+#[case::unreadable(ResponseLimit::Unreadable, None)]
+#[case::zero(ResponseLimit::PerSecond(0.0), Some(0.1))]
+#[case::usual(ResponseLimit::PerSecond(2.5), Some(2.5))]
+#[case::beyond_use(ResponseLimit::PerSecond(1e12), Some(1e6))]
+fn each_value_has_a_meaning(#[case] told: ResponseLimit, #[case] expected: Option<f64>) {
     let mut limits = RateLimits::default();
     let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
 
-    limits.hear_answer(now, key, now, told);
+    limits.observe_limit(now, key, now, told);
 
     assert_eq!(limits.of(key), expected);
 }
--- a/crates/core/tests/gateway_places.rs
+++ b/crates/core/tests/gateway_places.rs
@@ -9,9 +9,11 @@
 use core::time::Duration;
 use fleet::{Fleet, Sent};
 use instances::{address, engine};
-use oriolemux_core::gateway::ask::{Decision, HOME_PATIENCE, PlacementRequest, Verdict, Want};
 use oriolemux_core::gateway::catalogue::{CatalogueSource, EngineLimits, Service};
-use oriolemux_core::gateway::queue::{Waiter, service_hash};
+use oriolemux_core::gateway::placement::{
+    HOME_TIMEOUT, PlacementDecision, PlacementKind, PlacementRequest, PlacementStatus,
+};
+use oriolemux_core::gateway::queue::{QueuedRequest, service_hash};
 use oriolemux_core::gateway::{Demand, Gateway};
 use oriolemux_core::{EndpointKey, Time};
 use rstest::rstest;
@@ -23,8 +25,8 @@
 
 const ENGINE: EngineLimits = EngineLimits {
     slots: 24,
-    memory_tokens: 20_000,
-    standing_copies: true,
+    kv_cache_tokens: 20_000,
+    standby_copies: true,
 };
 
 /// Tokens of one generation: six of them fill an engine.
@@ -114,7 +116,7 @@
     fn ask(&mut self, instance: usize) {
         self.asked += 1;
         let (id, now) = (self.asked, self.fleet.now);
-        let waiter = Waiter {
+        let waiter = QueuedRequest {
             id,
             service: service_hash("model"),
             priority: 1,
@@ -124,8 +126,8 @@
             prompt: 2_000,
         };
         let request = PlacementRequest {
-            waiter,
-            want: Want::Place,
+            queued: waiter,
+            kind: PlacementKind::Queued,
             exclude: Vec::new(),
         };
         self.core(instance).ask(now, request);
@@ -163,8 +165,8 @@
         let now = self.fleet.now;
         let core = self.fleet.nodes[asking.instance].core.as_mut()?;
         let place = match core.verdict(now, asking.id) {
-            Verdict::Decided(Decision::Granted(key)) => Some(key),
-            Verdict::Unanswered => {
+            PlacementStatus::Decided(PlacementDecision::Granted(key)) => Some(key),
+            PlacementStatus::TimedOut => {
                 core.home_unanswered(now, service_hash("model"), asking.id);
                 let demand = Demand {
                     service: "model",
@@ -172,7 +174,7 @@
                     tokens: TOKENS,
                     exclude: &[],
                 };
-                let place = core.place_alone(now, &demand, Want::Place).ok();
+                let place = core.place_alone(now, &demand, PlacementKind::Queued).ok();
                 self.alone += usize::from(place.is_some());
                 place.map(|it| it.key)
             }
@@ -284,7 +286,7 @@
     scene.play(Duration::from_secs(4), 20, None);
 
     assert_eq!(scene.alone, 0);
-    assert!(scene.fullest <= ENGINE.memory_tokens, "{}", scene.fullest);
+    assert!(scene.fullest <= ENGINE.kv_cache_tokens, "{}", scene.fullest);
 }
 
 /// Symptom: requests stand still for as long as the home does. Sequence: the home freezes, is
@@ -306,9 +308,9 @@
 
     scene.play(Duration::from_secs(6), 50, Some(home));
 
-    let bound = HOME_PATIENCE + Duration::from_millis(10);
+    let bound = HOME_TIMEOUT + Duration::from_millis(10);
     assert!(scene.longest <= bound, "{:?}", scene.longest);
-    assert!(scene.fullest <= ENGINE.memory_tokens, "{}", scene.fullest);
+    assert!(scene.fullest <= ENGINE.kv_cache_tokens, "{}", scene.fullest);
 }
 
 /// A home that was frozen and wakes still holds its old view; instances ask the one that took
@@ -325,7 +327,7 @@
     scene.play(Duration::from_secs(5), 50, Some(home));
 
     assert_eq!(scene.home(0), home, "it is the home again");
-    assert!(scene.fullest <= ENGINE.memory_tokens, "{}", scene.fullest);
+    assert!(scene.fullest <= ENGINE.kv_cache_tokens, "{}", scene.fullest);
 }
 
 /// Two homes at once: some instances cannot reach the first and ask the next. Both know all
@@ -339,7 +341,7 @@
 
     scene.play(Duration::from_secs(8), 25, None);
 
-    let one_more = ENGINE.memory_tokens + 2 * TOKENS;
+    let one_more = ENGINE.kv_cache_tokens + 2 * TOKENS;
     assert!(scene.fullest <= one_more, "{}", scene.fullest);
     assert!(
         scene.longest <= Duration::from_millis(400),
--- a/crates/core/tests/gateway_queue.rs
+++ b/crates/core/tests/gateway_queue.rs
@@ -4,14 +4,14 @@
 mod instances;
 
 use core::time::Duration;
-use oriolemux_core::gateway::ask::{PlacementRequest, Want};
 use oriolemux_core::gateway::catalogue::EngineLimits;
-use oriolemux_core::gateway::choose::{NoPlace, World};
+use oriolemux_core::gateway::choose::{PlacementContext, PlacementError};
 use oriolemux_core::gateway::endpoints::EndpointTable;
 use oriolemux_core::gateway::home::Engines;
-use oriolemux_core::gateway::queue::{Asking, Waiter, assign, service_hash};
+use oriolemux_core::gateway::placement::{PlacementKind, PlacementRequest};
+use oriolemux_core::gateway::queue::{QueuedPlacement, QueuedRequest, assign, service_hash};
 use oriolemux_core::gateway::rate_limits::RateLimits;
-use oriolemux_core::gateway::usage::{Others, UsageTable, Used};
+use oriolemux_core::gateway::usage::{PeerUsage, Usage, UsageTable};
 use oriolemux_core::{EndpointKey, Time};
 use proptest::prelude::*;
 
@@ -19,16 +19,16 @@
 
 const ENGINE: EngineLimits = EngineLimits {
     slots: 24,
-    memory_tokens: 20_000,
-    standing_copies: true,
+    kv_cache_tokens: 20_000,
+    standby_copies: true,
 };
 
 /// What the home of all engines knows.
 struct Fleet {
     endpoints: EndpointTable,
     usage: UsageTable,
-    others: Others,
-    queue: Vec<Waiter>,
+    others: PeerUsage,
+    queue: Vec<QueuedRequest>,
 }
 
 fn engine(number: usize) -> EndpointKey {
@@ -40,7 +40,7 @@
     let mut fleet = Fleet {
         endpoints: EndpointTable::default(),
         usage: UsageTable::default(),
-        others: Others::default(),
+        others: PeerUsage::default(),
         queue: Vec::new(),
     };
     for (number, &tokens) in taken.iter().enumerate() {
@@ -55,8 +55,8 @@
 }
 
 impl Fleet {
-    fn turn(&self, me: &Waiter) -> Result<EndpointKey, NoPlace> {
-        let world = World {
+    fn turn(&self, me: &QueuedRequest) -> Result<EndpointKey, PlacementError> {
+        let world = PlacementContext {
             now: NOW,
             endpoints: &self.endpoints,
             usage: &self.usage,
@@ -73,33 +73,33 @@
             live: 1,
         };
         let others = self.queue.iter().filter(|it| it.id != me.id);
-        let all: Vec<Asking> = others.chain([me]).copied().map(asking).collect();
+        let all: Vec<QueuedPlacement> = others.chain([me]).copied().map(asking).collect();
         let places = assign(world, engines, |_| None, all.iter());
         *places.last().expect("its own")
     }
 
-    fn wait(&mut self, waiters: &[Waiter]) {
+    fn wait(&mut self, waiters: &[QueuedRequest]) {
         for waiter in waiters {
             self.queue.push(*waiter);
         }
     }
 }
 
-fn asking(waiter: Waiter) -> Asking {
-    Asking {
+fn asking(waiter: QueuedRequest) -> QueuedPlacement {
+    QueuedPlacement {
         request: PlacementRequest {
-            waiter,
-            want: Want::Place,
+            queued: waiter,
+            kind: PlacementKind::Queued,
             exclude: Vec::new(),
         },
         data_centre: "north".to_owned(),
-        avoids: Vec::new(),
+        avoid: Vec::new(),
     }
 }
 
 /// A request that has waited for so many milliseconds.
-fn waiter(id: u64, age_ms: u64, tokens: u32) -> Waiter {
-    Waiter {
+fn waiter(id: u64, age_ms: u64, tokens: u32) -> QueuedRequest {
+    QueuedRequest {
         id,
         service: service_hash("model"),
         priority: 1,
@@ -116,7 +116,7 @@
 #[test]
 fn room_for_one_goes_to_one_of_all_that_wait() {
     let mut fleet = fleet(&[16_000, 19_000, 19_000]);
-    let all: Vec<Waiter> = (1..=20).map(|id| waiter(id, 10 * id, 3_000)).collect();
+    let all: Vec<QueuedRequest> = (1..=20).map(|id| waiter(id, 10 * id, 3_000)).collect();
     fleet.wait(&all);
 
     let seated: Vec<u64> = all
@@ -149,7 +149,7 @@
     let (late, in_time) = (waiter(1, 1_700, 3_000), waiter(2, 300, 3_000));
     fleet.wait(&[late, in_time]);
 
-    assert_eq!(fleet.turn(&late), Err(NoPlace::Full));
+    assert_eq!(fleet.turn(&late), Err(PlacementError::Full));
     assert_eq!(fleet.turn(&in_time), Ok(engine(0)));
 }
 
@@ -157,13 +157,13 @@
 fn the_most_urgent_goes_first() {
     let mut fleet = fleet(&[16_000]);
     let usual = waiter(1, 10, 3_000);
-    let urgent = Waiter {
+    let urgent = QueuedRequest {
         priority: 0,
         ..waiter(2, 500, 3_000)
     };
     fleet.wait(&[usual, urgent]);
 
-    assert_eq!(fleet.turn(&usual), Err(NoPlace::Full));
+    assert_eq!(fleet.turn(&usual), Err(PlacementError::Full));
     assert_eq!(fleet.turn(&urgent), Ok(engine(0)));
 }
 
@@ -176,7 +176,7 @@
     let small = waiter(2, 20, 3_000);
     fleet.wait(&[large, small]);
 
-    assert_eq!(fleet.turn(&large), Err(NoPlace::Full));
+    assert_eq!(fleet.turn(&large), Err(PlacementError::Full));
     assert_eq!(
         fleet.turn(&small),
         Ok(engine(1)),
@@ -189,7 +189,7 @@
 fn a_request_keeps_its_age_when_it_is_told() {
     let one = waiter(7, 1_234, 3_000);
 
-    assert_eq!(Waiter::told(NOW, &one.to_tell(NOW)), one);
+    assert_eq!(QueuedRequest::from_report(NOW, &one.to_report(NOW)), one);
 }
 
 fn any_waiter() -> impl Strategy<Value = (u64, u32)> {
@@ -204,14 +204,14 @@
         waiting in prop::collection::vec(any_waiter(), 1..30),
     ) {
         let mut fleet = fleet(&taken);
-        let all: Vec<Waiter> = waiting
+        let all: Vec<QueuedRequest> = waiting
             .iter()
             .zip(1_u64..)
             .map(|(&(age, tokens), id)| waiter(id, age, tokens))
             .collect();
         fleet.wait(&all);
 
-        let mut given = vec![Used::default(); taken.len()];
+        let mut given = vec![Usage::default(); taken.len()];
         for waiter in &all {
             if let Ok(key) = fleet.turn(waiter) {
                 let at = (0..taken.len()).find(|&at| engine(at) == key).expect("one of ours");
@@ -222,7 +222,7 @@
 
         for (used, &taken) in given.iter().zip(&taken) {
             let is_alone = used.running <= 1 && taken == 0;
-            prop_assert!(is_alone || taken + used.tokens <= ENGINE.memory_tokens || used.running == 0);
+            prop_assert!(is_alone || taken + used.tokens <= ENGINE.kv_cache_tokens || used.running == 0);
         }
     }
 }
--- a/crates/core/tests/gateway_relocation.rs
+++ b/crates/core/tests/gateway_relocation.rs
@@ -3,8 +3,9 @@
 use core::time::Duration;
 use oriolemux_core::Time;
 use oriolemux_core::gateway::relocation::{
-    COPY_SETTLES, Delivery, GoOnFrom, LEAVE_AFTER, LEAVE_EARLY, MAX_MOVES, REFRESH_AFTER,
-    RESUMABLE_SILENCE, Relocation, SILENCE, Step, View, silence_limit,
+    EARLY_RELOCATION, EngineView, EventDelivery, LEAVING_SILENCE_TIMEOUT, MAX_RELOCATIONS,
+    REFRESH_AFTER, RELOCATE_AFTER, RESUMABLE_SILENCE_TIMEOUT, Relocation, ResumeFrom,
+    STANDBY_READY_AFTER, Step, silence_timeout,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -17,55 +18,61 @@
 /// A generation whose first event came at [`START`].
 fn begun(has_standing: bool) -> Relocation {
     let mut one = Relocation::new(LIMIT);
-    one.set_standing(has_standing);
+    one.set_standby(has_standing);
     one.on_bytes(START);
-    assert_eq!(one.on_event(START, Some(1)), Delivery::Pass);
+    assert_eq!(one.on_event(START, Some(1)), EventDelivery::Forward);
     one
 }
 
-fn leaving(leaves_for: Duration) -> View {
-    View {
-        leaves_for: Some(leaves_for),
-        standing_takes_work: true,
+fn leaving(leaves_for: Duration) -> EngineView {
+    EngineView {
+        leaving_for: Some(leaves_for),
+        standby_is_usable: true,
         target_is_quiet: true,
-        may_go_on_anew: false,
+        may_recompute: false,
         is_budget_spent: false,
     }
 }
 
 /// An engine that stays, and a generation that any engine may go on with.
-fn resumable() -> View {
-    View {
-        may_go_on_anew: true,
-        ..View::default()
+fn resumable() -> EngineView {
+    EngineView {
+        may_recompute: true,
+        ..EngineView::default()
     }
 }
 
 #[rstest]
-#[case::next(2, Delivery::Pass)]
-#[case::same(1, Delivery::Again)]
-#[case::skipped(3, Delivery::Gap)]
-fn events_are_passed_on_once_and_without_a_gap(#[case] number: u64, #[case] expected: Delivery) {
+#[case::next(2, EventDelivery::Forward)]
+#[case::same(1, EventDelivery::Duplicate)]
+#[case::skipped(3, EventDelivery::Gap)]
+fn events_are_passed_on_once_and_without_a_gap(
+    #[case] number: u64,
+    #[case] expected: EventDelivery,
+) {
     assert_eq!(begun(false).on_event(START, Some(number)), expected);
 }
 
 #[test]
 fn a_silent_engine_is_given_up_once_there_is_a_copy() {
     let one = begun(true);
-    let stays = View {
-        standing_takes_work: true,
-        ..View::default()
+    let stays = EngineView {
+        standby_is_usable: true,
+        ..EngineView::default()
     };
-    let gone = View {
-        leaves_for: Some(Duration::ZERO),
+    let gone = EngineView {
+        leaving_for: Some(Duration::ZERO),
         ..stays
     };
-    let settled = START + COPY_SETTLES;
+    let settled = START + STANDBY_READY_AFTER;
 
     assert_eq!(one.next(START, &stays), Step::Wait(START + LIMIT));
-    assert_eq!(one.next(START + LIMIT, &stays), Step::GiveUp);
-    assert_ne!(one.next(START + SILENCE, &gone), Step::GiveUp);
-    assert_eq!(one.next(settled, &gone), Step::GiveUp);
+    assert_eq!(one.next(START + LIMIT, &stays), Step::FailOver);
+    assert_ne!(
+        one.next(START + LEAVING_SILENCE_TIMEOUT, &gone),
+        Step::FailOver
+    );
+    assert_eq!(one.next(settled, &gone), Step::FailOver);
 }
 
 #[rstest]
@@ -80,7 +87,7 @@
     let millis = Duration::from_millis;
 
     assert_eq!(
-        silence_limit(millis(target_ms), millis(gap_ms)),
+        silence_timeout(millis(target_ms), millis(gap_ms)),
         millis(limit_ms)
     );
 }
@@ -94,9 +101,9 @@
 #[case::engine_of_the_copy_leaves(true, false)]
 fn silence_alone_ends_no_stream(#[case] has_standing: bool, #[case] standing_takes_work: bool) {
     let one = begun(has_standing);
-    let view = View {
-        standing_takes_work,
-        ..View::default()
+    let view = EngineView {
+        standby_is_usable: standing_takes_work,
+        ..EngineView::default()
     };
 
     let step = one.next(START + Duration::from_secs(9), &view);
@@ -109,7 +116,7 @@
     let one = Relocation::new(LIMIT);
 
     assert_eq!(
-        one.next(START + SILENCE, &leaving(LEAVE_AFTER)),
+        one.next(START + LEAVING_SILENCE_TIMEOUT, &leaving(RELOCATE_AFTER)),
         Step::Wait(Time::NEVER)
     );
 }
@@ -121,12 +128,12 @@
 fn a_resumable_generation_needs_no_copy_to_leave_a_silent_engine() {
     let one = begun(false);
 
-    let silent = START + RESUMABLE_SILENCE;
+    let silent = START + RESUMABLE_SILENCE_TIMEOUT;
 
     assert_eq!(one.next(START, &resumable()), Step::Wait(silent));
-    assert_eq!(one.next(silent, &resumable()), Step::GoOnAnew);
+    assert_eq!(one.next(silent, &resumable()), Step::Recompute);
     assert_eq!(
-        one.next(silent, &View::default()),
+        one.next(silent, &EngineView::default()),
         Step::Wait(Time::NEVER),
         "one that is not resumable waits"
     );
@@ -136,8 +143,8 @@
 #[test]
 fn an_engine_with_room_is_not_looked_for_at_every_moment() {
     let mut one = begun(false);
-    let silent = START + RESUMABLE_SILENCE;
-    one.anew_impossible(silent);
+    let silent = START + RESUMABLE_SILENCE_TIMEOUT;
+    one.recompute_refused(silent);
 
     let step = one.next(silent, &resumable());
 
@@ -153,9 +160,9 @@
 fn a_caller_that_comes_back_gets_what_it_lacks() {
     let mut one = Relocation::new(LIMIT).after(Some(7));
 
-    assert_eq!(one.on_event(START, Some(7)), Delivery::Again);
-    assert_eq!(one.on_event(START, Some(9)), Delivery::Gap);
-    assert_eq!(one.on_event(START, Some(8)), Delivery::Pass);
+    assert_eq!(one.on_event(START, Some(7)), EventDelivery::Duplicate);
+    assert_eq!(one.on_event(START, Some(9)), EventDelivery::Gap);
+    assert_eq!(one.on_event(START, Some(8)), EventDelivery::Forward);
     assert_eq!(one.events(), 1);
 }
 
@@ -166,19 +173,19 @@
 fn a_standing_copy_settles_anew_at_each_engine() {
     let mut one = begun(true);
     let moved = START + Duration::from_secs(9);
-    assert_eq!(one.go_on_from(moved, true), Some(GoOnFrom::Standing));
+    assert_eq!(one.resume_from(moved, true), Some(ResumeFrom::Standby));
 
-    one.moved(moved);
-    one.set_standing(true);
+    one.on_relocated(moved);
+    one.set_standby(true);
     one.on_event(moved, Some(2));
 
     assert_eq!(
-        one.go_on_from(moved + Duration::from_millis(940), true),
+        one.resume_from(moved + Duration::from_millis(940), true),
         None
     );
     assert_eq!(
-        one.go_on_from(moved + COPY_SETTLES, true),
-        Some(GoOnFrom::Standing)
+        one.resume_from(moved + STANDBY_READY_AFTER, true),
+        Some(ResumeFrom::Standby)
     );
 }
 
@@ -189,25 +196,25 @@
 fn a_copy_of_which_nothing_can_have_arrived_is_not_asked_for() {
     let young = begun(true);
 
-    assert!(!young.standing_may_exist(START + Duration::from_millis(50)));
-    assert!(young.standing_may_exist(START + COPY_SETTLES));
-    assert!(!Relocation::new(LIMIT).standing_may_exist(START + COPY_SETTLES));
+    assert!(!young.standby_may_exist(START + Duration::from_millis(50)));
+    assert!(young.standby_may_exist(START + STANDBY_READY_AFTER));
+    assert!(!Relocation::new(LIMIT).standby_may_exist(START + STANDBY_READY_AFTER));
 }
 
 #[test]
 fn a_young_generation_is_copied_ahead_at_the_notice() {
     let one = begun(true);
 
-    assert_eq!(one.next(START, &leaving(Duration::ZERO)), Step::CopyAhead);
+    assert_eq!(one.next(START, &leaving(Duration::ZERO)), Step::PreCopy);
 }
 
 #[test]
 fn a_generation_is_copied_ahead_if_the_engine_of_its_copy_leaves_too() {
     let mut one = begun(true);
-    let now = START + COPY_SETTLES;
+    let now = START + STANDBY_READY_AFTER;
     one.on_bytes(now);
-    let both_leave = View {
-        standing_takes_work: false,
+    let both_leave = EngineView {
+        standby_is_usable: false,
         ..leaving(Duration::ZERO)
     };
 
@@ -215,7 +222,7 @@
         one.next(now, &leaving(Duration::ZERO)),
         Step::Wait(_)
     ));
-    assert_eq!(one.next(now, &both_leave), Step::CopyAhead);
+    assert_eq!(one.next(now, &both_leave), Step::PreCopy);
 }
 
 /// Symptom: streams are broken off at the time to leave. Cause: a generation left with
@@ -223,43 +230,43 @@
 #[test]
 fn a_generation_without_a_copy_stays() {
     let mut one = begun(false);
-    one.ahead_begun(START);
+    one.pre_copy_started(START);
 
-    let step = one.next(START, &leaving(LEAVE_AFTER * 2));
+    let step = one.next(START, &leaving(RELOCATE_AFTER * 2));
 
     assert_eq!(step, Step::Wait(Time::NEVER));
 }
 
 #[rstest]
 #[case::early(Duration::ZERO, true, false)]
-#[case::quiet(LEAVE_AFTER - LEAVE_EARLY, true, true)]
-#[case::busy(LEAVE_AFTER - LEAVE_EARLY, false, false)]
-#[case::late(LEAVE_AFTER, false, true)]
+#[case::quiet(RELOCATE_AFTER - EARLY_RELOCATION, true, true)]
+#[case::busy(RELOCATE_AFTER - EARLY_RELOCATION, false, false)]
+#[case::late(RELOCATE_AFTER, false, true)]
 fn a_generation_leaves_when_its_target_is_quiet_or_time_is_up(
     #[case] leaves_for: Duration,
     #[case] target_is_quiet: bool,
     #[case] leaves: bool,
 ) {
     let mut one = begun(false);
-    one.ahead_begun(START);
-    one.ahead_ended(START, true);
-    let view = View {
+    one.pre_copy_started(START);
+    one.pre_copy_ended(START, true);
+    let view = EngineView {
         target_is_quiet,
         ..leaving(leaves_for)
     };
 
-    assert_eq!(one.next(START, &view) == Step::Leave, leaves);
+    assert_eq!(one.next(START, &view) == Step::Relocate, leaves);
 }
 
 /// Guards against a generation that closes its stream before its engine ends, and may not go on.
 #[test]
 fn a_generation_stays_while_it_may_not_be_sent_elsewhere() {
     let mut one = begun(false);
-    one.ahead_begun(START);
-    one.ahead_ended(START, true);
-    let view = View {
+    one.pre_copy_started(START);
+    one.pre_copy_ended(START, true);
+    let view = EngineView {
         is_budget_spent: true,
-        ..leaving(LEAVE_AFTER)
+        ..leaving(RELOCATE_AFTER)
     };
 
     let step = one.next(START, &view);
@@ -273,15 +280,15 @@
 #[test]
 fn a_copy_ahead_is_brought_up_to_date_and_outlives_a_failure_to_do_so() {
     let mut one = begun(false);
-    one.ahead_begun(START);
-    one.ahead_ended(START, true);
+    one.pre_copy_started(START);
+    one.pre_copy_ended(START, true);
     let later = START + REFRESH_AFTER;
     let early = leaving(Duration::ZERO);
 
-    assert_eq!(one.next(later, &early), Step::CopyAhead);
-    one.ahead_begun(later);
-    assert!(one.ahead_ended(later, false));
-    assert_eq!(one.go_on_from(later, false), Some(GoOnFrom::Ahead));
+    assert_eq!(one.next(later, &early), Step::PreCopy);
+    one.pre_copy_started(later);
+    assert!(one.pre_copy_ended(later, false));
+    assert_eq!(one.resume_from(later, false), Some(ResumeFrom::PreCopy));
 }
 
 /// Symptom: a stream is cut at a planned departure, while its engine is at work on it.
@@ -294,22 +301,22 @@
 #[case::failed(false)]
 fn nothing_leaves_a_live_engine_for_a_standing_copy(#[case] under_way: bool) {
     let mut one = begun(true);
-    one.ahead_begun(START);
-    let now = START + COPY_SETTLES;
+    one.pre_copy_started(START);
+    let now = START + STANDBY_READY_AFTER;
     one.on_bytes(now);
     if !under_way {
-        one.ahead_ended(now, false);
+        one.pre_copy_ended(now, false);
     }
 
-    for leaves_for in [LEAVE_AFTER, LEAVE_AFTER * 2] {
+    for leaves_for in [RELOCATE_AFTER, RELOCATE_AFTER * 2] {
         let step = one.next(now, &leaving(leaves_for));
         assert!(
-            matches!(step, Step::Wait(_) | Step::CopyAhead),
+            matches!(step, Step::Wait(_) | Step::PreCopy),
             "{leaves_for:?}: {step:?}"
         );
     }
-    one.ahead_ended(now, true);
-    assert_eq!(one.next(now, &leaving(LEAVE_AFTER)), Step::Leave);
+    one.pre_copy_ended(now, true);
+    assert_eq!(one.next(now, &leaving(RELOCATE_AFTER)), Step::Relocate);
 }
 
 /// Symptom: a stream is cut at a planned departure of four seconds. Sequence: no engine has
@@ -325,10 +332,10 @@
     while now < ends {
         one.on_bytes(now);
         match one.next(now, &leaving(now.since(START))) {
-            Step::CopyAhead => {
+            Step::PreCopy => {
                 last_try = now;
-                one.ahead_begun(now);
-                one.ahead_ended(now, false);
+                one.pre_copy_started(now);
+                one.pre_copy_ended(now, false);
             }
             Step::Wait(until) => now = until.min(ends),
             other => panic!("{other:?}"),
@@ -349,32 +356,32 @@
 #[test]
 fn a_generation_leaves_for_no_copy_that_is_being_written() {
     let mut one = begun(false);
-    one.ahead_begun(START);
-    one.ahead_ended(START, true);
+    one.pre_copy_started(START);
+    one.pre_copy_ended(START, true);
     let now = START + REFRESH_AFTER;
     one.on_bytes(now);
-    assert_eq!(one.next(now, &leaving(Duration::ZERO)), Step::CopyAhead);
-    one.ahead_begun(now);
+    assert_eq!(one.next(now, &leaving(Duration::ZERO)), Step::PreCopy);
+    one.pre_copy_started(now);
 
-    let meanwhile = one.next(now, &leaving(LEAVE_AFTER));
-    one.ahead_ended(now, true);
-    let then = one.next(now, &leaving(LEAVE_AFTER));
+    let meanwhile = one.next(now, &leaving(RELOCATE_AFTER));
+    one.pre_copy_ended(now, true);
+    let then = one.next(now, &leaving(RELOCATE_AFTER));
 
     assert!(matches!(meanwhile, Step::Wait(_)), "{meanwhile:?}");
-    assert_eq!(then, Step::Leave);
+    assert_eq!(then, Step::Relocate);
 }
 
 /// A copy ahead that is about to be used is not written again.
 #[test]
 fn a_copy_ahead_is_not_brought_up_to_date_just_before_it_is_used() {
     let mut one = begun(false);
-    one.ahead_begun(START);
-    one.ahead_ended(START, true);
+    one.pre_copy_started(START);
+    one.pre_copy_ended(START, true);
     let now = START + REFRESH_AFTER;
     one.on_bytes(now);
-    let busy = View {
+    let busy = EngineView {
         target_is_quiet: false,
-        ..leaving(LEAVE_AFTER - Duration::from_millis(1))
+        ..leaving(RELOCATE_AFTER - Duration::from_millis(1))
     };
 
     let step = one.next(now, &busy);
@@ -424,17 +431,17 @@
                 Happening::Event(offset) => {
                     let number = (held + offset).saturating_sub(1);
                     match one.on_event(now, Some(number)) {
-                        Delivery::Pass => {
+                        EventDelivery::Forward => {
                             prop_assert_eq!(number, held + 1);
                             held = number;
                         }
-                        Delivery::Again => prop_assert!(number <= held),
-                        Delivery::Gap => prop_assert!(number > held + 1),
+                        EventDelivery::Duplicate => prop_assert!(number <= held),
+                        EventDelivery::Gap => prop_assert!(number > held + 1),
                     }
                 }
                 Happening::AheadEnds(complete) if under_way => {
                     under_way = false;
-                    let is_there = one.ahead_ended(now, complete);
+                    let is_there = one.pre_copy_ended(now, complete);
                     prop_assert!(is_there || !complete);
                 }
                 Happening::AheadEnds(_) => {}
@@ -443,44 +450,44 @@
                 }
                 Happening::StandingGone => standing_takes_work = false,
             }
-            let view = View {
-                leaves_for: notice.map(|since| now.since(since)),
-                standing_takes_work,
+            let view = EngineView {
+                leaving_for: notice.map(|since| now.since(since)),
+                standby_is_usable: standing_takes_work,
                 target_is_quiet: held % 2 == 0,
-                may_go_on_anew,
+                may_recompute: may_go_on_anew,
                 is_budget_spent: held % 3 == 0,
             };
             match one.next(now, &view) {
-                Step::CopyAhead => {
+                Step::PreCopy => {
                     prop_assert!(!under_way, "two copies ahead at once");
-                    one.ahead_begun(now);
+                    one.pre_copy_started(now);
                     under_way = true;
                 }
-                Step::Leave => {
+                Step::Relocate => {
                     prop_assert!(notice.is_some());
                     prop_assert!(!view.is_budget_spent, "left without a repeat to spend");
-                    let from = one.go_on_from(now, standing_takes_work);
-                    prop_assert_eq!(from, Some(GoOnFrom::Ahead));
+                    let from = one.resume_from(now, standing_takes_work);
+                    prop_assert_eq!(from, Some(ResumeFrom::PreCopy));
                     prop_assert!(!under_way, "left for a copy that is being written");
-                    one.moved(now);
-                    one.set_standing(true);
+                    one.on_relocated(now);
+                    one.set_standby(true);
                     notice = None;
                     standing_takes_work = true;
                     under_way = false;
                 }
-                Step::GoOnAnew => {
+                Step::Recompute => {
                     prop_assert!(may_go_on_anew, "read anew though that is another generation");
-                    prop_assert_eq!(one.go_on_from(now, standing_takes_work), None);
-                    one.moved(now);
+                    prop_assert_eq!(one.resume_from(now, standing_takes_work), None);
+                    one.on_relocated(now);
                     under_way = false;
                 }
-                Step::GiveUp => {
-                    prop_assert!(one.go_on_from(now, standing_takes_work).is_some());
+                Step::FailOver => {
+                    prop_assert!(one.resume_from(now, standing_takes_work).is_some());
                     break;
                 }
                 Step::Wait(until) => prop_assert!(until > now),
             }
-            prop_assert!(may_go_on_anew || one.moves() <= MAX_MOVES);
+            prop_assert!(may_go_on_anew || one.relocations() <= MAX_RELOCATIONS);
             prop_assert_eq!(one.last_event(), Some(held));
             prop_assert_eq!(one.events(), held);
         }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -6,7 +6,7 @@
 use http::{Response, StatusCode, header};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
-use oriolemux_core::gateway::choose::NoPlace;
+use oriolemux_core::gateway::choose::PlacementError;
 
 /// The body of an answer, whole or streamed. It fails when a stream is broken
 /// off, so that the connection ends without the mark of a complete answer.
@@ -109,13 +109,13 @@
     }
 }
 
-impl From<NoPlace> for Reason {
-    fn from(why: NoPlace) -> Self {
+impl From<PlacementError> for Reason {
+    fn from(why: PlacementError) -> Self {
         match why {
-            NoPlace::NoEndpoint => Reason::NoEndpoint,
-            NoPlace::Full => Reason::EndpointsFull,
-            NoPlace::Cordoned => Reason::Cordoned,
-            NoPlace::Limited => Reason::EndpointsLimited,
+            PlacementError::NoEndpoint => Reason::NoEndpoint,
+            PlacementError::Full => Reason::EndpointsFull,
+            PlacementError::Cordoned => Reason::Cordoned,
+            PlacementError::RateLimited => Reason::EndpointsLimited,
         }
     }
 }
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -1,9 +1,9 @@
 //! Places at engines, asked of the home of their service.
 //!
-//! The core decides whom to ask and what an answer means ([`core::gateway::ask`]); here a
+//! The core decides whom to ask and what an answer means ([`core::gateway::placement`]); here a
 //! request waits for it.
 //!
-//! [`core::gateway::ask`]: oriolemux_core::gateway::ask
+//! [`core::gateway::placement`]: oriolemux_core::gateway::placement
 
 use crate::cx::Cx;
 use crate::job::Job;
@@ -12,8 +12,10 @@
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::Gateway;
-use oriolemux_core::gateway::ask::{Decision, PlacementRequest, Verdict, Want};
-use oriolemux_core::gateway::choose::NoPlace;
+use oriolemux_core::gateway::choose::PlacementError;
+use oriolemux_core::gateway::placement::{
+    PlacementDecision, PlacementKind, PlacementRequest, PlacementStatus,
+};
 use oriolemux_core::gateway::state::Place;
 use oriolemux_core::ids::EndpointKey;
 use std::sync::Arc;
@@ -43,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlaceRequest<'a> {
     /// What it wants.
-    pub want: Want,
+    pub want: PlacementKind,
     /// Tokens of memory that it is expected to take.
     pub tokens: u32,
     /// Endpoints that are not to be chosen.
@@ -61,13 +63,13 @@
     asked: PlaceRequest<'_>,
     until: Instant,
     take: impl Fn(&mut Gateway, &Place) -> T,
-) -> Result<(Place, T), NoPlace> {
+) -> Result<(Place, T), PlacementError> {
     let cx = &job.cx;
     let waiter = job.waiter(asked.tokens);
     let (id, service) = (waiter.id, waiter.service);
     let request = PlacementRequest {
-        waiter,
-        want: asked.want,
+        queued: waiter,
+        kind: asked.want,
         exclude: asked.exclude.to_vec(),
     };
     cx.state().ask(cx.now(), request);
@@ -84,7 +86,7 @@
             .endpoints
             .is_service_cordoned(&job.service().name)
         {
-            return Err(NoPlace::Cordoned);
+            return Err(PlacementError::Cordoned);
         }
         let now = cx.now();
         let is_over = Instant::now() >= until;
@@ -92,7 +94,7 @@
         let why = {
             let mut state = cx.state();
             match state.verdict(now, id) {
-                Verdict::Decided(Decision::Granted(key)) => {
+                PlacementStatus::Decided(PlacementDecision::Granted(key)) => {
                     if let Some(place) = state.place_at(key) {
                         let taken = take(&mut state, &place);
                         state.ask_no_longer(id);
@@ -101,15 +103,15 @@
                     }
                     // It began to leave while the answer was under way.
                     state.ask_again(now, id);
-                    NoPlace::NoEndpoint
+                    PlacementError::NoEndpoint
                 }
-                Verdict::Decided(Decision::Denied(why)) => return Err(why),
-                Verdict::Decided(Decision::Waits(why)) => {
+                PlacementStatus::Decided(PlacementDecision::Denied(why)) => return Err(why),
+                PlacementStatus::Decided(PlacementDecision::Queued(why)) => {
                     look = LOOK_WAITING;
                     why
                 }
-                Verdict::Asked => NoPlace::Full,
-                Verdict::Unanswered => {
+                PlacementStatus::Pending => PlacementError::Full,
+                PlacementStatus::TimedOut => {
                     state.home_unanswered(now, service, id);
                     let demand = job.demand(asked.tokens, asked.exclude);
                     match state.place_alone(now, &demand, asked.want) {
@@ -120,7 +122,7 @@
                             note_alone(job, &place);
                             return Ok((place, taken));
                         }
-                        Err(why) if asked.want != Want::Place => return Err(why),
+                        Err(why) if asked.want != PlacementKind::Queued => return Err(why),
                         Err(why) => why,
                     }
                 }
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -51,11 +51,11 @@
     /// Returns whether `entry` lets the request run at one endpoint more.
     pub fn may_run_again(&self, entry: &HttpEntry) -> bool {
         let is_first = self.runs == 0;
-        is_first || (entry.repeat.is_idempotent() && self.runs < entry.max_attempts)
+        is_first || (entry.kind.is_idempotent() && self.runs < entry.max_attempts)
     }
 
     /// Returns whether the next run, or the one under way, is the last that `entry` allows.
     pub fn next_is_last(&self, entry: &HttpEntry) -> bool {
-        !entry.repeat.is_idempotent() || self.runs + 1 >= entry.max_attempts
+        !entry.kind.is_idempotent() || self.runs + 1 >= entry.max_attempts
     }
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -14,8 +14,8 @@
 use core::time::Duration;
 use http::Response;
 use http_body_util::{BodyExt, Limited};
-use oriolemux_core::gateway::budget::RepeatKind;
-use oriolemux_core::gateway::choose::NoPlace;
+use oriolemux_core::gateway::budget::RetryKind;
+use oriolemux_core::gateway::choose::PlacementError;
 use oriolemux_core::gateway::state::Place;
 use std::time::Instant;
 
@@ -230,7 +230,7 @@
                 self.attempts.may_run_again(job.entry())
             }
         };
-        allowed && job.spend_repeat(RepeatKind::Retry)
+        allowed && job.spend_repeat(RetryKind::Retry)
     }
 
     fn not_admitted(&self, reason: Reason) -> Response<AnswerBody> {
@@ -249,7 +249,7 @@
             ms = self.job.arrived.elapsed().as_millis() as u64);
     }
 
-    fn no_place(&self, why: NoPlace) -> Response<AnswerBody> {
+    fn no_place(&self, why: PlacementError) -> Response<AnswerBody> {
         let reason = match why {
             _ if self.attempts.may_have_run() => Reason::AnswerLost,
             why => Reason::from(why),
