--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -18,8 +18,8 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
-use oriolemux_core::gateway::Repeat;
-use oriolemux_core::gateway::catalogue::{Catalogue, EntryId, Judgement, WorkspaceId};
+use oriolemux_core::gateway::RequestKind;
+use oriolemux_core::gateway::catalogue::{Catalogue, EntryId, RequestMatch, WorkspaceId};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -82,11 +82,11 @@
         return refused(Reason::NoCatalogue);
     };
     let host = host_of(&req);
-    match catalogue.judge(host, req.uri().path(), head.key_digest.as_ref()) {
-        Judgement::NoEntry => refused(Reason::NoEntry),
-        Judgement::UnknownKey => refused(Reason::UnknownKey),
-        Judgement::Serve { entry, workspace } => {
-            if !can_go_on(catalogue.entry(entry).repeat, &head) {
+    match catalogue.match_request(host, req.uri().path(), head.key_digest.as_ref()) {
+        RequestMatch::NoEntry => refused(Reason::NoEntry),
+        RequestMatch::UnknownKey => refused(Reason::UnknownKey),
+        RequestMatch::Serve { entry, workspace } => {
+            if !can_go_on(catalogue.entry(entry).kind, &head) {
                 return refused(Reason::NoSuchEvent);
             }
             let judged = Judged {
@@ -106,13 +106,13 @@
 
 /// Returns whether what the caller says it holds can be a part of its generation. Where
 /// nothing may go on, it is not looked at: the caller gets a generation from its start.
-fn can_go_on(repeat: Repeat, head: &CallerHead) -> bool {
+fn can_go_on(repeat: RequestKind, head: &CallerHead) -> bool {
     match head.held {
-        Held::Event(number) if repeat == Repeat::ResumableStream => {
+        Held::Event(number) if repeat == RequestKind::ResumableStream => {
             // An event holds a token or more.
             head.max_tokens == 0 || number <= u64::from(head.max_tokens)
         }
-        Held::Unreadable => repeat != Repeat::ResumableStream,
+        Held::Unreadable => repeat != RequestKind::ResumableStream,
         Held::Nothing | Held::Event(_) => true,
     }
 }
@@ -165,7 +165,7 @@
     let now = cx.now();
     let mut state = cx.state();
     let draw = state.draw();
-    let service = judged.catalogue.draw_service(judged.entry, draw);
+    let service = judged.catalogue.pick_service(judged.entry, draw);
     let name = &judged.catalogue.service(service).name;
     state.budget.on_request(now, name);
     drop(state);
@@ -194,8 +194,8 @@
 }
 
 async fn run<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<AnswerBody> {
-    match job.entry().repeat {
-        Repeat::Stream | Repeat::ResumableStream => stream::serve(job, engines).await,
-        Repeat::Idempotent | Repeat::Once => call::serve(&job).await,
+    match job.entry().kind {
+        RequestKind::Stream | RequestKind::ResumableStream => stream::serve(job, engines).await,
+        RequestKind::Idempotent | RequestKind::AtMostOnce => call::serve(&job).await,
     }
 }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -15,16 +15,16 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use oriolemux_core::fingerprint::Fingerprint;
-use oriolemux_core::gateway::ask::{HOME_PATIENCE, Want};
-use oriolemux_core::gateway::budget::RepeatKind;
+use oriolemux_core::gateway::budget::RetryKind;
 use oriolemux_core::gateway::catalogue::{Catalogue, HttpEntry, Service, ServiceId, WorkspaceId};
-use oriolemux_core::gateway::choose::{CopyKind, NoPlace};
-use oriolemux_core::gateway::lengths::{self, Length};
-use oriolemux_core::gateway::queue::{Waiter, service_hash};
-use oriolemux_core::gateway::rate_limits::ToldLimit;
+use oriolemux_core::gateway::choose::{CopyKind, PlacementError};
+use oriolemux_core::gateway::lengths::{self, LengthEstimate};
+use oriolemux_core::gateway::placement::{HOME_TIMEOUT, PlacementKind};
+use oriolemux_core::gateway::queue::{QueuedRequest, service_hash};
+use oriolemux_core::gateway::rate_limits::ResponseLimit;
 use oriolemux_core::gateway::state::Place;
-use oriolemux_core::gateway::usage::Used;
-use oriolemux_core::gateway::{Demand, EntryId, Gateway, Repeat};
+use oriolemux_core::gateway::usage::Usage;
+use oriolemux_core::gateway::{Demand, EntryId, Gateway, RequestKind};
 use oriolemux_core::ids::EndpointKey;
 use oriolemux_core::time::Time;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 
 /// How long what wants a place at once may wait for a home: for the home and the next in
 /// rank, one after the other.
-pub const AT_ONCE: Duration = HOME_PATIENCE.saturating_mul(3);
+pub const AT_ONCE: Duration = HOME_TIMEOUT.saturating_mul(3);
 
 /// A request that was judged by one catalogue and read whole.
 pub struct Job<W: Wire> {
@@ -79,8 +79,8 @@
 
     /// Returns the last event that the caller holds of a generation that may go on.
     pub fn held(&self) -> Option<u64> {
-        match (self.entry().repeat, self.head.held) {
-            (Repeat::ResumableStream, Held::Event(number)) => Some(number),
+        match (self.entry().kind, self.head.held) {
+            (RequestKind::ResumableStream, Held::Event(number)) => Some(number),
             _ => None,
         }
     }
@@ -107,7 +107,7 @@
     }
 
     /// Spends one of the fleet's repeats; returns whether there was one.
-    pub fn spend_repeat(&self, kind: RepeatKind) -> bool {
+    pub fn spend_repeat(&self, kind: RetryKind) -> bool {
         let service = &self.service().name;
         let now = self.cx.now();
         let spent = self.cx.state().spend_repeat(now, service, kind);
@@ -117,20 +117,20 @@
                 attempt = self.name(),
                 service = service.as_str(),
                 kind:% = kind,
-                heard = spent.heard,
-                known = spent.known,
-                left = spent.left,
-                age_ms = millis(spent.age)
+                heard = spent.live_instances,
+                known = spent.known_instances,
+                left = spent.remaining,
+                age_ms = millis(spent.uptime)
             ),
             false => note!(
                 RepeatDenied,
                 attempt = self.name(),
                 service = service.as_str(),
                 kind:% = kind,
-                heard = spent.heard,
-                known = spent.known,
-                left = spent.left,
-                age_ms = millis(spent.age)
+                heard = spent.live_instances,
+                known = spent.known_instances,
+                left = spent.remaining,
+                age_ms = millis(spent.uptime)
             ),
         }
         spent.is_allowed
@@ -158,7 +158,7 @@
             false => state.told_limit(now, place.key, sent, head.limit),
         };
         drop(state);
-        if head.limit == ToldLimit::Unreadable {
+        if head.limit == ResponseLimit::Unreadable {
             note!(LimitUnreadable, endpoint = place.name.as_str());
         }
         if let Some(change) = limit {
@@ -203,7 +203,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Place, InUse<W>), NoPlace> {
+    pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Place, InUse<W>), PlacementError> {
         let now = self.cx.now();
         let mut state = self.cx.state();
         let place = state.place(now, &self.demand(0, exclude))?;
@@ -222,7 +222,7 @@
         &self,
         asked: PlaceRequest<'_>,
         until: Instant,
-    ) -> Result<(Place, InUse<W>), NoPlace> {
+    ) -> Result<(Place, InUse<W>), PlacementError> {
         let begin = |state: &mut Gateway, place: &Place| self.begin_use(state, place, asked.tokens);
         let (place, begun) = ask(self, asked, until, begin).await?;
         self.cx.dirty.notify_one();
@@ -237,7 +237,7 @@
         tokens: u32,
     ) -> Option<(Place, CopyInUse<W>)> {
         let asked = PlaceRequest {
-            want: Want::Copy { source, kind },
+            want: PlacementKind::Copy { source, kind },
             tokens,
             exclude: &[],
         };
@@ -256,7 +256,7 @@
     }
 
     /// Counts a request at an endpoint; returns what was known to run there.
-    fn begin_use(&self, state: &mut Gateway, place: &Place, tokens: u32) -> (Used, InUse<W>) {
+    fn begin_use(&self, state: &mut Gateway, place: &Place, tokens: u32) -> (Usage, InUse<W>) {
         let used = state.used(place.key);
         let unread = match tokens {
             0 => 0,
@@ -276,7 +276,7 @@
         &self,
         place: Place,
         tokens: u32,
-        (used, in_use): (Used, InUse<W>),
+        (used, in_use): (Usage, InUse<W>),
     ) -> (Place, InUse<W>) {
         note!(
             Placed,
@@ -284,9 +284,9 @@
             entry = self.entry().name.as_str(),
             endpoint = place.name.as_str(),
             running = used.running,
-            unread = used.unread,
+            unread = used.pending_prefill,
             tokens = used.tokens,
-            copied = used.copied,
+            copied = used.copy_tokens,
             need = tokens,
             waited_ms = self.arrived.elapsed().as_millis() as u64
         );
@@ -397,7 +397,7 @@
         if self.unread > 0 {
             let unread = core::mem::take(&mut self.unread);
             let mut state = self.cx.state();
-            state.usage.first_byte(self.endpoint, unread);
+            state.usage.on_first_byte(self.endpoint, unread);
             drop(state);
             self.tell();
         }
@@ -422,19 +422,19 @@
 
 impl<W: Wire> Job<W> {
     /// Returns what is expected of the generation's length.
-    pub fn length(&self) -> Length {
+    pub fn length(&self) -> LengthEstimate {
         let head = &self.head;
         let state = self.cx.state();
         let entry = &self.entry().name;
         state
             .lengths
-            .expect(entry, head.max_tokens, head.expected_tokens)
+            .estimate(entry, head.max_tokens, head.expected_tokens)
     }
 
     /// Returns the request as it waits for room of `tokens`.
-    pub fn waiter(&self, tokens: u32) -> Waiter {
+    pub fn waiter(&self, tokens: u32) -> QueuedRequest {
         let now = self.cx.now();
-        Waiter {
+        QueuedRequest {
             id: self.cx.state().draw_id(),
             service: service_hash(&self.service().name),
             priority: self.priority(),
@@ -447,8 +447,8 @@
 
     /// Returns how much memory the generation is expected to take once it has made
     /// `made` tokens.
-    pub fn expected_memory(&self, length: Length, made: u32) -> u32 {
-        lengths::expected_memory(self.head.prompt_tokens, length, made)
+    pub fn expected_memory(&self, length: LengthEstimate, made: u32) -> u32 {
+        lengths::expected_kv_tokens(self.head.prompt_tokens, length, made)
     }
 }
 
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -9,9 +9,9 @@
 use core::time::Duration;
 use http::{HeaderMap, Response, StatusCode};
 use oriolemux_core::gateway::endpoints::EndpointRecord;
-use oriolemux_core::gateway::rate_limits::ToldLimit;
+use oriolemux_core::gateway::rate_limits::ResponseLimit;
 use oriolemux_core::gateway::reader::CallFailure;
-use oriolemux_core::gateway::usage::ToldLoad;
+use oriolemux_core::gateway::usage::ReportedLoad;
 use oriolemux_core::gateway::{CatalogueSource, Cordon, Mark, Record};
 use std::net::SocketAddrV4;
 
@@ -92,11 +92,11 @@
     /// The attempt that the answer names is another one.
     pub foreign: bool,
     /// How full the endpoint says it is.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// For how long the endpoint says it will still be cold.
     pub cold: Option<Duration>,
     /// How many requests a second the endpoint says it takes from all instances.
-    pub limit: ToldLimit,
+    pub limit: ResponseLimit,
 }
 
 /// A part of all records of the store.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -33,9 +33,9 @@
 use ahead::{CopyAhead, StandingCopy};
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::BodyExt;
-use oriolemux_core::gateway::lengths::Length;
+use oriolemux_core::gateway::lengths::LengthEstimate;
 use oriolemux_core::gateway::relocation::{
-    Delivery, GoOnFrom, Relocation, Step, View, silence_limit,
+    EngineView, EventDelivery, Relocation, ResumeFrom, Step, silence_timeout,
 };
 use oriolemux_core::gateway::state::Place;
 use oriolemux_core::suspects::RAN_WELL_AFTER;
@@ -91,7 +91,7 @@
     attempts: Attempts,
     source: Place,
     in_use: InUse<W>,
-    length: Length,
+    length: LengthEstimate,
     /// The memory that the generation is counted with.
     tokens: u32,
     state: Relocation,
@@ -111,13 +111,13 @@
         engines: E,
         attempts: Attempts,
         chosen: (Place, InUse<W>),
-        length: Length,
+        length: LengthEstimate,
         tx: mpsc::Sender<Piece>,
     ) -> Self {
         let tokens = job.expected_memory(length, 0);
         let pace = Pace::new(job.arrived.elapsed());
         let entry = job.entry();
-        let silence = silence_limit(entry.target, entry.gap_target);
+        let silence = silence_timeout(entry.target, entry.gap_target);
         let held = job.held();
         let (source, in_use) = chosen;
         Relay {
@@ -289,16 +289,16 @@
             departures.as_mut().enable();
             self.drop_cordoned_copy();
             let wait = match self.next_step() {
-                Step::CopyAhead => {
+                Step::PreCopy => {
                     self.copy_ahead().await;
                     continue;
                 }
-                Step::Leave => return Pause::Leave,
-                Step::GiveUp => return Pause::GivenUp,
-                Step::GoOnAnew => match self.engine_with_room().await {
+                Step::Relocate => return Pause::Leave,
+                Step::FailOver => return Pause::GivenUp,
+                Step::Recompute => match self.engine_with_room().await {
                     Some((place, in_use)) => return Pause::GoOnAnew(place, in_use),
                     None => {
-                        self.state.anew_impossible(cx.now());
+                        self.state.recompute_refused(cx.now());
                         continue;
                     }
                 },
@@ -333,11 +333,11 @@
     /// nothing holds the generation up no longer than its time.
     async fn pass_on(&mut self, event: Event) -> Option<Pause<W>> {
         let now = self.job.cx.now();
-        let is_first_here = !self.state.has_begun_here();
+        let is_first_here = !self.state.has_event_here();
         match self.state.on_event(now, event.id) {
-            Delivery::Pass => {}
-            Delivery::Again => return None,
-            Delivery::Gap => return Some(Pause::Gap),
+            EventDelivery::Forward => {}
+            EventDelivery::Duplicate => return None,
+            EventDelivery::Gap => return Some(Pause::Gap),
         }
         if is_first_here {
             self.job.cx.state().endpoints.on_response(self.source.key);
@@ -360,17 +360,17 @@
         let ahead = self.ahead.as_ref().map(|ahead| ahead.target.key);
         let mut state = cx.state();
         let standing_takes_work = standing.is_some_and(|key| state.is_usable(key));
-        let target = match self.state.go_on_from(now, standing_takes_work) {
-            Some(GoOnFrom::Ahead) => ahead,
-            Some(GoOnFrom::Standing) => standing,
+        let target = match self.state.resume_from(now, standing_takes_work) {
+            Some(ResumeFrom::PreCopy) => ahead,
+            Some(ResumeFrom::Standby) => standing,
             None => None,
         };
         let leaving = state.leaving_since(self.source.key);
-        let view = View {
-            leaves_for: leaving.map(|since| now.since(since)),
-            standing_takes_work,
+        let view = EngineView {
+            leaving_for: leaving.map(|since| now.since(since)),
+            standby_is_usable: standing_takes_work,
             target_is_quiet: target.is_some_and(|key| state.is_quiet(now, key)),
-            may_go_on_anew: self.may_run_again(),
+            may_recompute: self.may_run_again(),
             is_budget_spent: leaving.is_some() && !state.may_move(now, &self.job.service().name),
         };
         self.state.next(now, &view)
@@ -391,7 +391,7 @@
         state.endpoints.on_success(self.source.key);
         state
             .lengths
-            .learn(&self.job.entry().name, self.state.tokens());
+            .record(&self.job.entry().name, self.state.tokens());
         drop(state);
         self.job.ran_well();
         self.log_end("complete");
@@ -416,7 +416,7 @@
             entry = entry.name.as_str(),
             endpoint = self.source.name.as_str(),
             events = self.state.events(),
-            moves = self.state.moves(),
+            moves = self.state.relocations(),
             late = seen.is_late(entry),
             wait_ms = seen.waited_ms,
             first_ms = seen.first_ms,
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -12,9 +12,9 @@
 use http::Response;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use oriolemux_core::gateway::ask::Want;
-use oriolemux_core::gateway::budget::RepeatKind;
-use oriolemux_core::gateway::relocation::take_back_after;
+use oriolemux_core::gateway::budget::RetryKind;
+use oriolemux_core::gateway::placement::PlacementKind;
+use oriolemux_core::gateway::relocation::reassign_after;
 use oriolemux_core::gateway::state::Place;
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -98,7 +98,7 @@
     }
 
     fn take_back_at(&self) -> Instant {
-        Instant::now() + take_back_after(self.job.entry().target)
+        Instant::now() + reassign_after(self.job.entry().target)
     }
 
     /// Returns whether the generation may begin, or go on without a copy, at one engine more.
@@ -111,14 +111,14 @@
         let mut tried = self.attempts.tried().to_vec();
         tried.push(self.source.key);
         let asked = PlaceRequest {
-            want: Want::Aside,
+            want: PlacementKind::Immediate,
             tokens: self.tokens,
             exclude: &tried,
         };
         let until = Instant::now() + AT_ONCE;
         let chosen = self.job.ask_place(asked, until).await.ok()?;
         self.job
-            .spend_repeat(RepeatKind::ReadAnew)
+            .spend_repeat(RetryKind::Recompute)
             .then_some(chosen)
     }
 
--- a/crates/gateway/src/relay/go_on.rs
+++ b/crates/gateway/src/relay/go_on.rs
@@ -10,9 +10,9 @@
 use crate::note;
 use crate::ports::{EngineCalls, KeptCopy, Moved, Wire};
 use core::time::Duration;
-use oriolemux_core::gateway::budget::RepeatKind;
+use oriolemux_core::gateway::budget::RetryKind;
 use oriolemux_core::gateway::choose::CopyKind;
-use oriolemux_core::gateway::relocation::STANDING_MIN_TOKENS;
+use oriolemux_core::gateway::relocation::STANDBY_MIN_TOKENS;
 use oriolemux_core::gateway::state::Place;
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -41,8 +41,8 @@
     /// that copy up to date.
     pub(super) async fn copy_ahead(&mut self) {
         if self.ahead.is_none() {
-            let Some((target, in_use)) = self.another_place(CopyKind::Ahead).await else {
-                self.state.ahead_impossible(self.job.cx.now());
+            let Some((target, in_use)) = self.another_place(CopyKind::PreCopy).await else {
+                self.state.pre_copy_refused(self.job.cx.now());
                 return;
             };
             let engines = self.engines.clone();
@@ -50,7 +50,7 @@
         }
         if let Some(ahead) = &mut self.ahead {
             ahead.begin(self.job.name());
-            self.state.ahead_begun(self.job.cx.now());
+            self.state.pre_copy_started(self.job.cx.now());
         }
     }
 
@@ -62,7 +62,7 @@
         drop(state);
         if is_cordoned {
             self.ahead = None;
-            self.state.ahead_withdrawn();
+            self.state.pre_copy_lost();
         }
     }
 
@@ -82,7 +82,7 @@
             }
             _ => false,
         };
-        if !self.state.ahead_ended(now, complete) {
+        if !self.state.pre_copy_ended(now, complete) {
             self.ahead = None;
         }
     }
@@ -94,7 +94,7 @@
     /// one refuses, the other is asked.
     pub(super) async fn leave(&mut self) -> Option<Begun> {
         self.drop_cordoned_copy();
-        let may_exist = self.state.standing_may_exist(self.job.cx.now());
+        let may_exist = self.state.standby_may_exist(self.job.cx.now());
         let is_cordoned = |key| self.job.cx.state().endpoints.is_cordoned(key);
         let standing = self.standing.take();
         let standing = standing.filter(|it| may_exist && !is_cordoned(it.place.key));
@@ -125,7 +125,7 @@
                 break;
             }
             sleep(REFUSED_PAUSE).await;
-            if !self.spend_repeat(RepeatKind::GoOnAgain).await {
+            if !self.spend_repeat(RetryKind::ResumeAgain).await {
                 break;
             }
             let handle = &handle;
@@ -152,13 +152,13 @@
 
     /// Asks `target` to go on with the generation whose memory `keeper` holds.
     async fn go_on(&mut self, target: Place, keeper: SocketAddrV4, handle: &str) -> Begun {
-        if !self.spend_repeat(RepeatKind::GoOn).await {
+        if !self.spend_repeat(RetryKind::Resume).await {
             let denied = Reason::BudgetSpent;
             self.cannot_go_on(&denied.to_string());
             return Begun::Failed(denied);
         }
         self.splitter.clear();
-        self.state.moved(self.job.cx.now());
+        self.state.on_relocated(self.job.cx.now());
         self.in_use = InUse::go_on(&self.job.cx, target.key, self.tokens);
         self.source = target;
         self.choose_standing().await;
@@ -186,7 +186,7 @@
             event_id = self.state.last_event()
         );
         self.splitter.clear();
-        self.state.moved(self.job.cx.now());
+        self.state.on_relocated(self.job.cx.now());
         self.ahead = None;
         self.settle_at(place, in_use).await;
         self.ask_to_go_on(None).await
@@ -224,7 +224,7 @@
 
     /// Spends one of the fleet's repeats. If there is none, waits for it as long as callers bear a
     /// pause: other repeats leave what is earned meanwhile to generations that go on.
-    async fn spend_repeat(&self, kind: RepeatKind) -> bool {
+    async fn spend_repeat(&self, kind: RetryKind) -> bool {
         let ends = Instant::now() + REPEAT_PATIENCE.min(self.job.left());
         while !self.job.may_move() {
             if Instant::now() >= ends {
@@ -253,16 +253,16 @@
     pub(super) async fn choose_standing(&mut self) {
         self.standing = None;
         let engine = self.job.service().engine;
-        let keeps_copies = engine.is_some_and(|engine| engine.standing_copies);
-        let is_long = self.length.rest(self.state.tokens()) >= STANDING_MIN_TOKENS;
+        let keeps_copies = engine.is_some_and(|engine| engine.standby_copies);
+        let is_long = self.length.remaining(self.state.tokens()) >= STANDBY_MIN_TOKENS;
         if keeps_copies && is_long {
-            let found = self.another_place(CopyKind::Standing).await;
+            let found = self.another_place(CopyKind::Standby).await;
             self.standing = found.map(|(place, in_use)| StandingCopy {
                 place,
                 _in_use: in_use,
             });
         }
-        self.state.set_standing(self.standing.is_some());
+        self.state.set_standby(self.standing.is_some());
     }
 
     /// Returns another engine with room for a copy.
@@ -270,8 +270,8 @@
         let place = self.job.ask_copy(self.source.key, kind, self.tokens).await;
         if place.is_none() {
             let kind = match kind {
-                CopyKind::Standing => "standing",
-                CopyKind::Ahead => "ahead",
+                CopyKind::Standby => "standing",
+                CopyKind::PreCopy => "ahead",
             };
             note!(
                 NoRoomForCopy,
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -316,8 +316,8 @@
         failing: endpoint.is_failing(),
         running: used.running,
         tokens: used.tokens,
-        copied: used.copied,
-        unread: used.unread,
+        copied: used.copy_tokens,
+        unread: used.pending_prefill,
         limit: state.limits.of(endpoint.key),
     }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -18,9 +18,9 @@
 use http::{HeaderMap, Response, StatusCode, header};
 use http_body::Frame;
 use http_body_util::BodyExt;
-use oriolemux_core::gateway::ask::Want;
-use oriolemux_core::gateway::budget::RepeatKind;
-use oriolemux_core::gateway::lengths::Length;
+use oriolemux_core::gateway::budget::RetryKind;
+use oriolemux_core::gateway::lengths::LengthEstimate;
+use oriolemux_core::gateway::placement::PlacementKind;
 use oriolemux_core::gateway::state::Place;
 use oriolemux_core::ids::EndpointKey;
 use tokio::sync::mpsc;
@@ -43,7 +43,7 @@
 pub async fn serve<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<AnswerBody> {
     let mut attempts = Attempts::default();
     let length = job.length();
-    let expected = TOKEN_TIME * length.rest(0);
+    let expected = TOKEN_TIME * length.remaining(0);
     if !job.cx.takes_generation(expected) {
         return give_up(&job, &attempts, Reason::Stopping);
     }
@@ -68,7 +68,7 @@
                 arrived,
             } => {
                 (job, attempts) = (*returned, so_far);
-                let may_repeat = !arrived || job.spend_repeat(RepeatKind::Retry);
+                let may_repeat = !arrived || job.spend_repeat(RetryKind::Retry);
                 if attempts.refused() > MAX_REFUSED_SENDS || !may_repeat {
                     return give_up(&job, &attempts, Reason::NotRunAtEndpoint);
                 }
@@ -82,7 +82,7 @@
                 let may_repeat = attempts.may_run_again(job.entry())
                     && job.left() > MIN_LEFT
                     && !job.is_refused();
-                if !may_repeat || !job.spend_repeat(RepeatKind::Retry) {
+                if !may_repeat || !job.spend_repeat(RetryKind::Retry) {
                     return answer;
                 }
             }
@@ -123,7 +123,7 @@
     engines: E,
     attempts: Attempts,
     chosen: (Place, InUse<W>),
-    length: Length,
+    length: LengthEstimate,
 ) -> Start<W> {
     let (tx, rx) = mpsc::channel(PIECES);
     let relay = Relay::new(job, engines, attempts, chosen, length, tx);
@@ -174,7 +174,7 @@
     let limit = job.entry().target.mul_f64(WAIT_TARGETS);
     let until = (job.arrived + limit).min(job.ends);
     let asked = PlaceRequest {
-        want: Want::Place,
+        want: PlacementKind::Queued,
         tokens,
         exclude: tried,
     };
