--- a/crates/bench/src/policy/reclaim/fleet.rs
+++ b/crates/bench/src/policy/reclaim/fleet.rs
@@ -38,8 +38,8 @@
 /// What every engine bears.
 pub(super) const LIMITS: EngineLimits = EngineLimits {
     slots: 24,
-    memory_tokens: 34_240,
-    standing_copies: true,
+    kv_cache_tokens: 34_240,
+    standby_copies: true,
 };
 
 fn config() -> EngineConfig {
@@ -93,9 +93,9 @@
             address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 80),
             data_centre: DATA_CENTRES[index % DATA_CENTRES.len()].to_owned(),
             slots: LIMITS.slots,
-            born: None,
+            started_unix_ms: None,
             leaving: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
         };
         self.all.push(Engine {
             key,
