--- a/crates/bench/src/decide.rs
+++ b/crates/bench/src/decide.rs
@@ -174,7 +174,7 @@
         };
         let mut checkpoint = FIRST_CHECKPOINT;
         while checkpoint <= tokens {
-            self.cell.progress(self.now, id, checkpoint);
+            self.cell.on_progress(self.now, id, checkpoint);
             checkpoint = next_checkpoint(checkpoint);
         }
         let end = EndKind::Complete {
--- a/crates/bench/src/policy/ours.rs
+++ b/crates/bench/src/policy/ours.rs
@@ -172,7 +172,7 @@
 
     fn progress(&mut self, now: Time, id: u64, tokens: u32) {
         if let Some(open) = self.open.get(&id) {
-            self.cells[open.cell].progress(now, open.req.id, tokens);
+            self.cells[open.cell].on_progress(now, open.req.id, tokens);
             self.wakes[open.cell] = now;
         }
     }
@@ -196,7 +196,7 @@
     fn cache(&mut self, now: Time, engine: usize, news: &CacheNews) {
         let cell = self.fleet.engines[engine].data_centre;
         let endpoint = self.endpoint_of[engine];
-        self.cells[cell].cache(now, endpoint, news.gap, &news.stored, &news.evicted);
+        self.cells[cell].on_cache_events(now, endpoint, news.gap, &news.stored, &news.evicted);
     }
 
     fn poll(&mut self, now: Time, out: &mut Vec<Decision>) -> Time {
--- a/crates/bench/src/slopes/requests.rs
+++ b/crates/bench/src/slopes/requests.rs
@@ -5,9 +5,10 @@
 use super::subject::{self, Subject, completion_of, progress_of};
 use core::cmp::Reverse;
 use core::time::Duration;
-use oriolemux_core::cell::message::{Ask, Checkpoint, Ended, Grant};
+use oriolemux_core::cell::message::{Checkpoint, Ended, Grant, GrantRequest};
 use oriolemux_core::cell::{
-    Alternative, CellMessage, ClassRules, EndKind, GrantRecord, Lost, MAX_ALTERNATIVES, Requirement,
+    Alternative, CellMessage, ClassRules, EndKind, GrantRecord, MAX_ALTERNATIVES, NotChosen,
+    Requirement,
 };
 use oriolemux_core::event::AttemptUpdate;
 use oriolemux_core::ids::{
@@ -156,7 +157,7 @@
     }
 }
 
-fn grant_of(ask: &Ask, endpoints: &[EndpointKey]) -> PeerMessage {
+fn grant_of(ask: &GrantRequest, endpoints: &[EndpointKey]) -> PeerMessage {
     let grant = Grant {
         seq: ask.seq,
         endpoint: endpoints[ask.seq as usize % endpoints.len()],
@@ -180,7 +181,7 @@
         alternatives: lost
             .map(|&endpoint| Alternative {
                 endpoint,
-                lost: Lost::Outranked,
+                lost: NotChosen::Outranked,
                 free: 12_000,
             })
             .collect(),
@@ -227,10 +228,10 @@
     RequestCost::of(&subject, requests)
 }
 
-pub(super) fn ask(cell: CellKey, seq: u64) -> Ask {
+pub(super) fn ask(cell: CellKey, seq: u64) -> GrantRequest {
     let class = ClassKey::of("long");
     let (wait, longest) = (Duration::from_secs(60), Duration::from_secs(600));
-    Ask {
+    GrantRequest {
         cell,
         seq,
         entry: EntryKey::of(&FleetSize::entry_name(seq as usize % 6)),
--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -34,7 +34,7 @@
 
 pub use crate::memory::HORIZONS;
 pub use config::{CellConfig, CellConfigBuilder};
-pub use decision::{Alternative, CellDecision, GrantRecord, Lost, MAX_ALTERNATIVES};
+pub use decision::{Alternative, CellDecision, GrantRecord, MAX_ALTERNATIVES, NotChosen};
 pub use message::CellMessage;
 pub use request::{
     CellRequest, ClassRules, Distance, EndKind, EndpointInfo, EndpointKind, EndpointState,
@@ -201,7 +201,7 @@
     }
 
     /// Learns that a running request has generated `tokens`.
-    pub fn progress(&mut self, now: Time, id: RequestId, tokens: u32) {
+    pub fn on_progress(&mut self, now: Time, id: RequestId, tokens: u32) {
         let Some(lease) = self.leases.get(&id) else {
             return;
         };
@@ -285,7 +285,12 @@
     }
 
     /// Ends every lease of one life of an instance, because it is dead.
-    pub fn forget_holder(&mut self, now: Time, instance: InstanceKey, incarnation: Incarnation) {
+    pub fn withdraw_incarnation(
+        &mut self,
+        now: Time,
+        instance: InstanceKey,
+        incarnation: Incarnation,
+    ) {
         let id = |seq| RequestId {
             instance,
             incarnation,
@@ -318,7 +323,7 @@
     }
 
     /// Takes in an endpoint's cache events; `gap` says that some were lost.
-    pub fn cache(
+    pub fn on_cache_events(
         &mut self,
         _now: Time,
         endpoint: EndpointKey,
--- a/crates/core/src/cell/decision.rs
+++ b/crates/core/src/cell/decision.rs
@@ -48,7 +48,7 @@
 
 /// Why an endpoint was not the one granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Lost {
+pub enum NotChosen {
     /// It is leaving.
     Leaving,
     /// It was ejected on evidence.
@@ -73,7 +73,7 @@
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Why it lost.
-    pub lost: Lost,
+    pub lost: NotChosen,
     /// Tokens of KV memory (or calls, for a service) that were free there.
     pub free: u32,
 }
--- a/crates/core/src/cell/endpoint.rs
+++ b/crates/core/src/cell/endpoint.rs
@@ -1,7 +1,7 @@
 //! One endpoint as its cell sees it.
 
 use crate::cell::config::CellConfig;
-use crate::cell::decision::Lost;
+use crate::cell::decision::NotChosen;
 use crate::cell::request::{CellRequest, EndpointInfo, EndpointKind, EndpointState, Requirement};
 use crate::cell::snapshot::EndpointSnapshot;
 use crate::ids::RequestId;
@@ -147,28 +147,28 @@
     }
 
     /// Returns why the endpoint can't take a request whatever its room, if it can't.
-    pub fn bars(&self, now: Time, req: &CellRequest) -> Option<Lost> {
+    pub fn bars(&self, now: Time, req: &CellRequest) -> Option<NotChosen> {
         if self.is_leaving() {
-            return Some(Lost::Leaving);
+            return Some(NotChosen::Leaving);
         }
         if !self.holds(req.needs) {
-            return Some(Lost::NotLoaded);
+            return Some(NotChosen::NotLoaded);
         }
         if req.exclude.contains(&self.info.key) {
-            return Some(Lost::Excluded);
+            return Some(NotChosen::Excluded);
         }
         if !self.health.admits(now, req.class.idempotent) {
-            return Some(Lost::Ejected);
+            return Some(NotChosen::Ejected);
         }
         None
     }
 
     /// Returns why a request that nothing bars did not fit.
-    pub fn why_no_room(&self, now: Time, id: RequestId) -> Lost {
+    pub fn why_no_room(&self, now: Time, id: RequestId) -> NotChosen {
         match self.held_for {
-            Some(holder) if holder != id => Lost::Held,
-            _ if self.health.ramp(now) < 1.0 => Lost::RampingUp,
-            _ => Lost::NoRoom,
+            Some(holder) if holder != id => NotChosen::Held,
+            _ if self.health.ramp(now) < 1.0 => NotChosen::RampingUp,
+            _ => NotChosen::NoRoom,
         }
     }
 
--- a/crates/core/src/cell/message.rs
+++ b/crates/core/src/cell/message.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CellMessage {
     /// Entry to home: a request asks for a grant.
-    Ask(Box<Ask>),
+    Ask(Box<GrantRequest>),
     /// Home to entry: the request may run.
     Grant(Box<Grant>),
     /// Home to entry: the request is refused.
@@ -32,11 +32,11 @@
     /// Entry to home: requests whose callers left or that moved elsewhere.
     Withdraw(Vec<u64>),
     /// Entry to home: what runs at a cell's endpoints, after the home changed.
-    Retell {
+    Resync {
         /// The cell.
         cell: CellKey,
         /// What runs.
-        running: Vec<Told>,
+        running: Vec<RunningReport>,
     },
     /// Home to entry: do these requests still wait or run here? The entry
     /// withdraws those that do not.
@@ -45,7 +45,7 @@
 
 /// A request that asks for a grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The cell that is asked.
     pub cell: CellKey,
     /// The request's sequence number at the sender.
@@ -72,11 +72,11 @@
     pub exclude: Vec<EndpointKey>,
 }
 
-impl Ask {
+impl GrantRequest {
     /// Returns the ask that stands for `req` at `now`.
-    pub fn from_request(cell: CellKey, req: &CellRequest, now: Time) -> Ask {
+    pub fn from_request(cell: CellKey, req: &CellRequest, now: Time) -> GrantRequest {
         let skip = req.prefix.len().saturating_sub(MAX_PREFIX_HASHES);
-        Ask {
+        GrantRequest {
             cell,
             seq: req.id.seq,
             entry: req.entry,
@@ -161,7 +161,7 @@
 
 /// A running request, as its entry tells a new home.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct RunningReport {
     /// The request's sequence number at the sender.
     pub seq: u64,
     /// See [`Running::endpoint`].
@@ -180,7 +180,7 @@
     pub tokens: u32,
 }
 
-impl Told {
+impl RunningReport {
     /// Returns the running request as the home sees it, when `from` sent this.
     pub fn into_running(self, from: PeerId) -> Running {
         Running {
@@ -196,9 +196,9 @@
     }
 }
 
-impl From<&Running> for Told {
-    fn from(running: &Running) -> Told {
-        Told {
+impl From<&Running> for RunningReport {
+    fn from(running: &Running) -> RunningReport {
+        RunningReport {
             seq: running.id.seq,
             endpoint: running.endpoint,
             entry: running.entry,
--- a/crates/core/src/cell/place.rs
+++ b/crates/core/src/cell/place.rs
@@ -1,7 +1,7 @@
 //! Placing: which waiting request goes where, now.
 
 use crate::cell::Cell;
-use crate::cell::decision::{Alternative, CellDecision, GrantRecord, Lost, MAX_ALTERNATIVES};
+use crate::cell::decision::{Alternative, CellDecision, GrantRecord, MAX_ALTERNATIVES, NotChosen};
 use crate::cell::endpoint::{Endpoint, Fit, Measure};
 use crate::cell::queue::Waiting;
 use crate::cell::request::Distance;
@@ -148,18 +148,18 @@
     fn propose(&mut self, cell: &Cell, ix: EndpointIx, scored: Scored) {
         match self.best {
             Some((_, best)) if best.score >= scored.score => {
-                self.lose(&cell.endpoints[ix], Lost::Outranked, scored.fit.free);
+                self.lose(&cell.endpoints[ix], NotChosen::Outranked, scored.fit.free);
             }
             before => {
                 self.best = Some((ix, scored));
                 if let Some((old, best)) = before {
-                    self.lose(&cell.endpoints[old], Lost::Outranked, best.fit.free);
+                    self.lose(&cell.endpoints[old], NotChosen::Outranked, best.fit.free);
                 }
             }
         }
     }
 
-    fn lose(&mut self, endpoint: &Endpoint, lost: Lost, free: u32) {
+    fn lose(&mut self, endpoint: &Endpoint, lost: NotChosen, free: u32) {
         if self.lost.len() < MAX_ALTERNATIVES {
             self.lost.push(Alternative {
                 endpoint: endpoint.info.key,
--- a/crates/core/src/delivery.rs
+++ b/crates/core/src/delivery.rs
@@ -2,7 +2,7 @@
 //!
 //! The shell's stream task owns one [`Delivery`] for each request and feeds it
 //! what the endpoint's connection brings; tokens never pass through the node.
-//! Each input returns a [`Step`]: what the shell does now ([`Act`]) and what
+//! Each input returns a [`Step`]: what the shell does now ([`StreamAction`]) and what
 //! it reports to the node, if anything. Handing on a token allocates nothing
 //! but the amortised growth of the token log.
 //!
@@ -35,7 +35,7 @@
 
 /// What the shell does with an input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum StreamAction {
     /// Nothing.
     Idle,
     /// Send the attempt's request to the endpoint now. Nothing in the client
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// What the shell does.
-    pub act: Act,
+    pub act: StreamAction,
     /// What the shell reports to the node about the attempt, after the act.
     pub report: Option<AttemptUpdate>,
 }
 
 impl Step {
-    const fn act(act: Act) -> Self {
+    const fn act(act: StreamAction) -> Self {
         Step { act, report: None }
     }
 }
@@ -94,7 +94,7 @@
 
 /// How the endpoint answered a resumption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResumeAnswer {
+pub enum ResumeResponse {
     /// The rest of the generation follows.
     Ok,
     /// The endpoint no longer holds the generation.
@@ -178,7 +178,7 @@
         ));
         self.last_number = dispatch.attempt.number;
         self.may_have_run = true;
-        Step::act(Act::Send)
+        Step::act(StreamAction::Send)
     }
 
     /// Returns why `dispatch` must not be sent, whatever the node believed.
@@ -199,10 +199,10 @@
 
     fn not_started(&self, reason: Reason, unsent: Unsent) -> Step {
         Step {
-            act: Act::Idle,
+            act: StreamAction::Idle,
             report: Some(AttemptUpdate::Failed {
                 reason,
-                ran: Ran::No(unsent.give_up()),
+                ran: Ran::No(unsent.abandon()),
                 delivered: self.delivered,
                 retry_after: None,
             }),
@@ -222,13 +222,13 @@
     ///
     /// Only for a failure in which the shell knows that no byte of the
     /// request's body left; anything else is [`Delivery::on_link_failure`].
-    pub fn on_too_late(&mut self) -> Step {
+    pub fn on_send_deadline_passed(&mut self) -> Step {
         self.never_left(Reason::PausedTooLong)
     }
 
     fn never_left(&mut self, reason: Reason) -> Step {
         match self.take_unanswered() {
-            Some(sent) => self.fail_not_run(reason, sent.never_connected(), None),
+            Some(sent) => self.fail_not_run(reason, sent.never_sent(), None),
             None => self.interrupt(reason),
         }
     }
@@ -252,7 +252,7 @@
     }
 
     /// The endpoint answered the send with a stream or a body.
-    pub fn on_answered(&mut self) {
+    pub fn on_response_started(&mut self) {
         if let Some(attempt) = &mut self.attempt {
             attempt.unanswered = None;
         }
@@ -267,7 +267,7 @@
     /// index and its text.
     pub fn on_token(&mut self, id: &str, index: u32, text: &[u8]) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Discard(Reason::LateAnswer));
+            return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
         attempt.unanswered = None;
         if id != attempt.id_text {
@@ -287,9 +287,9 @@
         let act = match attempt.delivery {
             DeliveryMode::Stream => {
                 self.delivered += 1;
-                Act::Deliver
+                StreamAction::Deliver
             }
-            DeliveryMode::Whole => Act::Hold,
+            DeliveryMode::Whole => StreamAction::Hold,
         };
         self.log.push(text);
         Step { act, report }
@@ -298,21 +298,21 @@
     /// Compares a token of a replay with what the caller holds.
     fn verify(&mut self, text: &[u8]) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         };
         if !self.log.matches(&mut attempt.cursor, text) {
             return self.fail(Reason::ReplayDiverged);
         }
         let report = attempt.received_token();
         Step {
-            act: Act::Hold,
+            act: StreamAction::Hold,
             report,
         }
     }
 
     fn out_of_order(&mut self, index: u32) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         };
         if index > attempt.expected {
             return self.interrupt(Reason::TokenGap);
@@ -321,13 +321,13 @@
         if attempt.duplicates > MAX_DUPLICATES {
             return self.interrupt(Reason::Garbage);
         }
-        Step::act(Act::Discard(Reason::DuplicateToken))
+        Step::act(StreamAction::Discard(Reason::DuplicateToken))
     }
 
     /// The end mark arrived.
     pub fn on_end(&mut self, id: &str, mark: EndMark) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Discard(Reason::LateAnswer));
+            return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
         attempt.unanswered = None;
         if id != attempt.id_text {
@@ -348,9 +348,9 @@
     }
 
     /// The whole answer of a plain service arrived, with the attempt id that it echoed.
-    pub fn on_call_answer(&mut self, id: &str) -> Step {
+    pub fn on_call_response(&mut self, id: &str) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Discard(Reason::LateAnswer));
+            return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
         attempt.unanswered = None;
         if id != attempt.id_text {
@@ -364,7 +364,7 @@
         self.attempt = None;
         self.complete = true;
         Step {
-            act: Act::Complete,
+            act: StreamAction::Complete,
             report: Some(AttemptUpdate::Complete {
                 tokens,
                 prompt_tokens,
@@ -399,10 +399,10 @@
     }
 
     /// The endpoint answered a resumption.
-    pub fn on_resume_answer(&mut self, answer: ResumeAnswer) -> Step {
+    pub fn on_resume_response(&mut self, answer: ResumeResponse) -> Step {
         match answer {
-            ResumeAnswer::Ok => Step::act(Act::Idle),
-            ResumeAnswer::Lost => self.fail(Reason::GenerationLost),
+            ResumeResponse::Ok => Step::act(StreamAction::Idle),
+            ResumeResponse::Lost => self.fail(Reason::GenerationLost),
         }
     }
 
@@ -414,18 +414,18 @@
     /// The node ends the attempt; nothing is reported.
     pub fn cancel(&mut self) -> Step {
         let cancel = self.attempt.take().is_some();
-        Step::act(Act::Close { cancel })
+        Step::act(StreamAction::Close { cancel })
     }
 
     /// Gives up the connection and resumes the same generation, or fails.
     fn interrupt(&mut self, reason: Reason) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         };
         let Some(delay) = attempt.take_resume() else {
             return self.fail(reason);
         };
-        Step::act(Act::Resume {
+        Step::act(StreamAction::Resume {
             after: attempt.expected.checked_sub(1),
             delay,
             reason,
@@ -456,13 +456,13 @@
         cancel: bool,
     ) -> Step {
         if self.attempt.take().is_none() {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         }
         if self.delivered == 0 {
             self.log.clear();
         }
         Step {
-            act: Act::Close { cancel },
+            act: StreamAction::Close { cancel },
             report: Some(AttemptUpdate::Failed {
                 reason,
                 ran,
--- a/crates/core/src/explain/render.rs
+++ b/crates/core/src/explain/render.rs
@@ -1,7 +1,7 @@
 //! Records as text for people.
 
 use super::{Record, Step, Timed};
-use crate::cell::{GrantRecord, Lost};
+use crate::cell::{GrantRecord, NotChosen};
 use crate::ids::{CellKey, EndpointKey, InstanceKey};
 use crate::reason::{Outcome, Reason};
 use crate::value::AttemptMode;
@@ -216,15 +216,15 @@
     }
 }
 
-fn lost_text(lost: Lost) -> &'static str {
+fn lost_text(lost: NotChosen) -> &'static str {
     match lost {
-        Lost::Leaving => "leaving",
-        Lost::Ejected => "ejected",
-        Lost::RampingUp => "ramping up",
-        Lost::NotLoaded => "does not hold the model",
-        Lost::Excluded => "an attempt failed there",
-        Lost::NoRoom => "no room",
-        Lost::Held => "room held for an overdue request",
-        Lost::Outranked => "another fits better",
+        NotChosen::Leaving => "leaving",
+        NotChosen::Ejected => "ejected",
+        NotChosen::RampingUp => "ramping up",
+        NotChosen::NotLoaded => "does not hold the model",
+        NotChosen::Excluded => "an attempt failed there",
+        NotChosen::NoRoom => "no room",
+        NotChosen::Held => "room held for an overdue request",
+        NotChosen::Outranked => "another fits better",
     }
 }
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -98,7 +98,7 @@
         state: HolderState,
     },
     /// A report was noted.
-    Noted {
+    ReportAck {
         /// The request that was reported on.
         claimant: RequestId,
         /// What was noted.
@@ -131,7 +131,7 @@
         verdict: Verdict,
     },
     /// A claim waits for a list that the platform has just confirmed.
-    WantFreshList,
+    ReadList,
 }
 
 /// Both sides of claims in one process.
@@ -174,7 +174,7 @@
     }
 
     /// Returns whether the end of a claim was reported and not noted yet.
-    pub fn has_unnoted_ends(&self) -> bool {
+    pub fn has_unacked_ends(&self) -> bool {
         self.holders.has_unnoted_ends()
     }
 
@@ -222,7 +222,7 @@
 
     /// A peer's message arrived. `list_age` is for how long the list in force
     /// has not been confirmed by the platform.
-    pub fn message(
+    pub fn on_message(
         &mut self,
         now: Time,
         list_age: Option<Duration>,
@@ -240,7 +240,7 @@
             KeysMessage::Report { claim, state } if claim.is_from(from) => {
                 if self.note_report(now, &claim, state) {
                     let claimant = claim.claimant;
-                    let message = KeysMessage::Noted { claimant, state };
+                    let message = KeysMessage::ReportAck { claimant, state };
                     let to = from.instance;
                     out.push(KeysAction::Send { to, message });
                 }
@@ -253,7 +253,7 @@
             KeysMessage::Used {
                 claimant, refusal, ..
             } => self.used(now, claimant, refusal, out),
-            KeysMessage::Noted { claimant, state } => self.holders.noted(claimant, state),
+            KeysMessage::ReportAck { claimant, state } => self.holders.noted(claimant, state),
         }
     }
 
--- a/crates/core/src/keys/claim.rs
+++ b/crates/core/src/keys/claim.rs
@@ -2,7 +2,7 @@
 
 use super::KeysMessage;
 use crate::ids::{RequestId, WorkspaceKey};
-use crate::outcome::{Earlier, Verdict};
+use crate::outcome::{PriorOutcome, Verdict};
 use crate::reason::{Outcome, Reason};
 use crate::value::PeerId;
 use core::time::Duration;
@@ -81,7 +81,7 @@
     /// Another request holds it and has not ended.
     Running,
     /// Another request held it and ended so.
-    Ran(Earlier),
+    Ran(PriorOutcome),
     /// The process that held or issued it is gone.
     HolderGone,
     /// It was taken for another body.
@@ -98,7 +98,7 @@
     /// As many claims are held as there is room for.
     Full,
     /// No answer came from the process that grants it.
-    Silent,
+    TimedOut,
 }
 
 impl ClaimRefusal {
@@ -118,7 +118,7 @@
                 unknown(Reason::KeyHomeUnsure, Some(retry_after))
             }
             ClaimRefusal::Full => unknown(Reason::InstanceFull, Some(ASK_AGAIN_AFTER)),
-            ClaimRefusal::Silent => unknown(Reason::HomeSilent, Some(ASK_AGAIN_AFTER)),
+            ClaimRefusal::TimedOut => unknown(Reason::HomeSilent, Some(ASK_AGAIN_AFTER)),
         }
     }
 }
@@ -135,7 +135,7 @@
     /// It truly did not run; the name is free again.
     NotRun,
     /// It ended, or may have run.
-    Ended(Earlier),
+    Ended(PriorOutcome),
 }
 
 impl HolderState {
@@ -143,15 +143,15 @@
     /// for a whole answer.
     pub fn of(verdict: Option<&Verdict>) -> Self {
         let Some(verdict) = verdict else {
-            return HolderState::Ended(Earlier::Complete);
+            return HolderState::Ended(PriorOutcome::Complete);
         };
         match verdict.outcome() {
             Outcome::NotRun => HolderState::NotRun,
-            Outcome::Unknown => HolderState::Ended(Earlier::Unknown),
-            Outcome::Partial => HolderState::Ended(Earlier::Partial {
+            Outcome::Unknown => HolderState::Ended(PriorOutcome::Unknown),
+            Outcome::Partial => HolderState::Ended(PriorOutcome::Partial {
                 delivered: verdict.delivered(),
             }),
-            Outcome::Complete => HolderState::Ended(Earlier::Complete),
+            Outcome::Complete => HolderState::Ended(PriorOutcome::Complete),
         }
     }
 }
--- a/crates/core/src/keys/grant.rs
+++ b/crates/core/src/keys/grant.rs
@@ -77,7 +77,7 @@
         }
         let fresh = list_age.is_some_and(|age| age <= self.cfg.list_fresh);
         if list_age.is_none_or(|age| age > self.cfg.list_fresh / 2) {
-            out.push(KeysAction::WantFreshList);
+            out.push(KeysAction::ReadList);
         }
         let unsure = self.homes.unsure_for(now, key.rank_key(), self.cfg.settle);
         // Two lists may name two homes; only one that both sides hold will do.
--- a/crates/core/src/keys/holder.rs
+++ b/crates/core/src/keys/holder.rs
@@ -120,7 +120,7 @@
     /// [`KeysAction::Granted`] or [`KeysAction::Refused`], now or later.
     ///
     /// `issuer_life` is the life that a ticket's instance is known to be in.
-    pub fn ask(
+    pub fn request_claim(
         &mut self,
         now: Time,
         list_age: Option<Duration>,
@@ -133,7 +133,7 @@
             return refuse(request, ClaimRefusal::Full, out);
         }
         let home = match claim.id {
-            ClaimId::Ticket(ticket) if tickets::issuer_is_gone(ticket, issuer_life) => {
+            ClaimId::Ticket(ticket) if tickets::issuer_has_restarted(ticket, issuer_life) => {
                 return refuse(request, ClaimRefusal::HolderGone, out);
             }
             ClaimId::Ticket(ticket) => Some(ticket.instance),
@@ -148,7 +148,7 @@
             home,
             phase: Phase::Asking {
                 until: now + self.cfg.ask_limit,
-                last: ClaimRefusal::Silent,
+                last: ClaimRefusal::TimedOut,
             },
             asked_at: now,
             reports: 0,
--- a/crates/core/src/keys/table.rs
+++ b/crates/core/src/keys/table.rs
@@ -3,7 +3,7 @@
 use super::MAX_CLAIMS;
 use super::claim::{ClaimId, HolderState, is_of_life};
 use crate::ids::{RequestId, WorkspaceKey};
-use crate::outcome::Earlier;
+use crate::outcome::PriorOutcome;
 use crate::time::Time;
 use crate::value::PeerId;
 use core::time::Duration;
@@ -18,7 +18,7 @@
     /// Granted to a request that has not reported its end.
     Held(RequestId),
     /// Granted to a request that ended so.
-    Ended(RequestId, Earlier),
+    Ended(RequestId, PriorOutcome),
     /// Granted to a request whose process is gone.
     HolderGone(RequestId),
 }
--- a/crates/core/src/keys/tickets.rs
+++ b/crates/core/src/keys/tickets.rs
@@ -23,7 +23,7 @@
 
 /// Returns whether the issuer of `ticket` is known to be gone, given the life
 /// that its instance is in now.
-pub fn issuer_is_gone(ticket: RequestId, life_now: Option<Incarnation>) -> bool {
+pub fn issuer_has_restarted(ticket: RequestId, life_now: Option<Incarnation>) -> bool {
     life_now.is_some_and(|life| life != ticket.incarnation)
 }
 
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -9,7 +9,7 @@
 use super::Node;
 use super::request::{Refusal, Request, Stage};
 use super::timers::TimerKind;
-use crate::cell::message::{Ask, Grant, Refused};
+use crate::cell::message::{Grant, GrantRequest, Refused};
 use crate::cell::{CellMessage, EndKind};
 use crate::event::PeerId;
 use crate::explain::Step;
@@ -110,7 +110,7 @@
             debug_assert!(false, "a request is judged before it asks");
             return;
         };
-        let ask = Ask::from_request(cell, &request.to_cell_request(facts), now);
+        let ask = GrantRequest::from_request(cell, &request.to_cell_request(facts), now);
         let id = request.id();
         self.record(id, Step::Asked { cell, home });
         self.send(home, PeerMessage::Cell(CellMessage::Ask(Box::new(ask))));
--- a/crates/core/src/node/attempt.rs
+++ b/crates/core/src/node/attempt.rs
@@ -12,7 +12,7 @@
 use crate::outcome::{Ran, Verdict};
 use crate::peer::PeerMessage;
 use crate::reason::{Outcome, Reason};
-use crate::retry::{self, Failure, RetryDecision};
+use crate::retry::{self, AttemptFailure, RetryDecision};
 use core::time::Duration;
 
 /// How long after the grant an attempt may still be sent. A process that was
@@ -57,7 +57,7 @@
             return;
         };
         if self.now >= request.claim_until {
-            request.outcome.on_claim_void();
+            request.outcome.on_claim_voided();
             return self.refuse(seq, Reason::PausedTooLong);
         }
         let send_before = (self.now + SEND_LIMIT).min(request.claim_until);
@@ -265,13 +265,13 @@
         let waited = self.now.since(request.waiting_since);
         let patience = request.longest_wait().saturating_sub(waited);
         let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
-        let failure = Failure {
+        let failure = AttemptFailure {
             reason: failed.reason,
             outcome: &request.outcome,
             idempotent,
             delivered: request.delivered,
             attempts: request.attempts,
-            patience,
+            remaining_wait: patience,
             retry_after: failed.retry_after,
         };
         let decision = retry::decide(&failure, &mut self.budget, self.now, &mut self.rng);
--- a/crates/core/src/node/claims.rs
+++ b/crates/core/src/node/claims.rs
@@ -42,7 +42,7 @@
                     KeysAction::Refused { request, verdict } => {
                         self.on_claim_refused(request, verdict);
                     }
-                    KeysAction::WantFreshList => {
+                    KeysAction::ReadList => {
                         self.with_membership(|it, now, out| it.want_fresh(now, out));
                     }
                 }
@@ -52,7 +52,7 @@
 
     pub(super) fn on_keys_message(&mut self, from: PeerId, message: KeysMessage) {
         let list_age = self.membership.list_age(self.now);
-        self.with_keys(|keys, now, out| keys.message(now, list_age, from, message, out));
+        self.with_keys(|keys, now, out| keys.on_message(now, list_age, from, message, out));
     }
 
     /// Asks for the request's claim if it carries a name; returns whether it does.
@@ -68,7 +68,7 @@
             ClaimId::Key(_) => None,
         };
         let list_age = self.membership.list_age(self.now);
-        self.with_keys(|keys, now, out| keys.ask(now, list_age, claim, issuer_life, out));
+        self.with_keys(|keys, now, out| keys.request_claim(now, list_age, claim, issuer_life, out));
         true
     }
 
--- a/crates/core/src/node/fleet.rs
+++ b/crates/core/src/node/fleet.rs
@@ -5,7 +5,7 @@
 use super::request::Stage;
 use super::timers::TimerKind;
 use crate::cell::CellMessage;
-use crate::cell::message::Told;
+use crate::cell::message::RunningReport;
 use crate::event::{Action, PeerId, ValueName};
 use crate::ids::{CellKey, InstanceKey};
 use crate::membership::{Membership, MembershipAction, MembershipChange};
@@ -157,8 +157,8 @@
     fn retell(&mut self, home: InstanceKey, cell: CellKey) {
         let running = self.requests.values();
         let running = running.filter_map(|it| it.to_running(cell));
-        let running: Vec<Told> = running.map(|it| Told::from(&it)).collect();
-        let message = CellMessage::Retell { cell, running };
+        let running: Vec<RunningReport> = running.map(|it| RunningReport::from(&it)).collect();
+        let message = CellMessage::Resync { cell, running };
         self.send(home, PeerMessage::Cell(message));
     }
 }
--- a/crates/core/src/node/home.rs
+++ b/crates/core/src/node/home.rs
@@ -136,7 +136,7 @@
 
     fn forget_holder(&mut self, now: Time, instance: InstanceKey, incarnation: Incarnation) {
         for home in self.cells.values_mut() {
-            home.cell.forget_holder(now, instance, incarnation);
+            home.cell.withdraw_incarnation(now, instance, incarnation);
             home.next_poll = Time::ZERO;
         }
         self.placed
@@ -181,7 +181,7 @@
                 for checkpoint in checkpoints {
                     let id = request_id(from, checkpoint.seq);
                     if let Some(home) = self.homes.cell_of(id) {
-                        home.cell.progress(self.now, id, checkpoint.tokens);
+                        home.cell.on_progress(self.now, id, checkpoint.tokens);
                     }
                 }
             }
@@ -199,13 +199,18 @@
                     self.homes.withdraw(self.now, request_id(from, seq));
                 }
             }
-            CellMessage::Retell { cell, running } => self.on_retell(from, cell, running),
+            CellMessage::Resync { cell, running } => self.on_retell(from, cell, running),
             CellMessage::Confirm(seqs) => self.on_confirm(from.instance, seqs),
         }
     }
 
     /// An entry tells everything that it runs in a cell.
-    fn on_retell(&mut self, from: PeerId, cell: CellKey, told: Vec<crate::cell::message::Told>) {
+    fn on_retell(
+        &mut self,
+        from: PeerId,
+        cell: CellKey,
+        told: Vec<crate::cell::message::RunningReport>,
+    ) {
         if !self.ensure_cell(cell) {
             return;
         }
@@ -393,7 +398,8 @@
     ) {
         let now = self.now;
         if let Some(home) = self.homes.cell_with(endpoint) {
-            home.cell.cache(now, endpoint, gap, stored, evicted);
+            home.cell
+                .on_cache_events(now, endpoint, gap, stored, evicted);
         }
     }
 
--- a/crates/core/src/node/stop.rs
+++ b/crates/core/src/node/stop.rs
@@ -50,7 +50,7 @@
         }
         let last_answer = *self.last_answer.get_or_insert(self.now);
         let until = last_answer + CLAIMS_LIMIT;
-        if self.now < until && self.keys.has_unnoted_ends() {
+        if self.now < until && self.keys.has_unacked_ends() {
             return self.timers.set(until, TimerKind::CloseDoor);
         }
         self.out.push(Action::Stopped);
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -42,7 +42,7 @@
 /// There is no "not run" here: a request that truly did not run frees its
 /// ticket or key instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Earlier {
+pub enum PriorOutcome {
     /// It may or may not have run.
     Unknown,
     /// Its first tokens were delivered, then no more came.
@@ -83,11 +83,11 @@
     }
 
     /// A request with the same ticket or key came before; this one did not run again.
-    pub const fn repeated(reason: Reason, earlier: Earlier) -> Self {
+    pub const fn repeated(reason: Reason, earlier: PriorOutcome) -> Self {
         match earlier {
-            Earlier::Unknown => Self::unknown(reason),
-            Earlier::Partial { delivered } => Self::partial(reason, delivered),
-            Earlier::Complete => Self::new(Outcome::Complete, reason, None, 0),
+            PriorOutcome::Unknown => Self::unknown(reason),
+            PriorOutcome::Partial { delivered } => Self::partial(reason, delivered),
+            PriorOutcome::Complete => Self::new(Outcome::Complete, reason, None, 0),
         }
     }
 
--- a/crates/core/src/outcome/attempt.rs
+++ b/crates/core/src/outcome/attempt.rs
@@ -24,7 +24,7 @@
     }
 
     /// Gives the attempt up; it will never be sent.
-    pub fn give_up(self) -> NotRun {
+    pub fn abandon(self) -> NotRun {
         NotRun(())
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// The connection was never made, so that no byte of the request left.
-    pub fn never_connected(self) -> NotRun {
+    pub fn never_sent(self) -> NotRun {
         NotRun(())
     }
 
--- a/crates/core/src/outcome/request.rs
+++ b/crates/core/src/outcome/request.rs
@@ -37,7 +37,7 @@
     /// What goes wrong otherwise: it may be the repeat of a request that ran
     /// while its answer was lost. If the repeat is refused for any other
     /// reason and told "not run", its caller believes that of both.
-    pub const fn under_name() -> Self {
+    pub const fn under_claim() -> Self {
         RequestOutcome {
             open: None,
             unproven: false,
@@ -48,7 +48,7 @@
     /// Returns the state of a request that just arrived.
     pub const fn of_arrival(arrival: &RequestArrival) -> Self {
         match arrival.has_name() {
-            true => Self::under_name(),
+            true => Self::under_claim(),
             false => Self::new(),
         }
     }
@@ -60,7 +60,7 @@
 
     /// The claim is void: another request under the name may have been granted
     /// it since, and have run.
-    pub fn on_claim_void(&mut self) {
+    pub fn on_claim_voided(&mut self) {
         self.unclaimed = true;
     }
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -24,17 +24,17 @@
 
 /// Retries allowed in each window however few requests there were, so that a
 /// quiet instance can still retry.
-pub const RETRIES_AT_LEAST: u64 = 10;
+pub const MIN_RETRIES_PER_WINDOW: u64 = 10;
 
 /// The longest back-off before the first retry; it doubles with each attempt.
-pub const FIRST_BACK_OFF: Duration = Duration::from_millis(50);
+pub const BASE_BACKOFF: Duration = Duration::from_millis(50);
 
 /// The longest back-off before any retry.
-pub const MAX_BACK_OFF: Duration = Duration::from_secs(2);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// When a caller whose request may be repeated is told to come back, at the
 /// earliest, if the endpoint said nothing. Spread over twice this time.
-pub const COME_BACK_AFTER: Duration = Duration::from_secs(1);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Requests and retries of one second.
 #[derive(Clone, Copy, Debug, Default)]
@@ -68,7 +68,7 @@
     }
 
     /// Takes one retry, if the budget has it.
-    pub fn take(&mut self, now: Time) -> bool {
+    pub fn try_spend(&mut self, now: Time) -> bool {
         self.advance(now);
         if self.total.retries >= self.allowed() {
             return false;
@@ -80,7 +80,7 @@
 
     fn allowed(&self) -> u64 {
         let share = self.total.requests * RETRIES_PER_HUNDRED_REQUESTS / 100;
-        share.max(RETRIES_AT_LEAST)
+        share.max(MIN_RETRIES_PER_WINDOW)
     }
 
     /// Forgets the seconds that left the window and returns the one of `now`.
@@ -107,15 +107,15 @@
 
 /// Returns how long to wait before the attempt after `attempts` attempts:
 /// exponential, with jitter over its upper half.
-pub fn back_off<R: Rng>(attempts: u32, rng: &mut R) -> Duration {
+pub fn backoff<R: Rng>(attempts: u32, rng: &mut R) -> Duration {
     let doublings = attempts.saturating_sub(1).min(16);
-    let longest = (FIRST_BACK_OFF * (1 << doublings)).min(MAX_BACK_OFF);
+    let longest = (BASE_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
     rng.random_range(longest / 2..=longest)
 }
 
 /// An attempt that ended without a whole answer, and what is left of its request.
 #[derive(Clone, Copy, Debug)]
-pub struct Failure<'a> {
+pub struct AttemptFailure<'a> {
     /// Why the attempt ended.
     pub reason: Reason,
     /// What is known of all attempts, this one included.
@@ -127,7 +127,7 @@
     /// Attempts so far, this one included.
     pub attempts: u32,
     /// How long the caller still waits for a start.
-    pub patience: Duration,
+    pub remaining_wait: Duration,
     /// When the endpoint asked to come back, if it said so.
     pub retry_after: Option<Duration>,
 }
@@ -151,7 +151,7 @@
 
 /// Decides what follows `failure`.
 pub fn decide<R: Rng>(
-    failure: &Failure<'_>,
+    failure: &AttemptFailure<'_>,
     budget: &mut RetryBudget,
     now: Time,
     rng: &mut R,
@@ -159,11 +159,11 @@
     if !may_repeat(failure) || !is_worth_repeating(failure) {
         return finish(failure, failure.reason, rng);
     }
-    let after = back_off(failure.attempts, rng);
-    if after >= failure.patience {
+    let after = backoff(failure.attempts, rng);
+    if after >= failure.remaining_wait {
         return finish(failure, failure.reason, rng);
     }
-    if !is_free(failure) && !budget.take(now) {
+    if !is_free(failure) && !budget.try_spend(now) {
         return finish(failure, Reason::RetryBudget, rng);
     }
     match failure.delivered {
@@ -173,12 +173,12 @@
 }
 
 /// Returns whether running the work (again) breaks no promise.
-fn may_repeat(failure: &Failure<'_>) -> bool {
+fn may_repeat(failure: &AttemptFailure<'_>) -> bool {
     failure.idempotent || !failure.outcome.may_have_run()
 }
 
 /// Returns whether another attempt can end better than this one.
-fn is_worth_repeating(failure: &Failure<'_>) -> bool {
+fn is_worth_repeating(failure: &AttemptFailure<'_>) -> bool {
     let is_final = matches!(
         failure.reason,
         // A second replay samples anew and differs just as well.
@@ -194,14 +194,14 @@
 /// Returns whether the retry draws nothing from the budget. An endpoint that
 /// leaves refuses without work, and each request meets it at most once, so
 /// that a planned stop must not use up what failures need.
-fn is_free(failure: &Failure<'_>) -> bool {
+fn is_free(failure: &AttemptFailure<'_>) -> bool {
     failure.reason == Reason::EndpointLeaving && !failure.outcome.may_have_run()
 }
 
-fn finish<R: Rng>(failure: &Failure<'_>, reason: Reason, rng: &mut R) -> RetryDecision {
+fn finish<R: Rng>(failure: &AttemptFailure<'_>, reason: Reason, rng: &mut R) -> RetryDecision {
     let come_back = may_repeat(failure) && reason != Reason::CallerGone;
     let retry_after = come_back.then(|| {
-        let spread = rng.random_range(COME_BACK_AFTER..=COME_BACK_AFTER * 3);
+        let spread = rng.random_range(MIN_RETRY_AFTER..=MIN_RETRY_AFTER * 3);
         failure.retry_after.unwrap_or_default().max(spread)
     });
     RetryDecision::Finish(
--- a/crates/core/tests/cell_basics.rs
+++ b/crates/core/tests/cell_basics.rs
@@ -155,7 +155,7 @@
     cell.submit(Time::ZERO, request(1, Time::ZERO));
     poll(&mut cell, Time::ZERO);
 
-    cell.forget_holder(Time::ZERO, InstanceKey::of("entry-1"), Incarnation(7));
+    cell.withdraw_incarnation(Time::ZERO, InstanceKey::of("entry-1"), Incarnation(7));
 
     assert_eq!(cell.snapshot().running, 0);
     assert_eq!(cell.snapshot().endpoints[0].counted, 0);
@@ -190,7 +190,7 @@
         unreachable!()
     };
     let lost = record.alternatives.iter().find(|a| a.endpoint == engine(1));
-    assert!(lost.is_none_or(|a| a.lost == Lost::Excluded));
+    assert!(lost.is_none_or(|a| a.lost == NotChosen::Excluded));
 }
 
 #[rstest]
@@ -274,7 +274,7 @@
 #[test]
 fn a_prompt_goes_where_its_prefix_is_held() {
     let mut cell = cell_with(4, 100_000);
-    cell.cache(Time::ZERO, engine(3), false, &[11, 12, 13], &[]);
+    cell.on_cache_events(Time::ZERO, engine(3), false, &[11, 12, 13], &[]);
 
     let req = CellRequest {
         prefix: vec![11, 12, 13],
--- a/crates/core/tests/cell_properties.rs
+++ b/crates/core/tests/cell_properties.rs
@@ -179,7 +179,7 @@
             } => self.end(pick, tokens, fails),
             Step::Progress { pick, tokens } => {
                 if let Some(id) = nth(self.running.keys(), pick) {
-                    self.cell.progress(self.now, id, tokens);
+                    self.cell.on_progress(self.now, id, tokens);
                 }
             }
             Step::Withdraw { pick } => {
@@ -190,7 +190,8 @@
             }
             Step::ForgetHolder { holder } => {
                 let holder = InstanceKey(holder);
-                self.cell.forget_holder(self.now, holder, Incarnation(7));
+                self.cell
+                    .withdraw_incarnation(self.now, holder, Incarnation(7));
                 self.waiting.retain(|id| id.instance != holder);
                 self.running.retain(|id, _| id.instance != holder);
             }
--- a/crates/core/tests/delivery_stream.rs
+++ b/crates/core/tests/delivery_stream.rs
@@ -2,7 +2,8 @@
 
 use core::time::Duration;
 use oriolemux_core::delivery::{
-    Act, Delivery, EndMark, MAX_DUPLICATES, MAX_RESUMES_WITHOUT_TOKEN, ResumeAnswer, Step,
+    Delivery, EndMark, MAX_DUPLICATES, MAX_RESUMES_WITHOUT_TOKEN, ResumeResponse, Step,
+    StreamAction,
 };
 use oriolemux_core::event::{AttemptMode, AttemptUpdate, DeliveryMode, Dispatch, EndpointTarget};
 use oriolemux_core::outcome::Refusal;
@@ -45,7 +46,7 @@
 /// A delivery whose attempt `number` was just sent.
 fn sent(dispatch: &Dispatch) -> Delivery {
     let mut delivery = Delivery::new();
-    assert_eq!(delivery.start(dispatch, NOW).act, Act::Send);
+    assert_eq!(delivery.start(dispatch, NOW).act, StreamAction::Send);
     delivery
 }
 
@@ -61,7 +62,7 @@
 fn feed(delivery: &mut Delivery, number: u32, from: u32, to: u32) -> Vec<u32> {
     let id = id(number);
     (from..to)
-        .filter(|&n| delivery.on_token(&id, n, &text(n)).act == Act::Deliver)
+        .filter(|&n| delivery.on_token(&id, n, &text(n)).act == StreamAction::Deliver)
         .collect()
 }
 
@@ -97,12 +98,12 @@
 
     for n in 0..300 {
         let step = delivery.on_token(&id(1), n, &text(n));
-        assert_eq!(step.act, Act::Deliver);
+        assert_eq!(step.act, StreamAction::Deliver);
         reports.extend(step.report);
     }
     let step = delivery.on_end(&id(1), end(300));
 
-    assert_eq!(step.act, Act::Complete);
+    assert_eq!(step.act, StreamAction::Complete);
     reports.extend(step.report);
     assert_eq!(
         reports,
@@ -130,17 +131,17 @@
     feed(&mut delivery, 1, 0, 5);
 
     let step = delivery.on_link_failure();
-    delivery.on_resume_answer(ResumeAnswer::Ok);
+    delivery.on_resume_response(ResumeResponse::Ok);
     let repeated = delivery.on_token(&id(1), 3, &text(3));
     let handed_on = feed(&mut delivery, 1, 4, 8);
 
-    let resume = Act::Resume {
+    let resume = StreamAction::Resume {
         after: Some(4),
         delay: Duration::ZERO,
         reason: Reason::ConnectionLost,
     };
     assert_eq!(step.act, resume);
-    assert_eq!(repeated.act, Act::Discard(Reason::DuplicateToken));
+    assert_eq!(repeated.act, StreamAction::Discard(Reason::DuplicateToken));
     assert_eq!(handed_on, [5, 6, 7]);
 }
 
@@ -167,7 +168,7 @@
 
     let step = input(&mut delivery);
 
-    let resume = Act::Resume {
+    let resume = StreamAction::Resume {
         after: Some(2),
         delay: Duration::ZERO,
         reason,
@@ -186,11 +187,14 @@
     feed(&mut delivery, 1, 0, 3);
 
     for _ in 0..MAX_RESUMES_WITHOUT_TOKEN {
-        assert!(matches!(delivery.on_link_failure().act, Act::Resume { .. }));
+        assert!(matches!(
+            delivery.on_link_failure().act,
+            StreamAction::Resume { .. }
+        ));
     }
     let step = delivery.on_link_failure();
 
-    assert_eq!(step.act, Act::Close { cancel: true });
+    assert_eq!(step.act, StreamAction::Close { cancel: true });
     assert_eq!(failed(&step), (Reason::ConnectionLost, Ran::Maybe, 3));
 }
 
@@ -205,7 +209,7 @@
 
     assert!(matches!(
         act,
-        Some(Act::Resume {
+        Some(StreamAction::Resume {
             reason: Reason::Garbage,
             ..
         })
@@ -224,7 +228,10 @@
     let first = delivery.on_refused(&refusal("busy"));
     let second = delivery.on_connect_failed();
 
-    assert!(matches!(first.act, Act::Resume { after: None, .. }));
+    assert!(matches!(
+        first.act,
+        StreamAction::Resume { after: None, .. }
+    ));
     assert_eq!(failed(&second), (Reason::ConnectFailed, Ran::Maybe, 0));
 }
 
@@ -245,7 +252,7 @@
     let (seen, ran, _) = failed(&step);
     assert_eq!(seen, reason);
     assert!(matches!(ran, Ran::No(_)));
-    assert_eq!(step.act, Act::Close { cancel: false });
+    assert_eq!(step.act, StreamAction::Close { cancel: false });
 }
 
 // Symptom: work is sent long after its grant and the caller's patience ended.
@@ -260,7 +267,7 @@
         NOW + Duration::from_secs(60),
     );
 
-    assert_eq!(step.act, Act::Idle);
+    assert_eq!(step.act, StreamAction::Idle);
     let (reason, ran, _) = failed(&step);
     assert_eq!(reason, Reason::PausedTooLong);
     assert!(matches!(ran, Ran::No(_)));
@@ -280,7 +287,7 @@
 
     let step = delivery.start(&once(2), NOW);
 
-    assert_eq!(step.act, Act::Idle);
+    assert_eq!(step.act, StreamAction::Idle);
     assert_eq!(failed(&step).0, Reason::AlreadyRan);
 }
 
@@ -295,7 +302,7 @@
 
     let step = delivery.start(&once(2), NOW);
 
-    assert_eq!(step.act, Act::Send);
+    assert_eq!(step.act, StreamAction::Send);
 }
 
 #[test]
@@ -303,16 +310,16 @@
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
     feed(&mut delivery, 1, 0, 5);
     delivery.on_link_failure();
-    let lost = delivery.on_resume_answer(ResumeAnswer::Lost);
+    let lost = delivery.on_resume_response(ResumeResponse::Lost);
     assert_eq!(failed(&lost), (Reason::GenerationLost, Ran::Maybe, 5));
 
     let step = delivery.start(&dispatch(2, AttemptMode::Replay { delivered: 5 }), NOW);
     let handed_on = feed(&mut delivery, 2, 0, 7);
     let done = delivery.on_end(&id(2), end(7));
 
-    assert_eq!(step.act, Act::Send);
+    assert_eq!(step.act, StreamAction::Send);
     assert_eq!(handed_on, [5, 6]);
-    assert_eq!(done.act, Act::Complete);
+    assert_eq!(done.act, StreamAction::Complete);
     assert_eq!(delivery.delivered(), 7);
 }
 
@@ -333,7 +340,7 @@
 
     let step = input(&mut delivery);
 
-    assert_eq!(step.act, Act::Close { cancel: true });
+    assert_eq!(step.act, StreamAction::Close { cancel: true });
     assert_eq!(failed(&step), (Reason::ReplayDiverged, Ran::Maybe, 5));
 }
 
@@ -366,7 +373,7 @@
     assert_eq!(delivery.held().count(), 0);
     let step = delivery.on_end(&id(2), end(3));
 
-    assert_eq!(step.act, Act::Complete);
+    assert_eq!(step.act, StreamAction::Complete);
     let held: Vec<_> = delivery.held().map(<[u8]>::to_vec).collect();
     assert_eq!(held, [text(0), text(1), text(2)]);
     delivery.on_held_delivered();
@@ -382,8 +389,8 @@
     let token = delivery.on_token(&id(1), 2, b"late");
     let closed = delivery.on_closed();
 
-    assert_eq!(token.act, Act::Discard(Reason::LateAnswer));
-    assert_eq!(closed.act, Act::Idle);
+    assert_eq!(token.act, StreamAction::Discard(Reason::LateAnswer));
+    assert_eq!(closed.act, StreamAction::Idle);
 }
 
 #[test]
@@ -393,7 +400,7 @@
 
     let step = delivery.on_caller_gone();
 
-    assert_eq!(step.act, Act::Close { cancel: true });
+    assert_eq!(step.act, StreamAction::Close { cancel: true });
     assert_eq!(failed(&step), (Reason::CallerGone, Ran::Maybe, 2));
 }
 
@@ -408,10 +415,10 @@
     let mut right = sent(&call);
     let mut crossed = sent(&call);
 
-    let whole = right.on_call_answer(&id(1));
-    let other = crossed.on_call_answer("r-1-2-3.1");
+    let whole = right.on_call_response(&id(1));
+    let other = crossed.on_call_response("r-1-2-3.1");
 
-    assert_eq!(whole.act, Act::Complete);
+    assert_eq!(whole.act, StreamAction::Complete);
     assert_eq!(failed(&other), (Reason::WrongAttempt, Ran::Maybe, 0));
 }
 
--- a/crates/core/tests/explain_records.rs
+++ b/crates/core/tests/explain_records.rs
@@ -1,11 +1,11 @@
 //! Decision records: bounded, typed, and readable.
 
 use core::time::Duration;
-use oriolemux_core::cell::{Alternative, GrantRecord, Lost};
+use oriolemux_core::cell::{Alternative, GrantRecord, NotChosen};
 use oriolemux_core::event::AttemptMode;
 use oriolemux_core::explain::{Explain, MAX_STEPS, Names, Step};
 use oriolemux_core::keys::ClaimRefusal;
-use oriolemux_core::outcome::Earlier;
+use oriolemux_core::outcome::PriorOutcome;
 use oriolemux_core::{
     CellKey, EndpointKey, Incarnation, InstanceKey, Outcome, Reason, RequestId, Time,
 };
@@ -42,7 +42,7 @@
         prefix_blocks: 3,
         alternatives: vec![Alternative {
             endpoint: EndpointKey::of("gone"),
-            lost: Lost::NoRoom,
+            lost: NotChosen::NoRoom,
             free: 100,
         }],
     })
@@ -153,7 +153,7 @@
 #[test]
 fn a_refused_claim_says_what_is_known_of_the_earlier_request() {
     let mut explain = Explain::new(8);
-    let refusal = ClaimRefusal::Ran(Earlier::Partial { delivered: 7 });
+    let refusal = ClaimRefusal::Ran(PriorOutcome::Partial { delivered: 7 });
     explain.push(Time::ZERO, id(1), Step::ClaimRefused(refusal));
 
     let lines = explain.record(id(1)).unwrap().lines(&Published);
--- a/crates/core/tests/keys_failures.rs
+++ b/crates/core/tests/keys_failures.rs
@@ -7,10 +7,10 @@
 use core::time::Duration;
 use fleet::{Answer, Fleet, key};
 use oriolemux_core::keys::{HolderState, KeysMessage};
-use oriolemux_core::outcome::Earlier;
+use oriolemux_core::outcome::PriorOutcome;
 use oriolemux_core::{Outcome, Reason};
 
-const DONE: HolderState = HolderState::Ended(Earlier::Complete);
+const DONE: HolderState = HolderState::Ended(PriorOutcome::Complete);
 const ALL: [usize; 4] = [0, 1, 2, 3];
 
 /// Two processes that are not the home of `text`.
@@ -284,7 +284,7 @@
     let text = fleet.key_at(3);
     fleet.cut(3, 0);
     let left = fleet.ask(0, key(&text));
-    fleet.end(0, left, HolderState::Ended(Earlier::Unknown));
+    fleet.end(0, left, HolderState::Ended(PriorOutcome::Unknown));
 
     let repeat = fleet.answer(1, key(&text));
 
--- a/crates/core/tests/keys_histories.rs
+++ b/crates/core/tests/keys_histories.rs
@@ -7,12 +7,12 @@
 use core::time::Duration;
 use fleet::{Fleet, key};
 use oriolemux_core::keys::HolderState;
-use oriolemux_core::outcome::Earlier;
+use oriolemux_core::outcome::PriorOutcome;
 use oriolemux_core::{RequestId, Time};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-const DONE: HolderState = HolderState::Ended(Earlier::Complete);
+const DONE: HolderState = HolderState::Ended(PriorOutcome::Complete);
 const ALL: [usize; 4] = [0, 1, 2, 3];
 
 /// One step of a random history.
--- a/crates/core/tests/keys_support/fleet.rs
+++ b/crates/core/tests/keys_support/fleet.rs
@@ -210,7 +210,7 @@
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.ask(now, age, claim, issuer_life, &mut out);
+        keys.request_claim(now, age, claim, issuer_life, &mut out);
         self.carry_out(n, out);
         self.deliver();
         claimant
@@ -251,7 +251,7 @@
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.message(now, age, from, message, &mut out);
+        keys.on_message(now, age, from, message, &mut out);
         self.carry_out(n, out);
         self.deliver();
     }
@@ -302,7 +302,7 @@
                     let answer = Answer::Refused(verdict);
                     assert_eq!(self.answers.insert(request, answer), None);
                 }
-                KeysAction::WantFreshList => {}
+                KeysAction::ReadList => {}
             }
         }
     }
@@ -321,7 +321,7 @@
             let (now, age) = (self.now, self.list_age(receiver));
             let mut out = Vec::new();
             let keys = &mut self.processes[receiver].keys;
-            keys.message(now, age, from, message, &mut out);
+            keys.on_message(now, age, from, message, &mut out);
             self.carry_out(receiver, out);
         }
     }
--- a/crates/core/tests/outcome_claims.rs
+++ b/crates/core/tests/outcome_claims.rs
@@ -1,7 +1,7 @@
 //! What may be claimed about a request, attempt by attempt.
 
 use core::time::Duration;
-use oriolemux_core::outcome::{Earlier, Refusal};
+use oriolemux_core::outcome::{PriorOutcome, Refusal};
 use oriolemux_core::{
     AttemptId, Incarnation, InstanceKey, Outcome, Ran, Reason, RequestId, RequestOutcome, Verdict,
 };
@@ -83,7 +83,7 @@
 // Cause: the claim is about the repeat, the caller takes it for both.
 #[test]
 fn a_repeat_without_its_claim_is_never_said_not_to_have_run() {
-    let mut outcome = RequestOutcome::under_name();
+    let mut outcome = RequestOutcome::under_claim();
 
     let before = outcome.finish(Reason::Stopping, None, 0);
     outcome.on_claim_granted();
@@ -94,11 +94,11 @@
 }
 
 #[rstest]
-#[case(Earlier::Unknown, Outcome::Unknown, 0)]
-#[case(Earlier::Partial { delivered: 7 }, Outcome::Partial, 7)]
-#[case(Earlier::Complete, Outcome::Complete, 0)]
+#[case(PriorOutcome::Unknown, Outcome::Unknown, 0)]
+#[case(PriorOutcome::Partial { delivered: 7 }, Outcome::Partial, 7)]
+#[case(PriorOutcome::Complete, Outcome::Complete, 0)]
 fn a_repeat_is_answered_with_what_became_of_the_first(
-    #[case] earlier: Earlier,
+    #[case] earlier: PriorOutcome,
     #[case] outcome: Outcome,
     #[case] delivered: u32,
 ) {
--- a/crates/core/tests/outcome_model/world.rs
+++ b/crates/core/tests/outcome_model/world.rs
@@ -1,10 +1,10 @@
 //! One entry, two endpoints and the messages between them, one choice at a time.
 
 use core::time::Duration;
-use oriolemux_core::delivery::{Act, Delivery, EndMark, ResumeAnswer, Step};
+use oriolemux_core::delivery::{Delivery, EndMark, ResumeResponse, Step, StreamAction};
 use oriolemux_core::event::{AttemptMode, AttemptUpdate, DeliveryMode, Dispatch, EndpointTarget};
 use oriolemux_core::outcome::Refusal;
-use oriolemux_core::retry::{Failure, RetryBudget, RetryDecision, decide};
+use oriolemux_core::retry::{AttemptFailure, RetryBudget, RetryDecision, decide};
 use oriolemux_core::{
     AttemptId, EndpointKey, Incarnation, InstanceKey, Outcome, Ran, Reason, RequestId,
     RequestOutcome, Time, Verdict,
@@ -264,7 +264,7 @@
     fn start(&mut self, now: Time) {
         let mode = self.pending.take().expect("an order");
         let step = self.delivery.start(&self.order(mode), now);
-        if step.act == Act::Send {
+        if step.act == StreamAction::Send {
             self.conn = Some(Conn {
                 endpoint: endpoint_of(self.attempts),
                 attempt: self.attempts,
@@ -343,16 +343,16 @@
         match conn.ask {
             Ask::Send => {
                 self.run(conn.endpoint, conn.attempt);
-                self.delivery.on_answered();
+                self.delivery.on_response_started();
                 self.set_stage(Stage::Streaming { next: 0 });
             }
             Ask::Resume { from } if self.generations.iter().any(held) => {
-                let step = self.delivery.on_resume_answer(ResumeAnswer::Ok);
+                let step = self.delivery.on_resume_response(ResumeResponse::Ok);
                 self.set_stage(Stage::Streaming { next: from });
                 self.carry_out(step, &[]);
             }
             Ask::Resume { .. } => {
-                let step = self.delivery.on_resume_answer(ResumeAnswer::Lost);
+                let step = self.delivery.on_resume_response(ResumeResponse::Lost);
                 self.carry_out(step, &[]);
             }
         }
@@ -435,8 +435,8 @@
     /// What the shell does with a step.
     fn carry_out(&mut self, step: Step, text: &[u8]) {
         match step.act {
-            Act::Deliver => self.received.push(text.to_vec()),
-            Act::Resume { after, .. } => {
+            StreamAction::Deliver => self.received.push(text.to_vec()),
+            StreamAction::Resume { after, .. } => {
                 self.conn = Some(Conn {
                     endpoint: endpoint_of(self.attempts),
                     attempt: self.attempts,
@@ -446,15 +446,18 @@
                     stage: Stage::Connecting,
                 });
             }
-            Act::Close { .. } => self.conn = None,
-            Act::Complete => {
+            StreamAction::Close { .. } => self.conn = None,
+            StreamAction::Complete => {
                 self.received
                     .extend(self.delivery.held().map(<[u8]>::to_vec));
                 self.delivery.on_held_delivered();
                 self.conn = None;
                 self.complete = true;
             }
-            Act::Idle | Act::Send | Act::Hold | Act::Discard(_) => {}
+            StreamAction::Idle
+            | StreamAction::Send
+            | StreamAction::Hold
+            | StreamAction::Discard(_) => {}
         }
         if let Some(AttemptUpdate::Failed { reason, ran, .. }) = step.report {
             self.failed(reason, ran);
@@ -464,13 +467,13 @@
     /// What the node does with a failed attempt.
     fn failed(&mut self, reason: Reason, ran: Ran) {
         self.outcome.on_ended(attempt_id(self.attempts), ran);
-        let failure = Failure {
+        let failure = AttemptFailure {
             reason,
             outcome: &self.outcome,
             idempotent: self.believes_idempotent(),
             delivered: self.delivery.delivered(),
             attempts: self.attempts,
-            patience: Duration::from_secs(60),
+            remaining_wait: Duration::from_secs(60),
             retry_after: None,
         };
         let mut rng = SmallRng::seed_from_u64(1);
--- a/crates/core/tests/retry_decisions.rs
+++ b/crates/core/tests/retry_decisions.rs
@@ -2,8 +2,8 @@
 
 use core::time::Duration;
 use oriolemux_core::retry::{
-    BUDGET_WINDOW_SECS, FIRST_BACK_OFF, Failure, MAX_ATTEMPTS, MAX_BACK_OFF, RETRIES_AT_LEAST,
-    RetryBudget, RetryDecision, back_off, decide,
+    AttemptFailure, BASE_BACKOFF, BUDGET_WINDOW_SECS, MAX_ATTEMPTS, MAX_BACKOFF,
+    MIN_RETRIES_PER_WINDOW, RetryBudget, RetryDecision, backoff, decide,
 };
 use oriolemux_core::{
     AttemptId, Incarnation, InstanceKey, Outcome, Ran, Reason, RequestId, RequestOutcome, Time,
@@ -35,19 +35,19 @@
     outcome
 }
 
-fn failure(outcome: &RequestOutcome) -> Failure<'_> {
-    Failure {
+fn failure(outcome: &RequestOutcome) -> AttemptFailure<'_> {
+    AttemptFailure {
         reason: Reason::ConnectionLost,
         outcome,
         idempotent: true,
         delivered: 0,
         attempts: 1,
-        patience: Duration::from_secs(10),
+        remaining_wait: Duration::from_secs(10),
         retry_after: None,
     }
 }
 
-fn decided(failure: &Failure<'_>) -> RetryDecision {
+fn decided(failure: &AttemptFailure<'_>) -> RetryDecision {
     decide(failure, &mut RetryBudget::new(), NOW, &mut rng())
 }
 
@@ -68,7 +68,7 @@
     #[case] outcome: RequestOutcome,
     #[case] repeats: bool,
 ) {
-    let failure = Failure {
+    let failure = AttemptFailure {
         idempotent,
         ..failure(&outcome)
     };
@@ -84,7 +84,7 @@
 #[test]
 fn a_caller_that_holds_tokens_gets_a_replay() {
     let outcome = unproven();
-    let failure = Failure {
+    let failure = AttemptFailure {
         delivered: 9,
         ..failure(&outcome)
     };
@@ -103,10 +103,10 @@
     #[case] patience: Duration,
 ) {
     let outcome = unproven();
-    let failure = Failure {
+    let failure = AttemptFailure {
         reason,
         attempts,
-        patience,
+        remaining_wait: patience,
         ..failure(&outcome)
     };
 
@@ -124,7 +124,7 @@
 fn says_when_to_come_back_only_if_the_work_may_be_repeated() {
     let outcome = unproven();
     let told = |idempotent| {
-        let failure = Failure {
+        let failure = AttemptFailure {
             idempotent,
             attempts: MAX_ATTEMPTS,
             retry_after: Some(Duration::from_secs(30)),
@@ -151,7 +151,7 @@
         budget.on_request(NOW);
     }
 
-    let taken = (0..1_000).filter(|_| budget.take(NOW)).count();
+    let taken = (0..1_000).filter(|_| budget.try_spend(NOW)).count();
 
     assert_eq!(taken, 100);
     let outcome = unproven();
@@ -165,12 +165,15 @@
 #[test]
 fn a_quiet_instance_still_retries_and_the_window_moves_on() {
     let mut budget = RetryBudget::new();
-    let taken = (0..100).filter(|_| budget.take(NOW)).count() as u64;
+    let taken = (0..100).filter(|_| budget.try_spend(NOW)).count() as u64;
     let later = NOW + Duration::from_secs(BUDGET_WINDOW_SECS as u64);
 
-    let taken_later = (0..100).filter(|_| budget.take(later)).count() as u64;
+    let taken_later = (0..100).filter(|_| budget.try_spend(later)).count() as u64;
 
-    assert_eq!((taken, taken_later), (RETRIES_AT_LEAST, RETRIES_AT_LEAST));
+    assert_eq!(
+        (taken, taken_later),
+        (MIN_RETRIES_PER_WINDOW, MIN_RETRIES_PER_WINDOW)
+    );
 }
 
 #[test]
@@ -178,16 +181,16 @@
     let mut budget = RetryBudget::new();
     for secs in [5, 5, 900, 899, 901, 1_000_000] {
         budget.on_request(Time::from_secs(secs));
-        assert!(budget.take(Time::from_secs(secs)));
+        assert!(budget.try_spend(Time::from_secs(secs)));
     }
 }
 
 #[test]
 fn a_leaving_endpoint_draws_nothing_from_the_budget() {
     let mut budget = RetryBudget::new();
-    while budget.take(NOW) {}
+    while budget.try_spend(NOW) {}
     let outcome = proven();
-    let failure = Failure {
+    let failure = AttemptFailure {
         reason: Reason::EndpointLeaving,
         idempotent: false,
         ..failure(&outcome)
@@ -202,8 +205,8 @@
 fn back_off_doubles_within_its_bounds_and_spreads() {
     let mut rng = rng();
     for attempts in 1..40 {
-        let longest = (FIRST_BACK_OFF * (1 << (attempts - 1).min(10))).min(MAX_BACK_OFF);
-        let drawn: Vec<_> = (0..50).map(|_| back_off(attempts, &mut rng)).collect();
+        let longest = (BASE_BACKOFF * (1 << (attempts - 1).min(10))).min(MAX_BACKOFF);
+        let drawn: Vec<_> = (0..50).map(|_| backoff(attempts, &mut rng)).collect();
         assert!(drawn.iter().all(|d| (longest / 2..=longest).contains(d)));
         assert!(drawn.iter().any(|d| *d != drawn[0]));
     }
--- a/crates/core/tests/tickets_failures.rs
+++ b/crates/core/tests/tickets_failures.rs
@@ -7,12 +7,12 @@
 use core::time::Duration;
 use fleet::{Fleet, workspace};
 use oriolemux_core::keys::{Claim, ClaimId, HolderState, KeysMessage};
-use oriolemux_core::outcome::Earlier;
+use oriolemux_core::outcome::PriorOutcome;
 use oriolemux_core::{Outcome, Reason, RequestId, WorkspaceKey};
 use proptest::prelude::*;
 use rstest::rstest;
 
-const DONE: HolderState = HolderState::Ended(Earlier::Complete);
+const DONE: HolderState = HolderState::Ended(PriorOutcome::Complete);
 const ALL: [usize; 3] = [0, 1, 2];
 
 #[rstest]
--- a/crates/oriolemux/src/relay/attempt.rs
+++ b/crates/oriolemux/src/relay/attempt.rs
@@ -11,7 +11,7 @@
 use crate::events;
 use crate::metrics::ReasonCounter;
 use oriolemux_core::Reason;
-use oriolemux_core::delivery::{Act, Step};
+use oriolemux_core::delivery::{Step, StreamAction};
 use oriolemux_core::event::{AttemptUpdate, Dispatch};
 use oriolemux_core::note::Note;
 use oriolemux_core::outcome::Ran;
@@ -48,7 +48,7 @@
         dispatch: &Dispatch,
     ) -> Result<AttemptEnd, NodeGone> {
         let step = self.delivery.start(dispatch, self.port.clock().now());
-        if step.act != Act::Send {
+        if step.act != StreamAction::Send {
             self.report(dispatch.attempt, step.report).await?;
             return Ok(AttemptEnd::Over);
         }
@@ -75,7 +75,7 @@
     fn on_failure(&mut self, failure: &EndpointFailure) -> Step {
         match failure {
             EndpointFailure::NotConnected => self.delivery.on_connect_failed(),
-            EndpointFailure::TooLate => self.delivery.on_too_late(),
+            EndpointFailure::TooLate => self.delivery.on_send_deadline_passed(),
             EndpointFailure::Refused(refusal) => self.delivery.on_refused(refusal),
             EndpointFailure::Broken(reason) => self.on_broken(*reason),
         }
@@ -102,12 +102,15 @@
     /// Carries out an act that is not about a single token, and reports.
     async fn apply(&mut self, dispatch: &Dispatch, step: Step) -> Result<Next, NodeGone> {
         let next = match step.act {
-            Act::Idle | Act::Send | Act::Deliver | Act::Hold => Next::Read,
-            Act::Discard(reason) => {
+            StreamAction::Idle
+            | StreamAction::Send
+            | StreamAction::Deliver
+            | StreamAction::Hold => Next::Read,
+            StreamAction::Discard(reason) => {
                 count_discarded(reason);
                 Next::Read
             }
-            Act::Resume {
+            StreamAction::Resume {
                 after,
                 delay,
                 reason,
@@ -116,13 +119,13 @@
                 self.distrust_after(reason);
                 Next::Resume { after, delay }
             }
-            Act::Close { cancel } => {
+            StreamAction::Close { cancel } => {
                 if cancel {
                     self.cancel_at_endpoint(dispatch);
                 }
                 Next::End
             }
-            Act::Complete => Next::End,
+            StreamAction::Complete => Next::End,
         };
         if let Some(AttemptUpdate::Failed { reason, ran, .. }) = &step.report {
             self.outcome.on_ended(dispatch.attempt, *ran);
@@ -143,7 +146,7 @@
             Interrupt::CallerGone => self.delivery.on_caller_gone(),
             _ => self.delivery.cancel(),
         };
-        if let Act::Close { cancel: true } = step.act {
+        if let StreamAction::Close { cancel: true } = step.act {
             self.cancel_at_endpoint(dispatch);
         }
         AttemptEnd::Interrupted(interrupt)
--- a/crates/oriolemux/src/relay/attempt/call.rs
+++ b/crates/oriolemux/src/relay/attempt/call.rs
@@ -6,7 +6,7 @@
 use crate::relay::Relay;
 use bytes::Bytes;
 use oriolemux_core::Reason;
-use oriolemux_core::delivery::Act;
+use oriolemux_core::delivery::StreamAction;
 use oriolemux_core::event::Dispatch;
 use tokio::time::timeout;
 
@@ -20,7 +20,7 @@
         dispatch: &Dispatch,
         answer: Answer<E::Body>,
     ) -> Result<AttemptEnd, NodeGone> {
-        self.delivery.on_answered();
+        self.delivery.on_response_started();
         let read = read_whole::<E>(answer.body, dispatch);
         let step = match self.ends.watch(read).await {
             Err(interrupt) => return Ok(self.interrupted(dispatch, interrupt).await),
@@ -30,8 +30,8 @@
             }
             Ok(Ok(body)) => {
                 let attempt = answer.attempt.as_deref().unwrap_or_default();
-                let step = self.delivery.on_call_answer(attempt);
-                if step.act != Act::Complete {
+                let step = self.delivery.on_call_response(attempt);
+                if step.act != StreamAction::Complete {
                     return self.follow(dispatch, step).await;
                 }
                 if self.ends.caller.answer(answer.content_type, body).is_err() {
--- a/crates/oriolemux/src/relay/attempt/stream.rs
+++ b/crates/oriolemux/src/relay/attempt/stream.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use core::time::Duration;
 use oriolemux_core::Reason;
-use oriolemux_core::delivery::{Act, EndMark, ResumeAnswer, Step};
+use oriolemux_core::delivery::{EndMark, ResumeResponse, Step, StreamAction};
 use oriolemux_core::event::Dispatch;
 
 /// How much may wait for the caller before it is flushed, although more tokens
@@ -52,7 +52,7 @@
         dispatch: &Dispatch,
         answer: Answer<E::Body>,
     ) -> Result<AttemptEnd, NodeGone> {
-        self.delivery.on_answered();
+        self.delivery.on_response_started();
         let mut reader = EventReader::new(&dispatch.attempt.to_string());
         let mut answer = answer;
         loop {
@@ -113,11 +113,11 @@
             let step = match self.ends.watch(ask).await {
                 Err(interrupt) => return Ok(Err(self.interrupted(dispatch, interrupt).await)),
                 Ok(Ok(answer)) => {
-                    self.delivery.on_resume_answer(ResumeAnswer::Ok);
+                    self.delivery.on_resume_response(ResumeResponse::Ok);
                     return Ok(Ok(answer));
                 }
                 Ok(Err(EndpointFailure::Broken(Reason::GenerationLost))) => {
-                    self.delivery.on_resume_answer(ResumeAnswer::Lost)
+                    self.delivery.on_resume_response(ResumeResponse::Lost)
                 }
                 Ok(Err(failure)) => self.on_failure(&failure),
             };
@@ -213,7 +213,7 @@
                     text,
                 } => {
                     let step = self.delivery.on_token(&attempt, index, &text);
-                    if step.act == Act::Deliver {
+                    if step.act == StreamAction::Deliver {
                         self.ends.caller.token(index, &text);
                     }
                     step
@@ -225,7 +225,7 @@
                     usage,
                 } => {
                     let step = self.delivery.on_end(&attempt, end_mark(index, usage));
-                    if step.act == Act::Complete {
+                    if step.act == StreamAction::Complete {
                         let usage = usage.unwrap_or_default();
                         return Err(Stop::Complete(step, Ending { finish, usage }));
                     }
@@ -235,8 +235,8 @@
                 EngineEvent::Nothing => continue,
             };
             match step.act {
-                Act::Deliver | Act::Hold => {}
-                Act::Discard(reason) => count_discarded(reason),
+                StreamAction::Deliver | StreamAction::Hold => {}
+                StreamAction::Discard(reason) => count_discarded(reason),
                 _ => return Err(Stop::Step(step)),
             }
             if step.report.is_some() {
