--- a/crates/bench/src/decide.rs
+++ b/crates/bench/src/decide.rs
@@ -140,7 +140,7 @@
             max_tokens: 4_096,
             prefix: (0..4).map(|_| self.rng.random_range(0..256)).collect(),
             exclude: Vec::new(),
-            already: 0,
+            replay_tokens: 0,
             needs: Requirement::ANY,
         }
     }
@@ -180,7 +180,7 @@
         let end = EndKind::Complete {
             prompt_tokens: None,
         };
-        self.cell.ended(self.now, id, tokens, end);
+        self.cell.on_ended(self.now, id, tokens, end);
         self.poll();
     }
 
@@ -212,7 +212,8 @@
             ..LoadReport::default()
         };
         let start = thread_time();
-        self.cell.report(self.now, self.endpoints[at], &report);
+        self.cell
+            .on_load_report(self.now, self.endpoints[at], &report);
         self.report_time += thread_time().saturating_sub(start);
         self.reported += 1;
     }
--- a/crates/bench/src/policy/ours.rs
+++ b/crates/bench/src/policy/ours.rs
@@ -88,7 +88,7 @@
             max_tokens: ask.max_tokens,
             prefix: ask.prefix.to_vec(),
             exclude: Vec::new(),
-            already: 0,
+            replay_tokens: 0,
             needs: Requirement::ANY,
         }
     }
@@ -182,14 +182,14 @@
             let end = EndKind::Complete {
                 prompt_tokens: Some(open.req.prompt_tokens),
             };
-            self.cells[open.cell].ended(now, open.req.id, tokens, end);
+            self.cells[open.cell].on_ended(now, open.req.id, tokens, end);
             self.wakes[open.cell] = now;
         }
     }
 
     fn report(&mut self, now: Time, engine: usize, report: &LoadReport) {
         let cell = self.fleet.engines[engine].data_centre;
-        self.cells[cell].report(now, self.endpoint_of[engine], report);
+        self.cells[cell].on_load_report(now, self.endpoint_of[engine], report);
         self.wakes[cell] = now;
     }
 
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -190,7 +190,7 @@
             // Nothing is refused for its wait, so that all of them are held.
             ask.class.longest_wait = Duration::from_secs(10_000_000);
             ask.prefix = (0..MAX_PREFIX_HASHES as u64).collect();
-            let message = PeerMessage::Cell(CellMessage::Ask(Box::new(ask)));
+            let message = PeerMessage::Cell(CellMessage::Request(Box::new(ask)));
             let event = subject.received(peer, message);
             subject.handle(event);
             subject.outbox.clear();
@@ -221,7 +221,7 @@
                 },
             };
             for message in [
-                CellMessage::Ask(Box::new(ask)),
+                CellMessage::Request(Box::new(ask)),
                 CellMessage::Ended(vec![ended]),
             ] {
                 let event = subject.received(peer, PeerMessage::Cell(message));
--- a/crates/bench/src/slopes/requests.rs
+++ b/crates/bench/src/slopes/requests.rs
@@ -149,7 +149,7 @@
 fn grant_asks(subject: &mut Subject, endpoints: &BTreeMap<CellKey, Vec<EndpointKey>>) {
     while let Some((home, message)) = subject.outbox.pop() {
         let answer = match message {
-            PeerMessage::Cell(CellMessage::Ask(ask)) => grant_of(&ask, &endpoints[&ask.cell]),
+            PeerMessage::Cell(CellMessage::Request(ask)) => grant_of(&ask, &endpoints[&ask.cell]),
             _ => continue,
         };
         let event = subject.received(home, answer);
@@ -181,7 +181,7 @@
         alternatives: lost
             .map(|&endpoint| Alternative {
                 endpoint,
-                lost: NotChosen::Outranked,
+                reason: NotChosen::Outranked,
                 free: 12_000,
             })
             .collect(),
@@ -205,7 +205,9 @@
         subject.pass(wait);
         let peer = peers[seq as usize % peers.len()];
         let message = match step {
-            Step::Arrive => CellMessage::Ask(Box::new(ask(cells[seq as usize % cells.len()], seq))),
+            Step::Arrive => {
+                CellMessage::Request(Box::new(ask(cells[seq as usize % cells.len()], seq)))
+            }
             Step::Progress(tokens) => CellMessage::Progress(vec![Checkpoint { seq, tokens }]),
             Step::End => CellMessage::Ended(vec![Ended {
                 seq,
@@ -240,7 +242,7 @@
         waited_ms: 2,
         prompt_tokens: 700,
         max_tokens: 4_096,
-        already: 0,
+        replay_tokens: 0,
         needs: Requirement::ANY,
         prefix: (0..4).map(|block| seq % 6 * 8 + block).collect(),
         exclude: Vec::new(),
--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -211,7 +211,7 @@
     }
 
     /// Learns that a granted request ended with `tokens` generated.
-    pub fn ended(&mut self, now: Time, id: RequestId, tokens: u32, end: EndKind) {
+    pub fn on_ended(&mut self, now: Time, id: RequestId, tokens: u32, end: EndKind) {
         let Some(lease) = self.leases.get(&id).copied() else {
             self.withdraw(now, id);
             return;
@@ -305,7 +305,7 @@
     }
 
     /// Takes in an endpoint's load report.
-    pub fn report(&mut self, now: Time, endpoint: EndpointKey, report: &LoadReport) {
+    pub fn on_load_report(&mut self, now: Time, endpoint: EndpointKey, report: &LoadReport) {
         let Some(ix) = self.by_key.get(&endpoint).copied() else {
             return;
         };
@@ -411,7 +411,7 @@
         Demand {
             prompt: self.lengths.corrected_prompt(node, req.prompt_tokens),
             cap: req.max_tokens,
-            floor: req.already,
+            floor: req.replay_tokens,
         }
     }
 
@@ -483,7 +483,7 @@
                 let barred = endpoint.bars(now, req);
                 Alternative {
                     endpoint: endpoint.info.key,
-                    lost: barred.unwrap_or_else(|| endpoint.why_no_room(now, req.id)),
+                    reason: barred.unwrap_or_else(|| endpoint.why_no_room(now, req.id)),
                     free: endpoint.indexed.unwrap_or(0),
                 }
             })
--- a/crates/core/src/cell/decision.rs
+++ b/crates/core/src/cell/decision.rs
@@ -73,7 +73,7 @@
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Why it lost.
-    pub lost: NotChosen,
+    pub reason: NotChosen,
     /// Tokens of KV memory (or calls, for a service) that were free there.
     pub free: u32,
 }
--- a/crates/core/src/cell/message.rs
+++ b/crates/core/src/cell/message.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CellMessage {
     /// Entry to home: a request asks for a grant.
-    Ask(Box<GrantRequest>),
+    Request(Box<GrantRequest>),
     /// Home to entry: the request may run.
     Grant(Box<Grant>),
     /// Home to entry: the request is refused.
@@ -62,8 +62,8 @@
     pub prompt_tokens: u32,
     /// See [`CellRequest::max_tokens`].
     pub max_tokens: u32,
-    /// See [`CellRequest::already`].
-    pub already: u32,
+    /// See [`CellRequest::replay_tokens`].
+    pub replay_tokens: u32,
     /// See [`CellRequest::needs`].
     pub needs: Requirement,
     /// See [`CellRequest::prefix`]; at most [`MAX_PREFIX_HASHES`].
@@ -85,7 +85,7 @@
             waited_ms: millis(now.since(req.arrived)),
             prompt_tokens: req.prompt_tokens,
             max_tokens: req.max_tokens,
-            already: req.already,
+            replay_tokens: req.replay_tokens,
             needs: req.needs,
             prefix: req.prefix[skip..].to_vec(),
             exclude: req.exclude.clone(),
@@ -105,7 +105,7 @@
             max_tokens: self.max_tokens,
             prefix: self.prefix,
             exclude: self.exclude,
-            already: self.already,
+            replay_tokens: self.replay_tokens,
             needs: self.needs,
         }
     }
--- a/crates/core/src/cell/place.rs
+++ b/crates/core/src/cell/place.rs
@@ -163,7 +163,7 @@
         if self.lost.len() < MAX_ALTERNATIVES {
             self.lost.push(Alternative {
                 endpoint: endpoint.info.key,
-                lost,
+                reason: lost,
                 free,
             });
         }
--- a/crates/core/src/cell/request.rs
+++ b/crates/core/src/cell/request.rs
@@ -92,7 +92,7 @@
     /// Endpoints that must not be granted, because an attempt failed there.
     pub exclude: Vec<EndpointKey>,
     /// Tokens that an earlier attempt delivered and that this one replays.
-    pub already: u32,
+    pub replay_tokens: u32,
     /// What the endpoint must hold.
     pub needs: Requirement,
 }
--- a/crates/core/src/delivery.rs
+++ b/crates/core/src/delivery.rs
@@ -70,14 +70,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// What the shell does.
-    pub act: StreamAction,
+    pub action: StreamAction,
     /// What the shell reports to the node about the attempt, after the act.
     pub report: Option<AttemptUpdate>,
 }
 
 impl Step {
-    const fn act(act: StreamAction) -> Self {
-        Step { act, report: None }
+    const fn act(action: StreamAction) -> Self {
+        Step {
+            action,
+            report: None,
+        }
     }
 }
 
@@ -199,7 +202,7 @@
 
     fn not_started(&self, reason: Reason, unsent: Unsent) -> Step {
         Step {
-            act: StreamAction::Idle,
+            action: StreamAction::Idle,
             report: Some(AttemptUpdate::Failed {
                 reason,
                 ran: Ran::No(unsent.abandon()),
@@ -284,7 +287,7 @@
             return self.verify(text);
         }
         let report = attempt.received_token();
-        let act = match attempt.delivery {
+        let action = match attempt.delivery {
             DeliveryMode::Stream => {
                 self.delivered += 1;
                 StreamAction::Deliver
@@ -292,7 +295,7 @@
             DeliveryMode::Whole => StreamAction::Hold,
         };
         self.log.push(text);
-        Step { act, report }
+        Step { action, report }
     }
 
     /// Compares a token of a replay with what the caller holds.
@@ -305,7 +308,7 @@
         }
         let report = attempt.received_token();
         Step {
-            act: StreamAction::Hold,
+            action: StreamAction::Hold,
             report,
         }
     }
@@ -364,7 +367,7 @@
         self.attempt = None;
         self.complete = true;
         Step {
-            act: StreamAction::Complete,
+            action: StreamAction::Complete,
             report: Some(AttemptUpdate::Complete {
                 tokens,
                 prompt_tokens,
@@ -462,7 +465,7 @@
             self.log.clear();
         }
         Step {
-            act: StreamAction::Close { cancel },
+            action: StreamAction::Close { cancel },
             report: Some(AttemptUpdate::Failed {
                 reason,
                 ran,
--- a/crates/core/src/explain/render.rs
+++ b/crates/core/src/explain/render.rs
@@ -209,7 +209,7 @@
         write!(f, "waited {} ms with {} queued", it.waited_ms, it.queued)?;
         for other in &it.alternatives {
             let endpoint = Endpoint(other.endpoint, self.1);
-            let lost = lost_text(other.lost);
+            let lost = lost_text(other.reason);
             write!(f, "; {endpoint} lost: {lost}, {} free", other.free)?;
         }
         Ok(())
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -74,14 +74,14 @@
     /// May this request run under this name?
     Take(Claim),
     /// It may, and no other.
-    Taken {
+    Granted {
         /// The name.
         id: ClaimId,
         /// The request that may run.
         claimant: RequestId,
     },
     /// It may not.
-    Used {
+    Refused {
         /// The name.
         id: ClaimId,
         /// The request that asked.
@@ -205,7 +205,7 @@
 
     /// A life of an instance is over, replaced by another. Its claims end with
     /// an unknown outcome, and what it granted is told to its successor.
-    pub fn life_over(
+    pub fn incarnation_ended(
         &mut self,
         now: Time,
         instance: InstanceKey,
@@ -216,7 +216,7 @@
             instance,
             incarnation,
         };
-        self.table.life_over(life, now + self.cfg.memory);
+        self.table.incarnation_ended(life, now + self.cfg.memory);
         self.retell(now, Some(instance), out);
     }
 
@@ -247,10 +247,10 @@
             }
             // Someone speaks for a request of another process; nobody does.
             KeysMessage::Take(_) | KeysMessage::Report { .. } => {}
-            KeysMessage::Taken { claimant, .. } => {
+            KeysMessage::Granted { claimant, .. } => {
                 self.taken(now, from.instance, claimant, out);
             }
-            KeysMessage::Used {
+            KeysMessage::Refused {
                 claimant, refusal, ..
             } => self.used(now, claimant, refusal, out),
             KeysMessage::ReportAck { claimant, state } => self.holders.noted(claimant, state),
--- a/crates/core/src/keys/claim.rs
+++ b/crates/core/src/keys/claim.rs
@@ -160,8 +160,8 @@
 pub(super) fn answer_message(claim: &Claim, answer: Result<(), ClaimRefusal>) -> KeysMessage {
     let Claim { id, claimant, .. } = *claim;
     match answer {
-        Ok(()) => KeysMessage::Taken { id, claimant },
-        Err(refusal) => KeysMessage::Used {
+        Ok(()) => KeysMessage::Granted { id, claimant },
+        Err(refusal) => KeysMessage::Refused {
             id,
             claimant,
             refusal,
--- a/crates/core/src/keys/table.rs
+++ b/crates/core/src/keys/table.rs
@@ -97,7 +97,7 @@
     }
 
     /// Ends the claims that a life held, which is over.
-    pub fn life_over(&mut self, life: PeerId, forget_at: Time) {
+    pub fn incarnation_ended(&mut self, life: PeerId, forget_at: Time) {
         let held_by = |record: &Record| match record.state {
             ClaimState::Held(holder) => is_of_life(holder, life).then_some(holder),
             _ => None,
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -113,7 +113,7 @@
         let ask = GrantRequest::from_request(cell, &request.to_cell_request(facts), now);
         let id = request.id();
         self.record(id, Step::Asked { cell, home });
-        self.send(home, PeerMessage::Cell(CellMessage::Ask(Box::new(ask))));
+        self.send(home, PeerMessage::Cell(CellMessage::Request(Box::new(ask))));
     }
 
     /// A home grants a place.
--- a/crates/core/src/node/fleet.rs
+++ b/crates/core/src/node/fleet.rs
@@ -57,7 +57,7 @@
             MembershipChange::InstanceReplaced { instance, was } => {
                 self.forget_holder(instance, was);
                 self.forget_leases(instance, was);
-                self.with_keys(|keys, now, out| keys.life_over(now, instance, was, out));
+                self.with_keys(|keys, now, out| keys.incarnation_ended(now, instance, was, out));
             }
             MembershipChange::InstanceGone { .. } => {}
             MembershipChange::EndpointLeaving { endpoint }
--- a/crates/core/src/node/home.rs
+++ b/crates/core/src/node/home.rs
@@ -156,7 +156,7 @@
     /// A message between an entry and a home arrived, in either role.
     pub(super) fn on_cell_message(&mut self, from: PeerId, message: CellMessage) {
         match message {
-            CellMessage::Ask(ask) => {
+            CellMessage::Request(ask) => {
                 let cell = ask.cell;
                 let seq = ask.seq;
                 if !self.ensure_cell(cell) {
@@ -189,7 +189,7 @@
                 for end in ended {
                     let id = request_id(from, end.seq);
                     if let Some(home) = self.homes.cell_of(id) {
-                        home.cell.ended(self.now, id, end.tokens, end.end);
+                        home.cell.on_ended(self.now, id, end.tokens, end.end);
                     }
                     self.homes.placed.remove(&id);
                 }
@@ -375,7 +375,7 @@
     pub(super) fn on_load(&mut self, endpoint: EndpointKey, report: &LoadReport) {
         let now = self.now;
         if let Some(home) = self.homes.cell_with(endpoint) {
-            home.cell.report(now, endpoint, report);
+            home.cell.on_load_report(now, endpoint, report);
         }
         self.homes.reported.insert(endpoint, report.running);
         self.orders.report(now, endpoint, report);
--- a/crates/core/src/node/request.rs
+++ b/crates/core/src/node/request.rs
@@ -197,7 +197,7 @@
             max_tokens: facts.max_tokens,
             prefix,
             exclude: self.exclude.clone(),
-            already: self.delivered,
+            replay_tokens: self.delivered,
             needs: facts.needs,
         }
     }
--- a/crates/core/tests/cell_basics.rs
+++ b/crates/core/tests/cell_basics.rs
@@ -35,7 +35,7 @@
         max_tokens: 8_000,
         prefix: Vec::new(),
         exclude: Vec::new(),
-        already: 0,
+        replay_tokens: 0,
         needs: Requirement::ANY,
     }
 }
@@ -57,7 +57,7 @@
     for n in 1..=engines {
         let info = EndpointInfo::near(engine(n), EndpointKind::Model);
         cell.set_endpoint(Time::ZERO, info);
-        cell.report(Time::ZERO, engine(n), &load(kv_tokens_total));
+        cell.on_load_report(Time::ZERO, engine(n), &load(kv_tokens_total));
     }
     cell
 }
@@ -140,7 +140,7 @@
         ..load(100_000)
     };
 
-    cell.report(Time::ZERO, engine(1), &report);
+    cell.on_load_report(Time::ZERO, engine(1), &report);
     for seq in 1..=4 {
         cell.submit(Time::ZERO, request(seq, Time::ZERO));
     }
@@ -190,7 +190,7 @@
         unreachable!()
     };
     let lost = record.alternatives.iter().find(|a| a.endpoint == engine(1));
-    assert!(lost.is_none_or(|a| a.lost == NotChosen::Excluded));
+    assert!(lost.is_none_or(|a| a.reason == NotChosen::Excluded));
 }
 
 #[rstest]
@@ -213,7 +213,7 @@
         models: vec![model],
         ..load(100_000)
     };
-    cell.report(Time::ZERO, engine(2), &report);
+    cell.on_load_report(Time::ZERO, engine(2), &report);
 
     let req = CellRequest {
         needs: Requirement::new("tailor", version, adapter),
@@ -237,8 +237,8 @@
         ..load(100_000)
     };
     for second in 1..10 {
-        cell.report(Time::from_secs(second), engine(1), &busy);
-        cell.report(Time::from_secs(second), engine(2), &load(100_000));
+        cell.on_load_report(Time::from_secs(second), engine(1), &busy);
+        cell.on_load_report(Time::from_secs(second), engine(2), &load(100_000));
     }
 
     let now = Time::from_secs(10);
@@ -301,7 +301,7 @@
                 false => COMPLETE,
             };
             failed += u32::from(endpoint == engine(1));
-            cell.ended(now, granted, 10, end);
+            cell.on_ended(now, granted, 10, end);
         }
     }
 
@@ -316,7 +316,7 @@
     let granted = run_eight(&mut cell, later);
     let probes = granted.iter().filter(|(_, at)| *at == engine(1)).count();
     for (id, _) in granted {
-        cell.ended(later, id, 10, COMPLETE);
+        cell.on_ended(later, id, 10, COMPLETE);
     }
 
     assert_eq!(probes, 1);
@@ -368,7 +368,7 @@
         ..load(100_000)
     };
     for millis in [500, 1_000] {
-        cell.report(Time::from_millis(millis), engine(1), &waiting);
+        cell.on_load_report(Time::from_millis(millis), engine(1), &waiting);
     }
     let now = Time::from_millis(1_000);
     let urgent = CellRequest {
--- a/crates/core/tests/cell_properties.rs
+++ b/crates/core/tests/cell_properties.rs
@@ -50,7 +50,7 @@
         max_tokens: if urgent { 64 } else { 8_000 },
         prefix: vec![seq % 7],
         exclude: Vec::new(),
-        already: 0,
+        replay_tokens: 0,
         needs: Requirement::ANY,
     }
 }
@@ -68,7 +68,7 @@
     for n in 0..ENGINES {
         let info = EndpointInfo::near(engine(n), EndpointKind::Model);
         cell.set_endpoint(Time::ZERO, info);
-        cell.report(Time::ZERO, engine(n), &load());
+        cell.on_load_report(Time::ZERO, engine(n), &load());
     }
     cell
 }
@@ -207,7 +207,7 @@
                     leaving,
                     ..load()
                 };
-                self.cell.report(self.now, engine(n), &report);
+                self.cell.on_load_report(self.now, engine(n), &report);
             }
             Step::Remove { engine: n } => {
                 self.cell.remove_endpoint(self.now, engine(n));
@@ -231,7 +231,7 @@
                 prompt_tokens: Some(tokens),
             },
         };
-        self.cell.ended(self.now, id, tokens, end);
+        self.cell.on_ended(self.now, id, tokens, end);
     }
 
     fn poll(&mut self) -> Time {
@@ -329,7 +329,7 @@
     let mut cell = Cell::new(CellConfig::default(), 1);
     let info = EndpointInfo::near(engine(0), EndpointKind::Model);
     cell.set_endpoint(Time::ZERO, info);
-    cell.report(Time::ZERO, engine(0), &load());
+    cell.on_load_report(Time::ZERO, engine(0), &load());
     let lone_id = lone.id;
     let lone_at = lone.arrived;
     let mut lone = Some(lone);
@@ -340,7 +340,7 @@
     while now < Time::from_secs(600) {
         now += Duration::from_millis(50);
         if now.as_millis().is_multiple_of(1_000) {
-            cell.report(now, engine(0), &load());
+            cell.on_load_report(now, engine(0), &load());
         }
         for _ in 0..2 {
             seq += 1;
@@ -355,7 +355,7 @@
             && at <= now
         {
             ends.pop_first();
-            cell.ended(
+            cell.on_ended(
                 now,
                 id,
                 crowd_tokens,
--- a/crates/core/tests/delivery_stream.rs
+++ b/crates/core/tests/delivery_stream.rs
@@ -46,7 +46,7 @@
 /// A delivery whose attempt `number` was just sent.
 fn sent(dispatch: &Dispatch) -> Delivery {
     let mut delivery = Delivery::new();
-    assert_eq!(delivery.start(dispatch, NOW).act, StreamAction::Send);
+    assert_eq!(delivery.start(dispatch, NOW).action, StreamAction::Send);
     delivery
 }
 
@@ -62,7 +62,7 @@
 fn feed(delivery: &mut Delivery, number: u32, from: u32, to: u32) -> Vec<u32> {
     let id = id(number);
     (from..to)
-        .filter(|&n| delivery.on_token(&id, n, &text(n)).act == StreamAction::Deliver)
+        .filter(|&n| delivery.on_token(&id, n, &text(n)).action == StreamAction::Deliver)
         .collect()
 }
 
@@ -98,12 +98,12 @@
 
     for n in 0..300 {
         let step = delivery.on_token(&id(1), n, &text(n));
-        assert_eq!(step.act, StreamAction::Deliver);
+        assert_eq!(step.action, StreamAction::Deliver);
         reports.extend(step.report);
     }
     let step = delivery.on_end(&id(1), end(300));
 
-    assert_eq!(step.act, StreamAction::Complete);
+    assert_eq!(step.action, StreamAction::Complete);
     reports.extend(step.report);
     assert_eq!(
         reports,
@@ -140,8 +140,11 @@
         delay: Duration::ZERO,
         reason: Reason::ConnectionLost,
     };
-    assert_eq!(step.act, resume);
-    assert_eq!(repeated.act, StreamAction::Discard(Reason::DuplicateToken));
+    assert_eq!(step.action, resume);
+    assert_eq!(
+        repeated.action,
+        StreamAction::Discard(Reason::DuplicateToken)
+    );
     assert_eq!(handed_on, [5, 6, 7]);
 }
 
@@ -173,7 +176,7 @@
         delay: Duration::ZERO,
         reason,
     };
-    assert_eq!(step.act, resume);
+    assert_eq!(step.action, resume);
     assert_eq!(step.report, None);
     assert_eq!(delivery.delivered(), 3);
 }
@@ -188,13 +191,13 @@
 
     for _ in 0..MAX_RESUMES_WITHOUT_TOKEN {
         assert!(matches!(
-            delivery.on_link_failure().act,
+            delivery.on_link_failure().action,
             StreamAction::Resume { .. }
         ));
     }
     let step = delivery.on_link_failure();
 
-    assert_eq!(step.act, StreamAction::Close { cancel: true });
+    assert_eq!(step.action, StreamAction::Close { cancel: true });
     assert_eq!(failed(&step), (Reason::ConnectionLost, Ran::Maybe, 3));
 }
 
@@ -204,7 +207,7 @@
     feed(&mut delivery, 1, 0, 1);
 
     let act = (0..=MAX_DUPLICATES)
-        .map(|_| delivery.on_token(&id(1), 0, b"t").act)
+        .map(|_| delivery.on_token(&id(1), 0, b"t").action)
         .last();
 
     assert!(matches!(
@@ -229,7 +232,7 @@
     let second = delivery.on_connect_failed();
 
     assert!(matches!(
-        first.act,
+        first.action,
         StreamAction::Resume { after: None, .. }
     ));
     assert_eq!(failed(&second), (Reason::ConnectFailed, Ran::Maybe, 0));
@@ -252,7 +255,7 @@
     let (seen, ran, _) = failed(&step);
     assert_eq!(seen, reason);
     assert!(matches!(ran, Ran::No(_)));
-    assert_eq!(step.act, StreamAction::Close { cancel: false });
+    assert_eq!(step.action, StreamAction::Close { cancel: false });
 }
 
 // Symptom: work is sent long after its grant and the caller's patience ended.
@@ -267,7 +270,7 @@
         NOW + Duration::from_secs(60),
     );
 
-    assert_eq!(step.act, StreamAction::Idle);
+    assert_eq!(step.action, StreamAction::Idle);
     let (reason, ran, _) = failed(&step);
     assert_eq!(reason, Reason::PausedTooLong);
     assert!(matches!(ran, Ran::No(_)));
@@ -287,7 +290,7 @@
 
     let step = delivery.start(&once(2), NOW);
 
-    assert_eq!(step.act, StreamAction::Idle);
+    assert_eq!(step.action, StreamAction::Idle);
     assert_eq!(failed(&step).0, Reason::AlreadyRan);
 }
 
@@ -302,7 +305,7 @@
 
     let step = delivery.start(&once(2), NOW);
 
-    assert_eq!(step.act, StreamAction::Send);
+    assert_eq!(step.action, StreamAction::Send);
 }
 
 #[test]
@@ -317,9 +320,9 @@
     let handed_on = feed(&mut delivery, 2, 0, 7);
     let done = delivery.on_end(&id(2), end(7));
 
-    assert_eq!(step.act, StreamAction::Send);
+    assert_eq!(step.action, StreamAction::Send);
     assert_eq!(handed_on, [5, 6]);
-    assert_eq!(done.act, StreamAction::Complete);
+    assert_eq!(done.action, StreamAction::Complete);
     assert_eq!(delivery.delivered(), 7);
 }
 
@@ -340,7 +343,7 @@
 
     let step = input(&mut delivery);
 
-    assert_eq!(step.act, StreamAction::Close { cancel: true });
+    assert_eq!(step.action, StreamAction::Close { cancel: true });
     assert_eq!(failed(&step), (Reason::ReplayDiverged, Ran::Maybe, 5));
 }
 
@@ -373,7 +376,7 @@
     assert_eq!(delivery.held().count(), 0);
     let step = delivery.on_end(&id(2), end(3));
 
-    assert_eq!(step.act, StreamAction::Complete);
+    assert_eq!(step.action, StreamAction::Complete);
     let held: Vec<_> = delivery.held().map(<[u8]>::to_vec).collect();
     assert_eq!(held, [text(0), text(1), text(2)]);
     delivery.on_held_delivered();
@@ -389,8 +392,8 @@
     let token = delivery.on_token(&id(1), 2, b"late");
     let closed = delivery.on_closed();
 
-    assert_eq!(token.act, StreamAction::Discard(Reason::LateAnswer));
-    assert_eq!(closed.act, StreamAction::Idle);
+    assert_eq!(token.action, StreamAction::Discard(Reason::LateAnswer));
+    assert_eq!(closed.action, StreamAction::Idle);
 }
 
 #[test]
@@ -400,7 +403,7 @@
 
     let step = delivery.on_caller_gone();
 
-    assert_eq!(step.act, StreamAction::Close { cancel: true });
+    assert_eq!(step.action, StreamAction::Close { cancel: true });
     assert_eq!(failed(&step), (Reason::CallerGone, Ran::Maybe, 2));
 }
 
@@ -418,7 +421,7 @@
     let whole = right.on_call_response(&id(1));
     let other = crossed.on_call_response("r-1-2-3.1");
 
-    assert_eq!(whole.act, StreamAction::Complete);
+    assert_eq!(whole.action, StreamAction::Complete);
     assert_eq!(failed(&other), (Reason::WrongAttempt, Ran::Maybe, 0));
 }
 
--- a/crates/core/tests/explain_records.rs
+++ b/crates/core/tests/explain_records.rs
@@ -42,7 +42,7 @@
         prefix_blocks: 3,
         alternatives: vec![Alternative {
             endpoint: EndpointKey::of("gone"),
-            lost: NotChosen::NoRoom,
+            reason: NotChosen::NoRoom,
             free: 100,
         }],
     })
--- a/crates/core/tests/keys_failures.rs
+++ b/crates/core/tests/keys_failures.rs
@@ -61,7 +61,7 @@
     let old_home = fleet.id(3);
     fleet.publish(2, &[0, 1, 2]);
     fleet.heal();
-    let late = KeysMessage::Taken {
+    let late = KeysMessage::Granted {
         id: key(&text),
         claimant: first,
     };
--- a/crates/core/tests/keys_support/fleet.rs
+++ b/crates/core/tests/keys_support/fleet.rs
@@ -154,7 +154,7 @@
         let now = self.now;
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.life_over(now, old.instance, old.incarnation, &mut out);
+        keys.incarnation_ended(now, old.instance, old.incarnation, &mut out);
         self.carry_out(n, out);
     }
 
--- a/crates/core/tests/outcome_model/world.rs
+++ b/crates/core/tests/outcome_model/world.rs
@@ -264,7 +264,7 @@
     fn start(&mut self, now: Time) {
         let mode = self.pending.take().expect("an order");
         let step = self.delivery.start(&self.order(mode), now);
-        if step.act == StreamAction::Send {
+        if step.action == StreamAction::Send {
             self.conn = Some(Conn {
                 endpoint: endpoint_of(self.attempts),
                 attempt: self.attempts,
@@ -434,7 +434,7 @@
 
     /// What the shell does with a step.
     fn carry_out(&mut self, step: Step, text: &[u8]) {
-        match step.act {
+        match step.action {
             StreamAction::Deliver => self.received.push(text.to_vec()),
             StreamAction::Resume { after, .. } => {
                 self.conn = Some(Conn {
--- a/crates/core/tests/tickets_failures.rs
+++ b/crates/core/tests/tickets_failures.rs
@@ -85,7 +85,7 @@
     let repeat = fleet.answer(2, ticket);
     let refused = fleet.answer_of(lost).unwrap();
     fleet.heal();
-    let late = KeysMessage::Taken {
+    let late = KeysMessage::Granted {
         id: ticket,
         claimant: lost,
     };
--- a/crates/oriolemux/src/relay/attempt.rs
+++ b/crates/oriolemux/src/relay/attempt.rs
@@ -48,7 +48,7 @@
         dispatch: &Dispatch,
     ) -> Result<AttemptEnd, NodeGone> {
         let step = self.delivery.start(dispatch, self.port.clock().now());
-        if step.act != StreamAction::Send {
+        if step.action != StreamAction::Send {
             self.report(dispatch.attempt, step.report).await?;
             return Ok(AttemptEnd::Over);
         }
@@ -101,7 +101,7 @@
 
     /// Carries out an act that is not about a single token, and reports.
     async fn apply(&mut self, dispatch: &Dispatch, step: Step) -> Result<Next, NodeGone> {
-        let next = match step.act {
+        let next = match step.action {
             StreamAction::Idle
             | StreamAction::Send
             | StreamAction::Deliver
@@ -146,7 +146,7 @@
             Interrupt::CallerGone => self.delivery.on_caller_gone(),
             _ => self.delivery.cancel(),
         };
-        if let StreamAction::Close { cancel: true } = step.act {
+        if let StreamAction::Close { cancel: true } = step.action {
             self.cancel_at_endpoint(dispatch);
         }
         AttemptEnd::Interrupted(interrupt)
--- a/crates/oriolemux/src/relay/attempt/call.rs
+++ b/crates/oriolemux/src/relay/attempt/call.rs
@@ -31,7 +31,7 @@
             Ok(Ok(body)) => {
                 let attempt = answer.attempt.as_deref().unwrap_or_default();
                 let step = self.delivery.on_call_response(attempt);
-                if step.act != StreamAction::Complete {
+                if step.action != StreamAction::Complete {
                     return self.follow(dispatch, step).await;
                 }
                 if self.ends.caller.answer(answer.content_type, body).is_err() {
--- a/crates/oriolemux/src/relay/attempt/stream.rs
+++ b/crates/oriolemux/src/relay/attempt/stream.rs
@@ -213,7 +213,7 @@
                     text,
                 } => {
                     let step = self.delivery.on_token(&attempt, index, &text);
-                    if step.act == StreamAction::Deliver {
+                    if step.action == StreamAction::Deliver {
                         self.ends.caller.token(index, &text);
                     }
                     step
@@ -225,7 +225,7 @@
                     usage,
                 } => {
                     let step = self.delivery.on_end(&attempt, end_mark(index, usage));
-                    if step.act == StreamAction::Complete {
+                    if step.action == StreamAction::Complete {
                         let usage = usage.unwrap_or_default();
                         return Err(Stop::Complete(step, Ending { finish, usage }));
                     }
@@ -234,7 +234,7 @@
                 EngineEvent::Failed => self.delivery.on_endpoint_error(),
                 EngineEvent::Nothing => continue,
             };
-            match step.act {
+            match step.action {
                 StreamAction::Deliver | StreamAction::Hold => {}
                 StreamAction::Discard(reason) => count_discarded(reason),
                 _ => return Err(Stop::Step(step)),
