--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -95,17 +95,17 @@
     queue: Queue,
     leases: BTreeMap<RequestId, Lease>,
     /// Requests that came since the last poll.
-    fresh: Vec<RequestId>,
+    unreviewed: Vec<RequestId>,
     /// Whether anything changed since requests were last placed.
     is_dirty: bool,
     /// When the cell was last polled.
-    polled: Time,
+    last_poll: Time,
     /// Drifts of lengths that were taken in.
-    drifts: u64,
+    drifts_applied: u64,
     /// KV tokens of all live endpoints, and tokens a second of a generation.
     supply: Supply,
     blocked_lanes: Vec<LaneKey>,
-    seen: Vec<EndpointIx>,
+    candidates: Vec<EndpointIx>,
 }
 
 impl Cell {
@@ -127,13 +127,13 @@
             class_by_key: BTreeMap::new(),
             queue: Queue::default(),
             leases: BTreeMap::new(),
-            fresh: Vec::new(),
+            unreviewed: Vec::new(),
             is_dirty: false,
-            polled: Time::ZERO,
-            drifts: 0,
+            last_poll: Time::ZERO,
+            drifts_applied: 0,
             supply: Supply::default(),
             blocked_lanes: Vec::new(),
-            seen: Vec::new(),
+            candidates: Vec::new(),
         }
     }
 
@@ -195,7 +195,7 @@
             work: curve.work(demand.prompt, demand.cap),
             req,
         };
-        self.fresh.push(waiting.req.id);
+        self.unreviewed.push(waiting.req.id);
         self.queue.push(waiting);
         self.is_dirty = true;
     }
@@ -341,9 +341,9 @@
     /// It should also be polled after every other call; decisions are
     /// appended to `out` in the order in which they were taken.
     pub fn poll(&mut self, now: Time, out: &mut Vec<CellDecision>) -> Time {
-        self.polled = now;
-        self.forgive_drift();
-        self.sum_supply(now);
+        self.last_poll = now;
+        self.reset_risks_after_drift();
+        self.refresh_supply(now);
         self.refresh_due(now);
         if self.is_dirty {
             self.is_dirty = false;
@@ -352,14 +352,14 @@
         for (class, state) in &mut self.classes {
             state.drain.roll(now, self.queue.work(class) > 0.0);
         }
-        refuse::judge_fresh(self, now, out);
+        refuse::review_new(self, now, out);
         refuse::review_due(self, now, out);
         self.next_poll()
     }
 
     /// Returns what operators see of the cell, as of the last poll.
     pub fn snapshot(&self) -> CellSnapshot {
-        let now = self.polled;
+        let now = self.last_poll;
         let oldest = self.queue.oldest_arrival();
         CellSnapshot {
             queued: self.queue.len() as u32,
@@ -480,10 +480,10 @@
         sample
             .map(|ix| {
                 let endpoint = &self.endpoints[*ix];
-                let barred = endpoint.bars(now, req);
+                let barred = endpoint.ineligible_reason(now, req);
                 Alternative {
                     endpoint: endpoint.info.key,
-                    reason: barred.unwrap_or_else(|| endpoint.why_no_room(now, req.id)),
+                    reason: barred.unwrap_or_else(|| endpoint.no_room_reason(now, req.id)),
                     free: endpoint.indexed.unwrap_or(0),
                 }
             })
--- a/crates/core/src/cell/endpoint.rs
+++ b/crates/core/src/cell/endpoint.rs
@@ -36,11 +36,11 @@
     /// When its last report came.
     pub reported: Option<Time>,
     /// What it holds, sorted, once it has said so.
-    pub holdings: Option<Vec<Requirement>>,
-    pub said_leaving: bool,
+    pub loaded: Option<Vec<Requirement>>,
+    pub reported_leaving: bool,
     pub preemptions: Option<u64>,
     /// Reports in a row that showed work waiting inside the engine.
-    pub waiting: u32,
+    pub waiting_reports: u32,
     pub ledger: Ledger,
     pub foreign: Foreign,
     pub health: Health,
@@ -81,10 +81,10 @@
             total: cfg.unreported_kv_tokens,
             slots: cfg.unreported_slots,
             reported: None,
-            holdings: None,
-            said_leaving: false,
+            loaded: None,
+            reported_leaving: false,
             preemptions: None,
-            waiting: 0,
+            waiting_reports: 0,
             ledger: Ledger::default(),
             foreign: Foreign::default(),
             health: Health::default(),
@@ -97,11 +97,11 @@
     }
 
     pub fn is_leaving(&self) -> bool {
-        self.said_leaving || self.info.state == EndpointState::Leaving
+        self.reported_leaving || self.info.state == EndpointState::Leaving
     }
 
-    pub fn holds(&self, needs: Requirement) -> bool {
-        match &self.holdings {
+    pub fn meets(&self, needs: Requirement) -> bool {
+        match &self.loaded {
             Some(holdings) if needs != Requirement::ANY => holdings.binary_search(&needs).is_ok(),
             _ => true,
         }
@@ -117,15 +117,15 @@
         self.reported = Some(now);
         self.total = report.kv_tokens_total;
         self.slots = report.max_running;
-        self.said_leaving = report.leaving;
+        self.reported_leaving = report.leaving;
         if self.info.kind == EndpointKind::Model {
-            self.holdings = Some(holdings(report));
+            self.loaded = Some(holdings(report));
         }
         let count = report.running + report.waiting;
         self.foreign
             .report(taken, report.kv_tokens_used, count, report.kv_tokens_total);
-        self.waiting = if report.waiting > 0 {
-            self.waiting + 1
+        self.waiting_reports = if report.waiting > 0 {
+            self.waiting_reports + 1
         } else {
             0
         };
@@ -142,16 +142,16 @@
     }
 
     /// Returns whether its figures change with time alone.
-    pub fn is_moving(&self, now: Time) -> bool {
+    pub fn changes_with_time(&self, now: Time) -> bool {
         !self.ledger.held().is_empty() || self.health.is_moving(now)
     }
 
     /// Returns why the endpoint can't take a request whatever its room, if it can't.
-    pub fn bars(&self, now: Time, req: &CellRequest) -> Option<NotChosen> {
+    pub fn ineligible_reason(&self, now: Time, req: &CellRequest) -> Option<NotChosen> {
         if self.is_leaving() {
             return Some(NotChosen::Leaving);
         }
-        if !self.holds(req.needs) {
+        if !self.meets(req.needs) {
             return Some(NotChosen::NotLoaded);
         }
         if req.exclude.contains(&self.info.key) {
@@ -164,7 +164,7 @@
     }
 
     /// Returns why a request that nothing bars did not fit.
-    pub fn why_no_room(&self, now: Time, id: RequestId) -> NotChosen {
+    pub fn no_room_reason(&self, now: Time, id: RequestId) -> NotChosen {
         match self.held_for {
             Some(holder) if holder != id => NotChosen::Held,
             _ if self.health.ramp(now) < 1.0 => NotChosen::RampingUp,
@@ -235,7 +235,7 @@
             false => {
                 with <= usable
                     && self.has_slot(now, reserve)
-                    && (measure.urgent || !self.is_backed_up())
+                    && (measure.urgent || !self.has_engine_backlog())
             }
         };
         Fit {
@@ -248,12 +248,12 @@
     }
 
     /// Returns whether work waits inside the engine, and not just for a step.
-    fn is_backed_up(&self) -> bool {
-        self.waiting >= WAITING_REPORTS
+    fn has_engine_backlog(&self) -> bool {
+        self.waiting_reports >= WAITING_REPORTS
     }
 
     fn is_idle(&self) -> bool {
-        self.ledger.held().is_empty() && self.foreign.tokens() < 1.0 && !self.is_backed_up()
+        self.ledger.held().is_empty() && self.foreign.tokens() < 1.0 && !self.has_engine_backlog()
     }
 
     fn has_slot(&self, now: Time, reserve: f64) -> bool {
@@ -281,7 +281,7 @@
     }
 
     /// Returns whether the reserve for urgent work alone could take a request.
-    pub fn reserve_takes(&self, now: Time, cfg: &CellConfig, forecast: &Forecast) -> bool {
+    pub fn fits_reserve(&self, now: Time, cfg: &CellConfig, forecast: &Forecast) -> bool {
         forecast.peak(0.0) <= self.capacity(now) * cfg.urgent_share
     }
 
--- a/crates/core/src/cell/learn.rs
+++ b/crates/core/src/cell/learn.rs
@@ -26,7 +26,7 @@
         let endpoint = &mut self.endpoints[ix];
         endpoint.calls.failed();
         if reason == Reason::EndpointLeaving {
-            endpoint.said_leaving = true;
+            endpoint.reported_leaving = true;
         }
         if endpoint.health.failed(now, reason) {
             self.prefixes.forget(ix);
@@ -36,11 +36,11 @@
     /// Starts the accepted risks anew when lengths have drifted: preemptions
     /// that came of outdated lengths say nothing about the new ones. Without
     /// this, memory was kept half empty for an hour after a drift.
-    pub(super) fn forgive_drift(&mut self) {
-        if self.lengths.drifts() != self.drifts {
-            self.drifts = self.lengths.drifts();
+    pub(super) fn reset_risks_after_drift(&mut self) {
+        if self.lengths.drifts() != self.drifts_applied {
+            self.drifts_applied = self.lengths.drifts();
             for class in self.classes.values_mut() {
-                class.risk.forgive(self.cfg.risk_start);
+                class.risk.raise_to(self.cfg.risk_start);
             }
         }
     }
--- a/crates/core/src/cell/place.rs
+++ b/crates/core/src/cell/place.rs
@@ -12,9 +12,9 @@
 use crate::time::Time;
 
 /// Endpoints with room that are measured for one request.
-const MEASURED: usize = 6;
+const MAX_MEASURED: usize = 6;
 /// Endpoints looked at for one request, barred ones included.
-const LOOKED_AT: usize = 24;
+const MAX_EXAMINED: usize = 24;
 
 /// Grants from the queue until no lane's head fits anywhere.
 pub(super) fn place_waiting(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
@@ -50,7 +50,7 @@
     margins: Margins,
     seen: Vec<EndpointIx>,
     best: Option<(EndpointIx, Scored)>,
-    lost: Vec<Alternative>,
+    alternatives: Vec<Alternative>,
 }
 
 #[derive(Clone, Copy)]
@@ -72,9 +72,9 @@
             demand,
             forecast,
             margins: Margins::of(&forecast, risk),
-            seen: core::mem::take(&mut cell.seen),
+            seen: core::mem::take(&mut cell.candidates),
             best: None,
-            lost: Vec::new(),
+            alternatives: Vec::new(),
         })
     }
 
@@ -92,12 +92,12 @@
         let holders = cell.prefixes.holders(&waiting.req.prefix);
         self.seen.extend(hold);
         for &ix in holders {
-            if !self.seen.contains(&ix) && cell.endpoints[ix].holds(needs) {
+            if !self.seen.contains(&ix) && cell.endpoints[ix].meets(needs) {
                 self.seen.push(ix);
             }
         }
         let first = self.seen.len();
-        for ix in cell.index.roomiest(needs).take(LOOKED_AT) {
+        for ix in cell.index.roomiest(needs).take(MAX_EXAMINED) {
             if !self.seen[..first].contains(&ix) {
                 self.seen.push(ix);
             }
@@ -105,23 +105,23 @@
         let seen = core::mem::take(&mut self.seen);
         let mut measured = 0;
         for &ix in &seen {
-            measured += usize::from(self.look_at(cell, now, ix));
-            if measured >= MEASURED {
+            measured += usize::from(self.examine(cell, now, ix));
+            if measured >= MAX_MEASURED {
                 break;
             }
         }
-        cell.seen = seen;
+        cell.candidates = seen;
     }
 
     /// Looks at one endpoint; returns whether its room was measured.
-    fn look_at(&mut self, cell: &mut Cell, now: Time, ix: EndpointIx) -> bool {
-        cell.freshen(now, ix);
+    fn examine(&mut self, cell: &mut Cell, now: Time, ix: EndpointIx) -> bool {
+        cell.refresh_if_stale(now, ix);
         let Some(waiting) = cell.queue.get(self.id) else {
             return false;
         };
         let endpoint = &cell.endpoints[ix];
-        if let Some(why) = endpoint.bars(now, &waiting.req) {
-            self.lose(endpoint, why, 0);
+        if let Some(why) = endpoint.ineligible_reason(now, &waiting.req) {
+            self.add_alternative(endpoint, why, 0);
             return false;
         }
         let measure = Measure {
@@ -132,7 +132,7 @@
         };
         let fit = endpoint.fit(now, &cell.cfg, measure);
         if !fit.fits {
-            self.lose(endpoint, endpoint.why_no_room(now, self.id), fit.free);
+            self.add_alternative(endpoint, endpoint.no_room_reason(now, self.id), fit.free);
             return endpoint.held_for.is_none();
         }
         let matched = cell.prefixes.matched(now, ix, &waiting.req.prefix);
@@ -141,27 +141,27 @@
             score: merits(endpoint, waiting, fit, matched.blocks, matched.belief).score(),
             prefix_blocks: matched.blocks,
         };
-        self.propose(cell, ix, scored);
+        self.consider(cell, ix, scored);
         true
     }
 
-    fn propose(&mut self, cell: &Cell, ix: EndpointIx, scored: Scored) {
+    fn consider(&mut self, cell: &Cell, ix: EndpointIx, scored: Scored) {
         match self.best {
             Some((_, best)) if best.score >= scored.score => {
-                self.lose(&cell.endpoints[ix], NotChosen::Outranked, scored.fit.free);
+                self.add_alternative(&cell.endpoints[ix], NotChosen::Outranked, scored.fit.free);
             }
             before => {
                 self.best = Some((ix, scored));
                 if let Some((old, best)) = before {
-                    self.lose(&cell.endpoints[old], NotChosen::Outranked, best.fit.free);
+                    self.add_alternative(&cell.endpoints[old], NotChosen::Outranked, best.fit.free);
                 }
             }
         }
     }
 
-    fn lose(&mut self, endpoint: &Endpoint, lost: NotChosen, free: u32) {
-        if self.lost.len() < MAX_ALTERNATIVES {
-            self.lost.push(Alternative {
+    fn add_alternative(&mut self, endpoint: &Endpoint, lost: NotChosen, free: u32) {
+        if self.alternatives.len() < MAX_ALTERNATIVES {
+            self.alternatives.push(Alternative {
                 endpoint: endpoint.info.key,
                 reason: lost,
                 free,
@@ -194,7 +194,7 @@
         record.prefix_blocks = best.prefix_blocks;
     }
     record.needed = search.forecast.peak(0.0) as u32;
-    record.alternatives = search.lost;
+    record.alternatives = search.alternatives;
     cell.classes[waiting.lane.class].drain.granted(waiting.work);
     cell.prefixes.granted(now, ix, &waiting.req.prefix);
     let held = Held {
@@ -233,7 +233,10 @@
         return;
     }
     if let Some(ix) = waiting.hold {
-        if cell.endpoints[ix].bars(now, &waiting.req).is_none() {
+        if cell.endpoints[ix]
+            .ineligible_reason(now, &waiting.req)
+            .is_none()
+        {
             return;
         }
         cell.release_hold(id);
@@ -243,11 +246,11 @@
     };
     let free = |ix: &EndpointIx| {
         let endpoint = &cell.endpoints[*ix];
-        let has_reserve = waiting.urgent && endpoint.reserve_takes(now, &cell.cfg, forecast);
-        let is_barred = endpoint.bars(now, &waiting.req).is_some();
+        let has_reserve = waiting.urgent && endpoint.fits_reserve(now, &cell.cfg, forecast);
+        let is_barred = endpoint.ineligible_reason(now, &waiting.req).is_some();
         endpoint.held_for.is_none() && !has_reserve && !is_barred
     };
-    let mut roomiest = cell.index.roomiest(waiting.req.needs).take(LOOKED_AT);
+    let mut roomiest = cell.index.roomiest(waiting.req.needs).take(MAX_EXAMINED);
     if let Some(ix) = roomiest.find(free) {
         cell.endpoints[ix].held_for = Some(id);
         cell.queue.set_hold(id, Some(ix));
--- a/crates/core/src/cell/refresh.rs
+++ b/crates/core/src/cell/refresh.rs
@@ -10,7 +10,7 @@
 
 impl Cell {
     /// Forecasts an endpoint anew if its figures are older than the interval.
-    pub(super) fn freshen(&mut self, now: Time, ix: EndpointIx) {
+    pub(super) fn refresh_if_stale(&mut self, now: Time, ix: EndpointIx) {
         let age = now.since(self.endpoints[ix].refreshed);
         if age >= self.cfg.refresh_interval {
             self.endpoints[ix].refresh(now, &mut self.lengths);
@@ -34,7 +34,7 @@
     pub(super) fn reindex(&mut self, now: Time, ix: EndpointIx) {
         let endpoint = &mut self.endpoints[ix];
         let room = (!endpoint.is_leaving()).then(|| endpoint.room(now, &self.cfg));
-        let due = match endpoint.is_moving(now) {
+        let due = match endpoint.changes_with_time(now) {
             true => now + self.cfg.refresh_interval,
             false => Time::NEVER,
         };
@@ -44,7 +44,7 @@
         if from != room {
             let endpoint = &self.endpoints[ix];
             self.index
-                .set(ix, from, room, |needs| endpoint.holds(needs));
+                .set(ix, from, room, |needs| endpoint.meets(needs));
         }
         self.due.remove(&(before, ix));
         if due != Time::NEVER {
@@ -64,7 +64,7 @@
         }
         let endpoints = &self.endpoints;
         let holding = self.by_key.values().copied();
-        let holding = holding.filter(|ix| endpoints[*ix].holds(needs));
+        let holding = holding.filter(|ix| endpoints[*ix].meets(needs));
         let rooms = holding.filter_map(|ix| endpoints[ix].indexed.map(|room| (room, ix)));
         self.index.build(needs, rooms);
     }
--- a/crates/core/src/cell/refuse.rs
+++ b/crates/core/src/cell/refuse.rs
@@ -10,22 +10,22 @@
 use rand::Rng;
 
 /// The shortest time after which coming back is worth it.
-const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// The longest time that a caller is asked to stay away.
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(300);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(300);
 /// When to come back if nothing serves the request at present.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(10);
 /// Share of the longest wait after which a waiting request is judged again.
 const REVIEW_SHARE: f64 = 0.5;
 
 /// Judges requests that came since the last poll and were not placed.
-pub(super) fn judge_fresh(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
-    let fresh = core::mem::take(&mut cell.fresh);
+pub(super) fn review_new(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
+    let fresh = core::mem::take(&mut cell.unreviewed);
     for &id in &fresh {
-        judge(cell, now, id, out);
+        review(cell, now, id, out);
     }
-    cell.fresh = fresh;
-    cell.fresh.clear();
+    cell.unreviewed = fresh;
+    cell.unreviewed.clear();
 }
 
 /// Judges requests whose review is due.
@@ -33,12 +33,12 @@
     while let Some((at, id)) = cell.queue.next_review()
         && at <= now
     {
-        judge(cell, now, id, out);
+        review(cell, now, id, out);
     }
 }
 
 /// Refuses a request if it cannot start in time, else sets its next review.
-fn judge(cell: &mut Cell, now: Time, id: RequestId, out: &mut Vec<CellDecision>) {
+fn review(cell: &mut Cell, now: Time, id: RequestId, out: &mut Vec<CellDecision>) {
     let Some(needs) = cell.queue.get(id).map(|waiting| waiting.req.needs) else {
         return;
     };
@@ -109,6 +109,6 @@
         _ if rate > 0.0 => Duration::from_secs_f64((cell.queue.work(class) / rate).min(1e6)),
         _ => NO_ENDPOINT_RETRY_AFTER,
     };
-    let base = drained.clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER / 2);
+    let base = drained.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
     base.mul_f64(1.0 + cell.rng.random::<f64>())
 }
--- a/crates/core/src/cell/risk.rs
+++ b/crates/core/src/cell/risk.rs
@@ -6,7 +6,7 @@
 //! two balance the class has as many preemptions as it accepts.
 
 /// Share of the risk that stays after one preemption.
-const LOWER: f64 = 0.8;
+const PREEMPTION_FACTOR: f64 = 0.8;
 /// Bounds of the risk.
 const BOUNDS: (f64, f64) = (1e-3, 0.1);
 
@@ -27,17 +27,17 @@
 
     /// Takes in `count` preemptions, or a share of one.
     pub fn preempted(&mut self, count: f64) {
-        self.accepted = (self.accepted * LOWER.powf(count)).max(BOUNDS.0);
+        self.accepted = (self.accepted * PREEMPTION_FACTOR.powf(count)).max(BOUNDS.0);
     }
 
     /// Raises the risk to `start` at least.
-    pub fn forgive(&mut self, start: f64) {
+    pub fn raise_to(&mut self, start: f64) {
         self.accepted = self.accepted.max(start);
     }
 
     /// Takes in a completion.
     pub fn completed(&mut self) {
-        self.accepted = (self.accepted * LOWER.powf(-self.target)).min(BOUNDS.1);
+        self.accepted = (self.accepted * PREEMPTION_FACTOR.powf(-self.target)).min(BOUNDS.1);
     }
 
     /// Returns the accepted chance, from 0 to 1, that a generation runs when
--- a/crates/core/src/cell/supply.rs
+++ b/crates/core/src/cell/supply.rs
@@ -19,7 +19,7 @@
 const SUPPLY_INTERVAL: core::time::Duration = core::time::Duration::from_secs(1);
 
 impl Cell {
-    pub(super) fn sum_supply(&mut self, now: Time) {
+    pub(super) fn refresh_supply(&mut self, now: Time) {
         let is_current = self
             .supply
             .at
--- a/crates/core/src/delivery.rs
+++ b/crates/core/src/delivery.rs
@@ -217,7 +217,7 @@
     /// Only for a failure in which the shell knows that no byte of the request
     /// left; anything else is [`Delivery::on_link_failure`].
     pub fn on_connect_failed(&mut self) -> Step {
-        self.never_left(Reason::ConnectFailed)
+        self.fail_never_sent(Reason::ConnectFailed)
     }
 
     /// The time for the send had passed when the connection stood, so that the
@@ -226,13 +226,13 @@
     /// Only for a failure in which the shell knows that no byte of the
     /// request's body left; anything else is [`Delivery::on_link_failure`].
     pub fn on_send_deadline_passed(&mut self) -> Step {
-        self.never_left(Reason::PausedTooLong)
+        self.fail_never_sent(Reason::PausedTooLong)
     }
 
-    fn never_left(&mut self, reason: Reason) -> Step {
-        match self.take_unanswered() {
+    fn fail_never_sent(&mut self, reason: Reason) -> Step {
+        match self.take_pending_send() {
             Some(sent) => self.fail_not_run(reason, sent.never_sent(), None),
-            None => self.interrupt(reason),
+            None => self.resume_or_fail(reason),
         }
     }
 
@@ -242,22 +242,22 @@
     /// nothing about the send before it, and taking it as "not run" would run
     /// work twice. Only the first answer counts.
     pub fn on_refused(&mut self, refusal: &Refusal) -> Step {
-        let Some(sent) = self.take_unanswered() else {
-            return self.interrupt(Reason::EndpointError);
+        let Some(sent) = self.take_pending_send() else {
+            return self.resume_or_fail(Reason::EndpointError);
         };
         let (reason, proof) = sent.refused(refusal);
         self.fail_not_run(reason, proof, refusal.retry_after())
     }
 
     /// Takes the state of a send that has had no answer, if nothing else was asked since.
-    fn take_unanswered(&mut self) -> Option<Sent> {
-        self.attempt.as_mut()?.unanswered.take()
+    fn take_pending_send(&mut self) -> Option<Sent> {
+        self.attempt.as_mut()?.pending_send.take()
     }
 
     /// The endpoint answered the send with a stream or a body.
     pub fn on_response_started(&mut self) {
         if let Some(attempt) = &mut self.attempt {
-            attempt.unanswered = None;
+            attempt.pending_send = None;
         }
     }
 
@@ -272,10 +272,10 @@
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
-        attempt.unanswered = None;
+        attempt.pending_send = None;
         if id != attempt.id_text {
-            let reason = attempt.foreign_id(id);
-            return self.interrupt(reason);
+            let reason = attempt.mismatch_reason(id);
+            return self.resume_or_fail(reason);
         }
         if index != attempt.expected {
             return self.out_of_order(index);
@@ -318,11 +318,11 @@
             return Step::act(StreamAction::Idle);
         };
         if index > attempt.expected {
-            return self.interrupt(Reason::TokenGap);
+            return self.resume_or_fail(Reason::TokenGap);
         }
         attempt.duplicates += 1;
         if attempt.duplicates > MAX_DUPLICATES {
-            return self.interrupt(Reason::Garbage);
+            return self.resume_or_fail(Reason::Garbage);
         }
         Step::act(StreamAction::Discard(Reason::DuplicateToken))
     }
@@ -332,17 +332,17 @@
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
-        attempt.unanswered = None;
+        attempt.pending_send = None;
         if id != attempt.id_text {
-            let reason = attempt.foreign_id(id);
-            return self.interrupt(reason);
+            let reason = attempt.mismatch_reason(id);
+            return self.resume_or_fail(reason);
         }
         let expected = attempt.expected;
         if mark.index > expected {
-            return self.interrupt(Reason::TokenGap);
+            return self.resume_or_fail(Reason::TokenGap);
         }
         if mark.index < expected || mark.completion_tokens.is_some_and(|n| n != expected) {
-            return self.interrupt(Reason::Garbage);
+            return self.resume_or_fail(Reason::Garbage);
         }
         if expected < attempt.verify_until {
             return self.fail(Reason::ReplayDiverged);
@@ -355,10 +355,10 @@
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
-        attempt.unanswered = None;
+        attempt.pending_send = None;
         if id != attempt.id_text {
-            let reason = attempt.foreign_id(id);
-            return self.interrupt(reason);
+            let reason = attempt.mismatch_reason(id);
+            return self.resume_or_fail(reason);
         }
         self.finish(0, None)
     }
@@ -383,22 +383,22 @@
 
     /// The endpoint sent something that is not in its protocol.
     pub fn on_garbage(&mut self) -> Step {
-        self.interrupt(Reason::Garbage)
+        self.resume_or_fail(Reason::Garbage)
     }
 
     /// The endpoint closed the stream. Harmless after the end mark.
     pub fn on_closed(&mut self) -> Step {
-        self.interrupt(Reason::Truncated)
+        self.resume_or_fail(Reason::Truncated)
     }
 
     /// The connection broke.
     pub fn on_link_failure(&mut self) -> Step {
-        self.interrupt(Reason::ConnectionLost)
+        self.resume_or_fail(Reason::ConnectionLost)
     }
 
     /// The endpoint was silent for the stall limit.
     pub fn on_stall(&mut self) -> Step {
-        self.interrupt(Reason::Stalled)
+        self.resume_or_fail(Reason::Stalled)
     }
 
     /// The endpoint answered a resumption.
@@ -421,7 +421,7 @@
     }
 
     /// Gives up the connection and resumes the same generation, or fails.
-    fn interrupt(&mut self, reason: Reason) -> Step {
+    fn resume_or_fail(&mut self, reason: Reason) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Idle);
         };
--- a/crates/core/src/delivery/attempt.rs
+++ b/crates/core/src/delivery/attempt.rs
@@ -25,7 +25,7 @@
     pub max_tokens: u32,
     /// The state of the send until its first answer. It is gone as soon as
     /// anything arrived or a resumption was asked for, and proof with it.
-    pub unanswered: Option<Sent>,
+    pub pending_send: Option<Sent>,
     /// Duplicates since the last new token.
     pub duplicates: u32,
     /// An earlier attempt of the request may have run.
@@ -50,7 +50,7 @@
             verify_until,
             cursor: Cursor::default(),
             max_tokens: dispatch.max_tokens,
-            unanswered: Some(sent),
+            pending_send: Some(sent),
             duplicates: 0,
             ran_before,
             resumable: !dispatch.model.is_empty(),
@@ -89,7 +89,7 @@
             0 => Duration::ZERO,
             _ => RESUME_DELAY,
         };
-        self.unanswered = None;
+        self.pending_send = None;
         self.resumes += 1;
         self.resumes_without_token += 1;
         self.duplicates = 0;
@@ -97,7 +97,7 @@
     }
 
     /// Returns why an input with the id `id` does not belong to this attempt.
-    pub fn foreign_id(&self, id: &str) -> Reason {
+    pub fn mismatch_reason(&self, id: &str) -> Reason {
         match id.parse::<AttemptId>() {
             Ok(other) if other.request == self.id.request && other.number < self.id.number => {
                 Reason::LateAnswer
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeysMessage {
     /// May this request run under this name?
-    Take(Claim),
+    Request(Claim),
     /// It may, and no other.
     Granted {
         /// The name.
@@ -175,7 +175,7 @@
 
     /// Returns whether the end of a claim was reported and not noted yet.
     pub fn has_unacked_ends(&self) -> bool {
-        self.holders.has_unnoted_ends()
+        self.holders.has_unacked_ends()
     }
 
     /// Issues a ticket with the id that the shell drew.
@@ -200,7 +200,7 @@
         out: &mut Vec<KeysAction>,
     ) {
         self.homes.set_list(now, revision, live, self.cfg.settle);
-        self.retell(now, None, out);
+        self.report_to_new_homes(now, None, out);
     }
 
     /// A life of an instance is over, replaced by another. Its claims end with
@@ -217,7 +217,7 @@
             incarnation,
         };
         self.table.incarnation_ended(life, now + self.cfg.memory);
-        self.retell(now, Some(instance), out);
+        self.report_to_new_homes(now, Some(instance), out);
     }
 
     /// A peer's message arrived. `list_age` is for how long the list in force
@@ -231,14 +231,14 @@
         out: &mut Vec<KeysAction>,
     ) {
         match message {
-            KeysMessage::Take(claim) if claim.is_from(from) => {
+            KeysMessage::Request(claim) if claim.is_from(from) => {
                 let answer = self.grant(now, list_age, &claim, out);
                 let message = claim::answer_message(&claim, answer);
                 let to = from.instance;
                 out.push(KeysAction::Send { to, message });
             }
             KeysMessage::Report { claim, state } if claim.is_from(from) => {
-                if self.note_report(now, &claim, state) {
+                if self.on_report(now, &claim, state) {
                     let claimant = claim.claimant;
                     let message = KeysMessage::ReportAck { claimant, state };
                     let to = from.instance;
@@ -246,25 +246,27 @@
                 }
             }
             // Someone speaks for a request of another process; nobody does.
-            KeysMessage::Take(_) | KeysMessage::Report { .. } => {}
+            KeysMessage::Request(_) | KeysMessage::Report { .. } => {}
             KeysMessage::Granted { claimant, .. } => {
-                self.taken(now, from.instance, claimant, out);
+                self.on_granted(now, from.instance, claimant, out);
             }
             KeysMessage::Refused {
                 claimant, refusal, ..
-            } => self.used(now, claimant, refusal, out),
-            KeysMessage::ReportAck { claimant, state } => self.holders.noted(claimant, state),
+            } => self.on_refused(now, claimant, refusal, out),
+            KeysMessage::ReportAck { claimant, state } => {
+                self.holders.on_report_ack(claimant, state)
+            }
         }
     }
 
     /// Returns when [`Keys::tick`] is due.
     pub fn next_wake(&self) -> Time {
-        self.table.next_forget().min(self.holders.next_wake())
+        self.table.next_expiry().min(self.holders.next_wake())
     }
 
     /// Does whatever is due.
     pub fn tick(&mut self, now: Time, list_age: Option<Duration>, out: &mut Vec<KeysAction>) {
-        self.table.forget_due(now, self.cfg.memory);
+        self.table.expire_due(now, self.cfg.memory);
         while let Some(request) = self.holders.take_due(now) {
             self.wake_holder(now, list_age, request, out);
         }
--- a/crates/core/src/keys/claim.rs
+++ b/crates/core/src/keys/claim.rs
@@ -10,7 +10,7 @@
 use sha2::{Digest, Sha256};
 
 /// When a caller whose request still runs is told to ask again.
-const ASK_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A workspace's idempotency key, as the first half of its SHA-256.
 ///
@@ -66,12 +66,12 @@
 impl Claim {
     /// Returns whether `peer` is the life that the claimant belongs to.
     pub fn is_from(&self, peer: PeerId) -> bool {
-        is_of_life(self.claimant, peer)
+        is_from_incarnation(self.claimant, peer)
     }
 }
 
 /// Returns whether `request` was accepted by the life `peer`.
-pub(super) fn is_of_life(request: RequestId, peer: PeerId) -> bool {
+pub(super) fn is_from_incarnation(request: RequestId, peer: PeerId) -> bool {
     request.instance == peer.instance && request.incarnation == peer.incarnation
 }
 
@@ -108,7 +108,7 @@
     /// name: anything else may be the repeat of a request that did run.
     pub fn verdict(self) -> Verdict {
         match self {
-            ClaimRefusal::Running => unknown(Reason::AlreadyRunning, Some(ASK_AGAIN_AFTER)),
+            ClaimRefusal::Running => unknown(Reason::AlreadyRunning, Some(RETRY_AFTER)),
             ClaimRefusal::Ran(earlier) => Verdict::repeated(Reason::AlreadyRan, earlier),
             ClaimRefusal::HolderGone => unknown(Reason::HolderGone, None),
             ClaimRefusal::BodyDiffers => Verdict::not_accepted(Reason::KeyReused, None),
@@ -117,8 +117,8 @@
             ClaimRefusal::Unsure { retry_after } => {
                 unknown(Reason::KeyHomeUnsure, Some(retry_after))
             }
-            ClaimRefusal::Full => unknown(Reason::InstanceFull, Some(ASK_AGAIN_AFTER)),
-            ClaimRefusal::TimedOut => unknown(Reason::HomeSilent, Some(ASK_AGAIN_AFTER)),
+            ClaimRefusal::Full => unknown(Reason::InstanceFull, Some(RETRY_AFTER)),
+            ClaimRefusal::TimedOut => unknown(Reason::HomeSilent, Some(RETRY_AFTER)),
         }
     }
 }
--- a/crates/core/src/keys/grant.rs
+++ b/crates/core/src/keys/grant.rs
@@ -9,10 +9,10 @@
 
 /// A holder that reports nothing for so long is given up. Longer than any
 /// generation, because its name is free again some time after.
-const HOLDER_LIMIT: Duration = Duration::from_secs(3_600);
+const HOLDER_SILENCE_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 /// When to ask again a home whose list is about to be confirmed or replaced.
-const LIST_SOON: Duration = Duration::from_millis(100);
+const LIST_READ_RETRY: Duration = Duration::from_millis(100);
 
 impl Keys {
     /// Answers a claim, and marks it as granted before the answer leaves: an
@@ -35,7 +35,7 @@
 
     fn record(&self, now: Time, claim: &Claim, state: ClaimState) -> Record {
         let kept_for = match state {
-            ClaimState::Held(_) => HOLDER_LIMIT,
+            ClaimState::Held(_) => HOLDER_SILENCE_TIMEOUT,
             ClaimState::Free => self.cfg.ticket_life,
             ClaimState::Ended(..) | ClaimState::HolderGone(_) => self.cfg.memory,
         };
@@ -43,7 +43,7 @@
             workspace: claim.workspace,
             body_hash: claim.body_hash,
             state,
-            forget_at: now + kept_for,
+            expires_at: now + kept_for,
         }
     }
 
@@ -79,22 +79,24 @@
         if list_age.is_none_or(|age| age > self.cfg.list_fresh / 2) {
             out.push(KeysAction::ReadList);
         }
-        let unsure = self.homes.unsure_for(now, key.rank_key(), self.cfg.settle);
+        let unsure = self
+            .homes
+            .wait_before_grant(now, key.rank_key(), self.cfg.settle);
         // Two lists may name two homes; only one that both sides hold will do.
         let same_list = claim.list_revision == self.homes.revision();
         match unsure {
             Some(Duration::ZERO) if fresh && same_list => Ok(()),
             Some(wait) => Err(ClaimRefusal::Unsure {
-                retry_after: wait.max(LIST_SOON),
+                retry_after: wait.max(LIST_READ_RETRY),
             }),
             None => Err(ClaimRefusal::Unsure {
-                retry_after: LIST_SOON,
+                retry_after: LIST_READ_RETRY,
             }),
         }
     }
 
     /// Takes over what a holder says of its claim. Returns whether it is noted.
-    pub(super) fn note_report(&mut self, now: Time, claim: &Claim, state: HolderState) -> bool {
+    pub(super) fn on_report(&mut self, now: Time, claim: &Claim, state: HolderState) -> bool {
         let known = self.table.get(claim.id).map(|record| record.state);
         match (claim.id, known) {
             (_, Some(ClaimState::Held(holder) | ClaimState::HolderGone(holder)))
--- a/crates/core/src/keys/holder.rs
+++ b/crates/core/src/keys/holder.rs
@@ -10,22 +10,22 @@
 use std::collections::BTreeSet;
 
 /// How often a home that did not answer, or was unsure, is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+const REQUEST_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The first wait before a report is repeated; it doubles up to the longest.
-const REPORT_AGAIN: Duration = Duration::from_millis(500);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The longest wait before a report is repeated.
-const REPORT_AGAIN_MOST: Duration = Duration::from_secs(8);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Waits for the answer until `until`; `last` is what was answered so far.
-    Asking { until: Time, last: ClaimRefusal },
+    Pending { until: Time, last: ClaimRefusal },
     /// The request may run.
     Held,
     /// The request is over; kept until `until` to tell a new home.
-    Over { state: HolderState, until: Time },
+    Ended { state: HolderState, until: Time },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     claim: Claim,
     home: InstanceKey,
     phase: Phase,
-    asked_at: Time,
+    requested_at: Time,
     /// Reports of the present state that were sent.
     reports: u32,
     wake: Time,
@@ -42,8 +42,8 @@
 impl Holder {
     fn state(&self) -> HolderState {
         match self.phase {
-            Phase::Asking { .. } | Phase::Held => HolderState::Running,
-            Phase::Over { state, .. } => state,
+            Phase::Pending { .. } | Phase::Held => HolderState::Running,
+            Phase::Ended { state, .. } => state,
         }
     }
 }
@@ -90,16 +90,16 @@
     }
 
     /// Returns whether an end was reported and not noted yet.
-    pub fn has_unnoted_ends(&self) -> bool {
+    pub fn has_unacked_ends(&self) -> bool {
         let unnoted =
-            |it: &Holder| matches!(it.phase, Phase::Over { until, .. } if it.wake < until);
+            |it: &Holder| matches!(it.phase, Phase::Ended { until, .. } if it.wake < until);
         self.records.values().any(unnoted)
     }
 
     /// The home noted what was reported, so that it need not be repeated. The
     /// holder stays, also one that did not run: a grant that was delayed on the
     /// way is then given back, and its name is not held for nothing.
-    pub fn noted(&mut self, request: RequestId, state: HolderState) {
+    pub fn on_report_ack(&mut self, request: RequestId, state: HolderState) {
         let Some(&holder) = self.records.get(&request) else {
             return;
         };
@@ -107,9 +107,9 @@
             return;
         }
         let wake = match holder.phase {
-            Phase::Asking { .. } => return,
+            Phase::Pending { .. } => return,
             Phase::Held => Time::NEVER,
-            Phase::Over { until, .. } => until,
+            Phase::Ended { until, .. } => until,
         };
         self.put(Holder { wake, ..holder });
     }
@@ -146,19 +146,19 @@
         self.holders.put(Holder {
             claim,
             home,
-            phase: Phase::Asking {
+            phase: Phase::Pending {
                 until: now + self.cfg.ask_limit,
                 last: ClaimRefusal::TimedOut,
             },
-            asked_at: now,
+            requested_at: now,
             reports: 0,
-            wake: now + ASK_AGAIN,
+            wake: now + REQUEST_RETRY_INTERVAL,
         });
-        self.send_ask(now, list_age, request, out);
+        self.send_request(now, list_age, request, out);
     }
 
     /// Asks the home, which may be this process.
-    fn send_ask(
+    fn send_request(
         &mut self,
         now: Time,
         list_age: Option<Duration>,
@@ -172,17 +172,17 @@
         holder.claim.list_revision = list_revision;
         let (claim, to) = (holder.claim, holder.home);
         if to != self.me.instance {
-            let message = KeysMessage::Take(claim);
+            let message = KeysMessage::Request(claim);
             return out.push(KeysAction::Send { to, message });
         }
         match self.grant(now, list_age, &claim, out) {
-            Ok(()) => self.taken(now, to, request, out),
-            Err(refusal) => self.used(now, request, refusal, out),
+            Ok(()) => self.on_granted(now, to, request, out),
+            Err(refusal) => self.on_refused(now, request, refusal, out),
         }
     }
 
     /// The home `from` granted the claim.
-    pub(super) fn taken(
+    pub(super) fn on_granted(
         &mut self,
         now: Time,
         from: InstanceKey,
@@ -193,7 +193,7 @@
             return;
         };
         match holder.phase {
-            Phase::Asking { .. } => {
+            Phase::Pending { .. } => {
                 self.holders.put(Holder {
                     phase: Phase::Held,
                     wake: Time::NEVER,
@@ -202,7 +202,7 @@
                 let valid_until = match holder.claim.id {
                     // Its issuer grants it to nobody else, however late it is.
                     ClaimId::Ticket(_) => Time::NEVER,
-                    ClaimId::Key(_) => holder.asked_at + self.cfg.valid,
+                    ClaimId::Key(_) => holder.requested_at + self.cfg.valid,
                 };
                 out.push(KeysAction::Granted {
                     request,
@@ -212,17 +212,17 @@
                     // The home moved while the grant was on its way, and was
                     // told nothing then: this process held nothing yet. Left
                     // untold, the new home would grant the key once settled.
-                    self.report(now, request, out);
+                    self.send_report(now, request, out);
                 }
             }
             // The grant came after the request was answered: give it back.
-            Phase::Over { .. } => self.report(now, request, out),
+            Phase::Ended { .. } => self.send_report(now, request, out),
             Phase::Held => {}
         }
     }
 
     /// The home refused the claim.
-    pub(super) fn used(
+    pub(super) fn on_refused(
         &mut self,
         now: Time,
         request: RequestId,
@@ -232,17 +232,17 @@
         let Some(&holder) = self.holders.records.get(&request) else {
             return;
         };
-        let Phase::Asking { until, .. } = holder.phase else {
+        let Phase::Pending { until, .. } = holder.phase else {
             return;
         };
         match refusal {
             ClaimRefusal::Unsure { retry_after } if now + retry_after < until => {
                 self.holders.put(Holder {
-                    phase: Phase::Asking {
+                    phase: Phase::Pending {
                         until,
                         last: refusal,
                     },
-                    wake: now + retry_after.max(ASK_AGAIN),
+                    wake: now + retry_after.max(REQUEST_RETRY_INTERVAL),
                     ..holder
                 });
             }
@@ -254,7 +254,7 @@
     }
 
     /// A request that asked for or holds a claim is over.
-    pub fn ended(
+    pub fn on_request_ended(
         &mut self,
         now: Time,
         request: RequestId,
@@ -267,38 +267,38 @@
         };
         let state = match holder.phase {
             // Never granted, so never sent, however little its caller is told.
-            Phase::Asking { .. } => HolderState::NotRun,
+            Phase::Pending { .. } => HolderState::NotRun,
             Phase::Held => state,
-            Phase::Over { .. } => return,
+            Phase::Ended { .. } => return,
         };
         self.holders.put(Holder {
-            phase: Phase::Over {
+            phase: Phase::Ended {
                 state,
                 until: now + self.cfg.memory,
             },
             reports: 0,
             ..holder
         });
-        self.report(now, request, out);
+        self.send_report(now, request, out);
     }
 
     /// Tells the home the present state of a claim, and again until it is noted.
-    fn report(&mut self, now: Time, request: RequestId, out: &mut Vec<KeysAction>) {
+    fn send_report(&mut self, now: Time, request: RequestId, out: &mut Vec<KeysAction>) {
         let Some(&holder) = self.holders.records.get(&request) else {
             return;
         };
         let (claim, state, to) = (holder.claim, holder.state(), holder.home);
-        let doubled = REPORT_AGAIN * (1 << holder.reports.min(8));
+        let doubled = MIN_REPORT_INTERVAL * (1 << holder.reports.min(8));
         self.holders.put(Holder {
             reports: holder.reports + 1,
-            wake: now + doubled.min(REPORT_AGAIN_MOST),
+            wake: now + doubled.min(MAX_REPORT_INTERVAL),
             ..holder
         });
         if to != self.me.instance {
             let message = KeysMessage::Report { claim, state };
             out.push(KeysAction::Send { to, message });
-        } else if self.note_report(now, &claim, state) {
-            self.holders.noted(request, state);
+        } else if self.on_report(now, &claim, state) {
+            self.holders.on_report_ack(request, state);
         }
     }
 
@@ -314,25 +314,25 @@
             return;
         };
         match holder.phase {
-            Phase::Asking { until, last } if now >= until => {
-                self.ended(now, request, HolderState::NotRun, out);
+            Phase::Pending { until, last } if now >= until => {
+                self.on_request_ended(now, request, HolderState::NotRun, out);
                 refuse(request, last, out);
             }
-            Phase::Asking { .. } => {
+            Phase::Pending { .. } => {
                 self.holders.put(Holder {
-                    wake: now + ASK_AGAIN,
+                    wake: now + REQUEST_RETRY_INTERVAL,
                     ..holder
                 });
-                self.send_ask(now, list_age, request, out);
+                self.send_request(now, list_age, request, out);
             }
-            Phase::Over { until, .. } if now >= until => self.holders.remove(request),
-            Phase::Over { .. } | Phase::Held => self.report(now, request, out),
+            Phase::Ended { until, .. } if now >= until => self.holders.remove(request),
+            Phase::Ended { .. } | Phase::Held => self.send_report(now, request, out),
         }
     }
 
     /// Tells new homes what this process's requests hold: homes of keys that
     /// moved with the list, and `renewed`, an instance that lost its memory.
-    pub(super) fn retell(
+    pub(super) fn report_to_new_homes(
         &mut self,
         now: Time,
         renewed: Option<InstanceKey>,
@@ -355,8 +355,8 @@
                 reports: 0,
                 ..holder
             });
-            if !matches!(holder.phase, Phase::Asking { .. }) {
-                self.report(now, request, out);
+            if !matches!(holder.phase, Phase::Pending { .. }) {
+                self.send_report(now, request, out);
             }
         }
     }
--- a/crates/core/src/keys/homes.rs
+++ b/crates/core/src/keys/homes.rs
@@ -81,7 +81,7 @@
     /// this one ranks first also among those that left the list since, and has
     /// itself been listed for as long. A process that just started has not,
     /// whatever its name granted before.
-    pub(super) fn unsure_for(
+    pub(super) fn wait_before_grant(
         &self,
         now: Time,
         rank_key: u64,
--- a/crates/core/src/keys/table.rs
+++ b/crates/core/src/keys/table.rs
@@ -1,7 +1,7 @@
 //! The claims that one process grants.
 
 use super::MAX_CLAIMS;
-use super::claim::{ClaimId, HolderState, is_of_life};
+use super::claim::{ClaimId, HolderState, is_from_incarnation};
 use crate::ids::{RequestId, WorkspaceKey};
 use crate::outcome::PriorOutcome;
 use crate::time::Time;
@@ -31,12 +31,12 @@
     pub body_hash: u64,
     pub state: ClaimState,
     /// When the record is dropped, or its silent holder is given up.
-    pub forget_at: Time,
+    pub expires_at: Time,
 }
 
 /// The names that this process grants.
 ///
-/// Invariant: `by_time` holds exactly the `forget_at` of every record.
+/// Invariant: `by_time` holds exactly the `expires_at` of every record.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClaimTable {
     records: IndexMap<ClaimId, Record>,
@@ -59,23 +59,23 @@
     /// Stores a record, in place of the one under the same name.
     pub fn put(&mut self, id: ClaimId, record: Record) {
         self.remove(id);
-        self.by_time.insert((record.forget_at, id));
+        self.by_time.insert((record.expires_at, id));
         self.records.insert(id, record);
     }
 
     pub fn remove(&mut self, id: ClaimId) {
         if let Some(record) = self.records.swap_remove(&id) {
-            self.by_time.remove(&(record.forget_at, id));
+            self.by_time.remove(&(record.expires_at, id));
         }
     }
 
-    pub fn next_forget(&self) -> Time {
+    pub fn next_expiry(&self) -> Time {
         self.by_time.first().map_or(Time::NEVER, |&(at, _)| at)
     }
 
     /// Drops what is due. A holder that was silent for its limit is given up
     /// first, and its record kept for `memory` more.
-    pub fn forget_due(&mut self, now: Time, memory: Duration) {
+    pub fn expire_due(&mut self, now: Time, memory: Duration) {
         while let Some(&(at, id)) = self.by_time.first()
             && at <= now
         {
@@ -88,7 +88,7 @@
                     id,
                     Record {
                         state,
-                        forget_at,
+                        expires_at: forget_at,
                         ..record
                     },
                 );
@@ -99,7 +99,7 @@
     /// Ends the claims that a life held, which is over.
     pub fn incarnation_ended(&mut self, life: PeerId, forget_at: Time) {
         let held_by = |record: &Record| match record.state {
-            ClaimState::Held(holder) => is_of_life(holder, life).then_some(holder),
+            ClaimState::Held(holder) => is_from_incarnation(holder, life).then_some(holder),
             _ => None,
         };
         let held: Vec<_> = self
@@ -113,7 +113,7 @@
                 id,
                 Record {
                     state,
-                    forget_at,
+                    expires_at: forget_at,
                     ..record
                 },
             );
--- a/crates/core/src/keys/tickets.rs
+++ b/crates/core/src/keys/tickets.rs
@@ -41,7 +41,7 @@
         workspace,
         body_hash: 0,
         state: ClaimState::Free,
-        forget_at,
+        expires_at: forget_at,
     };
     table.put(ClaimId::Ticket(ticket), record);
     Ok(())
--- a/crates/core/src/node/claims.rs
+++ b/crates/core/src/node/claims.rs
@@ -125,7 +125,7 @@
     /// with a whole answer.
     pub(super) fn end_claim(&mut self, id: RequestId, verdict: Option<&Verdict>) {
         let state = HolderState::of(verdict);
-        self.with_keys(|keys, now, out| keys.ended(now, id, state, out));
+        self.with_keys(|keys, now, out| keys.on_request_ended(now, id, state, out));
     }
 
     /// Puts the list in force for the homes of keys.
--- a/crates/core/src/outcome/request.rs
+++ b/crates/core/src/outcome/request.rs
@@ -18,7 +18,7 @@
     /// An attempt ended without proof.
     unproven: bool,
     /// The request carries a ticket or key that was not granted to it (yet).
-    unclaimed: bool,
+    claim_pending: bool,
 }
 
 impl RequestOutcome {
@@ -27,7 +27,7 @@
         RequestOutcome {
             open: None,
             unproven: false,
-            unclaimed: false,
+            claim_pending: false,
         }
     }
 
@@ -41,7 +41,7 @@
         RequestOutcome {
             open: None,
             unproven: false,
-            unclaimed: true,
+            claim_pending: true,
         }
     }
 
@@ -55,13 +55,13 @@
 
     /// The claim is granted: no earlier request under the name ran.
     pub fn on_claim_granted(&mut self) {
-        self.unclaimed = false;
+        self.claim_pending = false;
     }
 
     /// The claim is void: another request under the name may have been granted
     /// it since, and have run.
     pub fn on_claim_voided(&mut self) {
-        self.unclaimed = true;
+        self.claim_pending = true;
     }
 
     /// An attempt is handed to the shell. From here on it counts as run until
@@ -85,7 +85,7 @@
     /// Returns whether any attempt, or an earlier request under the same ticket
     /// or key, may have run.
     pub fn may_have_run(&self) -> bool {
-        self.unproven || self.unclaimed || self.open.is_some()
+        self.unproven || self.claim_pending || self.open.is_some()
     }
 
     /// Returns proof that the request ran nowhere, if there is any.
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -156,14 +156,14 @@
     now: Time,
     rng: &mut R,
 ) -> RetryDecision {
-    if !may_repeat(failure) || !is_worth_repeating(failure) {
+    if !may_retry(failure) || !can_succeed(failure) {
         return finish(failure, failure.reason, rng);
     }
     let after = backoff(failure.attempts, rng);
     if after >= failure.remaining_wait {
         return finish(failure, failure.reason, rng);
     }
-    if !is_free(failure) && !budget.try_spend(now) {
+    if !is_exempt_from_budget(failure) && !budget.try_spend(now) {
         return finish(failure, Reason::RetryBudget, rng);
     }
     match failure.delivered {
@@ -173,12 +173,12 @@
 }
 
 /// Returns whether running the work (again) breaks no promise.
-fn may_repeat(failure: &AttemptFailure<'_>) -> bool {
+fn may_retry(failure: &AttemptFailure<'_>) -> bool {
     failure.idempotent || !failure.outcome.may_have_run()
 }
 
 /// Returns whether another attempt can end better than this one.
-fn is_worth_repeating(failure: &AttemptFailure<'_>) -> bool {
+fn can_succeed(failure: &AttemptFailure<'_>) -> bool {
     let is_final = matches!(
         failure.reason,
         // A second replay samples anew and differs just as well.
@@ -194,12 +194,12 @@
 /// Returns whether the retry draws nothing from the budget. An endpoint that
 /// leaves refuses without work, and each request meets it at most once, so
 /// that a planned stop must not use up what failures need.
-fn is_free(failure: &AttemptFailure<'_>) -> bool {
+fn is_exempt_from_budget(failure: &AttemptFailure<'_>) -> bool {
     failure.reason == Reason::EndpointLeaving && !failure.outcome.may_have_run()
 }
 
 fn finish<R: Rng>(failure: &AttemptFailure<'_>, reason: Reason, rng: &mut R) -> RetryDecision {
-    let come_back = may_repeat(failure) && reason != Reason::CallerGone;
+    let come_back = may_retry(failure) && reason != Reason::CallerGone;
     let retry_after = come_back.then(|| {
         let spread = rng.random_range(MIN_RETRY_AFTER..=MIN_RETRY_AFTER * 3);
         failure.retry_after.unwrap_or_default().max(spread)
--- a/crates/core/tests/keys_support/fleet.rs
+++ b/crates/core/tests/keys_support/fleet.rs
@@ -241,7 +241,9 @@
     pub fn end(&mut self, n: usize, request: RequestId, state: HolderState) {
         let now = self.now;
         let mut out = Vec::new();
-        self.processes[n].keys.ended(now, request, state, &mut out);
+        self.processes[n]
+            .keys
+            .on_request_ended(now, request, state, &mut out);
         self.carry_out(n, out);
         self.deliver();
     }
--- a/crates/core/tests/tickets_failures.rs
+++ b/crates/core/tests/tickets_failures.rs
@@ -80,7 +80,7 @@
     };
     // The claim gets through; the answer does not.
     let asker = fleet.id(1);
-    fleet.inject(0, asker, KeysMessage::Take(claim));
+    fleet.inject(0, asker, KeysMessage::Request(claim));
 
     let repeat = fleet.answer(2, ticket);
     let refused = fleet.answer_of(lost).unwrap();
@@ -147,7 +147,7 @@
     };
     let asker = fleet.id(1);
 
-    fleet.inject(0, asker, KeysMessage::Take(foreign));
+    fleet.inject(0, asker, KeysMessage::Request(foreign));
 
     assert!(fleet.answer(2, ticket).is_granted());
 }
