--- a/crates/bench/src/policy/ours.rs
+++ b/crates/bench/src/policy/ours.rs
@@ -88,7 +88,7 @@
             max_tokens: ask.max_tokens,
             prefix: ask.prefix.to_vec(),
             exclude: Vec::new(),
-            already: 0,
+            replay_tokens: 0,
             needs: Requirement::ANY,
         }
     }
@@ -172,7 +172,7 @@
 
     fn progress(&mut self, now: Time, id: u64, tokens: u32) {
         if let Some(open) = self.open.get(&id) {
-            self.cells[open.cell].progress(now, open.req.id, tokens);
+            self.cells[open.cell].on_progress(now, open.req.id, tokens);
             self.wakes[open.cell] = now;
         }
     }
@@ -182,21 +182,21 @@
             let end = EndKind::Complete {
                 prompt_tokens: Some(open.req.prompt_tokens),
             };
-            self.cells[open.cell].ended(now, open.req.id, tokens, end);
+            self.cells[open.cell].on_ended(now, open.req.id, tokens, end);
             self.wakes[open.cell] = now;
         }
     }
 
     fn report(&mut self, now: Time, engine: usize, report: &LoadReport) {
         let cell = self.fleet.engines[engine].data_centre;
-        self.cells[cell].report(now, self.endpoint_of[engine], report);
+        self.cells[cell].on_load_report(now, self.endpoint_of[engine], report);
         self.wakes[cell] = now;
     }
 
     fn cache(&mut self, now: Time, engine: usize, news: &CacheNews) {
         let cell = self.fleet.engines[engine].data_centre;
         let endpoint = self.endpoint_of[engine];
-        self.cells[cell].cache(now, endpoint, news.gap, &news.stored, &news.evicted);
+        self.cells[cell].on_cache_events(now, endpoint, news.gap, &news.stored, &news.evicted);
     }
 
     fn poll(&mut self, now: Time, out: &mut Vec<Decision>) -> Time {
--- a/crates/core/src/delivery.rs
+++ b/crates/core/src/delivery.rs
@@ -2,7 +2,7 @@
 //!
 //! The shell's stream task owns one [`Delivery`] for each request and feeds it
 //! what the endpoint's connection brings; tokens never pass through the node.
-//! Each input returns a [`Step`]: what the shell does now ([`Act`]) and what
+//! Each input returns a [`Step`]: what the shell does now ([`StreamAction`]) and what
 //! it reports to the node, if anything. Handing on a token allocates nothing
 //! but the amortised growth of the token log.
 //!
@@ -35,7 +35,7 @@
 
 /// What the shell does with an input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum StreamAction {
     /// Nothing.
     Idle,
     /// Send the attempt's request to the endpoint now. Nothing in the client
@@ -70,14 +70,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// What the shell does.
-    pub act: Act,
+    pub action: StreamAction,
     /// What the shell reports to the node about the attempt, after the act.
     pub report: Option<AttemptUpdate>,
 }
 
 impl Step {
-    const fn act(act: Act) -> Self {
-        Step { act, report: None }
+    const fn act(action: StreamAction) -> Self {
+        Step {
+            action,
+            report: None,
+        }
     }
 }
 
@@ -94,7 +97,7 @@
 
 /// How the endpoint answered a resumption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResumeAnswer {
+pub enum ResumeResponse {
     /// The rest of the generation follows.
     Ok,
     /// The endpoint no longer holds the generation.
@@ -178,7 +181,7 @@
         ));
         self.last_number = dispatch.attempt.number;
         self.may_have_run = true;
-        Step::act(Act::Send)
+        Step::act(StreamAction::Send)
     }
 
     /// Returns why `dispatch` must not be sent, whatever the node believed.
@@ -199,10 +202,10 @@
 
     fn not_started(&self, reason: Reason, unsent: Unsent) -> Step {
         Step {
-            act: Act::Idle,
+            action: StreamAction::Idle,
             report: Some(AttemptUpdate::Failed {
                 reason,
-                ran: Ran::No(unsent.give_up()),
+                ran: Ran::No(unsent.abandon()),
                 delivered: self.delivered,
                 retry_after: None,
             }),
@@ -214,7 +217,7 @@
     /// Only for a failure in which the shell knows that no byte of the request
     /// left; anything else is [`Delivery::on_link_failure`].
     pub fn on_connect_failed(&mut self) -> Step {
-        self.never_left(Reason::ConnectFailed)
+        self.fail_never_sent(Reason::ConnectFailed)
     }
 
     /// The time for the send had passed when the connection stood, so that the
@@ -222,14 +225,14 @@
     ///
     /// Only for a failure in which the shell knows that no byte of the
     /// request's body left; anything else is [`Delivery::on_link_failure`].
-    pub fn on_too_late(&mut self) -> Step {
-        self.never_left(Reason::PausedTooLong)
+    pub fn on_send_deadline_passed(&mut self) -> Step {
+        self.fail_never_sent(Reason::PausedTooLong)
     }
 
-    fn never_left(&mut self, reason: Reason) -> Step {
-        match self.take_unanswered() {
-            Some(sent) => self.fail_not_run(reason, sent.never_connected(), None),
-            None => self.interrupt(reason),
+    fn fail_never_sent(&mut self, reason: Reason) -> Step {
+        match self.take_pending_send() {
+            Some(sent) => self.fail_not_run(reason, sent.never_sent(), None),
+            None => self.resume_or_fail(reason),
         }
     }
 
@@ -239,22 +242,22 @@
     /// nothing about the send before it, and taking it as "not run" would run
     /// work twice. Only the first answer counts.
     pub fn on_refused(&mut self, refusal: &Refusal) -> Step {
-        let Some(sent) = self.take_unanswered() else {
-            return self.interrupt(Reason::EndpointError);
+        let Some(sent) = self.take_pending_send() else {
+            return self.resume_or_fail(Reason::EndpointError);
         };
         let (reason, proof) = sent.refused(refusal);
         self.fail_not_run(reason, proof, refusal.retry_after())
     }
 
     /// Takes the state of a send that has had no answer, if nothing else was asked since.
-    fn take_unanswered(&mut self) -> Option<Sent> {
-        self.attempt.as_mut()?.unanswered.take()
+    fn take_pending_send(&mut self) -> Option<Sent> {
+        self.attempt.as_mut()?.pending_send.take()
     }
 
     /// The endpoint answered the send with a stream or a body.
-    pub fn on_answered(&mut self) {
+    pub fn on_response_started(&mut self) {
         if let Some(attempt) = &mut self.attempt {
-            attempt.unanswered = None;
+            attempt.pending_send = None;
         }
     }
 
@@ -267,12 +270,12 @@
     /// index and its text.
     pub fn on_token(&mut self, id: &str, index: u32, text: &[u8]) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Discard(Reason::LateAnswer));
+            return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
-        attempt.unanswered = None;
+        attempt.pending_send = None;
         if id != attempt.id_text {
-            let reason = attempt.foreign_id(id);
-            return self.interrupt(reason);
+            let reason = attempt.mismatch_reason(id);
+            return self.resume_or_fail(reason);
         }
         if index != attempt.expected {
             return self.out_of_order(index);
@@ -284,62 +287,62 @@
             return self.verify(text);
         }
         let report = attempt.received_token();
-        let act = match attempt.delivery {
+        let action = match attempt.delivery {
             DeliveryMode::Stream => {
                 self.delivered += 1;
-                Act::Deliver
+                StreamAction::Deliver
             }
-            DeliveryMode::Whole => Act::Hold,
+            DeliveryMode::Whole => StreamAction::Hold,
         };
         self.log.push(text);
-        Step { act, report }
+        Step { action, report }
     }
 
     /// Compares a token of a replay with what the caller holds.
     fn verify(&mut self, text: &[u8]) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         };
         if !self.log.matches(&mut attempt.cursor, text) {
             return self.fail(Reason::ReplayDiverged);
         }
         let report = attempt.received_token();
         Step {
-            act: Act::Hold,
+            action: StreamAction::Hold,
             report,
         }
     }
 
     fn out_of_order(&mut self, index: u32) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         };
         if index > attempt.expected {
-            return self.interrupt(Reason::TokenGap);
+            return self.resume_or_fail(Reason::TokenGap);
         }
         attempt.duplicates += 1;
         if attempt.duplicates > MAX_DUPLICATES {
-            return self.interrupt(Reason::Garbage);
+            return self.resume_or_fail(Reason::Garbage);
         }
-        Step::act(Act::Discard(Reason::DuplicateToken))
+        Step::act(StreamAction::Discard(Reason::DuplicateToken))
     }
 
     /// The end mark arrived.
     pub fn on_end(&mut self, id: &str, mark: EndMark) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Discard(Reason::LateAnswer));
+            return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
-        attempt.unanswered = None;
+        attempt.pending_send = None;
         if id != attempt.id_text {
-            let reason = attempt.foreign_id(id);
-            return self.interrupt(reason);
+            let reason = attempt.mismatch_reason(id);
+            return self.resume_or_fail(reason);
         }
         let expected = attempt.expected;
         if mark.index > expected {
-            return self.interrupt(Reason::TokenGap);
+            return self.resume_or_fail(Reason::TokenGap);
         }
         if mark.index < expected || mark.completion_tokens.is_some_and(|n| n != expected) {
-            return self.interrupt(Reason::Garbage);
+            return self.resume_or_fail(Reason::Garbage);
         }
         if expected < attempt.verify_until {
             return self.fail(Reason::ReplayDiverged);
@@ -348,14 +351,14 @@
     }
 
     /// The whole answer of a plain service arrived, with the attempt id that it echoed.
-    pub fn on_call_answer(&mut self, id: &str) -> Step {
+    pub fn on_call_response(&mut self, id: &str) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Discard(Reason::LateAnswer));
+            return Step::act(StreamAction::Discard(Reason::LateAnswer));
         };
-        attempt.unanswered = None;
+        attempt.pending_send = None;
         if id != attempt.id_text {
-            let reason = attempt.foreign_id(id);
-            return self.interrupt(reason);
+            let reason = attempt.mismatch_reason(id);
+            return self.resume_or_fail(reason);
         }
         self.finish(0, None)
     }
@@ -364,7 +367,7 @@
         self.attempt = None;
         self.complete = true;
         Step {
-            act: Act::Complete,
+            action: StreamAction::Complete,
             report: Some(AttemptUpdate::Complete {
                 tokens,
                 prompt_tokens,
@@ -380,29 +383,29 @@
 
     /// The endpoint sent something that is not in its protocol.
     pub fn on_garbage(&mut self) -> Step {
-        self.interrupt(Reason::Garbage)
+        self.resume_or_fail(Reason::Garbage)
     }
 
     /// The endpoint closed the stream. Harmless after the end mark.
     pub fn on_closed(&mut self) -> Step {
-        self.interrupt(Reason::Truncated)
+        self.resume_or_fail(Reason::Truncated)
     }
 
     /// The connection broke.
     pub fn on_link_failure(&mut self) -> Step {
-        self.interrupt(Reason::ConnectionLost)
+        self.resume_or_fail(Reason::ConnectionLost)
     }
 
     /// The endpoint was silent for the stall limit.
     pub fn on_stall(&mut self) -> Step {
-        self.interrupt(Reason::Stalled)
+        self.resume_or_fail(Reason::Stalled)
     }
 
     /// The endpoint answered a resumption.
-    pub fn on_resume_answer(&mut self, answer: ResumeAnswer) -> Step {
+    pub fn on_resume_response(&mut self, answer: ResumeResponse) -> Step {
         match answer {
-            ResumeAnswer::Ok => Step::act(Act::Idle),
-            ResumeAnswer::Lost => self.fail(Reason::GenerationLost),
+            ResumeResponse::Ok => Step::act(StreamAction::Idle),
+            ResumeResponse::Lost => self.fail(Reason::GenerationLost),
         }
     }
 
@@ -414,18 +417,18 @@
     /// The node ends the attempt; nothing is reported.
     pub fn cancel(&mut self) -> Step {
         let cancel = self.attempt.take().is_some();
-        Step::act(Act::Close { cancel })
+        Step::act(StreamAction::Close { cancel })
     }
 
     /// Gives up the connection and resumes the same generation, or fails.
-    fn interrupt(&mut self, reason: Reason) -> Step {
+    fn resume_or_fail(&mut self, reason: Reason) -> Step {
         let Some(attempt) = &mut self.attempt else {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         };
         let Some(delay) = attempt.take_resume() else {
             return self.fail(reason);
         };
-        Step::act(Act::Resume {
+        Step::act(StreamAction::Resume {
             after: attempt.expected.checked_sub(1),
             delay,
             reason,
@@ -456,13 +459,13 @@
         cancel: bool,
     ) -> Step {
         if self.attempt.take().is_none() {
-            return Step::act(Act::Idle);
+            return Step::act(StreamAction::Idle);
         }
         if self.delivered == 0 {
             self.log.clear();
         }
         Step {
-            act: Act::Close { cancel },
+            action: StreamAction::Close { cancel },
             report: Some(AttemptUpdate::Failed {
                 reason,
                 ran,
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -72,16 +72,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeysMessage {
     /// May this request run under this name?
-    Take(Claim),
+    Request(Claim),
     /// It may, and no other.
-    Taken {
+    Granted {
         /// The name.
         id: ClaimId,
         /// The request that may run.
         claimant: RequestId,
     },
     /// It may not.
-    Used {
+    Refused {
         /// The name.
         id: ClaimId,
         /// The request that asked.
@@ -98,7 +98,7 @@
         state: HolderState,
     },
     /// A report was noted.
-    Noted {
+    ReportAck {
         /// The request that was reported on.
         claimant: RequestId,
         /// What was noted.
@@ -131,7 +131,7 @@
         verdict: Verdict,
     },
     /// A claim waits for a list that the platform has just confirmed.
-    WantFreshList,
+    ReadList,
 }
 
 /// Both sides of claims in one process.
@@ -174,8 +174,8 @@
     }
 
     /// Returns whether the end of a claim was reported and not noted yet.
-    pub fn has_unnoted_ends(&self) -> bool {
-        self.holders.has_unnoted_ends()
+    pub fn has_unacked_ends(&self) -> bool {
+        self.holders.has_unacked_ends()
     }
 
     /// Issues a ticket with the id that the shell drew.
@@ -200,12 +200,12 @@
         out: &mut Vec<KeysAction>,
     ) {
         self.homes.set_list(now, revision, live, self.cfg.settle);
-        self.retell(now, None, out);
+        self.report_to_new_homes(now, None, out);
     }
 
     /// A life of an instance is over, replaced by another. Its claims end with
     /// an unknown outcome, and what it granted is told to its successor.
-    pub fn life_over(
+    pub fn incarnation_ended(
         &mut self,
         now: Time,
         instance: InstanceKey,
@@ -216,13 +216,13 @@
             instance,
             incarnation,
         };
-        self.table.life_over(life, now + self.cfg.memory);
-        self.retell(now, Some(instance), out);
+        self.table.incarnation_ended(life, now + self.cfg.memory);
+        self.report_to_new_homes(now, Some(instance), out);
     }
 
     /// A peer's message arrived. `list_age` is for how long the list in force
     /// has not been confirmed by the platform.
-    pub fn message(
+    pub fn on_message(
         &mut self,
         now: Time,
         list_age: Option<Duration>,
@@ -231,40 +231,42 @@
         out: &mut Vec<KeysAction>,
     ) {
         match message {
-            KeysMessage::Take(claim) if claim.is_from(from) => {
+            KeysMessage::Request(claim) if claim.is_from(from) => {
                 let answer = self.grant(now, list_age, &claim, out);
                 let message = claim::answer_message(&claim, answer);
                 let to = from.instance;
                 out.push(KeysAction::Send { to, message });
             }
             KeysMessage::Report { claim, state } if claim.is_from(from) => {
-                if self.note_report(now, &claim, state) {
+                if self.on_report(now, &claim, state) {
                     let claimant = claim.claimant;
-                    let message = KeysMessage::Noted { claimant, state };
+                    let message = KeysMessage::ReportAck { claimant, state };
                     let to = from.instance;
                     out.push(KeysAction::Send { to, message });
                 }
             }
             // Someone speaks for a request of another process; nobody does.
-            KeysMessage::Take(_) | KeysMessage::Report { .. } => {}
-            KeysMessage::Taken { claimant, .. } => {
-                self.taken(now, from.instance, claimant, out);
+            KeysMessage::Request(_) | KeysMessage::Report { .. } => {}
+            KeysMessage::Granted { claimant, .. } => {
+                self.on_granted(now, from.instance, claimant, out);
             }
-            KeysMessage::Used {
+            KeysMessage::Refused {
                 claimant, refusal, ..
-            } => self.used(now, claimant, refusal, out),
-            KeysMessage::Noted { claimant, state } => self.holders.noted(claimant, state),
+            } => self.on_refused(now, claimant, refusal, out),
+            KeysMessage::ReportAck { claimant, state } => {
+                self.holders.on_report_ack(claimant, state)
+            }
         }
     }
 
     /// Returns when [`Keys::tick`] is due.
     pub fn next_wake(&self) -> Time {
-        self.table.next_forget().min(self.holders.next_wake())
+        self.table.next_expiry().min(self.holders.next_wake())
     }
 
     /// Does whatever is due.
     pub fn tick(&mut self, now: Time, list_age: Option<Duration>, out: &mut Vec<KeysAction>) {
-        self.table.forget_due(now, self.cfg.memory);
+        self.table.expire_due(now, self.cfg.memory);
         while let Some(request) = self.holders.take_due(now) {
             self.wake_holder(now, list_age, request, out);
         }
--- a/crates/core/src/keys/claim.rs
+++ b/crates/core/src/keys/claim.rs
@@ -2,7 +2,7 @@
 
 use super::KeysMessage;
 use crate::ids::{RequestId, WorkspaceKey};
-use crate::outcome::{Earlier, Verdict};
+use crate::outcome::{PriorOutcome, Verdict};
 use crate::reason::{Outcome, Reason};
 use crate::value::PeerId;
 use core::time::Duration;
@@ -10,7 +10,7 @@
 use sha2::{Digest, Sha256};
 
 /// When a caller whose request still runs is told to ask again.
-const ASK_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A workspace's idempotency key, as the first half of its SHA-256.
 ///
@@ -66,12 +66,12 @@
 impl Claim {
     /// Returns whether `peer` is the life that the claimant belongs to.
     pub fn is_from(&self, peer: PeerId) -> bool {
-        is_of_life(self.claimant, peer)
+        is_from_incarnation(self.claimant, peer)
     }
 }
 
 /// Returns whether `request` was accepted by the life `peer`.
-pub(super) fn is_of_life(request: RequestId, peer: PeerId) -> bool {
+pub(super) fn is_from_incarnation(request: RequestId, peer: PeerId) -> bool {
     request.instance == peer.instance && request.incarnation == peer.incarnation
 }
 
@@ -81,7 +81,7 @@
     /// Another request holds it and has not ended.
     Running,
     /// Another request held it and ended so.
-    Ran(Earlier),
+    Ran(PriorOutcome),
     /// The process that held or issued it is gone.
     HolderGone,
     /// It was taken for another body.
@@ -98,7 +98,7 @@
     /// As many claims are held as there is room for.
     Full,
     /// No answer came from the process that grants it.
-    Silent,
+    TimedOut,
 }
 
 impl ClaimRefusal {
@@ -108,7 +108,7 @@
     /// name: anything else may be the repeat of a request that did run.
     pub fn verdict(self) -> Verdict {
         match self {
-            ClaimRefusal::Running => unknown(Reason::AlreadyRunning, Some(ASK_AGAIN_AFTER)),
+            ClaimRefusal::Running => unknown(Reason::AlreadyRunning, Some(RETRY_AFTER)),
             ClaimRefusal::Ran(earlier) => Verdict::repeated(Reason::AlreadyRan, earlier),
             ClaimRefusal::HolderGone => unknown(Reason::HolderGone, None),
             ClaimRefusal::BodyDiffers => Verdict::not_accepted(Reason::KeyReused, None),
@@ -117,8 +117,8 @@
             ClaimRefusal::Unsure { retry_after } => {
                 unknown(Reason::KeyHomeUnsure, Some(retry_after))
             }
-            ClaimRefusal::Full => unknown(Reason::InstanceFull, Some(ASK_AGAIN_AFTER)),
-            ClaimRefusal::Silent => unknown(Reason::HomeSilent, Some(ASK_AGAIN_AFTER)),
+            ClaimRefusal::Full => unknown(Reason::InstanceFull, Some(RETRY_AFTER)),
+            ClaimRefusal::TimedOut => unknown(Reason::HomeSilent, Some(RETRY_AFTER)),
         }
     }
 }
@@ -135,7 +135,7 @@
     /// It truly did not run; the name is free again.
     NotRun,
     /// It ended, or may have run.
-    Ended(Earlier),
+    Ended(PriorOutcome),
 }
 
 impl HolderState {
@@ -143,15 +143,15 @@
     /// for a whole answer.
     pub fn of(verdict: Option<&Verdict>) -> Self {
         let Some(verdict) = verdict else {
-            return HolderState::Ended(Earlier::Complete);
+            return HolderState::Ended(PriorOutcome::Complete);
         };
         match verdict.outcome() {
             Outcome::NotRun => HolderState::NotRun,
-            Outcome::Unknown => HolderState::Ended(Earlier::Unknown),
-            Outcome::Partial => HolderState::Ended(Earlier::Partial {
+            Outcome::Unknown => HolderState::Ended(PriorOutcome::Unknown),
+            Outcome::Partial => HolderState::Ended(PriorOutcome::Partial {
                 delivered: verdict.delivered(),
             }),
-            Outcome::Complete => HolderState::Ended(Earlier::Complete),
+            Outcome::Complete => HolderState::Ended(PriorOutcome::Complete),
         }
     }
 }
@@ -160,8 +160,8 @@
 pub(super) fn answer_message(claim: &Claim, answer: Result<(), ClaimRefusal>) -> KeysMessage {
     let Claim { id, claimant, .. } = *claim;
     match answer {
-        Ok(()) => KeysMessage::Taken { id, claimant },
-        Err(refusal) => KeysMessage::Used {
+        Ok(()) => KeysMessage::Granted { id, claimant },
+        Err(refusal) => KeysMessage::Refused {
             id,
             claimant,
             refusal,
--- a/crates/core/src/node/home.rs
+++ b/crates/core/src/node/home.rs
@@ -136,7 +136,7 @@
 
     fn forget_holder(&mut self, now: Time, instance: InstanceKey, incarnation: Incarnation) {
         for home in self.cells.values_mut() {
-            home.cell.forget_holder(now, instance, incarnation);
+            home.cell.withdraw_incarnation(now, instance, incarnation);
             home.next_poll = Time::ZERO;
         }
         self.placed
@@ -156,7 +156,7 @@
     /// A message between an entry and a home arrived, in either role.
     pub(super) fn on_cell_message(&mut self, from: PeerId, message: CellMessage) {
         match message {
-            CellMessage::Ask(ask) => {
+            CellMessage::Request(ask) => {
                 let cell = ask.cell;
                 let seq = ask.seq;
                 if !self.ensure_cell(cell) {
@@ -181,7 +181,7 @@
                 for checkpoint in checkpoints {
                     let id = request_id(from, checkpoint.seq);
                     if let Some(home) = self.homes.cell_of(id) {
-                        home.cell.progress(self.now, id, checkpoint.tokens);
+                        home.cell.on_progress(self.now, id, checkpoint.tokens);
                     }
                 }
             }
@@ -189,7 +189,7 @@
                 for end in ended {
                     let id = request_id(from, end.seq);
                     if let Some(home) = self.homes.cell_of(id) {
-                        home.cell.ended(self.now, id, end.tokens, end.end);
+                        home.cell.on_ended(self.now, id, end.tokens, end.end);
                     }
                     self.homes.placed.remove(&id);
                 }
@@ -199,13 +199,18 @@
                     self.homes.withdraw(self.now, request_id(from, seq));
                 }
             }
-            CellMessage::Retell { cell, running } => self.on_retell(from, cell, running),
+            CellMessage::Resync { cell, running } => self.on_retell(from, cell, running),
             CellMessage::Confirm(seqs) => self.on_confirm(from.instance, seqs),
         }
     }
 
     /// An entry tells everything that it runs in a cell.
-    fn on_retell(&mut self, from: PeerId, cell: CellKey, told: Vec<crate::cell::message::Told>) {
+    fn on_retell(
+        &mut self,
+        from: PeerId,
+        cell: CellKey,
+        told: Vec<crate::cell::message::RunningReport>,
+    ) {
         if !self.ensure_cell(cell) {
             return;
         }
@@ -370,7 +375,7 @@
     pub(super) fn on_load(&mut self, endpoint: EndpointKey, report: &LoadReport) {
         let now = self.now;
         if let Some(home) = self.homes.cell_with(endpoint) {
-            home.cell.report(now, endpoint, report);
+            home.cell.on_load_report(now, endpoint, report);
         }
         self.homes.reported.insert(endpoint, report.running);
         self.orders.report(now, endpoint, report);
@@ -393,7 +398,8 @@
     ) {
         let now = self.now;
         if let Some(home) = self.homes.cell_with(endpoint) {
-            home.cell.cache(now, endpoint, gap, stored, evicted);
+            home.cell
+                .on_cache_events(now, endpoint, gap, stored, evicted);
         }
     }
 
--- a/crates/core/tests/cell_properties.rs
+++ b/crates/core/tests/cell_properties.rs
@@ -50,7 +50,7 @@
         max_tokens: if urgent { 64 } else { 8_000 },
         prefix: vec![seq % 7],
         exclude: Vec::new(),
-        already: 0,
+        replay_tokens: 0,
         needs: Requirement::ANY,
     }
 }
@@ -68,7 +68,7 @@
     for n in 0..ENGINES {
         let info = EndpointInfo::near(engine(n), EndpointKind::Model);
         cell.set_endpoint(Time::ZERO, info);
-        cell.report(Time::ZERO, engine(n), &load());
+        cell.on_load_report(Time::ZERO, engine(n), &load());
     }
     cell
 }
@@ -179,7 +179,7 @@
             } => self.end(pick, tokens, fails),
             Step::Progress { pick, tokens } => {
                 if let Some(id) = nth(self.running.keys(), pick) {
-                    self.cell.progress(self.now, id, tokens);
+                    self.cell.on_progress(self.now, id, tokens);
                 }
             }
             Step::Withdraw { pick } => {
@@ -190,7 +190,8 @@
             }
             Step::ForgetHolder { holder } => {
                 let holder = InstanceKey(holder);
-                self.cell.forget_holder(self.now, holder, Incarnation(7));
+                self.cell
+                    .withdraw_incarnation(self.now, holder, Incarnation(7));
                 self.waiting.retain(|id| id.instance != holder);
                 self.running.retain(|id, _| id.instance != holder);
             }
@@ -206,7 +207,7 @@
                     leaving,
                     ..load()
                 };
-                self.cell.report(self.now, engine(n), &report);
+                self.cell.on_load_report(self.now, engine(n), &report);
             }
             Step::Remove { engine: n } => {
                 self.cell.remove_endpoint(self.now, engine(n));
@@ -230,7 +231,7 @@
                 prompt_tokens: Some(tokens),
             },
         };
-        self.cell.ended(self.now, id, tokens, end);
+        self.cell.on_ended(self.now, id, tokens, end);
     }
 
     fn poll(&mut self) -> Time {
@@ -328,7 +329,7 @@
     let mut cell = Cell::new(CellConfig::default(), 1);
     let info = EndpointInfo::near(engine(0), EndpointKind::Model);
     cell.set_endpoint(Time::ZERO, info);
-    cell.report(Time::ZERO, engine(0), &load());
+    cell.on_load_report(Time::ZERO, engine(0), &load());
     let lone_id = lone.id;
     let lone_at = lone.arrived;
     let mut lone = Some(lone);
@@ -339,7 +340,7 @@
     while now < Time::from_secs(600) {
         now += Duration::from_millis(50);
         if now.as_millis().is_multiple_of(1_000) {
-            cell.report(now, engine(0), &load());
+            cell.on_load_report(now, engine(0), &load());
         }
         for _ in 0..2 {
             seq += 1;
@@ -354,7 +355,7 @@
             && at <= now
         {
             ends.pop_first();
-            cell.ended(
+            cell.on_ended(
                 now,
                 id,
                 crowd_tokens,
--- a/crates/core/tests/keys_support/fleet.rs
+++ b/crates/core/tests/keys_support/fleet.rs
@@ -154,7 +154,7 @@
         let now = self.now;
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.life_over(now, old.instance, old.incarnation, &mut out);
+        keys.incarnation_ended(now, old.instance, old.incarnation, &mut out);
         self.carry_out(n, out);
     }
 
@@ -210,7 +210,7 @@
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.ask(now, age, claim, issuer_life, &mut out);
+        keys.request_claim(now, age, claim, issuer_life, &mut out);
         self.carry_out(n, out);
         self.deliver();
         claimant
@@ -241,7 +241,9 @@
     pub fn end(&mut self, n: usize, request: RequestId, state: HolderState) {
         let now = self.now;
         let mut out = Vec::new();
-        self.processes[n].keys.ended(now, request, state, &mut out);
+        self.processes[n]
+            .keys
+            .on_request_ended(now, request, state, &mut out);
         self.carry_out(n, out);
         self.deliver();
     }
@@ -251,7 +253,7 @@
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.message(now, age, from, message, &mut out);
+        keys.on_message(now, age, from, message, &mut out);
         self.carry_out(n, out);
         self.deliver();
     }
@@ -302,7 +304,7 @@
                     let answer = Answer::Refused(verdict);
                     assert_eq!(self.answers.insert(request, answer), None);
                 }
-                KeysAction::WantFreshList => {}
+                KeysAction::ReadList => {}
             }
         }
     }
@@ -321,7 +323,7 @@
             let (now, age) = (self.now, self.list_age(receiver));
             let mut out = Vec::new();
             let keys = &mut self.processes[receiver].keys;
-            keys.message(now, age, from, message, &mut out);
+            keys.on_message(now, age, from, message, &mut out);
             self.carry_out(receiver, out);
         }
     }
--- a/crates/core/tests/tickets_failures.rs
+++ b/crates/core/tests/tickets_failures.rs
@@ -7,12 +7,12 @@
 use core::time::Duration;
 use fleet::{Fleet, workspace};
 use oriolemux_core::keys::{Claim, ClaimId, HolderState, KeysMessage};
-use oriolemux_core::outcome::Earlier;
+use oriolemux_core::outcome::PriorOutcome;
 use oriolemux_core::{Outcome, Reason, RequestId, WorkspaceKey};
 use proptest::prelude::*;
 use rstest::rstest;
 
-const DONE: HolderState = HolderState::Ended(Earlier::Complete);
+const DONE: HolderState = HolderState::Ended(PriorOutcome::Complete);
 const ALL: [usize; 3] = [0, 1, 2];
 
 #[rstest]
@@ -80,12 +80,12 @@
     };
     // The claim gets through; the answer does not.
     let asker = fleet.id(1);
-    fleet.inject(0, asker, KeysMessage::Take(claim));
+    fleet.inject(0, asker, KeysMessage::Request(claim));
 
     let repeat = fleet.answer(2, ticket);
     let refused = fleet.answer_of(lost).unwrap();
     fleet.heal();
-    let late = KeysMessage::Taken {
+    let late = KeysMessage::Granted {
         id: ticket,
         claimant: lost,
     };
@@ -147,7 +147,7 @@
     };
     let asker = fleet.id(1);
 
-    fleet.inject(0, asker, KeysMessage::Take(foreign));
+    fleet.inject(0, asker, KeysMessage::Request(foreign));
 
     assert!(fleet.answer(2, ticket).is_granted());
 }
