--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -1,17 +1,19 @@
-//! A cell: a few endpoints of one model (or service) with one decision maker.
+//! Admission and placement for a cell, a small group of endpoints that serve one model or one plain
+//! service.
 //!
-//! The home of a cell holds its queue, admits requests against the endpoints'
-//! memory and says where each runs. Tokens never pass through it: the entry
-//! instance that holds the caller's connection talks to the endpoint, reports
-//! progress at checkpoints ([`crate::checkpoint`]) and the end. The state is soft: a new home
-//! rebuilds it from load reports and from what entries tell ([`Cell::adopt`]).
+//! One instance is the *home* of the cell. It queues requests, admits them against the endpoints'
+//! memory and chooses the endpoint of each. Tokens do not pass through the home: the entry
+//! instance, which holds the caller's connection, talks to the endpoint and reports progress at
+//! checkpoints ([`crate::checkpoint`]) and the end of the request. The state is soft: a new home
+//! rebuilds it from load reports and from the running requests that entry instances report
+//! ([`Cell::adopt`]).
 //!
-//! # The story of a poll
+//! # Polling
 //!
-//! [`Cell::poll`] forecasts the memory of the endpoints that are due
-//! ([`crate::memory`]), grants from the queue in the order of deadlines until
-//! nothing more fits (`place`), and refuses what cannot start in time
-//! (`refuse`). Its cost grows with the logarithm of queue and endpoints.
+//! [`Cell::poll`] refreshes the memory forecasts that are due ([`crate::memory`]), grants queued
+//! requests in the order of their deadlines until nothing more fits (`place`), and refuses requests
+//! that cannot start in time (`refuse`). Its cost is logarithmic in the length of the queue and in
+//! the number of endpoints.
 //!
 //! See `docs/design/admission.md` and `docs/design/routing.md`.
 
@@ -60,26 +62,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use supply::Supply;
 
-/// A class as this cell has come to know it.
+/// What the cell has learned about a class.
 #[derive(Clone, Copy, Debug)]
 struct ClassState {
     risk: ClassRisk,
     drain: Drain,
 }
 
-/// Where a granted request runs.
+/// The endpoint that a granted request runs on.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     endpoint: EndpointIx,
-    /// Tokens of the prompt as declared.
+    /// Prompt tokens as declared by the caller.
     declared: u32,
 }
 
-/// The decision maker of one cell.
+/// The queue, the endpoints and the leases of one cell, as its home keeps them.
 ///
-/// Invariants: a request is in the queue, or has a lease, or is unknown; the
-/// ledger of an endpoint holds exactly the requests with a lease there; each
-/// hold is noted at the endpoint and at the request.
+/// Invariants: a request is in the queue, or has a lease, or is unknown; the ledger of an endpoint
+/// contains exactly the requests with a lease there; each hold is recorded both at the endpoint and
+/// at the request.
 pub struct Cell {
     cfg: CellConfig,
     rng: SmallRng,
@@ -94,22 +96,22 @@
     class_by_key: BTreeMap<ClassKey, ClassIx>,
     queue: Queue,
     leases: BTreeMap<RequestId, Lease>,
-    /// Requests that came since the last poll.
+    /// Requests that were submitted since the last poll.
     unreviewed: Vec<RequestId>,
     /// Whether anything changed since requests were last placed.
     is_dirty: bool,
     /// When the cell was last polled.
     last_poll: Time,
-    /// Drifts of lengths that were taken in.
+    /// Length drifts that the risks of the classes already account for.
     drifts_applied: u64,
-    /// KV tokens of all live endpoints, and tokens a second of a generation.
+    /// Total capacity of the endpoints that are not leaving.
     supply: Supply,
     blocked_lanes: Vec<LaneKey>,
     candidates: Vec<EndpointIx>,
 }
 
 impl Cell {
-    /// Returns a cell without endpoints. `seed` drives its jitter.
+    /// Returns a cell without endpoints. `seed` initialises the random jitter of retry times.
     pub fn new(cfg: CellConfig, seed: u64) -> Self {
         let mut index = RoomIndex::default();
         index.build(Requirement::ANY, core::iter::empty());
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Adds an endpoint, or changes what is published about it.
+    /// Adds an endpoint, or updates the published information about it.
     pub fn set_endpoint(&mut self, now: Time, info: EndpointInfo) {
         let ix = match self.by_key.get(&info.key) {
             Some(ix) => *ix,
@@ -150,7 +152,7 @@
 
     /// Removes an endpoint that is no longer published.
     ///
-    /// What runs there goes on; this cell only stops to count it.
+    /// Requests that run there continue; the cell only stops counting them.
     pub fn remove_endpoint(&mut self, now: Time, key: EndpointKey) {
         let Some(ix) = self.by_key.remove(&key) else {
             return;
@@ -169,10 +171,10 @@
         self.supply.at = None;
     }
 
-    /// Takes a request into the queue; [`Cell::poll`] tells what becomes of it.
+    /// Queues a request; [`Cell::poll`] returns the decision about it.
     ///
-    /// A request that is known already is forgotten first, so that a second
-    /// ask (after a failed attempt, or after a lost grant) holds no room twice.
+    /// A request that is already known is withdrawn first, so that one submitted again after a
+    /// failed attempt or a lost grant does not occupy room twice.
     pub fn submit(&mut self, now: Time, req: CellRequest) {
         self.withdraw(now, req.id);
         let class = self.class_ix(&req.class);
@@ -200,7 +202,7 @@
         self.is_dirty = true;
     }
 
-    /// Learns that a running request has generated `tokens`.
+    /// Records that a running request has generated `tokens` so far.
     pub fn on_progress(&mut self, now: Time, id: RequestId, tokens: u32) {
         let Some(lease) = self.leases.get(&id) else {
             return;
@@ -210,7 +212,7 @@
         endpoint.health.succeeded(now);
     }
 
-    /// Learns that a granted request ended with `tokens` generated.
+    /// Records that a granted request ended after generating `tokens`.
     pub fn on_ended(&mut self, now: Time, id: RequestId, tokens: u32, end: EndKind) {
         let Some(lease) = self.leases.get(&id).copied() else {
             self.withdraw(now, id);
@@ -241,7 +243,7 @@
         self.reindex(now, lease.endpoint);
     }
 
-    /// Forgets a request, queued or running: its caller left or it moved elsewhere.
+    /// Removes a queued or running request whose caller left or that moved to another cell.
     pub fn withdraw(&mut self, now: Time, id: RequestId) {
         if self.queue.get(id).is_some() {
             let waiting = self.take_waiting(id);
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Takes over a request that runs under an earlier home's grant.
+    /// Adds a lease for a request that runs under the grant of a previous home.
     pub fn adopt(&mut self, now: Time, running: Running) {
         self.withdraw(now, running.id);
         let Some(ix) = self.by_key.get(&running.endpoint).copied() else {
@@ -284,7 +286,7 @@
         self.lease(now, ix, held, running.prompt_tokens);
     }
 
-    /// Ends every lease of one life of an instance, because it is dead.
+    /// Withdraws every request of one incarnation of an instance, because that process has ended.
     pub fn withdraw_incarnation(
         &mut self,
         now: Time,
@@ -304,7 +306,7 @@
         }
     }
 
-    /// Takes in an endpoint's load report.
+    /// Applies a load report of an endpoint.
     pub fn on_load_report(&mut self, now: Time, endpoint: EndpointKey, report: &LoadReport) {
         let Some(ix) = self.by_key.get(&endpoint).copied() else {
             return;
@@ -322,7 +324,7 @@
         self.reindex(now, ix);
     }
 
-    /// Takes in an endpoint's cache events; `gap` says that some were lost.
+    /// Applies cache events of an endpoint; `gap` says that earlier events were lost.
     pub fn on_cache_events(
         &mut self,
         _now: Time,
@@ -336,10 +338,10 @@
         }
     }
 
-    /// Takes every decision that is due, and returns when to poll next.
+    /// Makes every decision that is due and returns the time of the next poll.
     ///
-    /// It should also be polled after every other call; decisions are
-    /// appended to `out` in the order in which they were taken.
+    /// Callers should also poll after every other call that changes the cell. Decisions are
+    /// appended to `out` in the order in which they were made.
     pub fn poll(&mut self, now: Time, out: &mut Vec<CellDecision>) -> Time {
         self.last_poll = now;
         self.reset_risks_after_drift();
@@ -357,7 +359,7 @@
         self.next_poll()
     }
 
-    /// Returns what operators see of the cell, as of the last poll.
+    /// Returns the state shown to operators, as of the last poll.
     pub fn snapshot(&self) -> CellSnapshot {
         let now = self.last_poll;
         let oldest = self.queue.oldest_arrival();
@@ -374,7 +376,7 @@
         }
     }
 
-    /// Returns the endpoints that get no work but probes.
+    /// Returns the ejected endpoints, which receive only probe requests.
     pub fn ejected(&self) -> impl Iterator<Item = EndpointKey> {
         let endpoints = self.by_key.iter();
         endpoints
@@ -419,7 +421,7 @@
         place::describe(self, now, waiting)
     }
 
-    /// Takes a request out of the queue; its length node stays held.
+    /// Removes a request from the queue. Its length node stays acquired.
     fn take_waiting(&mut self, id: RequestId) -> Waiting {
         self.release_hold(id);
         let waiting = self.queue.remove(id);
@@ -464,7 +466,8 @@
         refresh.min(review)
     }
 
-    /// Returns whether some endpoint that is not leaving could ever take the request.
+    /// Returns whether an endpoint that is not leaving, and not excluded, serves the request's
+    /// model.
     fn is_served(&self, req: &CellRequest) -> bool {
         let holding = self.index.len(req.needs);
         if holding > req.exclude.len() {
@@ -474,7 +477,8 @@
         !self.index.roomiest(req.needs).all(excluded)
     }
 
-    /// Returns a few endpoints with the reason why each did not take a request.
+    /// Returns up to [`MAX_ALTERNATIVES`] endpoints with the reason why each cannot take the
+    /// request.
     fn sample_alternatives(&self, now: Time, req: &CellRequest) -> Vec<Alternative> {
         let sample = self.by_key.values().take(MAX_ALTERNATIVES);
         sample
--- a/crates/core/src/cell/codec.rs
+++ b/crates/core/src/cell/codec.rs
@@ -1,11 +1,11 @@
-//! The compact form of a batch of checkpoints, the most frequent peer message.
+//! Compact encoding of a batch of checkpoints, the most frequent peer message.
 //!
-//! A batch is one flat sequence of integers, two to a checkpoint: the
-//! difference of the sequence number to the one before (wrapping, so that any
-//! order is kept), then the tokens. Checkpoints come at multiples of
-//! [`FIRST_CHECKPOINT`], so tokens are sent as `2 * (tokens / 64)`, and as
-//! `2 * tokens + 1` where they are no multiple. With a variable-length codec
-//! that is two to four bytes in place of eight to ten.
+//! A batch is one flat sequence of integers, two per checkpoint. The first is the difference
+//! between its sequence number and the previous one; the difference wraps, so any order can be
+//! encoded. The second is the number of tokens. Checkpoints are usually at multiples of
+//! [`FIRST_CHECKPOINT`], so tokens are encoded as `2 * (tokens / 64)`, or as `2 * tokens + 1` if
+//! they are not a multiple. With a variable-length integer encoding a checkpoint takes two to four
+//! bytes instead of eight to ten.
 
 use crate::cell::message::Checkpoint;
 use crate::checkpoint::FIRST_CHECKPOINT;
@@ -14,8 +14,8 @@
 use serde::ser::SerializeSeq;
 use serde::{Deserializer, Serializer};
 
-/// Checkpoints for which room is made before any has been read. A batch may
-/// claim any length; were it believed, a few bytes could ask for gigabytes.
+/// Upper bound on the capacity reserved before any checkpoint is decoded. The encoded length is
+/// untrusted: a message of a few bytes could otherwise cause an allocation of gigabytes.
 const MAX_RESERVED: usize = 1_024;
 
 pub(super) fn serialize<S: Serializer>(batch: &[Checkpoint], ser: S) -> Result<S::Ok, S::Error> {
--- a/crates/core/src/cell/config.rs
+++ b/crates/core/src/cell/config.rs
@@ -1,28 +1,28 @@
-//! Constants of a cell's policy.
+//! Policy parameters of a cell.
 //!
-//! `docs/design/admission.md` names the sweep that each constant came from.
+//! `docs/design/admission.md` describes how each default was chosen.
 
 use core::time::Duration;
 
-/// Settings of a cell, with defaults that suit a crowded engine.
+/// Policy parameters of a cell. The defaults suit engines under sustained load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellConfig {
-    /// Chance, from 0 to 1, that a generation may run when memory is short;
-    /// preemptions steer it from here.
+    /// Initial accepted probability, from 0 to 1, that a generation runs out of memory. Preemptions
+    /// and completions then adjust it for each class.
     pub risk_start: f64,
-    /// Share of an endpoint's memory that work of more urgency than others may use alone.
+    /// Share of an endpoint's memory that is reserved for urgent requests.
     pub urgent_share: f64,
-    /// The least urgent class that counts as urgent.
+    /// Highest urgency value that counts as urgent; 0 is the most urgent.
     pub urgent_urgency: u8,
-    /// Share of its wait target that a request waits before room is held for it.
+    /// Share of its wait target after which room is held for a waiting request.
     pub hold_share: f64,
-    /// KV tokens assumed at an endpoint that has not reported yet.
+    /// KV tokens assumed for an endpoint that has not reported its load yet.
     pub unreported_kv_tokens: u64,
-    /// Requests at once at an endpoint that has not reported yet.
+    /// Concurrent requests assumed for an endpoint that has not reported its load yet.
     pub unreported_slots: u32,
-    /// The most requests that one cell queues.
+    /// Maximum number of queued requests in one cell.
     pub max_queued: usize,
-    /// How often an endpoint's memory is forecast anew.
+    /// Interval at which an endpoint's memory forecast is recomputed.
     pub refresh_interval: Duration,
 }
 
@@ -64,7 +64,7 @@
                 self
             })*
 
-            /// Returns the settings.
+            /// Returns the configuration.
             pub fn build(self) -> CellConfig {
                 self.cfg
             }
--- a/crates/core/src/cell/drain.rs
+++ b/crates/core/src/cell/drain.rs
@@ -1,20 +1,20 @@
-//! How fast the queue is drained, from which waits are predicted.
+//! Estimate of the rate at which the queue drains, from which waits are predicted.
 
 use crate::time::Time;
 use core::time::Duration;
 
-/// Time over which grants are summed.
+/// Length of a measurement window.
 const WINDOW: Duration = Duration::from_secs(20);
-/// Weight of one window in the rate.
+/// Weight of the latest window in the smoothed rate.
 const GAIN: f64 = 0.25;
-/// The rate assumed before one was measured, as a share of what the engines could do.
+/// Rate assumed before the first measurement, as a share of the engines' capacity.
 const START_SHARE: f64 = 0.5;
-/// The least rate believed, as a share of what the engines could do. Right
-/// after an hour turn everything that runs is young and little is granted for
-/// half a minute; taken at its word, that would refuse work which starts in time.
+/// Lower bound of the rate, as a share of the engines' capacity. After a burst of starts at the top
+/// of the hour, everything that runs is young and little is granted for half a minute. The rate
+/// measured then is too low and would refuse requests that can start in time.
 const FLOOR_SHARE: f64 = 0.4;
 
-/// Work granted a second while work was waiting, in token-tokens a second.
+/// Rate of granted work while requests were waiting, in token-tokens per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Drain {
     rate: Option<f64>,
@@ -24,12 +24,13 @@
 }
 
 impl Drain {
-    /// Notes work that was granted.
+    /// Adds granted work to the current window.
     pub fn granted(&mut self, work: f64) {
         self.granted += work;
     }
 
-    /// Closes the window that is due; `backlogged` says whether work waits now.
+    /// Closes the current window if it is over. `backlogged` says whether requests wait now; only
+    /// windows during which requests waited throughout change the rate.
     pub fn roll(&mut self, now: Time, backlogged: bool) {
         if !backlogged {
             self.backlogged = false;
@@ -48,7 +49,7 @@
         self.backlogged = backlogged;
     }
 
-    /// Returns the work drained a second, where the engines could do `supply`.
+    /// Returns the work drained per second, given that the engines can do at most `supply`.
     pub fn rate(&self, supply: f64) -> f64 {
         match self.rate {
             Some(rate) => rate.max(supply * FLOOR_SHARE),
--- a/crates/core/src/cell/endpoint.rs
+++ b/crates/core/src/cell/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as its cell sees it.
+//! State of one endpoint in its cell.
 
 use crate::cell::config::CellConfig;
 use crate::cell::decision::NotChosen;
@@ -13,59 +13,59 @@
 use crate::value::LoadReport;
 use core::time::Duration;
 
-/// An endpoint whose last report is older than this is given only half of its
-/// capacity: it may be gone, or fuller than it last said.
+/// Age of the last load report beyond which only [`STALE_SHARE`] of the capacity is used: the
+/// endpoint may be gone, or fuller than it last reported.
 const REPORT_STALE: Duration = Duration::from_secs(10);
-/// Reports in a row with work waiting inside the engine, after which it gets
-/// nothing new but urgent work. A preempted generation waits there for memory,
-/// and whatever is added keeps it waiting.
+/// Consecutive reports with requests waiting inside the engine, after which it receives only urgent
+/// requests. A preempted generation waits in the engine for memory, and every new request keeps it
+/// waiting.
 const WAITING_REPORTS: u32 = 2;
-/// Standard deviations of memory that endpoints are ranked with.
+/// Standard deviations of memory added to the mean when endpoints are ranked by free room.
 const RANKING_SIGMAS: f64 = 1.0;
-/// Share of its capacity that an endpoint with a stale report is given.
+/// Share of the capacity that is used at an endpoint with a stale report.
 const STALE_SHARE: f64 = 0.5;
 
-/// An endpoint with what runs there, what it reported and how it behaves.
+/// An endpoint with its running requests, its last load report and its health.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub info: EndpointInfo,
-    /// Tokens of KV memory in all; unused for a plain service.
+    /// Total KV cache in tokens; unused for a plain service.
     pub total: u64,
-    /// The most generations or calls at once.
+    /// Maximum number of concurrent generations or calls.
     pub slots: u32,
-    /// When its last report came.
+    /// Time of its last load report.
     pub reported: Option<Time>,
-    /// What it holds, sorted, once it has said so.
+    /// The requirements that it meets, sorted, once it has reported its models.
     pub loaded: Option<Vec<Requirement>>,
     pub reported_leaving: bool,
     pub preemptions: Option<u64>,
-    /// Reports in a row that showed work waiting inside the engine.
+    /// Consecutive reports that showed requests waiting inside the engine.
     pub waiting_reports: u32,
     pub ledger: Ledger,
     pub foreign: Foreign,
     pub health: Health,
     pub calls: ConcurrencyLimit,
-    /// When the ledger was last forecast anew.
+    /// When the forecast of the ledger was last recomputed.
     pub refreshed: Time,
-    /// When it is to be forecast next.
+    /// When the forecast must be recomputed next.
     pub due: Time,
-    /// Its place in the index of rooms, if it is there.
+    /// The free room under which it is indexed, if it is indexed.
     pub indexed: Option<u32>,
     /// An overdue request for which its room is held.
     pub held_for: Option<RequestId>,
 }
 
-/// What a request was measured with at an endpoint.
+/// How well a request fits at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Fit {
     pub fits: bool,
-    /// Tokens (or calls) free before the request.
+    /// Tokens (or calls) that are free without the request.
     pub free: u32,
-    /// Share of the capacity that stays free with the request, from 0 to 1.
+    /// Share of the capacity that stays free with the request, from -1 to 1.
     pub free_share: f64,
 }
 
-/// How a request is measured.
+/// A request whose fit at an endpoint is computed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Measure<'a> {
     pub id: RequestId,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Takes in a report; returns the preemptions since the last one.
+    /// Applies a load report and returns the number of preemptions since the previous one.
     pub fn report(&mut self, now: Time, report: &LoadReport) -> u64 {
         let lag = Duration::from_millis(report.lag_ms.into());
         let taken = Time::from_micros(
@@ -130,7 +130,7 @@
             0
         };
         let before = self.preemptions.replace(report.preemptions);
-        // A counter that fell belongs to a restarted engine.
+        // A counter that decreased means that the engine restarted.
         before.map_or(0, |before| report.preemptions.saturating_sub(before))
     }
 
@@ -141,12 +141,12 @@
         self.refreshed = now;
     }
 
-    /// Returns whether its figures change with time alone.
+    /// Returns whether the free room changes as time passes, without any event.
     pub fn changes_with_time(&self, now: Time) -> bool {
         !self.ledger.held().is_empty() || self.health.is_moving(now)
     }
 
-    /// Returns why the endpoint can't take a request whatever its room, if it can't.
+    /// Returns why the endpoint is ineligible for a request regardless of free room, if it is.
     pub fn ineligible_reason(&self, now: Time, req: &CellRequest) -> Option<NotChosen> {
         if self.is_leaving() {
             return Some(NotChosen::Leaving);
@@ -163,7 +163,7 @@
         None
     }
 
-    /// Returns why a request that nothing bars did not fit.
+    /// Returns why a request did not fit at an eligible endpoint.
     pub fn no_room_reason(&self, now: Time, id: RequestId) -> NotChosen {
         match self.held_for {
             Some(holder) if holder != id => NotChosen::Held,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Measures a request against the room here.
+    /// Computes how well a request fits into the free room.
     pub fn fit(&self, now: Time, cfg: &CellConfig, measure: Measure<'_>) -> Fit {
         match self.info.kind {
             EndpointKind::Model => self.fit_memory(now, cfg, measure),
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Returns tokens (or calls) that are free for work that is not urgent.
+    /// Returns the tokens (or calls) that are free for requests that are not urgent.
     pub fn room(&self, now: Time, cfg: &CellConfig) -> u32 {
         if self.info.kind == EndpointKind::Service {
             return self.free_calls(now);
@@ -206,7 +206,7 @@
         (usable - peak).max(0.0) as u32
     }
 
-    /// Returns the tokens of KV memory that may be counted with at present.
+    /// Returns the tokens of KV cache that may be used at present.
     pub fn capacity(&self, now: Time) -> f64 {
         self.total as f64 * self.share(now)
     }
@@ -230,7 +230,7 @@
         let with = measure.margins.peak(sum) + foreign;
         let before = sum.peak(RANKING_SIGMAS) + foreign;
         let fits = match self.is_idle() {
-            // Alone it may take what it likes: nothing else is preempted for it.
+            // On an idle engine a request needs no margin: there is nothing to preempt.
             true => measure.forecast.now() < self.total as f64,
             false => {
                 with <= usable
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Returns whether work waits inside the engine, and not just for a step.
+    /// Returns whether requests have been waiting inside the engine for several reports.
     fn has_engine_backlog(&self) -> bool {
         self.waiting_reports >= WAITING_REPORTS
     }
@@ -263,9 +263,9 @@
         f64::from(running) + 1.0 <= slots - reserved
     }
 
-    /// Room that is held for an overdue request is left alone, but for urgent
-    /// work within its own reserve; without that limit endless urgent work
-    /// could keep the overdue request out for ever.
+    /// Returns whether the request may start despite a hold. Room held for an overdue request is
+    /// closed to others, except to urgent requests within the urgent reserve. Without that limit a
+    /// steady flow of urgent requests could keep the overdue request waiting forever.
     fn respects_hold(&self, now: Time, cfg: &CellConfig, measure: Measure<'_>) -> bool {
         match self.held_for {
             None => true,
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Returns whether the reserve for urgent work alone could take a request.
+    /// Returns whether a request fits into the urgent reserve alone.
     pub fn fits_reserve(&self, now: Time, cfg: &CellConfig, forecast: &Forecast) -> bool {
         forecast.peak(0.0) <= self.capacity(now) * cfg.urgent_share
     }
@@ -313,7 +313,7 @@
     }
 }
 
-/// Returns everything that a report says an engine can serve, sorted.
+/// Returns every requirement that the models in a load report meet, sorted.
 fn holdings(report: &LoadReport) -> Vec<Requirement> {
     let mut list = Vec::new();
     for model in &report.models {
--- a/crates/core/src/cell/index.rs
+++ b/crates/core/src/cell/index.rs
@@ -1,28 +1,29 @@
-//! Endpoints in the order of their free room, for each requirement in use.
+//! Index of endpoints by free room, for each requirement in use.
 
 use crate::cell::request::Requirement;
 use crate::routing::prefix::EndpointIx;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most requirements that are indexed at once.
+/// Maximum number of requirements that are indexed at once.
 const MAX_REQUIREMENTS: usize = 256;
 
-/// Live endpoints by free room.
+/// Endpoints by free room, for each requirement.
 ///
-/// Invariant: each set holds exactly the endpoints that are not leaving and
-/// hold its requirement, at the room that they were last set with.
+/// Invariant: each set contains exactly the endpoints that are not leaving and meet its
+/// requirement, with the room that was last set for them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RoomIndex {
     sets: BTreeMap<Requirement, BTreeSet<(u32, EndpointIx)>>,
 }
 
 impl RoomIndex {
-    /// Returns whether the endpoints of `needs` are indexed.
+    /// Returns whether endpoints are indexed for `needs`.
     pub fn has(&self, needs: Requirement) -> bool {
         self.sets.contains_key(&needs)
     }
 
-    /// Starts to index the endpoints that hold `needs`.
+    /// Starts indexing the endpoints that meet `needs`. All other sets are dropped if there are
+    /// already [`MAX_REQUIREMENTS`].
     pub fn build(&mut self, needs: Requirement, rooms: impl Iterator<Item = (u32, EndpointIx)>) {
         if self.sets.len() >= MAX_REQUIREMENTS {
             self.sets.clear();
@@ -30,8 +31,8 @@
         self.sets.insert(needs, rooms.collect());
     }
 
-    /// Moves an endpoint from room `from` to room `to`, in every set whose
-    /// requirement it `holds`; `None` stands for not indexed.
+    /// Moves an endpoint from room `from` to room `to` in every set whose requirement it `holds`.
+    /// `None` means that it is not indexed.
     pub fn set(
         &mut self,
         ix: EndpointIx,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Returns the endpoints that hold `needs`, the roomiest first.
+    /// Returns the endpoints that meet `needs`, in descending order of free room.
     pub fn roomiest(&self, needs: Requirement) -> impl Iterator<Item = EndpointIx> {
         let set = self.sets.get(&needs);
         set.into_iter()
@@ -59,7 +60,7 @@
             .map(|(_, ix)| *ix)
     }
 
-    /// Returns how many endpoints hold `needs`.
+    /// Returns the number of endpoints that meet `needs`.
     pub fn len(&self, needs: Requirement) -> usize {
         self.sets.get(&needs).map_or(0, BTreeSet::len)
     }
--- a/crates/core/src/cell/learn.rs
+++ b/crates/core/src/cell/learn.rs
@@ -1,4 +1,5 @@
-//! What a cell learns from ends, failures and preemptions.
+//! Updates of the length model, the health and the accepted risks from completions, failures and
+//! preemptions.
 
 use super::Cell;
 use crate::length::buckets::bucket_of;
@@ -16,7 +17,7 @@
         self.lengths.ended(held.node, held.passed, tokens);
     }
 
-    /// Learns from an answer that was cut off: it would have been longer.
+    /// Records an output that was truncated. Its length is a lower bound (a censored observation).
     pub(super) fn learn_censored(&mut self, held: &Held, tokens: u32) {
         self.lengths
             .survived(held.node, held.passed, bucket_of(tokens));
@@ -33,9 +34,9 @@
         }
     }
 
-    /// Starts the accepted risks anew when lengths have drifted: preemptions
-    /// that came of outdated lengths say nothing about the new ones. Without
-    /// this, memory was kept half empty for an hour after a drift.
+    /// Raises the accepted risks back to their initial value when the lengths have drifted.
+    /// Preemptions caused by outdated lengths say nothing about the new ones; without the reset,
+    /// memory stays half empty for an hour after a drift.
     pub(super) fn reset_risks_after_drift(&mut self) {
         if self.lengths.drifts() != self.drifts_applied {
             self.drifts_applied = self.lengths.drifts();
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Spreads preemptions over the classes that ran where they happened.
+    /// Attributes preemptions in equal shares to the requests that ran on the endpoint.
     pub(super) fn learn_preemptions(&mut self, ix: EndpointIx, count: u64) {
         let held = self.endpoints[ix].ledger.held();
         let share = count as f64 / held.len().max(1) as f64;
--- a/crates/core/src/cell/message.rs
+++ b/crates/core/src/cell/message.rs
@@ -1,8 +1,8 @@
 //! Messages between an entry instance and the home of a cell.
 //!
-//! They name a request by its sequence number only: the link's authenticated
-//! peer gives the instance and its incarnation. They carry durations and never
-//! points in time, because two processes share no clock.
+//! They identify a request by its sequence number only: the authenticated peer of the link supplies
+//! the instance and its incarnation. They carry durations and no points in time, because two
+//! processes share no clock.
 
 use crate::cell::decision::GrantRecord;
 use crate::cell::request::{CellRequest, ClassRules, EndKind, Requirement, Running};
@@ -13,40 +13,40 @@
 use core::time::Duration;
 use serde::{Deserialize, Serialize};
 
-/// The most prefix hashes that an ask carries; the longest prefixes are kept.
+/// Maximum number of prefix hashes in a grant request; the longest prefixes are kept.
 pub const MAX_PREFIX_HASHES: usize = 8;
 
 /// A message between an entry instance and the home of a cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CellMessage {
-    /// Entry to home: a request asks for a grant.
+    /// Entry to home: requests a grant.
     Request(Box<GrantRequest>),
     /// Home to entry: the request may run.
     Grant(Box<Grant>),
     /// Home to entry: the request is refused.
     Refused(Box<Refused>),
-    /// Entry to home: checkpoints that running requests passed.
+    /// Entry to home: checkpoints that running requests reached.
     Progress(#[serde(with = "crate::cell::codec")] Vec<Checkpoint>),
     /// Entry to home: requests that ended.
     Ended(Vec<Ended>),
-    /// Entry to home: requests whose callers left or that moved elsewhere.
+    /// Entry to home: requests whose callers left or that moved to another cell.
     Withdraw(Vec<u64>),
-    /// Entry to home: what runs at a cell's endpoints, after the home changed.
+    /// Entry to home: all requests that the entry runs in a cell, after the home changed.
     Resync {
         /// The cell.
         cell: CellKey,
-        /// What runs.
+        /// The running requests.
         running: Vec<RunningReport>,
     },
-    /// Home to entry: do these requests still wait or run here? The entry
-    /// withdraws those that do not.
+    /// Home to entry: queries whether these requests still wait or run in the home's cells. The
+    /// entry withdraws those that do not.
     Confirm(Vec<u64>),
 }
 
-/// A request that asks for a grant.
+/// A request for a grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The cell that is asked.
+    /// The cell.
     pub cell: CellKey,
     /// The request's sequence number at the sender.
     pub seq: u64,
@@ -56,7 +56,7 @@
     pub workspace: WorkspaceKey,
     /// See [`CellRequest::class`].
     pub class: ClassRules,
-    /// How long the request has waited already, in milliseconds.
+    /// How long the request has waited so far, in milliseconds.
     pub waited_ms: u32,
     /// See [`CellRequest::prompt_tokens`].
     pub prompt_tokens: u32,
@@ -73,7 +73,7 @@
 }
 
 impl GrantRequest {
-    /// Returns the ask that stands for `req` at `now`.
+    /// Returns the message that requests a grant for `req` at `now`.
     pub fn from_request(cell: CellKey, req: &CellRequest, now: Time) -> GrantRequest {
         let skip = req.prefix.len().saturating_sub(MAX_PREFIX_HASHES);
         GrantRequest {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Returns the request as the home sees it, when `from` sent this at `now`.
+    /// Returns the request as the home records it when the message arrives from `from` at `now`.
     pub fn into_request(self, from: PeerId, now: Time) -> CellRequest {
         let waited = Duration::from_millis(self.waited_ms.into()).as_micros() as u64;
         CellRequest {
@@ -116,11 +116,11 @@
 pub struct Grant {
     /// The request's sequence number at the receiver.
     pub seq: u64,
-    /// Where it may run.
+    /// The endpoint that it may run on.
     pub endpoint: EndpointKey,
     /// The engine's priority; 0 is the most urgent.
     pub priority: u8,
-    /// Why.
+    /// The figures behind the grant.
     pub record: GrantRecord,
 }
 
@@ -129,17 +129,17 @@
 pub struct Refused {
     /// The request's sequence number at the receiver.
     pub seq: u64,
-    /// Why.
+    /// Why it is refused.
     pub reason: Reason,
-    /// When it is worth coming back, in milliseconds.
+    /// Suggested delay before a retry, in milliseconds.
     pub retry_after_ms: u32,
-    /// How long it would have waited, in milliseconds.
+    /// Predicted wait, in milliseconds.
     pub predicted_wait_ms: u32,
-    /// What was predicted and what was free.
+    /// The figures behind the refusal.
     pub record: GrantRecord,
 }
 
-/// A checkpoint that a running request passed.
+/// A checkpoint that a running request reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
     /// The request's sequence number at the sender.
@@ -159,7 +159,7 @@
     pub end: EndKind,
 }
 
-/// A running request, as its entry tells a new home.
+/// A running request, as its entry instance reports it to a new home.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunningReport {
     /// The request's sequence number at the sender.
@@ -181,7 +181,7 @@
 }
 
 impl RunningReport {
-    /// Returns the running request as the home sees it, when `from` sent this.
+    /// Returns the running request as the home records it when the report arrives from `from`.
     pub fn into_running(self, from: PeerId) -> Running {
         Running {
             id: request_id(from, self.seq),
@@ -211,7 +211,7 @@
     }
 }
 
-/// Returns the id of the request that `from` counts as `seq`.
+/// Returns the id of the request with the sequence number `seq` at `from`.
 pub fn request_id(from: PeerId, seq: u64) -> RequestId {
     RequestId {
         instance: from.instance,
@@ -220,7 +220,7 @@
     }
 }
 
-/// Returns `duration` in whole milliseconds, capped at what a message carries.
+/// Returns `duration` in milliseconds, rounded down and saturating at [`u32::MAX`].
 pub fn millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/cell/place.rs
+++ b/crates/core/src/cell/place.rs
@@ -1,4 +1,4 @@
-//! Placing: which waiting request goes where, now.
+//! Placement of waiting requests on endpoints.
 
 use crate::cell::Cell;
 use crate::cell::decision::{Alternative, CellDecision, GrantRecord, MAX_ALTERNATIVES, NotChosen};
@@ -11,12 +11,12 @@
 use crate::routing::prefix::EndpointIx;
 use crate::time::Time;
 
-/// Endpoints with room that are measured for one request.
+/// Maximum number of endpoints whose fit is computed for one request.
 const MAX_MEASURED: usize = 6;
-/// Endpoints looked at for one request, barred ones included.
+/// Maximum number of endpoints taken from the index for one request, ineligible ones included.
 const MAX_EXAMINED: usize = 24;
 
-/// Grants from the queue until no lane's head fits anywhere.
+/// Grants queued requests until the head of no lane fits at any endpoint.
 pub(super) fn place_waiting(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
     let mut blocked = core::mem::take(&mut cell.blocked_lanes);
     blocked.clear();
@@ -29,7 +29,7 @@
     cell.blocked_lanes = blocked;
 }
 
-/// Grants one request if it fits; an overdue one that does not gets a hold.
+/// Grants a request if it fits. Otherwise room is held for it once it is overdue.
 fn place(cell: &mut Cell, now: Time, id: RequestId) -> Option<CellDecision> {
     let mut search = Search::new(cell, id)?;
     search.run(cell, now);
@@ -42,7 +42,7 @@
     }
 }
 
-/// The search for a place for one request.
+/// The search for the best endpoint for one request.
 struct Search {
     id: RequestId,
     demand: Demand,
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Looks at the holders of the prompt's prefix, then at the roomiest.
+    /// Examines the endpoints that cache the prompt's prefix, then those with the most free room.
     fn run(&mut self, cell: &mut Cell, now: Time) {
         self.seen.clear();
         let Some(needs) = cell.queue.get(self.id).map(|waiting| waiting.req.needs) else {
@@ -113,7 +113,7 @@
         cell.candidates = seen;
     }
 
-    /// Looks at one endpoint; returns whether its room was measured.
+    /// Examines one endpoint and returns whether it counts towards the limit of measured endpoints.
     fn examine(&mut self, cell: &mut Cell, now: Time, ix: EndpointIx) -> bool {
         cell.refresh_if_stale(now, ix);
         let Some(waiting) = cell.queue.get(self.id) else {
@@ -218,13 +218,13 @@
     }
 }
 
-/// Holds the room of one endpoint for a request that should have started, so
-/// that what is shorter than it no longer takes each gap as it opens.
+/// Holds the room of one endpoint for an overdue request, so that shorter requests no longer take
+/// each gap as it opens.
 ///
-/// Without this, endless short work starves long work; one would notice it by
-/// refusals of the long class with `wait_expired` while short work flows.
-/// Urgent work that fits into its own reserve needs no hold: were it to take
-/// one, endless urgent work would pass the hold from one to the next.
+/// Without the hold, a steady flow of short requests starves long ones. The symptom is refusals of
+/// the long class with `wait_expired` while short requests are served. Urgent requests that fit
+/// into the urgent reserve get no hold, because under a steady flow of urgent requests the hold
+/// would pass from one to the next forever.
 fn hold_if_overdue(cell: &mut Cell, now: Time, id: RequestId, forecast: &Forecast) {
     let Some(waiting) = cell.queue.get(id) else {
         return;
@@ -257,7 +257,7 @@
     }
 }
 
-/// Returns a record of what is known about a request that waits.
+/// Returns a record of the predictions for a waiting request.
 pub(super) fn describe(cell: &mut Cell, now: Time, waiting: &Waiting) -> GrantRecord {
     let queued = cell.queue.len() as u32;
     let cap = waiting.req.max_tokens;
--- a/crates/core/src/cell/queue.rs
+++ b/crates/core/src/cell/queue.rs
@@ -1,11 +1,10 @@
-//! Requests that wait, in the order of their deadlines.
+//! Queue of waiting requests in the order of their deadlines.
 //!
-//! A deadline is arrival plus the class's wait target, so a request ages by
-//! itself: whatever arrives later than the target after it comes behind it.
-//! Requests of one class, size and requirement share a *lane*. A lane's head
-//! that fits nowhere holds up its lane only, so that short work goes into the
-//! gaps that long work leaves; how long it may do so is bounded by the hold in
-//! [`crate::cell`]. See `docs/design/admission.md`.
+//! The deadline of a request is its arrival time plus the wait target of its class, so requests age
+//! without extra work: a request that arrives later than that deadline sorts behind it, whatever
+//! its class. Requests of one class, size class and requirement share a *lane*. A head that fits
+//! nowhere blocks only its own lane, so short requests can use the gaps that long ones leave. The
+//! hold in [`crate::cell`] bounds how long they may do so. See `docs/design/admission.md`.
 
 pub mod backlog;
 
@@ -19,22 +18,22 @@
 use cranelift_entity::SecondaryMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bounds between the size classes of lanes, in tokens that a request is counted with.
+/// Bounds between the size classes of lanes, in tokens of forecast memory.
 const SIZE_BOUNDS: [u32; 3] = [512, 2_048, 8_192];
 
-/// Requests that compete for the same kind of room.
+/// Identifies the requests that compete for the same kind of room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LaneKey {
     /// The class.
     pub class: ClassIx,
-    /// What the endpoint must hold.
+    /// What the endpoint must have loaded.
     pub needs: Requirement,
     /// The size class; 0 is the smallest.
     pub size: u8,
 }
 
 impl LaneKey {
-    /// Returns the lane of a request that is counted with `tokens`.
+    /// Returns the lane of a request whose forecast memory is `tokens`.
     pub fn new(class: ClassIx, needs: Requirement, tokens: u32) -> LaneKey {
         let size = SIZE_BOUNDS.iter().filter(|bound| tokens >= **bound).count();
         LaneKey {
@@ -45,33 +44,33 @@
     }
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub struct Waiting {
     /// The request.
     pub req: CellRequest,
-    /// Whether it counts as urgent.
+    /// Whether it is treated as urgent.
     pub urgent: bool,
-    /// Where its length is estimated; held in the length model.
+    /// Its node in the length model, acquired for as long as the request waits.
     pub node: LengthNode,
     /// Its lane.
     pub lane: LaneKey,
-    /// When it should start.
+    /// The time by which it should start.
     pub deadline: Time,
-    /// When the room of an endpoint is held for it, if it has not started by then.
+    /// The time from which room is held for it if it has not started.
     pub hold_from: Time,
     /// The endpoint whose room is held for it.
     pub hold: Option<EndpointIx>,
-    /// When it is looked at next, if it has not started by then.
+    /// When it is next checked for refusal if it has not started.
     pub review: Time,
-    /// What it takes from an engine in all, in token-tokens.
+    /// Its total demand on an engine's memory over time, in token-tokens.
     pub work: f64,
 }
 
-/// Requests in order of deadline.
+/// Waiting requests in the order of their deadlines.
 ///
-/// Invariants: every waiting request is in exactly one lane, in `reviews` and
-/// in the backlog of its class; no lane is empty.
+/// Invariants: every waiting request is in exactly one lane, in `reviews`, in `arrivals` and in the
+/// backlog of its class; no lane is empty.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     waiting: BTreeMap<RequestId, Waiting>,
@@ -124,24 +123,24 @@
         self.waiting.is_empty()
     }
 
-    /// Returns when the request that arrived first did so.
+    /// Returns the earliest arrival time of the waiting requests.
     pub fn oldest_arrival(&self) -> Option<Time> {
         self.arrivals.first().map(|(arrived, _)| *arrived)
     }
 
-    /// Returns the head with the earliest deadline among lanes not in `blocked`.
+    /// Returns the head with the earliest deadline among the lanes that are not in `blocked`.
     pub fn head(&self, blocked: &[LaneKey]) -> Option<(LaneKey, RequestId)> {
         let open = self.lanes.iter().filter(|(key, _)| !blocked.contains(key));
         let heads = open.filter_map(|(key, lane)| lane.first().map(|head| (*head, *key)));
         heads.min().map(|((_, id), key)| (key, id))
     }
 
-    /// Returns the request whose review is due first, and when that is.
+    /// Returns the earliest review time and its request.
     pub fn next_review(&self) -> Option<(Time, RequestId)> {
         self.reviews.first().copied()
     }
 
-    /// Sets when a request is looked at next.
+    /// Sets when a request is next checked for refusal.
     pub fn review_at(&mut self, id: RequestId, review: Time) {
         if let Some(waiting) = self.waiting.get_mut(&id) {
             self.reviews.remove(&(waiting.review, id));
@@ -157,12 +156,12 @@
         }
     }
 
-    /// Returns a class's work that is due no later than `deadline`, in token-tokens.
+    /// Returns the work of a class that is due by `deadline`, in token-tokens.
     pub fn work_before(&self, class: ClassIx, deadline: Time) -> f64 {
         self.backlogs[class].before(deadline)
     }
 
-    /// Returns the work of all requests of a class, in token-tokens.
+    /// Returns the total work of a class, in token-tokens.
     pub fn work(&self, class: ClassIx) -> f64 {
         self.backlogs[class].total()
     }
--- a/crates/core/src/cell/queue/backlog.rs
+++ b/crates/core/src/cell/queue/backlog.rs
@@ -1,26 +1,26 @@
-//! Work that waits, summed by deadline.
+//! Sums of waiting work by deadline.
 //!
-//! How long a request will wait depends on the work that is due before it. A
-//! binary indexed tree over slots of time gives that sum in logarithmic time,
-//! however many requests wait.
+//! The predicted wait of a request depends on the work that is due before it. A binary indexed tree
+//! over time slots returns that sum in time logarithmic in the number of slots, however many
+//! requests wait.
 
 use crate::time::Time;
 
-/// Width of a slot of deadlines, in microseconds.
+/// Width of a time slot, in microseconds.
 const SLOT_MICROS: u64 = 250_000;
-/// Slots in the ring; with [`SLOT_MICROS`] it spans 17 minutes of deadlines.
+/// Number of slots in the ring. With [`SLOT_MICROS`] the ring spans 17 minutes of deadlines.
 const SLOTS: usize = 4_096;
 
 /// Sums of work by deadline.
 ///
-/// Deadlines share a slot with those a whole ring later. Requests wait for far
-/// less than that, and a clash only makes one prediction too long.
+/// Deadlines that are one ring length apart share a slot. Requests wait for far less than that, and
+/// a collision only makes one predicted wait too long.
 #[derive(Clone, Debug)]
 pub struct Backlog {
     tree: Vec<f64>,
     total: f64,
     count: usize,
-    /// The earliest slot that may hold work.
+    /// The earliest slot that may contain work.
     base: u64,
 }
 
@@ -51,11 +51,11 @@
         self.update(slot, work);
     }
 
-    /// Takes away work that was added before.
+    /// Removes work that was added before.
     pub fn sub(&mut self, deadline: Time, work: f64) {
         self.count -= 1;
         if self.count == 0 {
-            // Rounding must not pile up over days.
+            // Resets the sums so that rounding errors do not accumulate.
             self.tree.fill(0.0);
             self.total = 0.0;
             return;
@@ -64,12 +64,12 @@
         self.update(slot(deadline), -work);
     }
 
-    /// Returns all work.
+    /// Returns the total work.
     pub fn total(&self) -> f64 {
         self.total.max(0.0)
     }
 
-    /// Returns the work that is due in the slot of `deadline` or before.
+    /// Returns the work that is due in the slot of `deadline` or earlier.
     pub fn before(&self, deadline: Time) -> f64 {
         let slot = slot(deadline);
         if self.count == 0 || slot < self.base {
@@ -112,7 +112,7 @@
     deadline.as_micros() / SLOT_MICROS
 }
 
-/// Returns the place of a slot in the tree, which counts from 1.
+/// Returns the 1-based index of a slot in the tree.
 fn index(slot: u64) -> usize {
     (slot % SLOTS as u64) as usize + 1
 }
--- a/crates/core/src/cell/refresh.rs
+++ b/crates/core/src/cell/refresh.rs
@@ -1,15 +1,15 @@
-//! Keeping forecasts and the index of rooms up to date.
+//! Updates of the memory forecasts and of the index by free room.
 
 use super::Cell;
 use super::request::Requirement;
 use crate::routing::prefix::EndpointIx;
 use crate::time::Time;
 
-/// Endpoints that are forecast anew in one poll at most, so that one poll stays short.
+/// Maximum number of due forecasts that are recomputed in one poll, to bound its duration.
 const REFRESH_BATCH: usize = 16;
 
 impl Cell {
-    /// Forecasts an endpoint anew if its figures are older than the interval.
+    /// Recomputes the forecast of an endpoint if it is older than the refresh interval.
     pub(super) fn refresh_if_stale(&mut self, now: Time, ix: EndpointIx) {
         let age = now.since(self.endpoints[ix].refreshed);
         if age >= self.cfg.refresh_interval {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Brings an endpoint's place in the indices up to date.
+    /// Updates the free room and the next refresh time under which an endpoint is indexed.
     pub(super) fn reindex(&mut self, now: Time, ix: EndpointIx) {
         let endpoint = &mut self.endpoints[ix];
         let room = (!endpoint.is_leaving()).then(|| endpoint.room(now, &self.cfg));
--- a/crates/core/src/cell/refuse.rs
+++ b/crates/core/src/cell/refuse.rs
@@ -1,4 +1,6 @@
-//! Refusing: at once when a request cannot start in time, never silently.
+//! Refusal of requests that cannot start in time.
+//!
+//! A request is refused as soon as this is predictable, and always with a reason.
 
 use crate::cell::Cell;
 use crate::cell::decision::CellDecision;
@@ -9,16 +11,16 @@
 use core::time::Duration;
 use rand::Rng;
 
-/// The shortest time after which coming back is worth it.
+/// Lower bound of the suggested retry delay, before jitter.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The longest time that a caller is asked to stay away.
+/// Upper bound of the suggested retry delay, jitter included.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(300);
-/// When to come back if nothing serves the request at present.
+/// Suggested retry delay if no endpoint can serve the request at present, before jitter.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// Share of the longest wait after which a waiting request is judged again.
+/// Share of the remaining wait limit after which a waiting request is reviewed again.
 const REVIEW_SHARE: f64 = 0.5;
 
-/// Judges requests that came since the last poll and were not placed.
+/// Reviews the requests that were submitted since the last poll and not placed.
 pub(super) fn review_new(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
     let fresh = core::mem::take(&mut cell.unreviewed);
     for &id in &fresh {
@@ -28,7 +30,7 @@
     cell.unreviewed.clear();
 }
 
-/// Judges requests whose review is due.
+/// Reviews the requests whose review is due.
 pub(super) fn review_due(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
     while let Some((at, id)) = cell.queue.next_review()
         && at <= now
@@ -37,7 +39,7 @@
     }
 }
 
-/// Refuses a request if it cannot start in time, else sets its next review.
+/// Refuses a request that cannot start in time; otherwise schedules its next review.
 fn review(cell: &mut Cell, now: Time, id: RequestId, out: &mut Vec<CellDecision>) {
     let Some(needs) = cell.queue.get(id).map(|waiting| waiting.req.needs) else {
         return;
@@ -66,7 +68,7 @@
     }
 }
 
-/// Returns how long a request will probably wait from now on.
+/// Returns the predicted remaining wait of a request.
 pub(super) fn predicted_wait(cell: &Cell, waiting: &Waiting) -> Duration {
     let class = waiting.lane.class;
     let ahead = cell.queue.work_before(class, waiting.deadline) - waiting.work;
@@ -98,9 +100,9 @@
     }
 }
 
-/// Returns when to come back: once what waits now will have drained, spread
-/// over as long again. Equal answers to callers who were refused together
-/// would bring them back together.
+/// Returns the suggested retry delay: the time in which the current queue drains, with a random
+/// addition of up to the same length. Equal delays for callers that were refused together would
+/// make them all return at the same time.
 fn retry_after(cell: &mut Cell, waiting: &Waiting, reason: Reason) -> Duration {
     let class = waiting.lane.class;
     let rate = cell.drain_rate(class);
--- a/crates/core/src/cell/request.rs
+++ b/crates/core/src/cell/request.rs
@@ -1,4 +1,4 @@
-//! What a cell is told: requests, endpoints, what runs and how it ended.
+//! Inputs of a cell: requests, endpoints, running requests and how requests ended.
 
 use crate::ids::{ClassKey, EndpointKey, EntryKey, RequestId, WorkspaceKey, stable_hash};
 use crate::reason::Reason;
@@ -6,32 +6,31 @@
 use core::time::Duration;
 use serde::{Deserialize, Serialize};
 
-/// Preemptions per completed request that a class accepts when the catalogue
-/// does not say; a ratio.
+/// Default ratio of preemptions to completed requests that a class accepts.
 pub const DEFAULT_PREEMPTION_RISK: f32 = 0.0005;
 
-/// What a class of the catalogue says about its work.
+/// Scheduling rules of a class in the catalogue.
 ///
-/// The rules travel with each request, so that a home whose catalogue is one
-/// revision behind still judges the request by the revision it arrived under.
+/// The rules travel with each request. A home whose catalogue is one revision behind therefore
+/// applies the revision under which the request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassRules {
-    /// The class.
+    /// The class that the rules belong to.
     pub key: ClassKey,
-    /// How urgent the work is; 0 is the most urgent.
+    /// Urgency; 0 is the most urgent.
     pub urgency: u8,
-    /// How soon the work should start.
+    /// Time within which a request should start.
     pub wait_target: Duration,
-    /// Work that cannot start within this time is refused.
+    /// A request that cannot start within this time is refused.
     pub longest_wait: Duration,
-    /// Whether the work may be run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
-    /// Preemptions per completed request that the class accepts; a ratio.
+    /// Accepted ratio of preemptions to completed requests.
     pub preemption_risk: f32,
 }
 
 impl ClassRules {
-    /// Returns rules for idempotent work with the default preemption risk.
+    /// Returns rules for idempotent requests with the default preemption risk.
     pub fn new(
         key: ClassKey,
         urgency: u8,
@@ -49,19 +48,19 @@
     }
 }
 
-/// What an endpoint must hold to take a request, as one comparable value.
+/// The model that an endpoint must have loaded to serve a request, as one comparable value.
 ///
-/// It is a stable hash of a model's name with an optional version and adapter,
-/// so that a check against what an endpoint reported is one search.
+/// It is a stable hash of the model's name with an optional version and adapter, so that checking
+/// it against an endpoint's load report takes a single search.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Requirement(u64);
 
 impl Requirement {
-    /// Any endpoint of the cell will do.
+    /// Every endpoint of the cell meets this requirement.
     pub const ANY: Requirement = Requirement(0);
 
-    /// Returns the requirement of `model`, in `version` and with `adapter` if given.
+    /// Returns the requirement for `model`, with `version` and `adapter` if they are given.
     pub fn new(model: &str, version: Option<&str>, adapter: Option<&str>) -> Requirement {
         let version = version.unwrap_or_default();
         let adapter = adapter.unwrap_or_default();
@@ -70,70 +69,70 @@
     }
 }
 
-/// A request that asks a cell for a grant.
+/// A request for which a grant is sought in a cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellRequest {
     /// The request.
     pub id: RequestId,
     /// The catalogue entry that it names.
     pub entry: EntryKey,
-    /// The workspace that it is for.
+    /// The workspace that it belongs to.
     pub workspace: WorkspaceKey,
-    /// What its class says.
+    /// The rules of its class.
     pub class: ClassRules,
     /// When its instance accepted it, on this process's clock.
     pub arrived: Time,
-    /// Tokens of the prompt as declared or estimated.
+    /// Prompt tokens as declared or estimated.
     pub prompt_tokens: u32,
-    /// The most tokens that may be generated; often far above what will be.
+    /// Maximum number of tokens to generate; often far above the actual length.
     pub max_tokens: u32,
     /// Stable hashes of the prompt's leading blocks, longest prefix last.
     pub prefix: Vec<u64>,
-    /// Endpoints that must not be granted, because an attempt failed there.
+    /// Endpoints that must not be granted because an attempt of the request failed there.
     pub exclude: Vec<EndpointKey>,
-    /// Tokens that an earlier attempt delivered and that this one replays.
+    /// Tokens that an earlier attempt delivered and that the next attempt replays.
     pub replay_tokens: u32,
-    /// What the endpoint must hold.
+    /// What the endpoint must have loaded.
     pub needs: Requirement,
 }
 
-/// What kind of endpoint this is.
+/// The kind of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndpointKind {
-    /// A model engine, bounded by its KV memory.
+    /// A model engine, limited by its KV cache.
     Model,
-    /// A plain service, bounded by a concurrency learned from its latency.
+    /// A plain service, limited by a concurrency that is learned from its latency.
     Service,
 }
 
-/// How far away an endpoint is from the home of its cell.
+/// Distance between an endpoint and the home of its cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Distance {
-    /// The same data centre.
+    /// In the same data centre.
     Near,
-    /// Another data centre.
+    /// In another data centre.
     Far,
 }
 
-/// Whether an endpoint may get new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It may.
+    /// It accepts new requests.
     Live,
-    /// It finishes what it has and gets nothing new.
+    /// It finishes its running requests and receives no new ones.
     Leaving,
 }
 
-/// What is published about an endpoint of a cell.
+/// Published information about an endpoint of a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointInfo {
     /// The endpoint.
     pub key: EndpointKey,
-    /// Model engine or plain service.
+    /// Whether it is a model engine or a plain service.
     pub kind: EndpointKind,
-    /// How far away it is.
+    /// Its distance from the home of the cell.
     pub distance: Distance,
-    /// Whether it may get new work.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
 }
 
@@ -152,33 +151,33 @@
 /// How a granted request ended at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// The whole answer came.
+    /// The complete response was received.
     Complete {
-        /// Tokens of the prompt as the engine counted them, if it said so.
+        /// Prompt tokens as counted by the engine, if it reported them.
         prompt_tokens: Option<u32>,
     },
-    /// The caller left; the length is not known.
+    /// The caller left, so the full length is not known.
     Cancelled,
     /// The attempt failed.
     Failed(Reason),
 }
 
-/// A request that runs under an earlier home's grant, as its entry tells it.
+/// A request that runs under the grant of a previous home, as reported by its entry instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Running {
     /// The request.
     pub id: RequestId,
-    /// Where it runs.
+    /// The endpoint that it runs on.
     pub endpoint: EndpointKey,
     /// The catalogue entry that it names.
     pub entry: EntryKey,
-    /// The workspace that it is for.
+    /// The workspace that it belongs to.
     pub workspace: WorkspaceKey,
-    /// What its class says.
+    /// The rules of its class.
     pub class: ClassRules,
-    /// Tokens of the prompt as declared or estimated.
+    /// Prompt tokens as declared or estimated.
     pub prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Tokens generated so far.
     pub tokens: u32,
--- a/crates/core/src/cell/snapshot.rs
+++ b/crates/core/src/cell/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a cell shows to operators.
+//! State of a cell as shown to operators.
 
 use crate::ids::EndpointKey;
 use core::time::Duration;
@@ -6,15 +6,15 @@
 /// The state of a cell, for `oriolemux status`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CellSnapshot {
-    /// Requests that wait.
+    /// Waiting requests.
     pub queued: u32,
-    /// Requests that run under grants of this cell.
+    /// Requests that run under the grants of this cell.
     pub running: u32,
-    /// How long the request that has waited longest has waited.
+    /// Longest time that a waiting request has waited so far.
     pub oldest_wait: Duration,
-    /// How often the lengths of an entry were found to have drifted.
+    /// Number of detected drifts in the output lengths of an entry.
     pub length_drifts: u64,
-    /// Each endpoint, in the order of keys.
+    /// The endpoints in the order of their keys.
     pub endpoints: Vec<EndpointSnapshot>,
 }
 
@@ -23,18 +23,18 @@
 pub struct EndpointSnapshot {
     /// The endpoint.
     pub key: EndpointKey,
-    /// Whether it gets no new work because it is leaving.
+    /// Whether it receives no new requests because it is leaving.
     pub leaving: bool,
-    /// Whether it gets no new work because it was ejected on evidence.
+    /// Whether it receives no new requests because it was ejected after failures.
     pub ejected: bool,
     /// Requests that run there under this cell's grants.
     pub running: u32,
-    /// KV tokens (or calls, for a service) in all.
+    /// Total KV tokens (or calls, for a service).
     pub total: u64,
-    /// KV tokens that are counted with for this cell's requests at present.
+    /// KV tokens attributed to this cell's requests at present.
     pub counted: u64,
-    /// KV tokens that others hold there, as far as the reports show.
+    /// KV tokens in use by requests of others, as inferred from the load reports.
     pub foreign: u64,
-    /// KV tokens (or calls) that may still be granted.
+    /// KV tokens (or calls) that can still be granted.
     pub free: u64,
 }
--- a/crates/core/src/cell/supply.rs
+++ b/crates/core/src/cell/supply.rs
@@ -1,21 +1,21 @@
-//! What the live endpoints of a cell could do in all.
+//! Total capacity of a cell.
 
 use super::Cell;
 use super::request::CellRequest;
 use crate::memory::ClassIx;
 use crate::time::Time;
 
-/// What the live endpoints of a cell could do in all.
+/// Total capacity of the endpoints that are not leaving.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Supply {
     pub at: Option<Time>,
     pub work_per_s: f64,
     pub largest: u64,
-    /// Whether each live endpoint has reported.
+    /// Whether every endpoint that is not leaving has reported its load.
     pub is_known: bool,
 }
 
-/// How often the supply is summed anew.
+/// Interval at which the total is recomputed.
 const SUPPLY_INTERVAL: core::time::Duration = core::time::Duration::from_secs(1);
 
 impl Cell {
@@ -45,7 +45,7 @@
         self.supply = supply;
     }
 
-    /// Returns the work of a class that the queue drains a second.
+    /// Returns the rate at which the queued work of a class drains, in token-tokens per second.
     pub(super) fn drain_rate(&self, class: ClassIx) -> f64 {
         self.classes[class].drain.rate(self.supply.work_per_s)
     }
--- a/crates/core/src/delivery.rs
+++ b/crates/core/src/delivery.rs
@@ -1,12 +1,11 @@
-//! Delivery of one request's stream: every token once, in order, from one generation.
+//! Delivery of one request's token stream: each token once, in order, from a single generation.
 //!
-//! The shell's stream task owns one [`Delivery`] for each request and feeds it
-//! what the endpoint's connection brings; tokens never pass through the node.
-//! Each input returns a [`Step`]: what the shell does now ([`StreamAction`]) and what
-//! it reports to the node, if anything. Handing on a token allocates nothing
-//! but the amortised growth of the token log.
+//! The shell's stream task owns one [`Delivery`] per request and feeds it the input from the
+//! endpoint's connection; tokens do not pass through the node. Each input returns a [`Step`]: what
+//! the shell must do now ([`StreamAction`]) and what it reports to the node, if anything.
+//! Forwarding a token allocates only for the amortised growth of the token log.
 //!
-//! `docs/design/delivery.md` says which ways were weighed.
+//! `docs/design/delivery.md` compares the alternatives.
 
 mod attempt;
 mod token_log;
@@ -21,57 +20,57 @@
 use attempt::Attempt;
 use core::time::Duration;
 
-/// How often an attempt may be resumed in a row without a new token between.
+/// Maximum number of consecutive resumptions of an attempt without a new token.
 pub const MAX_RESUMES_WITHOUT_TOKEN: u32 = 2;
 
-/// How often an attempt may be resumed in all.
+/// Maximum total number of resumptions of an attempt.
 pub const MAX_RESUMES: u32 = 16;
 
-/// How long to wait before a resumption that follows one without a new token.
+/// Delay before a resumption if the previous one yielded no new token.
 pub const RESUME_DELAY: Duration = Duration::from_millis(100);
 
-/// How many duplicates in a row a connection may bring before it counts as garbage.
+/// Maximum number of consecutive duplicate tokens before the stream is treated as invalid.
 pub const MAX_DUPLICATES: u32 = 4_096;
 
-/// What the shell does with an input.
+/// What the shell must do after an input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamAction {
     /// Nothing.
     Idle,
-    /// Send the attempt's request to the endpoint now. Nothing in the client
-    /// may repeat the send by itself.
+    /// Send the attempt's request to the endpoint now. The HTTP client must not retry the send by
+    /// itself.
     Send,
-    /// Hand the token that was just given to the caller.
+    /// Forward the token of this input to the caller.
     Deliver,
-    /// Keep the token back; it is stored, or equal to one that was delivered.
+    /// Do not forward the token: it is stored, or equal to one that was delivered.
     Hold,
-    /// Drop the input and count it; the connection is still good.
+    /// Drop the input and count it; the connection stays usable.
     Discard(Reason),
-    /// Close the connection, never reuse it, and ask the same endpoint for the
-    /// rest of the same generation.
+    /// Close the connection without reusing it, and request the rest of the same generation from
+    /// the same endpoint.
     Resume {
-        /// The index of the last token that was received; `None` asks for all.
+        /// Index of the last received token; `None` requests all tokens.
         after: Option<u32>,
-        /// How long to wait first.
+        /// Delay before the request.
         delay: Duration,
-        /// Why the connection is given up; counted.
+        /// Why the connection is closed; counted in the metrics.
         reason: Reason,
     },
-    /// Close the connection and never reuse it.
+    /// Close the connection without reusing it.
     Close {
-        /// Whether to cancel the attempt at its endpoint, which frees memory there.
+        /// Whether to cancel the attempt at the endpoint, which frees memory there.
         cancel: bool,
     },
-    /// Hand on what [`Delivery::held`] still holds, then the end of the answer.
+    /// Forward the tokens of [`Delivery::held`], then the end of the response.
     Complete,
 }
 
-/// The answer to one input.
+/// The result of one input.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// What the shell does.
+    /// What the shell must do.
     pub action: StreamAction,
-    /// What the shell reports to the node about the attempt, after the act.
+    /// What the shell must report to the node about the attempt afterwards, if anything.
     pub report: Option<AttemptUpdate>,
 }
 
@@ -84,68 +83,69 @@
     }
 }
 
-/// The end mark of a stream, as the endpoint sent it.
+/// The end mark of a stream as sent by the endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndMark {
-    /// The index after the last token.
+    /// Index after the last token, which is the number of tokens.
     pub index: u32,
-    /// Tokens of the answer as the endpoint counted them, if it said so.
+    /// Generated tokens as counted by the endpoint, if it reported them.
     pub completion_tokens: Option<u32>,
-    /// Tokens of the prompt as the endpoint counted them, if it said so.
+    /// Prompt tokens as counted by the endpoint, if it reported them.
     pub prompt_tokens: Option<u32>,
 }
 
-/// How the endpoint answered a resumption.
+/// The endpoint's response to a resumption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumeResponse {
     /// The rest of the generation follows.
     Ok,
-    /// The endpoint no longer holds the generation.
+    /// The endpoint no longer has the generation.
     Lost,
 }
 
-/// The stream of one request, over all of its attempts.
+/// The token stream of one request over all of its attempts.
 ///
-/// Invariants: `delivered` never falls; in stream delivery the caller holds
-/// exactly the first `delivered` tokens of every generation that was or is
-/// still followed; at most one attempt runs.
+/// Invariants: `delivered` never decreases; in stream delivery the caller has received exactly the
+/// first `delivered` tokens of every generation that the stream has followed; at most one attempt
+/// runs.
 #[derive(Debug, Default)]
 pub struct Delivery {
-    /// Tokens that the caller holds.
+    /// Tokens that the caller has received.
     delivered: u32,
-    /// What the caller holds (stream delivery) or will hold (whole delivery).
+    /// The tokens that the caller has received (stream delivery) or will receive (buffered
+    /// delivery).
     log: TokenLog,
     attempt: Option<Attempt>,
-    /// An attempt of this request was sent and not definitely refused.
+    /// Whether an attempt of this request was sent and not definitely refused.
     may_have_run: bool,
-    /// The number of the attempt that was started last.
+    /// Number of the attempt that was started last.
     last_number: u32,
     complete: bool,
 }
 
 impl Delivery {
-    /// Returns a delivery to which nothing has happened.
+    /// Returns a delivery without attempts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how many tokens the caller holds.
+    /// Returns how many tokens the caller has received.
     pub fn delivered(&self) -> u32 {
         self.delivered
     }
 
-    /// Returns whether an attempt runs.
+    /// Returns whether an attempt is running.
     pub fn is_running(&self) -> bool {
         self.attempt.is_some()
     }
 
-    /// Returns the attempt that runs.
+    /// Returns the running attempt, if any.
     pub fn attempt(&self) -> Option<AttemptId> {
         self.attempt.as_ref().map(|attempt| attempt.id)
     }
 
-    /// Returns the tokens that were kept back for whole delivery, in order, once
-    /// the answer is complete and until [`Delivery::on_held_delivered`].
+    /// Returns the tokens that were held back for buffered delivery, in order. There are none until
+    /// the output is complete, and none after [`Delivery::on_held_delivered`].
     pub fn held(&self) -> Tokens<'_> {
         if self.complete && self.log.len() > self.delivered {
             return self.log.iter();
@@ -153,14 +153,16 @@
         Tokens::default()
     }
 
-    /// Returns the bytes of memory that the token log takes.
+    /// Returns the memory used by the token log, in bytes.
     pub fn log_bytes(&self) -> usize {
         self.log.allocated_bytes()
     }
 
-    /// Starts an attempt. The shell calls this right before the send, with the
-    /// clock read at that moment: a process that was paused since the decision
-    /// finds out here and sends nothing. A report is about `dispatch`'s attempt.
+    /// Starts an attempt.
+    ///
+    /// The shell calls this immediately before the send, with the current time, so that a process
+    /// that was paused after the decision detects this here and sends nothing. A report in the
+    /// returned step is about the attempt of `dispatch`.
     pub fn start(&mut self, dispatch: &Dispatch, now: Time) -> Step {
         let unsent = Unsent::new();
         if let Some(reason) = self.start_refusal(dispatch) {
@@ -184,7 +186,7 @@
         Step::act(StreamAction::Send)
     }
 
-    /// Returns why `dispatch` must not be sent, whatever the node believed.
+    /// Returns why `dispatch` must not be sent, if so. The check does not rely on the node's state.
     fn start_refusal(&self, dispatch: &Dispatch) -> Option<Reason> {
         let number_is_new = dispatch.attempt.number > self.last_number;
         if self.complete || self.attempt.is_some() || !number_is_new {
@@ -212,19 +214,19 @@
         }
     }
 
-    /// No connection to the endpoint was made, so the request was never sent.
+    /// Handles a failure to connect to the endpoint, so that the request was never sent.
     ///
-    /// Only for a failure in which the shell knows that no byte of the request
-    /// left; anything else is [`Delivery::on_link_failure`].
+    /// The shell must call this only if it knows that no byte of the request was transmitted. All
+    /// other failures are [`Delivery::on_link_failure`].
     pub fn on_connect_failed(&mut self) -> Step {
         self.fail_never_sent(Reason::ConnectFailed)
     }
 
-    /// The time for the send had passed when the connection stood, so that the
+    /// Handles a send deadline that had passed when the connection was established, so that the
     /// request was never sent.
     ///
-    /// Only for a failure in which the shell knows that no byte of the
-    /// request's body left; anything else is [`Delivery::on_link_failure`].
+    /// The shell must call this only if it knows that no byte of the request's body was
+    /// transmitted. All other failures are [`Delivery::on_link_failure`].
     pub fn on_send_deadline_passed(&mut self) -> Step {
         self.fail_never_sent(Reason::PausedTooLong)
     }
@@ -236,11 +238,11 @@
         }
     }
 
-    /// The endpoint answered with a definite refusal.
+    /// Handles a definite refusal by the endpoint.
     ///
-    /// What goes wrong otherwise: a refusal in answer to a *resumption* says
-    /// nothing about the send before it, and taking it as "not run" would run
-    /// work twice. Only the first answer counts.
+    /// It is proof that the attempt did not run only if it is the first response to the send. A
+    /// refusal of a *resumption* says nothing about the send before it; treating it as "not run"
+    /// would execute the work twice.
     pub fn on_refused(&mut self, refusal: &Refusal) -> Step {
         let Some(sent) = self.take_pending_send() else {
             return self.resume_or_fail(Reason::EndpointError);
@@ -249,25 +251,24 @@
         self.fail_not_run(reason, proof, refusal.retry_after())
     }
 
-    /// Takes the state of a send that has had no answer, if nothing else was asked since.
+    /// Takes the state of the send if it has had no response and no resumption was requested since.
     fn take_pending_send(&mut self) -> Option<Sent> {
         self.attempt.as_mut()?.pending_send.take()
     }
 
-    /// The endpoint answered the send with a stream or a body.
+    /// Records that the endpoint responded to the send with a stream or a body.
     pub fn on_response_started(&mut self) {
         if let Some(attempt) = &mut self.attempt {
             attempt.pending_send = None;
         }
     }
 
-    /// The endpoint answered something that says nothing about whether it ran.
+    /// Handles an error response that does not state whether the request ran.
     pub fn on_endpoint_error(&mut self) -> Step {
         self.fail(Reason::EndpointError)
     }
 
-    /// A token arrived: the attempt id that the endpoint echoed, the token's
-    /// index and its text.
+    /// Handles a token: the attempt id that the endpoint echoed, the token's index and its text.
     pub fn on_token(&mut self, id: &str, index: u32, text: &[u8]) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Discard(Reason::LateAnswer));
@@ -298,7 +299,7 @@
         Step { action, report }
     }
 
-    /// Compares a token of a replay with what the caller holds.
+    /// Compares a token of a replay with the one that the caller has received.
     fn verify(&mut self, text: &[u8]) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Idle);
@@ -327,7 +328,7 @@
         Step::act(StreamAction::Discard(Reason::DuplicateToken))
     }
 
-    /// The end mark arrived.
+    /// Handles the end mark.
     pub fn on_end(&mut self, id: &str, mark: EndMark) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Discard(Reason::LateAnswer));
@@ -350,7 +351,7 @@
         self.finish(expected, mark.prompt_tokens)
     }
 
-    /// The whole answer of a plain service arrived, with the attempt id that it echoed.
+    /// Handles the complete response of a plain service, with the attempt id that it echoed.
     pub fn on_call_response(&mut self, id: &str) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Discard(Reason::LateAnswer));
@@ -375,33 +376,33 @@
         }
     }
 
-    /// Notes that what [`Delivery::held`] returned was handed to the caller.
+    /// Records that the tokens of [`Delivery::held`] were forwarded to the caller.
     pub fn on_held_delivered(&mut self) {
         debug_assert!(self.complete);
         self.delivered = self.delivered.max(self.log.len());
     }
 
-    /// The endpoint sent something that is not in its protocol.
+    /// Handles input that violates the endpoint's protocol.
     pub fn on_garbage(&mut self) -> Step {
         self.resume_or_fail(Reason::Garbage)
     }
 
-    /// The endpoint closed the stream. Harmless after the end mark.
+    /// Handles a stream that the endpoint closed. Has no effect after the end mark.
     pub fn on_closed(&mut self) -> Step {
         self.resume_or_fail(Reason::Truncated)
     }
 
-    /// The connection broke.
+    /// Handles a broken connection.
     pub fn on_link_failure(&mut self) -> Step {
         self.resume_or_fail(Reason::ConnectionLost)
     }
 
-    /// The endpoint was silent for the stall limit.
+    /// Handles a stall: the endpoint sent nothing for the stall limit.
     pub fn on_stall(&mut self) -> Step {
         self.resume_or_fail(Reason::Stalled)
     }
 
-    /// The endpoint answered a resumption.
+    /// Handles the endpoint's response to a resumption.
     pub fn on_resume_response(&mut self, answer: ResumeResponse) -> Step {
         match answer {
             ResumeResponse::Ok => Step::act(StreamAction::Idle),
@@ -409,18 +410,19 @@
         }
     }
 
-    /// The caller went away; its generation is cancelled and reported as failed.
+    /// Handles a caller that disconnected: the generation is cancelled and reported as failed.
     pub fn on_caller_gone(&mut self) -> Step {
         self.fail(Reason::CallerGone)
     }
 
-    /// The node ends the attempt; nothing is reported.
+    /// Ends the running attempt at the node's request; nothing is reported.
     pub fn cancel(&mut self) -> Step {
         let cancel = self.attempt.take().is_some();
         Step::act(StreamAction::Close { cancel })
     }
 
-    /// Gives up the connection and resumes the same generation, or fails.
+    /// Closes the connection and resumes the same generation, or fails the attempt if no resumption
+    /// is left.
     fn resume_or_fail(&mut self, reason: Reason) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::act(StreamAction::Idle);
--- a/crates/core/src/delivery/attempt.rs
+++ b/crates/core/src/delivery/attempt.rs
@@ -1,4 +1,4 @@
-//! What is known of the attempt that runs.
+//! State of the running attempt.
 
 use super::token_log::Cursor;
 use super::{MAX_RESUMES, MAX_RESUMES_WITHOUT_TOKEN, RESUME_DELAY};
@@ -13,22 +13,22 @@
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub id: AttemptId,
-    /// The id as the endpoint must echo it, so that a token costs one comparison.
+    /// The id as the endpoint must echo it, formatted once so that each token needs one comparison.
     pub id_text: String,
     pub delivery: DeliveryMode,
     /// The index that the next token must have.
     pub expected: u32,
-    /// Tokens before this index are compared with what the caller holds.
+    /// Tokens before this index are compared with those that the caller has received.
     pub verify_until: u32,
     pub cursor: Cursor,
-    /// No generation is longer than asked for; bounds the token log.
+    /// Maximum number of tokens of the generation; bounds the token log.
     pub max_tokens: u32,
-    /// The state of the send until its first answer. It is gone as soon as
-    /// anything arrived or a resumption was asked for, and proof with it.
+    /// The state of the send until its first response. It is taken once anything has arrived or a
+    /// resumption was requested; from then on there is no proof that the attempt did not run.
     pub pending_send: Option<Sent>,
     /// Duplicates since the last new token.
     pub duplicates: u32,
-    /// An earlier attempt of the request may have run.
+    /// Whether an earlier attempt of the request may have run.
     pub ran_before: bool,
     resumable: bool,
     resumes: u32,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Counts a new token and returns what to report of it.
+    /// Counts a new token and returns the report about it, if one is due.
     #[inline]
     pub fn received_token(&mut self) -> Option<AttemptUpdate> {
         self.expected += 1;
@@ -78,7 +78,8 @@
         None
     }
 
-    /// Takes one of the resumptions that are left and returns how long to wait first.
+    /// Consumes one of the remaining resumptions and returns the delay before it, or `None` if none
+    /// is left.
     pub fn take_resume(&mut self) -> Option<Duration> {
         let spent =
             self.resumes >= MAX_RESUMES || self.resumes_without_token >= MAX_RESUMES_WITHOUT_TOKEN;
@@ -96,7 +97,7 @@
         Some(delay)
     }
 
-    /// Returns why an input with the id `id` does not belong to this attempt.
+    /// Returns why input with the id `id` does not belong to this attempt.
     pub fn mismatch_reason(&self, id: &str) -> Reason {
         match id.parse::<AttemptId>() {
             Ok(other) if other.request == self.id.request && other.number < self.id.number => {
--- a/crates/core/src/delivery/token_log.rs
+++ b/crates/core/src/delivery/token_log.rs
@@ -1,32 +1,32 @@
-//! The tokens that a caller holds, kept for replays and whole delivery.
+//! Log of the generated tokens, kept for replays and for buffered delivery.
 
-/// How many low bits of a length byte carry length.
+/// Number of low bits of a length byte that carry the length.
 const LENGTH_BITS: u32 = 7;
-/// Marks that a further length byte follows.
+/// Bit that marks that another length byte follows.
 const MORE: u8 = 0x80;
 
 /// A list of tokens, each stored as its length (LEB128) and its bytes.
 ///
-/// The comparison of a replay is exact: the bytes themselves are kept, not a
-/// hash, because a collision would splice two generations. A token of four
-/// bytes takes five (`docs/design/delivery.md` gives the memory at size).
+/// A replay is compared exactly. The bytes themselves are stored instead of a hash, because a
+/// collision would splice two generations. A token of four bytes takes five bytes; see
+/// `docs/design/delivery.md` for the memory use at scale.
 #[derive(Clone, Debug, Default)]
 pub struct TokenLog {
     bytes: Vec<u8>,
     len: u32,
-    /// Whether tokens are stored at all, or only counted.
+    /// Whether tokens are stored or only counted.
     kept: bool,
 }
 
-/// A place in a [`TokenLog`], from which a replay is compared.
+/// A position in a [`TokenLog`] from which a replay is compared.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cursor {
     offset: usize,
 }
 
 impl TokenLog {
-    /// Says whether tokens are stored or only counted: work that cannot be
-    /// replayed, sent on as it comes, is never read back.
+    /// Sets whether tokens are stored or only counted. The log of a request that cannot be replayed
+    /// and is streamed to its caller is never read.
     pub fn set_kept(&mut self, kept: bool) {
         self.kept = kept;
     }
@@ -41,12 +41,12 @@
         self.len == 0
     }
 
-    /// Returns the bytes of memory taken.
+    /// Returns the allocated memory in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Forgets all tokens and keeps the memory.
+    /// Removes all tokens and keeps the allocated memory.
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.len = 0;
@@ -68,7 +68,7 @@
         self.bytes.extend_from_slice(text);
     }
 
-    /// Compares `text` with the token at `cursor`, and moves the cursor if they are equal.
+    /// Returns whether `text` equals the token at `cursor`, and advances the cursor if so.
     pub fn matches(&self, cursor: &mut Cursor, text: &[u8]) -> bool {
         match read_token(&self.bytes, cursor.offset) {
             Some((token, next)) if token == text => {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Reads the token that starts at `offset` and returns it with the offset after it.
+/// Returns the token that starts at `offset` and the offset after it.
 fn read_token(bytes: &[u8], offset: usize) -> Option<(&[u8], usize)> {
     let mut at = offset;
     let mut len = 0usize;
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -1,15 +1,13 @@
-//! At most once for work that is named by a ticket or an idempotency key.
+//! At-most-once execution of requests that carry a ticket or an idempotency key.
 //!
-//! A *claim* binds the name to the one request that may run under it. Claims
-//! are granted by one process: a ticket's by the incarnation that issued it
-//! ([`tickets`]), a key's by the key's home. [`Keys`] is both sides of
-//! that in one process: it grants claims that others ask for, and asks for the
-//! claims of its own requests. A claim comes before the first dispatch; a
-//! request that gets none is never run, and is told "outcome unknown" unless
-//! its refusal proves more, because an earlier request under the same name may
-//! have run.
+//! A *claim* binds such a name to the one request that may run under it. Each claim is granted by a
+//! single process: for a ticket the incarnation that issued it ([`tickets`]), for a key the key's
+//! home. [`Keys`] is both sides of that protocol in one process: it grants the claims that other
+//! processes request, and requests the claims of its own requests. The claim precedes the first
+//! dispatch. A request whose claim is refused never runs. Its caller receives "outcome unknown"
+//! unless the refusal proves more, because an earlier request under the same name may have run.
 //!
-//! `docs/design/at-most-once.md` says which assumption each kind leans on.
+//! `docs/design/at-most-once.md` lists the assumptions that each kind of name depends on.
 
 mod claim;
 mod grant;
@@ -31,27 +29,26 @@
 use serde::{Deserialize, Serialize};
 use table::ClaimTable;
 
-/// Claims that one process grants or holds, at most.
+/// Maximum number of claims that one process grants, and maximum number that it holds.
 pub const MAX_CLAIMS: usize = 16_384;
 
-/// How claims are timed.
+/// Timing parameters of claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeysConfig {
-    /// How long the outcome of a claim is remembered after its end.
+    /// How long the outcome of a claim is kept after its request ended.
     pub memory: Duration,
-    /// How long a new home of a key grants nothing that it does not know of.
-    /// Not shorter than `memory`, so that what the home before it remembered
-    /// is past its promise.
+    /// How long a new home of a key grants no claim for an unknown key. Not shorter than `memory`,
+    /// so that by then the previous home would have dropped its outcomes too.
     pub settle: Duration,
-    /// How long after it was asked for a claim may be used for a send. Shorter
-    /// than `settle` less `list_fresh`, so that a holder that was paused cannot
-    /// send after the next home began to grant.
+    /// How long after it was requested a claim permits a send. Shorter than `settle` minus
+    /// `list_fresh`, so that a holder that was paused cannot send after the next home has started
+    /// to grant.
     pub valid: Duration,
-    /// How old the confirmation of the list may be for a home to grant keys.
+    /// Maximum age of the instance list's last confirmation at which a home grants keys.
     pub list_fresh: Duration,
-    /// How long an entry waits for a home's answer.
+    /// How long an entry instance waits for the home's answer.
     pub ask_limit: Duration,
-    /// How long a ticket may lie unused.
+    /// How long an unused ticket is valid.
     pub ticket_life: Duration,
 }
 
@@ -68,89 +65,89 @@
     }
 }
 
-/// What two processes say about claims.
+/// A message between two processes about a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeysMessage {
-    /// May this request run under this name?
+    /// Requests a claim.
     Request(Claim),
-    /// It may, and no other.
+    /// Grants a claim; no other request may run under the name.
     Granted {
-        /// The name.
+        /// The claimed ticket or key.
         id: ClaimId,
         /// The request that may run.
         claimant: RequestId,
     },
-    /// It may not.
+    /// Refuses a claim.
     Refused {
-        /// The name.
+        /// The claimed ticket or key.
         id: ClaimId,
-        /// The request that asked.
+        /// The request that must not run.
         claimant: RequestId,
-        /// Why.
+        /// Why the claim is refused.
         refusal: ClaimRefusal,
     },
-    /// What became of a claim; said again until it is noted, and again to a
-    /// new home.
+    /// Reports the state of a claim. Sent again until it is acknowledged, and again to a new home.
     Report {
-        /// The claim as it was asked for.
+        /// The claim as it was requested.
         claim: Claim,
-        /// What became of it.
+        /// Its state.
         state: HolderState,
     },
-    /// A report was noted.
+    /// Acknowledges a report.
     ReportAck {
-        /// The request that was reported on.
+        /// The request whose claim was reported.
         claimant: RequestId,
-        /// What was noted.
+        /// The state that was recorded.
         state: HolderState,
     },
 }
 
-/// What [`Keys`] asks of the node.
+/// An effect that [`Keys`] requests from the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeysAction {
-    /// Tell a peer something. Lost if there is no link; repeated where it matters.
+    /// Send a message to a peer. It is lost if there is no link; messages that must arrive are sent
+    /// again.
     Send {
-        /// Whom.
+        /// The receiver.
         to: InstanceKey,
-        /// What.
+        /// The message.
         message: KeysMessage,
     },
     /// The request may run. It must not be sent after `valid_until`.
     Granted {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Bounds [`crate::event::Dispatch::send_before`].
+        /// Upper bound of [`crate::event::Dispatch::send_before`].
         valid_until: Time,
     },
-    /// The request must not run; this is its final answer.
+    /// The request must not run; `verdict` is its final response.
     Refused {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// What to say.
+        /// The response to its caller.
         verdict: Verdict,
     },
-    /// A claim waits for a list that the platform has just confirmed.
+    /// Have the platform confirm the instance list: a claim needs a recent confirmation.
     ReadList,
 }
 
-/// Both sides of claims in one process.
+/// Both sides of the claim protocol in one process.
 ///
-/// After every method the caller should ask [`Keys::next_wake`] and call
-/// [`Keys::tick`] at that time.
+/// After every call the caller should read [`Keys::next_wake`] and call [`Keys::tick`] at that
+/// time.
 #[derive(Clone, Debug)]
 pub struct Keys {
     me: PeerId,
     cfg: KeysConfig,
     homes: KeyHomes,
-    /// Claims that this process grants.
+    /// Claims that this process has granted.
     table: ClaimTable,
-    /// Claims that this process's requests ask for and hold.
+    /// Claims that this process's requests have requested or hold.
     holders: Holders,
 }
 
 impl Keys {
-    /// Creates the state of a process that starts.
+    /// Returns the state of a process that starts.
     pub fn new(me: PeerId, cfg: KeysConfig) -> Self {
         debug_assert!(cfg.settle >= cfg.memory);
         debug_assert!(cfg.valid + cfg.list_fresh < cfg.settle);
@@ -163,22 +160,22 @@
         }
     }
 
-    /// Returns the homes of keys by the list in force.
+    /// Returns the homes of keys according to the current instance list.
     pub fn homes(&self) -> &KeyHomes {
         &self.homes
     }
 
-    /// Returns how many claims this process grants and holds.
+    /// Returns the numbers of claims that this process has granted and that its requests hold.
     pub fn counts(&self) -> (usize, usize) {
         (self.table.len(), self.holders.len())
     }
 
-    /// Returns whether the end of a claim was reported and not noted yet.
+    /// Returns whether the end of a claim was reported and has not been acknowledged yet.
     pub fn has_unacked_ends(&self) -> bool {
         self.holders.has_unacked_ends()
     }
 
-    /// Issues a ticket with the id that the shell drew.
+    /// Issues a ticket with the id that the shell has drawn. Fails if the claim table is full.
     pub fn issue_ticket(
         &mut self,
         now: Time,
@@ -190,8 +187,8 @@
         tickets::issue(&mut self.table, ticket, workspace, forget_at)
     }
 
-    /// Puts a published list in force: its revision and the instances that it
-    /// calls live. What links say is left out on purpose; see [`KeyHomes`].
+    /// Applies a published instance list: its revision and its live instances. The state of peer
+    /// links is deliberately ignored; see [`KeyHomes`].
     pub fn set_list(
         &mut self,
         now: Time,
@@ -203,8 +200,8 @@
         self.report_to_new_homes(now, None, out);
     }
 
-    /// A life of an instance is over, replaced by another. Its claims end with
-    /// an unknown outcome, and what it granted is told to its successor.
+    /// Records that an incarnation of an instance was replaced by another. Its claims end with an
+    /// unknown outcome, and claims that it granted are reported to its successor.
     pub fn incarnation_ended(
         &mut self,
         now: Time,
@@ -220,8 +217,8 @@
         self.report_to_new_homes(now, Some(instance), out);
     }
 
-    /// A peer's message arrived. `list_age` is for how long the list in force
-    /// has not been confirmed by the platform.
+    /// Handles a message of a peer. `list_age` is the time since the platform last confirmed the
+    /// current instance list.
     pub fn on_message(
         &mut self,
         now: Time,
@@ -245,7 +242,7 @@
                     out.push(KeysAction::Send { to, message });
                 }
             }
-            // Someone speaks for a request of another process; nobody does.
+            // A process may speak only for its own requests.
             KeysMessage::Request(_) | KeysMessage::Report { .. } => {}
             KeysMessage::Granted { claimant, .. } => {
                 self.on_granted(now, from.instance, claimant, out);
@@ -264,7 +261,7 @@
         self.table.next_expiry().min(self.holders.next_wake())
     }
 
-    /// Does whatever is due.
+    /// Performs whatever is due at `now`.
     pub fn tick(&mut self, now: Time, list_age: Option<Duration>, out: &mut Vec<KeysAction>) {
         self.table.expire_due(now, self.cfg.memory);
         while let Some(request) = self.holders.take_due(now) {
--- a/crates/core/src/keys/claim.rs
+++ b/crates/core/src/keys/claim.rs
@@ -1,4 +1,4 @@
-//! Claims, and the answers to them.
+//! Claims and the answers to them.
 
 use super::KeysMessage;
 use crate::ids::{RequestId, WorkspaceKey};
@@ -9,18 +9,18 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// When a caller whose request still runs is told to ask again.
+/// Suggested delay before a caller retries after a refusal that may soon be resolved.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A workspace's idempotency key, as the first half of its SHA-256.
+/// An idempotency key of a workspace, as the first half of its SHA-256.
 ///
-/// Callers choose their keys, so a short hash could be made to collide on
-/// purpose and one request be answered with another's outcome.
+/// Callers choose their keys. With a short hash they could construct collisions, and one request
+/// would receive the outcome of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyHash(pub [u8; 16]);
 
 impl KeyHash {
-    /// Hashes the key `key` of `workspace`.
+    /// Returns the hash of the key `key` of `workspace`.
     pub fn of(workspace: WorkspaceKey, key: &str) -> Self {
         let digest = Sha256::new()
             .chain_update(workspace.0.to_le_bytes())
@@ -31,7 +31,7 @@
         KeyHash(half)
     }
 
-    /// Returns the value that the home is ranked by.
+    /// Returns the value by which instances are ranked to find the home.
     pub fn rank_key(self) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&self.0[..8]);
@@ -39,38 +39,38 @@
     }
 }
 
-/// The name that binds requests which must not both run.
+/// The name shared by requests of which at most one may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ClaimId {
-    /// A ticket; granted by the incarnation that issued it.
+    /// A ticket. The incarnation that issued it grants the claim.
     Ticket(RequestId),
-    /// An idempotency key; granted by the key's home.
+    /// An idempotency key. The key's home grants the claim.
     Key(KeyHash),
 }
 
 /// A request's claim to be the one that runs under a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The name.
+    /// The claimed ticket or key.
     pub id: ClaimId,
-    /// The request that is to run; its life is the only one that may run it.
+    /// The request that is to run. Only the incarnation that accepted it may run it.
     pub claimant: RequestId,
-    /// Whose request it is.
+    /// The workspace that the request belongs to.
     pub workspace: WorkspaceKey,
-    /// Tells a repeat from another request under the same name.
+    /// Hash of the body; distinguishes a duplicate from another request under the same name.
     pub body_hash: u64,
-    /// The list by which the asker chose the home.
+    /// Revision of the instance list by which the requesting process chose the home.
     pub list_revision: u64,
 }
 
 impl Claim {
-    /// Returns whether `peer` is the life that the claimant belongs to.
+    /// Returns whether `peer` is the incarnation that accepted the claimant.
     pub fn is_from(&self, peer: PeerId) -> bool {
         is_from_incarnation(self.claimant, peer)
     }
 }
 
-/// Returns whether `request` was accepted by the life `peer`.
+/// Returns whether `request` was accepted by the incarnation `peer`.
 pub(super) fn is_from_incarnation(request: RequestId, peer: PeerId) -> bool {
     request.instance == peer.instance && request.incarnation == peer.incarnation
 }
@@ -78,34 +78,34 @@
 /// Why a claim was not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRefusal {
-    /// Another request holds it and has not ended.
+    /// Another request holds the claim and has not ended.
     Running,
-    /// Another request held it and ended so.
+    /// Another request held the claim and ended with this outcome.
     Ran(PriorOutcome),
-    /// The process that held or issued it is gone.
+    /// The process that held the claim or issued the ticket is gone.
     HolderGone,
-    /// It was taken for another body.
+    /// The name was claimed for a different body.
     BodyDiffers,
     /// The ticket was issued to another workspace.
     NotIssued,
-    /// The ticket is not remembered any more.
+    /// The record of the ticket has expired.
     Expired,
-    /// This process is not, or not yet surely, the key's home.
+    /// This process is not the key's home, or cannot be certain of it yet.
     Unsure {
-        /// When it may be.
+        /// Time after which it may be certain.
         retry_after: Duration,
     },
-    /// As many claims are held as there is room for.
+    /// The limit [`MAX_CLAIMS`](super::MAX_CLAIMS) is reached.
     Full,
-    /// No answer came from the process that grants it.
+    /// The granting process did not answer in time.
     TimedOut,
 }
 
 impl ClaimRefusal {
-    /// Returns what the caller is told.
+    /// Returns the response to the caller.
     ///
-    /// "Not run" only where this request's work cannot have run under this
-    /// name: anything else may be the repeat of a request that did run.
+    /// The outcome is "not run" only if the request's work cannot have run under this name. In all
+    /// other cases the request may be a duplicate of one that did run.
     pub fn verdict(self) -> Verdict {
         match self {
             ClaimRefusal::Running => unknown(Reason::AlreadyRunning, Some(RETRY_AFTER)),
@@ -127,20 +127,19 @@
     Verdict::unknown(reason).with_retry_after(retry_after)
 }
 
-/// What became of a claim, as its holder says.
+/// State of a claim as reported by its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HolderState {
-    /// The request runs or waits.
+    /// The request is running or waiting.
     Running,
-    /// It truly did not run; the name is free again.
+    /// The request provably did not run; the name is free again.
     NotRun,
-    /// It ended, or may have run.
+    /// The request ended and ran, or may have run.
     Ended(PriorOutcome),
 }
 
 impl HolderState {
-    /// Returns the state of a request that ended with `verdict`; `None` stands
-    /// for a whole answer.
+    /// Returns the state of a request that ended with `verdict`; `None` means a complete response.
     pub fn of(verdict: Option<&Verdict>) -> Self {
         let Some(verdict) = verdict else {
             return HolderState::Ended(PriorOutcome::Complete);
--- a/crates/core/src/keys/grant.rs
+++ b/crates/core/src/keys/grant.rs
@@ -1,4 +1,4 @@
-//! Whether a claim is granted.
+//! The granting side of claims.
 
 use super::claim::{Claim, ClaimId, ClaimRefusal, HolderState, KeyHash};
 use super::table::{ClaimState, Record};
@@ -7,16 +7,17 @@
 use crate::time::Time;
 use core::time::Duration;
 
-/// A holder that reports nothing for so long is given up. Longer than any
-/// generation, because its name is free again some time after.
+/// Time without a report after which a holder is considered gone. Longer than any generation,
+/// because the name becomes free again some time later.
 const HOLDER_SILENCE_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// When to ask again a home whose list is about to be confirmed or replaced.
+/// Delay before a claim is requested again from a home whose instance list is about to be confirmed
+/// or replaced.
 const LIST_READ_RETRY: Duration = Duration::from_millis(100);
 
 impl Keys {
-    /// Answers a claim, and marks it as granted before the answer leaves: an
-    /// answer that is lost costs the name, never a second run.
+    /// Decides on a claim and records a grant before the answer is sent. If the answer is lost, the
+    /// name stays unavailable, but no second request can run under it.
     pub(super) fn grant(
         &mut self,
         now: Time,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Decides on a name of which this process knows nothing.
+    /// Decides on a claim for a name without a record.
     fn check_unknown(
         &self,
         now: Time,
@@ -82,7 +83,7 @@
         let unsure = self
             .homes
             .wait_before_grant(now, key.rank_key(), self.cfg.settle);
-        // Two lists may name two homes; only one that both sides hold will do.
+        // Two list revisions may imply two homes, so both sides must use the same revision.
         let same_list = claim.list_revision == self.homes.revision();
         match unsure {
             Some(Duration::ZERO) if fresh && same_list => Ok(()),
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Takes over what a holder says of its claim. Returns whether it is noted.
+    /// Applies a holder's report about its claim. Returns whether the report is acknowledged.
     pub(super) fn on_report(&mut self, now: Time, claim: &Claim, state: HolderState) -> bool {
         let known = self.table.get(claim.id).map(|record| record.state);
         match (claim.id, known) {
@@ -104,7 +105,7 @@
             {
                 self.apply_report(now, claim, state);
             }
-            // The home changed; its holders tell the new one what they hold.
+            // The home changed, and holders report their claims to the new one.
             (ClaimId::Key(_), None) if state != HolderState::NotRun => {
                 if self.table.is_full() {
                     return false;
@@ -132,8 +133,8 @@
     }
 }
 
-/// Decides on a name that is known. Nothing here depends on being the home:
-/// what is known stays true.
+/// Decides on a claim for a name with a record. This does not depend on being the home: a record
+/// stays true wherever the home moves.
 fn check_record(record: &Record, claim: &Claim) -> Result<(), ClaimRefusal> {
     if record.workspace != claim.workspace {
         return Err(ClaimRefusal::NotIssued);
@@ -145,7 +146,7 @@
         return Err(ClaimRefusal::BodyDiffers);
     }
     match record.state {
-        // The answer was lost and the same request asks again.
+        // The answer was lost and the same request claims the name again.
         ClaimState::Held(holder) if holder == claim.claimant => Ok(()),
         ClaimState::Held(_) => Err(ClaimRefusal::Running),
         ClaimState::Ended(_, earlier) => Err(ClaimRefusal::Ran(earlier)),
--- a/crates/core/src/keys/holder.rs
+++ b/crates/core/src/keys/holder.rs
@@ -1,4 +1,4 @@
-//! The claims of this process's own requests, from asking to forgetting.
+//! The holding side of claims: the claims of this process's own requests.
 
 use super::claim::{Claim, ClaimId, ClaimRefusal, HolderState};
 use super::{Keys, KeysAction, KeysMessage, MAX_CLAIMS};
@@ -9,22 +9,22 @@
 use indexmap::IndexMap;
 use std::collections::BTreeSet;
 
-/// How often a home that did not answer, or was unsure, is asked again.
+/// Interval at which a claim is requested again from a home that did not answer or was unsure.
 const REQUEST_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The first wait before a report is repeated; it doubles up to the longest.
+/// Initial interval before a report is sent again; it doubles up to the maximum.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The longest wait before a report is repeated.
+/// Maximum interval before a report is sent again.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Waits for the answer until `until`; `last` is what was answered so far.
+    /// The claim is requested until `until`; `last` is the latest refusal.
     Pending { until: Time, last: ClaimRefusal },
-    /// The request may run.
+    /// The claim is granted, and the request may run.
     Held,
-    /// The request is over; kept until `until` to tell a new home.
+    /// The request has ended; kept until `until` so that a new home can be informed.
     Ended { state: HolderState, until: Time },
 }
 
@@ -34,7 +34,7 @@
     home: InstanceKey,
     phase: Phase,
     requested_at: Time,
-    /// Reports of the present state that were sent.
+    /// Number of reports of the current state that were sent.
     reports: u32,
     wake: Time,
 }
@@ -48,9 +48,9 @@
     }
 }
 
-/// The claims that this process's requests ask for and hold.
+/// The claims that this process's requests have requested or hold.
 ///
-/// Invariant: `by_wake` holds exactly the `wake` of every holder.
+/// Invariant: `by_wake` contains exactly the `wake` time of every holder.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Holders {
     records: IndexMap<RequestId, Holder>,
@@ -66,7 +66,7 @@
         self.by_wake.first().map_or(Time::NEVER, |&(at, _)| at)
     }
 
-    /// Takes a holder whose time has come off the schedule.
+    /// Removes a due holder from the schedule and returns its request.
     pub fn take_due(&mut self, now: Time) -> Option<RequestId> {
         let &(at, request) = self.by_wake.first()?;
         if at > now {
@@ -89,16 +89,16 @@
         }
     }
 
-    /// Returns whether an end was reported and not noted yet.
+    /// Returns whether an end was reported and has not been acknowledged yet.
     pub fn has_unacked_ends(&self) -> bool {
         let unnoted =
             |it: &Holder| matches!(it.phase, Phase::Ended { until, .. } if it.wake < until);
         self.records.values().any(unnoted)
     }
 
-    /// The home noted what was reported, so that it need not be repeated. The
-    /// holder stays, also one that did not run: a grant that was delayed on the
-    /// way is then given back, and its name is not held for nothing.
+    /// Records that the home acknowledged a report, which is then not sent again. The holder is
+    /// kept even if the request did not run, so that a delayed grant can be returned and does not
+    /// block the name.
     pub fn on_report_ack(&mut self, request: RequestId, state: HolderState) {
         let Some(&holder) = self.records.get(&request) else {
             return;
@@ -116,10 +116,10 @@
 }
 
 impl Keys {
-    /// Asks for a claim of one of this process's requests. The answer is
-    /// [`KeysAction::Granted`] or [`KeysAction::Refused`], now or later.
+    /// Requests a claim for one of this process's requests. The answer is [`KeysAction::Granted`]
+    /// or [`KeysAction::Refused`], now or later.
     ///
-    /// `issuer_life` is the life that a ticket's instance is known to be in.
+    /// `issuer_life` is the current incarnation of a ticket's instance, as far as it is known.
     pub fn request_claim(
         &mut self,
         now: Time,
@@ -157,7 +157,7 @@
         self.send_request(now, list_age, request, out);
     }
 
-    /// Asks the home, which may be this process.
+    /// Sends the claim to its home, which may be this process.
     fn send_request(
         &mut self,
         now: Time,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The home `from` granted the claim.
+    /// Handles a grant of a claim by the home `from`.
     pub(super) fn on_granted(
         &mut self,
         now: Time,
@@ -200,7 +200,7 @@
                     ..holder
                 });
                 let valid_until = match holder.claim.id {
-                    // Its issuer grants it to nobody else, however late it is.
+                    // The issuer grants it to no other request, however much time passes.
                     ClaimId::Ticket(_) => Time::NEVER,
                     ClaimId::Key(_) => holder.requested_at + self.cfg.valid,
                 };
@@ -209,19 +209,19 @@
                     valid_until,
                 });
                 if holder.home != from {
-                    // The home moved while the grant was on its way, and was
-                    // told nothing then: this process held nothing yet. Left
-                    // untold, the new home would grant the key once settled.
+                    // The home moved while the grant was in flight. At that time this process held
+                    // no claim and reported none. Without a report now, the new home would grant
+                    // the key to another request once it has settled.
                     self.send_report(now, request, out);
                 }
             }
-            // The grant came after the request was answered: give it back.
+            // The grant arrived after the request was refused, so it is returned.
             Phase::Ended { .. } => self.send_report(now, request, out),
             Phase::Held => {}
         }
     }
 
-    /// The home refused the claim.
+    /// Handles a refusal of a claim by its home.
     pub(super) fn on_refused(
         &mut self,
         now: Time,
@@ -253,7 +253,7 @@
         }
     }
 
-    /// A request that asked for or holds a claim is over.
+    /// Records the end of a request that requested or holds a claim.
     pub fn on_request_ended(
         &mut self,
         now: Time,
@@ -266,7 +266,7 @@
             return;
         };
         let state = match holder.phase {
-            // Never granted, so never sent, however little its caller is told.
+            // Never granted and therefore never sent, even if its caller received "unknown".
             Phase::Pending { .. } => HolderState::NotRun,
             Phase::Held => state,
             Phase::Ended { .. } => return,
@@ -282,7 +282,8 @@
         self.send_report(now, request, out);
     }
 
-    /// Tells the home the present state of a claim, and again until it is noted.
+    /// Reports the current state of a claim to its home and schedules the next report in case it is
+    /// not acknowledged.
     fn send_report(&mut self, now: Time, request: RequestId, out: &mut Vec<KeysAction>) {
         let Some(&holder) = self.holders.records.get(&request) else {
             return;
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Does what is due for a holder that was taken off the schedule.
+    /// Performs what is due for a holder that was removed from the schedule.
     pub(super) fn wake_holder(
         &mut self,
         now: Time,
@@ -330,8 +331,9 @@
         }
     }
 
-    /// Tells new homes what this process's requests hold: homes of keys that
-    /// moved with the list, and `renewed`, an instance that lost its memory.
+    /// Reports the claims of this process's requests to their new homes: to the homes of keys that
+    /// moved with the instance list, and to `renewed`, an instance that restarted and lost its
+    /// state.
     pub(super) fn report_to_new_homes(
         &mut self,
         now: Time,
--- a/crates/core/src/keys/homes.rs
+++ b/crates/core/src/keys/homes.rs
@@ -1,36 +1,36 @@
-//! Which instance is the home of a key, and whether it can be sure of it.
+//! Which instance is the home of a key, and whether it can be certain of it.
 
 use crate::ids::InstanceKey;
 use crate::rendezvous::{self, Candidate};
 use crate::time::Time;
 use core::time::Duration;
 
-/// An instance that the list called live and no longer does.
+/// An instance that was live according to the instance list and no longer is.
 #[derive(Clone, Copy, Debug)]
 struct Departed {
     instance: InstanceKey,
     until: Time,
 }
 
-/// The homes of keys by the published list alone.
+/// The homes of keys, derived from the published instance list alone.
 ///
-/// What goes wrong otherwise: in a partition each side suspects the other, and
-/// if suspicion moved the homes of keys, both sides would grant the same key.
-/// The list is the one thing that both sides are told by the same source.
+/// In a network partition each side suspects the other. If suspicion moved the homes of keys, both
+/// sides would grant the same key. The instance list is the only input that both sides receive from
+/// the same source.
 #[derive(Clone, Debug)]
 pub struct KeyHomes {
     me: InstanceKey,
     revision: u64,
     live: Vec<InstanceKey>,
-    /// Instances that left the list so recently that they may have granted
-    /// keys whose outcomes are still promised to be remembered.
+    /// Instances that left the list so recently that they may have granted keys whose outcomes must
+    /// still be remembered.
     departed: Vec<Departed>,
-    /// Since when this process has been listed, for a list that lists it.
+    /// Time since which this process has been in the list without a gap, if it is in the list.
     listed_since: Option<Time>,
 }
 
 impl KeyHomes {
-    /// Creates the state of a process that starts now and knows no list.
+    /// Returns the state of a process that starts now and has no list.
     pub(super) fn new(me: InstanceKey) -> Self {
         KeyHomes {
             me,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the revision of the list in force.
+    /// Returns the revision of the current instance list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -67,20 +67,19 @@
         self.live = live;
     }
 
-    /// Returns the home of the key ranked by `rank_key`.
+    /// Returns the home of the key whose rank value is `rank_key`.
     pub fn home_of(&self, rank_key: u64) -> Option<InstanceKey> {
         let live = self.live.iter().copied().map(Candidate::anywhere);
         rendezvous::first(rank_key, live)
     }
 
-    /// Returns how long this process must still wait until it may grant the key
-    /// to a request that it knows nothing of; zero if it may now, and `None` if
-    /// it is not the key's home.
+    /// Returns how long this process must still wait before it may grant the key if it has no
+    /// record of it: zero if it may grant now, and `None` if it is not the key's home.
     ///
-    /// It may if no other process can have been the key's home within `settle`:
-    /// this one ranks first also among those that left the list since, and has
-    /// itself been listed for as long. A process that just started has not,
-    /// whatever its name granted before.
+    /// It may grant if no other process can have been the key's home within `settle`. That holds if
+    /// this process ranks first even among the instances that left the list since then, and has
+    /// been in the list for that long itself. A process that has just started has not, whatever an
+    /// earlier process of the same name granted.
     pub(super) fn wait_before_grant(
         &self,
         now: Time,
--- a/crates/core/src/keys/table.rs
+++ b/crates/core/src/keys/table.rs
@@ -1,4 +1,4 @@
-//! The claims that one process grants.
+//! Records of the claims that one process grants.
 
 use super::MAX_CLAIMS;
 use super::claim::{ClaimId, HolderState, is_from_incarnation};
@@ -10,33 +10,33 @@
 use indexmap::IndexMap;
 use std::collections::BTreeSet;
 
-/// What is known of a name.
+/// State of a claimed name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimState {
-    /// A ticket that nobody has used.
+    /// An issued ticket that no request has claimed.
     Free,
     /// Granted to a request that has not reported its end.
     Held(RequestId),
-    /// Granted to a request that ended so.
+    /// Granted to a request that ended with this outcome.
     Ended(RequestId, PriorOutcome),
     /// Granted to a request whose process is gone.
     HolderGone(RequestId),
 }
 
-/// One name and the one request that may run under it.
+/// Record of one name and the request that may run under it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Record {
     pub workspace: WorkspaceKey,
-    /// The body that the name was taken for; meaningless while it is free.
+    /// Hash of the body that the name was claimed for; meaningless while the name is free.
     pub body_hash: u64,
     pub state: ClaimState,
-    /// When the record is dropped, or its silent holder is given up.
+    /// When the record is dropped, or its holder is considered gone.
     pub expires_at: Time,
 }
 
 /// The names that this process grants.
 ///
-/// Invariant: `by_time` holds exactly the `expires_at` of every record.
+/// Invariant: `by_time` contains exactly the `expires_at` of every record.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClaimTable {
     records: IndexMap<ClaimId, Record>,
@@ -56,7 +56,7 @@
         self.records.get(&id)
     }
 
-    /// Stores a record, in place of the one under the same name.
+    /// Stores a record and replaces an existing one under the same name.
     pub fn put(&mut self, id: ClaimId, record: Record) {
         self.remove(id);
         self.by_time.insert((record.expires_at, id));
@@ -73,8 +73,8 @@
         self.by_time.first().map_or(Time::NEVER, |&(at, _)| at)
     }
 
-    /// Drops what is due. A holder that was silent for its limit is given up
-    /// first, and its record kept for `memory` more.
+    /// Drops the records that are due. If a holder has not reported in time, its record first
+    /// becomes [`ClaimState::HolderGone`] and is kept for another `memory`.
     pub fn expire_due(&mut self, now: Time, memory: Duration) {
         while let Some(&(at, id)) = self.by_time.first()
             && at <= now
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Ends the claims that a life held, which is over.
+    /// Marks the claims held by an incarnation that has ended.
     pub fn incarnation_ended(&mut self, life: PeerId, forget_at: Time) {
         let held_by = |record: &Record| match record.state {
             ClaimState::Held(holder) => is_from_incarnation(holder, life).then_some(holder),
@@ -122,8 +122,7 @@
 }
 
 impl ClaimState {
-    /// Returns the state after `holder` reported `state`, or `None` if the name
-    /// becomes free.
+    /// Returns the state after `holder` reported `state`, or `None` if the name becomes free.
     pub fn reported(holder: RequestId, state: HolderState) -> Option<Self> {
         match state {
             HolderState::Running => Some(ClaimState::Held(holder)),
--- a/crates/core/src/keys/tickets.rs
+++ b/crates/core/src/keys/tickets.rs
@@ -1,13 +1,12 @@
-//! Tickets: names for one request each, drawn before it is sent.
+//! Tickets: single-use names that a caller obtains before it sends a request.
 //!
-//! A ticket is a [`RequestId`] of the process that issues it. Only that life
-//! grants it, to one request of any process, and marks it as granted before it
-//! answers. There is no clock, list or home in this, so it holds under
-//! partition, pause and restart: a ticket whose issuer is gone or cannot be
-//! reached is never run again, and its outcome is said to be unknown.
+//! A ticket is a [`RequestId`] of the process that issues it. Only that incarnation grants it, to
+//! one request of any process, and records the grant before it answers. This depends on no clock,
+//! instance list or home, so it holds under partitions, pauses and restarts. A ticket whose issuer
+//! is gone or unreachable is never run again, and its outcome is reported as unknown.
 //!
-//! [`crate::keys`] carries the claims; `docs/design/at-most-once.md` compares
-//! tickets with bare keys.
+//! [`crate::keys`] implements the claims; `docs/design/at-most-once.md` compares tickets with
+//! idempotency keys.
 
 use crate::ids::{Incarnation, RequestId, WorkspaceKey};
 use crate::keys::ClaimId;
@@ -16,18 +15,18 @@
 use crate::time::Time;
 use crate::value::PeerId;
 
-/// Returns whether the life `peer` issued `ticket`.
+/// Returns whether the incarnation `peer` issued `ticket`.
 pub fn is_issued_by(ticket: RequestId, peer: PeerId) -> bool {
     ticket.instance == peer.instance && ticket.incarnation == peer.incarnation
 }
 
-/// Returns whether the issuer of `ticket` is known to be gone, given the life
-/// that its instance is in now.
+/// Returns whether the issuer of `ticket` is known to have been replaced, given the current
+/// incarnation of its instance.
 pub fn issuer_has_restarted(ticket: RequestId, life_now: Option<Incarnation>) -> bool {
     life_now.is_some_and(|life| life != ticket.incarnation)
 }
 
-/// Issues a ticket, if there is room.
+/// Issues a ticket unless the table is full.
 pub(crate) fn issue(
     table: &mut ClaimTable,
     ticket: RequestId,
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,11 +1,11 @@
-//! What may be said about a request that did not end well.
+//! Outcomes that may be reported for a request that failed.
 //!
-//! "Not run" is a promise: a caller that hears it sells the shirt again. The
-//! types here make the wrong claim hard to write. A claim about one attempt
-//! starts from an [`Unsent`], which becomes a [`Sent`] at the send; from there
-//! proof comes only from the endpoint's own [`Refusal`] or from a connection
-//! that was never made. A claim about a request goes through its
-//! [`RequestOutcome`], which says "not run" only if every attempt has proof.
+//! "Not run" is a guarantee: a caller that receives it may safely execute the same work again, such
+//! as selling the same item. The types in this module make a false guarantee hard to express. Proof
+//! for one attempt starts from an [`Unsent`], which becomes a [`Sent`] at the send. After that,
+//! proof comes only from the endpoint's own [`Refusal`] or from the fact that the request was never
+//! transmitted. The outcome of a request comes from its [`RequestOutcome`], which reports "not run"
+//! only if every attempt has proof.
 //!
 //! See `docs/GUARANTEES.md`.
 
@@ -21,40 +21,40 @@
 use core::time::Duration;
 use serde::{Deserialize, Serialize};
 
-/// Proof that one attempt ran nowhere.
+/// Proof that an attempt did not run anywhere.
 ///
-/// Only [`Unsent`] and [`Sent`] make one, each from a state in which nothing
+/// Only [`Unsent`], [`Sent`] and [`RequestOutcome`] create one, each from a state in which nothing
 /// can have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotRun(());
 
-/// What is known about whether an attempt ran.
+/// Whether an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// It did not, with proof.
+    /// It provably did not run.
     No(NotRun),
-    /// It may have.
+    /// It may have run.
     Maybe,
 }
 
-/// How a request ended that ran, or may have run, under the same ticket or key.
+/// Outcome of an earlier request under the same ticket or key that ran or may have run.
 ///
-/// There is no "not run" here: a request that truly did not run frees its
-/// ticket or key instead.
+/// There is no "not run" variant: a request that provably did not run releases its ticket or key
+/// instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PriorOutcome {
     /// It may or may not have run.
     Unknown,
-    /// Its first tokens were delivered, then no more came.
+    /// Its first tokens were delivered, and then it failed.
     Partial {
-        /// How many.
+        /// Number of delivered tokens.
         delivered: u32,
     },
-    /// It ran and its whole answer was delivered.
+    /// It ran and its complete response was delivered.
     Complete,
 }
 
-/// The final answer to a caller whose request did not end well.
+/// The final response to a caller whose request was refused or failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
     outcome: Outcome,
@@ -64,25 +64,27 @@
 }
 
 impl Verdict {
-    /// A request that was refused because no request like it can have run: its
-    /// name was taken for other work, or issued to somebody else.
+    /// Returns the verdict on a request that cannot have run under its name, because the name was
+    /// claimed for other work or issued to another workspace.
     ///
-    /// For anything else only [`RequestOutcome::finish`] may say "not run".
+    /// In all other cases only [`RequestOutcome::finish`] may report "not run".
     pub fn not_accepted(reason: Reason, retry_after: Option<Duration>) -> Self {
         Self::new(Outcome::NotRun, reason, retry_after, 0)
     }
 
-    /// The request may have run; nothing was delivered.
+    /// Returns the verdict on a request that may have run and of which nothing was delivered.
     pub const fn unknown(reason: Reason) -> Self {
         Self::new(Outcome::Unknown, reason, None, 0)
     }
 
-    /// The first `delivered` tokens of one generation stand, and no more will come.
+    /// Returns the verdict on a request that ends after the first `delivered` tokens of one
+    /// generation. These tokens stay valid.
     pub const fn partial(reason: Reason, delivered: u32) -> Self {
         Self::new(Outcome::Partial, reason, None, delivered)
     }
 
-    /// A request with the same ticket or key came before; this one did not run again.
+    /// Returns the verdict on a duplicate of an earlier request with the same ticket or key. The
+    /// duplicate did not run.
     pub const fn repeated(reason: Reason, earlier: PriorOutcome) -> Self {
         match earlier {
             PriorOutcome::Unknown => Self::unknown(reason),
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Says when it is worth coming back.
+    /// Returns the verdict with a suggested delay before a retry.
     pub const fn with_retry_after(mut self, retry_after: Option<Duration>) -> Self {
         self.retry_after = retry_after;
         self
@@ -111,22 +113,22 @@
         }
     }
 
-    /// Returns what the caller may believe.
+    /// Returns the outcome that the caller may rely on.
     pub const fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// Returns why.
+    /// Returns the reason.
     pub const fn reason(&self) -> Reason {
         self.reason
     }
 
-    /// Returns when it is worth coming back.
+    /// Returns the suggested delay before a retry, if any.
     pub const fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
 
-    /// Returns how many tokens stand.
+    /// Returns how many tokens were delivered and stay valid.
     pub const fn delivered(&self) -> u32 {
         self.delivered
     }
--- a/crates/core/src/outcome/attempt.rs
+++ b/crates/core/src/outcome/attempt.rs
@@ -1,51 +1,53 @@
-//! One attempt, before and after its request is handed to a connection.
+//! State of one attempt before and after its request is handed to a connection.
 
 use super::{NotRun, Ran, Refusal};
 use crate::reason::Reason;
 
-/// An attempt whose request was not handed to a connection.
+/// An attempt whose request has not been handed to a connection.
 ///
-/// Only the core makes one, and it cannot be copied: [`Unsent::mark_sent`]
-/// takes it away at the send, and with it the right to say that nothing was sent.
+/// Only this crate creates one, and it cannot be copied. [`Unsent::mark_sent`] consumes it at the
+/// send, so that afterwards it cannot serve as proof that nothing was sent.
 #[derive(Debug)]
 pub struct Unsent(());
 
 /// An attempt whose request was handed to a connection.
 ///
-/// It may have run, whatever happens next, but for the two cases below. It
-/// cannot be copied, so that proof is given at most once.
+/// The attempt may have run, except in the two cases that return a [`NotRun`]. It cannot be copied,
+/// so proof is given at most once.
 #[derive(Debug)]
 pub struct Sent(());
 
 impl Unsent {
-    /// Returns the state of an attempt at its very start.
+    /// Returns the state of an attempt that was not sent yet.
     pub(crate) const fn new() -> Self {
         Unsent(())
     }
 
-    /// Gives the attempt up; it will never be sent.
+    /// Abandons the attempt; it will never be sent.
     pub fn abandon(self) -> NotRun {
         NotRun(())
     }
 
-    /// The request is about to be handed to a connection.
+    /// Records that the request is about to be handed to a connection.
     pub fn mark_sent(self) -> Sent {
         Sent(())
     }
 }
 
 impl Sent {
-    /// The first answer to the send was the endpoint's definite refusal.
+    /// Returns reason and proof if the first response to the send was the endpoint's definite
+    /// refusal.
     pub fn refused(self, refusal: &Refusal) -> (Reason, NotRun) {
         (refusal.reason(), NotRun(()))
     }
 
-    /// The connection was never made, so that no byte of the request left.
+    /// Returns proof if no byte of the request's body was transmitted, for example because no
+    /// connection was made.
     pub fn never_sent(self) -> NotRun {
         NotRun(())
     }
 
-    /// Anything else.
+    /// Returns the result in all other cases.
     pub fn unproven(self) -> Ran {
         Ran::Maybe
     }
--- a/crates/core/src/outcome/refusal.rs
+++ b/crates/core/src/outcome/refusal.rs
@@ -1,23 +1,23 @@
-//! The endpoint's definite refusal, read from its answer.
+//! An endpoint's definite refusal, parsed from its response.
 
 use crate::reason::Reason;
 use core::time::Duration;
 use serde::Deserialize;
 
-/// The statuses that can carry a definite refusal.
+/// HTTP statuses that can carry a definite refusal.
 const REFUSAL_STATUSES: [u16; 2] = [429, 503];
 
-/// What the body must say for the refusal to be definite.
+/// Outcome that the body must state for the refusal to be definite.
 const NOT_RUN: &str = "not_run";
 
-/// The longest wait that is taken from an endpoint's answer.
+/// Upper bound of the delay that is accepted from an endpoint's `Retry-After` header.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3_600);
 
-/// An endpoint's own statement that it ran nothing and will run nothing.
+/// An endpoint's own statement that it did not and will not run the request.
 ///
-/// It is made only by [`Refusal::parse`]. A status alone is no refusal: a proxy
-/// or an engine that crashed half-way answers 503 as well, and taking that as
-/// "not run" would sell a shirt twice.
+/// Only [`Refusal::parse`] creates one. A status alone is not a refusal: a proxy, or an engine that
+/// crashed while it ran the request, also responds with 503. Treating that as "not run" would
+/// execute the work twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     reason: Reason,
@@ -39,8 +39,8 @@
 }
 
 impl Refusal {
-    /// Reads an answer's status, its `Retry-After` header and its body. Returns
-    /// `None` if the answer says nothing about whether the request ran.
+    /// Parses a response's status, `Retry-After` header and body. Returns `None` if the response
+    /// does not state whether the request ran.
     pub fn parse(status: u16, retry_after: Option<&str>, body: &[u8]) -> Option<Self> {
         if !REFUSAL_STATUSES.contains(&status) {
             return None;
@@ -65,7 +65,7 @@
         self.reason
     }
 
-    /// Returns when the endpoint asked to come back, if it said so.
+    /// Returns the delay that the endpoint suggested before a retry, if any.
     pub const fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
--- a/crates/core/src/outcome/request.rs
+++ b/crates/core/src/outcome/request.rs
@@ -1,4 +1,4 @@
-//! What may be said about a request, over all of its attempts.
+//! Outcome of a request over all of its attempts.
 
 use super::{NotRun, Ran, Verdict};
 use crate::ids::AttemptId;
@@ -6,18 +6,18 @@
 use crate::value::RequestArrival;
 use core::time::Duration;
 
-/// What is known about whether an accepted request ran.
+/// Tracks whether an accepted request may have run.
 ///
-/// The node keeps one for each request and asks it for the final answer.
-/// Invariant: once an attempt ended without proof,
-/// [`RequestOutcome::may_have_run`] holds for good.
+/// The node keeps one for each request and derives the final response from it.
+///
+/// Invariant: once an attempt has ended without proof, [`RequestOutcome::may_have_run`] stays true.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestOutcome {
-    /// The attempt that was dispatched and has not ended.
+    /// The attempt that was dispatched and has not ended, if any.
     open: Option<AttemptId>,
-    /// An attempt ended without proof.
+    /// Whether an attempt ended without proof.
     unproven: bool,
-    /// The request carries a ticket or key that was not granted to it (yet).
+    /// Whether the request carries a ticket or key whose claim is not granted.
     claim_pending: bool,
 }
 
@@ -31,12 +31,11 @@
         }
     }
 
-    /// Returns the state of a request under a ticket or key, before its claim
-    /// is granted.
+    /// Returns the state of a request with a ticket or key whose claim is not granted yet.
     ///
-    /// What goes wrong otherwise: it may be the repeat of a request that ran
-    /// while its answer was lost. If the repeat is refused for any other
-    /// reason and told "not run", its caller believes that of both.
+    /// It may be a duplicate of a request that ran and whose response was lost. If the duplicate
+    /// were refused as "not run" for an unrelated reason, the caller would believe that of both
+    /// requests.
     pub const fn under_claim() -> Self {
         RequestOutcome {
             open: None,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Returns the state of a request that just arrived.
+    /// Returns the state of a request that has just arrived.
     pub const fn of_arrival(arrival: &RequestArrival) -> Self {
         match arrival.has_name() {
             true => Self::under_claim(),
@@ -53,27 +52,27 @@
         }
     }
 
-    /// The claim is granted: no earlier request under the name ran.
+    /// Records that the claim was granted: no earlier request under the name ran.
     pub fn on_claim_granted(&mut self) {
         self.claim_pending = false;
     }
 
-    /// The claim is void: another request under the name may have been granted
-    /// it since, and have run.
+    /// Records that the claim has lapsed: another request under the name may have been granted it
+    /// since then, and may have run.
     pub fn on_claim_voided(&mut self) {
         self.claim_pending = true;
     }
 
-    /// An attempt is handed to the shell. From here on it counts as run until
-    /// its own end says otherwise.
+    /// Records that an attempt is handed to the shell. From then on it may have run, until its own
+    /// end proves otherwise.
     pub fn on_dispatch(&mut self, attempt: AttemptId) {
         debug_assert!(self.open.is_none(), "two attempts of one request");
         self.unproven |= self.open.is_some();
         self.open = Some(attempt);
     }
 
-    /// An attempt ended. A report about any attempt but the open one changes
-    /// nothing: proof for an old attempt says nothing about the one that runs.
+    /// Records the end of an attempt. A report about any attempt but the open one is ignored: proof
+    /// for an old attempt says nothing about the running one.
     pub fn on_ended(&mut self, attempt: AttemptId, ran: Ran) {
         if self.open != Some(attempt) {
             return;
@@ -82,18 +81,18 @@
         self.unproven |= ran == Ran::Maybe;
     }
 
-    /// Returns whether any attempt, or an earlier request under the same ticket
-    /// or key, may have run.
+    /// Returns whether any attempt, or an earlier request under the same ticket or key, may have
+    /// run.
     pub fn may_have_run(&self) -> bool {
         self.unproven || self.claim_pending || self.open.is_some()
     }
 
-    /// Returns proof that the request ran nowhere, if there is any.
+    /// Returns proof that the request did not run, if there is any.
     pub fn proof(&self) -> Option<NotRun> {
         (!self.may_have_run()).then_some(NotRun(()))
     }
 
-    /// Returns the final answer: the strongest claim that the attempts bear out.
+    /// Returns the final response with the strongest outcome that the attempts prove.
     pub fn finish(&self, reason: Reason, retry_after: Option<Duration>, delivered: u32) -> Verdict {
         let outcome = match (delivered, self.proof()) {
             (1.., _) => Outcome::Partial,
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,9 +1,9 @@
-//! Whether a failed attempt is followed by another one.
+//! Decides whether a failed attempt is retried.
 //!
-//! Two rules decide. Truth: work that must not repeat is tried again only with
-//! proof that it ran nowhere; a caller that holds tokens gets a replay, never
-//! a fresh generation. Load: retries stay a small share of the recent
-//! requests, so that a surge of failures cannot multiply itself.
+//! Two rules apply. Correctness: a request that is not idempotent is retried only with proof that
+//! it did not run, and a caller that has received tokens gets a replay, never a new generation.
+//! Load: retries are limited to a small share of the recent requests, so that a burst of failures
+//! cannot amplify itself.
 //!
 //! See `docs/design/delivery.md`.
 
@@ -13,40 +13,39 @@
 use core::time::Duration;
 use rand::Rng;
 
-/// How many attempts a request has at most.
+/// Maximum number of attempts of a request.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// Seconds of requests and retries that the budget looks back on.
+/// Length of the sliding window of the retry budget, in seconds.
 pub const BUDGET_WINDOW_SECS: usize = 10;
 
-/// Retries allowed for each hundred requests of the window.
+/// Retries allowed per hundred requests in the window.
 pub const RETRIES_PER_HUNDRED_REQUESTS: u64 = 10;
 
-/// Retries allowed in each window however few requests there were, so that a
-/// quiet instance can still retry.
+/// Retries allowed in each window regardless of the number of requests, so that an instance with
+/// little traffic can still retry.
 pub const MIN_RETRIES_PER_WINDOW: u64 = 10;
 
-/// The longest back-off before the first retry; it doubles with each attempt.
+/// Upper bound of the backoff before the first retry; it doubles with each attempt.
 pub const BASE_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest back-off before any retry.
+/// Upper bound of the backoff before any retry.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// When a caller whose request may be repeated is told to come back, at the
-/// earliest, if the endpoint said nothing. Spread over twice this time.
+/// Minimum delay that is suggested to a caller whose request may be retried, unless the endpoint
+/// suggested a longer one. A random addition of up to twice this time spreads the retries.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Requests and retries of one second.
+/// Requests and retries within one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
     requests: u64,
     retries: u64,
 }
 
-/// How many retries the recent requests allow.
+/// Limits retries to a share of the recent requests.
 ///
-/// Invariant: `total` is the sum of `seconds`, which hold the seconds up to
-/// and including `latest`.
+/// Invariant: `total` is the sum of `seconds`, which cover the window up to and including `latest`.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     seconds: [Second; BUDGET_WINDOW_SECS],
@@ -55,19 +54,19 @@
 }
 
 impl RetryBudget {
-    /// Returns a budget without history.
+    /// Returns a budget without recorded requests or retries.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts a request that was accepted.
+    /// Counts an accepted request.
     pub fn on_request(&mut self, now: Time) {
         let second = self.advance(now);
         second.requests += 1;
         self.total.requests += 1;
     }
 
-    /// Takes one retry, if the budget has it.
+    /// Consumes one retry if the budget allows it; returns whether it does.
     pub fn try_spend(&mut self, now: Time) -> bool {
         self.advance(now);
         if self.total.retries >= self.allowed() {
@@ -83,7 +82,7 @@
         share.max(MIN_RETRIES_PER_WINDOW)
     }
 
-    /// Forgets the seconds that left the window and returns the one of `now`.
+    /// Drops the seconds that have left the window and returns the one of `now`.
     fn advance(&mut self, now: Time) -> &mut Second {
         let second = now.as_millis() / 1_000;
         let passed = second.saturating_sub(self.latest);
@@ -105,51 +104,51 @@
     (second % BUDGET_WINDOW_SECS as u64) as usize
 }
 
-/// Returns how long to wait before the attempt after `attempts` attempts:
-/// exponential, with jitter over its upper half.
+/// Returns the delay before the next attempt after `attempts` attempts: exponential backoff with
+/// jitter over the upper half of the range.
 pub fn backoff<R: Rng>(attempts: u32, rng: &mut R) -> Duration {
     let doublings = attempts.saturating_sub(1).min(16);
     let longest = (BASE_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
     rng.random_range(longest / 2..=longest)
 }
 
-/// An attempt that ended without a whole answer, and what is left of its request.
+/// An attempt that ended without a complete response, and the state of its request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFailure<'a> {
     /// Why the attempt ended.
     pub reason: Reason,
-    /// What is known of all attempts, this one included.
+    /// Outcome over all attempts, including this one.
     pub outcome: &'a RequestOutcome,
-    /// Whether the work may be run more than once.
+    /// Whether the request may be executed more than once.
     pub idempotent: bool,
-    /// Tokens that the caller holds.
+    /// Tokens that the caller has received.
     pub delivered: u32,
-    /// Attempts so far, this one included.
+    /// Number of attempts so far, including this one.
     pub attempts: u32,
-    /// How long the caller still waits for a start.
+    /// How much longer the caller waits for a start.
     pub remaining_wait: Duration,
-    /// When the endpoint asked to come back, if it said so.
+    /// Delay before a retry that the endpoint suggested, if any.
     pub retry_after: Option<Duration>,
 }
 
-/// What follows a failed attempt.
+/// What happens after a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Start afresh elsewhere.
+    /// Start a new generation at another endpoint.
     Retry {
-        /// How long to wait first.
+        /// Delay before the next attempt.
         after: Duration,
     },
-    /// Run it elsewhere and compare with what the caller holds.
+    /// Run it at another endpoint and compare the tokens with those that the caller has received.
     Replay {
-        /// How long to wait first.
+        /// Delay before the next attempt.
         after: Duration,
     },
-    /// Give the caller this answer.
+    /// Send this final response to the caller.
     Finish(Verdict),
 }
 
-/// Decides what follows `failure`.
+/// Decides what happens after `failure`.
 pub fn decide<R: Rng>(
     failure: &AttemptFailure<'_>,
     budget: &mut RetryBudget,
@@ -172,16 +171,16 @@
     }
 }
 
-/// Returns whether running the work (again) breaks no promise.
+/// Returns whether another attempt cannot execute non-idempotent work twice.
 fn may_retry(failure: &AttemptFailure<'_>) -> bool {
     failure.idempotent || !failure.outcome.may_have_run()
 }
 
-/// Returns whether another attempt can end better than this one.
+/// Returns whether another attempt can succeed.
 fn can_succeed(failure: &AttemptFailure<'_>) -> bool {
     let is_final = matches!(
         failure.reason,
-        // A second replay samples anew and differs just as well.
+        // A second replay samples its tokens again and would diverge as well.
         Reason::ReplayDiverged
             | Reason::CallerGone
             | Reason::StoppedNow
@@ -191,9 +190,9 @@
     !is_final && failure.attempts < MAX_ATTEMPTS
 }
 
-/// Returns whether the retry draws nothing from the budget. An endpoint that
-/// leaves refuses without work, and each request meets it at most once, so
-/// that a planned stop must not use up what failures need.
+/// Returns whether the retry is not counted against the budget. An endpoint that is leaving refuses
+/// without running anything, and each request meets it at most once. A planned stop must not use up
+/// the retries that failures need.
 fn is_exempt_from_budget(failure: &AttemptFailure<'_>) -> bool {
     failure.reason == Reason::EndpointLeaving && !failure.outcome.may_have_run()
 }
--- a/crates/core/tests/cell_basics.rs
+++ b/crates/core/tests/cell_basics.rs
@@ -1,4 +1,5 @@
-//! A cell grants what fits, refuses what waited too long and forgets what ended.
+//! Basic behaviour of a cell: it grants requests that fit, refuses those that waited too long and
+//! releases the room of those that ended.
 
 use core::time::Duration;
 use oriolemux_core::cell::*;
@@ -288,9 +289,9 @@
 
 #[test]
 fn an_endpoint_that_keeps_failing_is_ejected_and_probed_back() {
-    // Symptom: a dead engine draws every request, because it looks idle.
-    // Sequence: attempts there fail one after the other; each frees its room.
-    // Cause: routing by room alone counts a failure as an end like any other.
+    // Guards against a dead engine that attracts every request because it looks idle. Attempts
+    // there fail one after the other and free their room. Routing by free room alone treats a
+    // failure like any other end.
     let mut cell = cell_with(2, 100_000);
     let mut failed = 0;
     for second in 0..4 {
@@ -327,7 +328,7 @@
     prompt_tokens: None,
 };
 
-/// Submits eight requests at once and returns where each may run.
+/// Submits eight requests at once and returns the endpoint granted to each.
 fn run_eight(cell: &mut Cell, now: Time) -> Vec<(RequestId, EndpointKey)> {
     for n in 0..8 {
         cell.submit(now, request(now.as_micros() + n, now));
@@ -339,10 +340,10 @@
 
 #[test]
 fn a_long_generation_tells_its_age_often_enough() {
-    // Symptom: a dozen requests are granted at once to a full engine.
-    // Sequence: a generation of 15,000 tokens told its age last at 8,192; its
-    // guessed age reaches the caller's limit, so it counts as about to end.
-    // Cause: checkpoints that double without end.
+    // Guards against a dozen requests being granted at once to a full engine. A generation of
+    // 15,000 tokens reported its age last at 8,192 tokens. Its estimated age reaches the caller's
+    // limit, so it counts as about to end. This happens if the distance between checkpoints doubles
+    // without a bound.
     let mut last = 0;
     for tokens in 1..40_000 {
         if is_checkpoint(tokens) {
@@ -357,10 +358,9 @@
 
 #[test]
 fn an_engine_in_which_work_waits_gets_nothing_new_but_urgent_work() {
-    // Symptom: a preempted plan stalls for a minute.
-    // Sequence: an engine preempts it; grants go on to fill the room that it
-    // needs to start again.
-    // Cause: the home looked at its own forecast only.
+    // Guards against a preempted generation that stalls for a minute. After an engine preempts it,
+    // further grants fill the room that it needs to resume. This happens if the home uses only its
+    // own forecast and ignores requests that wait inside the engine.
     let mut cell = cell_with(1, 100_000);
     let waiting = LoadReport {
         waiting: 1,
--- a/crates/core/tests/cell_lengths.rs
+++ b/crates/core/tests/cell_lengths.rs
@@ -1,4 +1,4 @@
-//! The length model: what it believes before, during and after it has seen answers.
+//! Predictions of the length model before, during and after it has observed outputs.
 
 use oriolemux_core::ids::{ClassKey, EntryKey, WorkspaceKey};
 use oriolemux_core::length::buckets::{COUNT, bucket_of, lower_edge};
@@ -111,9 +111,9 @@
 
 #[test]
 fn lengths_that_double_are_noticed_within_a_hundred_answers() {
-    // Symptom: preemptions for hours after a school term starts.
-    // Sequence: an entry's answers double in length from one minute to the next.
-    // Cause: a long memory outvotes the new lengths until it has turned over.
+    // Guards against hours of preemptions after a change of workload. The outputs of an entry
+    // double in length from one minute to the next. Without drift detection, the long history
+    // outweighs the new lengths until it has been replaced.
     let mut model = LengthModel::new();
     let node = node(&mut model, "a");
     teach(&mut model, node, 500.0, 2_000, 4);
--- a/crates/core/tests/cell_messages.rs
+++ b/crates/core/tests/cell_messages.rs
@@ -1,4 +1,4 @@
-//! The compact form of the messages between entries and homes.
+//! Compact encoding of the messages between entry instances and homes.
 
 use oriolemux_core::cell::CellMessage;
 use oriolemux_core::cell::message::Checkpoint;
--- a/crates/core/tests/cell_properties.rs
+++ b/crates/core/tests/cell_properties.rs
@@ -1,4 +1,4 @@
-//! What holds for a cell whatever happens to it.
+//! Properties of a cell under arbitrary sequences of events.
 
 use core::time::Duration;
 use oriolemux_core::cell::*;
@@ -130,7 +130,7 @@
     ]
 }
 
-/// Drives a cell and keeps the books that a home's callers would keep.
+/// Drives a cell and tracks which requests wait or run, as the callers of a home would.
 struct Driver {
     cell: Cell,
     now: Time,
@@ -247,7 +247,7 @@
         next
     }
 
-    /// Lets time pass, with every running request ending, until nothing waits.
+    /// Advances time and ends every running request until no request waits.
     fn drain(&mut self) {
         for _ in 0..2_000 {
             if self.waiting.is_empty() {
@@ -315,12 +315,11 @@
     }
 }
 
-/// Tokens a second of each generation in the tests of starvation.
+/// Token rate of each generation in the starvation tests, in tokens per second.
 const RATE: f64 = 30.0;
 
-/// Runs one cell of a single small engine in virtual time, under endless
-/// arrivals of one kind, and returns how long a lone request of the other
-/// kind waits, or `None` if it is refused.
+/// Runs a cell with a single small engine in virtual time under a steady flow of requests of one
+/// kind, and returns how long a lone request of another kind waits, or `None` if it is refused.
 fn lone_wait(
     lone: CellRequest,
     crowd: impl Fn(u64, Time) -> CellRequest,
@@ -380,9 +379,9 @@
     panic!("the lone request was never decided on");
 }
 
-/// The longest wait that `docs/design/admission.md` promises: the wait target,
-/// the time by which requests with an earlier deadline may be overdue, and the
-/// life of what runs when room is held.
+/// Returns the upper bound of the wait that `docs/design/admission.md` guarantees: the wait target,
+/// the time by which requests with an earlier deadline may be overdue, and the duration of the
+/// generations that run when the room is held, with one second of slack.
 fn bound(lone: &CellRequest, crowd: &ClassRules, crowd_tokens: u32) -> Duration {
     let overdue = crowd.longest_wait - crowd.wait_target;
     let life = Duration::from_secs_f64(f64::from(crowd_tokens) / RATE);
@@ -417,7 +416,7 @@
     ) {
         let mut lone = request(1_000_000, Time::from_secs(start), true, prompt_tokens);
         lone.class.longest_wait = Duration::from_secs(500);
-        // It fits into the reserve, so that it waits for no long work at all.
+        // It fits into the urgent reserve, so it does not wait for any long request.
         let bound = lone.class.wait_target;
 
         let waited = lone_wait(lone, |seq, now| request(seq, now, false, crowd_prompt), crowd_tokens);
--- a/crates/core/tests/cell_services.rs
+++ b/crates/core/tests/cell_services.rs
@@ -1,4 +1,5 @@
-//! Plain services: calls at once are learned from latency; prefixes are doubted after gaps.
+//! Learning of a plain service's concurrency limit from its latency, and tracking of cached
+//! prefixes across gaps in the cache events.
 
 use core::time::Duration;
 use oriolemux_core::Time;
@@ -8,8 +9,8 @@
 
 const USUAL: Duration = Duration::from_millis(20);
 
-/// Completes `calls` calls of a service that takes `capacity` calls at once
-/// in `time` each and queues the rest, with as many running as the limit allows.
+/// Completes `calls` calls of a service that runs `capacity` calls at once, in `time` each, and
+/// queues the rest. As many calls run as the limit allows.
 fn run(limit: &mut ConcurrencyLimit, time: Duration, capacity: f64, calls: u32) {
     for _ in 0..calls {
         let running = limit.limit();
@@ -22,9 +23,9 @@
 #[case::small(8.0)]
 #[case::large(60.0)]
 fn the_limit_settles_near_what_a_service_takes_well(#[case] capacity: f64) {
-    // Symptom: a service is sent hundreds of calls at once and answers none in time.
-    // Sequence: the limit rises by a little, latency follows, and is learned as usual.
-    // Cause: the usual latency was learned upwards under load too.
+    // Guards against sending a service hundreds of calls at once, of which it completes none in
+    // time. The limit rises slightly, the latency follows, and the higher latency is learned as the
+    // usual one. This happens if the usual latency may increase under load.
     let mut limit = ConcurrencyLimit::default();
 
     run(&mut limit, USUAL, capacity, 50_000);
@@ -76,9 +77,8 @@
 
 #[test]
 fn a_gap_in_the_events_brings_doubt_until_the_block_is_seen_again() {
-    // Symptom: prompts go on being sent to an engine that dropped their prefix.
-    // Sequence: the eviction's event is lost in a gap.
-    // Cause: what was reported before the gap was believed as before.
+    // Guards against sending prompts to an engine that no longer caches their prefix. The event of
+    // the eviction is lost in a gap. Blocks reported before the gap must not be trusted as before.
     let engine = EndpointIx::from_u32(0);
     let mut map = PrefixMap::default();
     map.events(engine, false, &[1, 2], &[]);
--- a/crates/core/tests/delivery_stream.rs
+++ b/crates/core/tests/delivery_stream.rs
@@ -1,4 +1,4 @@
-//! One request's stream through [`Delivery`], input by input.
+//! Inputs and steps of [`Delivery`] for the stream of one request.
 
 use core::time::Duration;
 use oriolemux_core::delivery::{
@@ -43,7 +43,7 @@
     }
 }
 
-/// A delivery whose attempt `number` was just sent.
+/// Returns a delivery after the attempt of `dispatch` was sent.
 fn sent(dispatch: &Dispatch) -> Delivery {
     let mut delivery = Delivery::new();
     assert_eq!(delivery.start(dispatch, NOW).action, StreamAction::Send);
@@ -58,7 +58,7 @@
     format!("t{index} ").into_bytes()
 }
 
-/// Feeds tokens `from..to` of attempt `number` and returns what was handed on.
+/// Feeds tokens `from..to` of attempt `number` and returns the indices of those forwarded.
 fn feed(delivery: &mut Delivery, number: u32, from: u32, to: u32) -> Vec<u32> {
     let id = id(number);
     (from..to)
@@ -122,9 +122,9 @@
     assert_eq!(delivery.held().count(), 0);
 }
 
-// Symptom: a caller reads a word twice after a connection was resumed.
-// Sequence: tokens 0..5, the link breaks, the endpoint sends 3 and 4 again.
-// Cause: the endpoint's buffer starts before the index that was asked for.
+// Guards against a caller that receives tokens twice after a resumption. Tokens 0..5 arrive, the
+// connection breaks, and the endpoint sends 3 and 4 again, because its buffer starts before the
+// requested index.
 #[test]
 fn discards_tokens_that_a_resumption_repeats() {
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
@@ -148,9 +148,9 @@
     assert_eq!(handed_on, [5, 6, 7]);
 }
 
-// Symptom: a caller reads another caller's words, or words with a hole.
-// Sequence: a few tokens, then something that does not belong to the stream.
-// Cause: answers crossed on a connection, reordered or cut short.
+// Guards against a caller that receives tokens of another caller or a stream with a gap. After a
+// few tokens, input arrives that does not belong to the stream, because responses were crossed on a
+// connection, reordered or truncated.
 #[rstest]
 #[case::crossed(|d: &mut Delivery| d.on_token("r-1-2-3.1", 3, b"x"), Reason::WrongAttempt)]
 #[case::gap(|d: &mut Delivery| d.on_token(&id(2), 4, b"x"), Reason::TokenGap)]
@@ -181,9 +181,8 @@
     assert_eq!(delivery.delivered(), 3);
 }
 
-// Symptom: a request hangs while its connection is opened again and again.
-// Sequence: each resumption is answered and then breaks without a token.
-// Cause: the link or the endpoint is gone for good.
+// Guards against a request that hangs while its connection is reopened endlessly. Each resumption
+// succeeds and then breaks without a token, because the link or the endpoint is permanently gone.
 #[test]
 fn gives_up_after_a_bounded_number_of_resumptions() {
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
@@ -219,10 +218,9 @@
     ));
 }
 
-// Symptom: a caller is told "not run" for work that ran.
-// Sequence: the request is sent, the link breaks before any answer, the
-//   resumption is refused with 503.
-// Cause: the refusal is about the resumption, not about the send.
+// Guards against "not run" for work that ran. The request is sent, the connection breaks before any
+// response, and the resumption is refused with 503. The refusal is about the resumption, not about
+// the send.
 #[test]
 fn a_refused_resumption_does_not_prove_that_nothing_ran() {
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
@@ -258,9 +256,9 @@
     assert_eq!(step.action, StreamAction::Close { cancel: false });
 }
 
-// Symptom: work is sent long after its grant and the caller's patience ended.
-// Sequence: the node decides, the process is paused, it wakes and sends.
-// Cause: the decision was taken with a clock that stood still.
+// Guards against work that is sent long after its grant expired and the caller stopped waiting. The
+// process is paused between the node's decision and the send, so the decision is based on an
+// outdated time.
 #[test]
 fn a_paused_process_sends_nothing() {
     let mut delivery = Delivery::new();
@@ -276,9 +274,8 @@
     assert!(matches!(ran, Ran::No(_)));
 }
 
-// Symptom: a shirt is sold twice.
-// Sequence: the first attempt's answer is lost, a second attempt is started.
-// Cause: the first attempt may have run.
+// Guards against non-idempotent work that is executed twice. The response of the first attempt is
+// lost and a second attempt is started, although the first may have run.
 #[test]
 fn work_that_must_not_repeat_is_never_sent_a_second_time() {
     let once = |number| Dispatch {
@@ -326,10 +323,9 @@
     assert_eq!(delivery.delivered(), 7);
 }
 
-// Symptom: a plan begins in one wording and goes on in another.
-// Sequence: tokens 0..5 delivered, the engine dies, a replay elsewhere samples
-//   another token 3, or ends before token 5.
-// Cause: two generations of one prompt need not agree.
+// Guards against an output that is spliced from two generations. Tokens 0..5 are delivered and the
+// engine crashes. A replay on another engine samples a different token 3 or ends before token 5.
+// Two generations of one prompt need not be equal.
 #[rstest]
 #[case::other_token(|d: &mut Delivery| d.on_token(&id(2), 3, b"other"))]
 #[case::token_split(|d: &mut Delivery| d.on_token(&id(2), 3, b"t"))]
--- a/crates/core/tests/keys_failures.rs
+++ b/crates/core/tests/keys_failures.rs
@@ -1,4 +1,5 @@
-//! Bare idempotency keys: at most once, or a truthful "unknown".
+//! Idempotency keys under failures: a request runs at most once, or its outcome is reported as
+//! unknown.
 
 #[path = "keys_support/fleet.rs"]
 #[allow(dead_code, reason = "each test file uses a part of it")]
@@ -13,17 +14,16 @@
 const DONE: HolderState = HolderState::Ended(PriorOutcome::Complete);
 const ALL: [usize; 4] = [0, 1, 2, 3];
 
-/// Two processes that are not the home of `text`.
+/// Returns two processes that are not the home of `text`.
 fn entries(fleet: &Fleet, text: &str) -> [usize; 2] {
     let home = fleet.home_of(text);
     let mut others = ALL.into_iter().filter(|&n| n != home);
     [others.next().unwrap(), others.next().unwrap()]
 }
 
-// Symptom: a shirt is sold twice.
-// Sequence: a caller times out and repeats its request, and the balancer hands
-//   the repeat to another entry while the first still runs.
-// Cause: two entries that know nothing of each other.
+// Guards against work that is executed twice. A caller times out and sends its request again, and
+// the load balancer routes the duplicate to another entry instance while the first request is still
+// running. The two entry instances do not know of each other's requests.
 #[test]
 fn a_duplicate_on_another_entry_is_never_run() {
     let mut fleet = Fleet::settled(4);
@@ -47,11 +47,10 @@
     );
 }
 
-// Symptom: a shirt is sold twice, minutes apart, while the first sale still runs.
-// Sequence: the home grants a key; while its answer is on the way the list
-//   names another home; the entry notes the move, then takes the late grant.
-// Cause: the entry told the new home nothing, because it held nothing when the
-//   list changed; the new home settles and grants the key.
+// Guards against a second execution minutes later, while the first request is still running. The
+// home grants a key, and while its answer is in flight the instance list moves the home. The entry
+// applies the new list, then receives the late grant. It had no claim to report when the list
+// changed; without a report now, the new home settles and grants the key again.
 #[test]
 fn a_grant_that_arrives_after_its_home_moved_is_told_to_the_new_home() {
     let mut fleet = Fleet::settled(4);
@@ -99,9 +98,8 @@
     assert_eq!(refusal, (Reason::KeyReused, Outcome::NotRun));
 }
 
-// Symptom: a repeat runs what its first request already ran.
-// Sequence: the entry claims the key, sends the request, and dies.
-// Cause: nobody is left who knows whether it ran.
+// Guards against a duplicate that executes work again. The entry claims the key, sends the request
+// and crashes. No remaining process knows whether the request ran.
 #[test]
 fn the_claim_of_an_entry_that_died_is_unknown() {
     let mut fleet = Fleet::settled(4);
@@ -114,10 +112,9 @@
     assert_eq!(repeat.refusal(), (Reason::HolderGone, Outcome::Unknown));
 }
 
-// Symptom: a repeat runs a second time, right after an instance was lost.
-// Sequence: the home grants a key and dies, the list names it no longer, the
-//   repeat reaches the next home in rank.
-// Cause: the next home knows nothing of what the one before it granted.
+// Guards against a second execution right after an instance was lost. The home grants a key and
+// crashes, the instance list drops it, and a duplicate reaches the next home in rank. That home has
+// no record of what the previous one granted.
 #[test]
 fn a_new_home_grants_nothing_until_it_has_settled() {
     let mut fleet = Fleet::settled(4);
@@ -145,10 +142,9 @@
     assert!(fleet.answer(0, key(&text)).is_granted());
 }
 
-// Symptom: a long generation runs a second time after its key's home was lost.
-// Sequence: an entry holds a claim, the home dies, the new home settles while
-//   the first request still runs.
-// Cause: a home's state is lost with it; only the holders still know.
+// Guards against a long generation that runs a second time after its key's home was lost. An entry
+// holds a claim, the home crashes, and the new home settles while the first request is still
+// running. The state of the old home is lost; only the holders still know their claims.
 #[test]
 fn holders_tell_a_new_home_what_they_hold() {
     let mut fleet = Fleet::settled(4);
@@ -165,10 +161,9 @@
     assert_eq!(after.refusal(), (Reason::AlreadyRan, Outcome::Complete));
 }
 
-// Symptom: a key is granted twice after its home was restarted.
-// Sequence: the home grants, is restarted under the same name and address, and
-//   the repeat reaches its new life.
-// Cause: the new life has the old one's rank but not its memory.
+// Guards against a key that is granted twice after its home restarted. The home grants a key and
+// restarts under the same name and address, and a duplicate reaches the new incarnation. It has the
+// rank of the old incarnation but not its records.
 #[test]
 fn a_home_restarted_under_the_same_address_is_a_new_home() {
     let mut fleet = Fleet::settled(4);
@@ -188,10 +183,9 @@
     assert_eq!(other.refusal(), (Reason::KeyHomeUnsure, Outcome::Unknown));
 }
 
-// Symptom: both sides of a partition run the same key.
-// Sequence: the list that takes the old home out reaches one side only; the
-//   other side cannot reach the platform and goes on with the old list.
-// Cause: two lists, two homes.
+// Guards against both sides of a partition running the same key. The instance list that drops the
+// old home reaches one side only. The other side cannot reach the platform and continues with the
+// old list, so each side has a different home.
 #[test]
 fn two_sides_of_a_partition_never_grant_the_same_key() {
     let mut fleet = Fleet::settled(4);
@@ -208,13 +202,13 @@
     fleet.pass(fleet.cfg.list_fresh);
     let old_side_later = fleet.answer(2, key("order-late"));
 
-    // The old home still knows that its list was good a moment ago.
+    // The old home's list was confirmed a moment ago, so it may still grant.
     assert!(fleet.answer_of(old_side).unwrap().is_granted());
     assert_eq!(
         new_side.refusal(),
         (Reason::KeyHomeUnsure, Outcome::Unknown)
     );
-    // Soon it cannot know, and stops, long before the new home has settled.
+    // Without further confirmations it stops, long before the new home has settled.
     let (reason, outcome) = old_side_later.refusal();
     assert!(matches!(reason, Reason::KeyHomeUnsure | Reason::HomeSilent));
     assert_eq!(outcome, Outcome::Unknown);
@@ -235,9 +229,9 @@
     assert!(caught_up.is_granted());
 }
 
-// Symptom: keys are granted all through an outage in which homes moved.
-// Sequence: the platform is down for an hour, instances come and go.
-// Cause: a home that cannot read the list cannot know that it is still home.
+// Guards against keys that are granted during an outage in which homes moved. The platform is down
+// for an hour while instances start and stop. A home that cannot read the instance list cannot know
+// whether it is still the home.
 #[test]
 fn while_the_platform_is_down_no_unknown_key_is_granted() {
     let mut fleet = Fleet::settled(4);
@@ -253,10 +247,9 @@
     assert!(up.is_granted());
 }
 
-// Symptom: a caller hears nothing, or a key is held for ever by a request that
-//   was refused.
-// Sequence: the home grants the claim, and its answer is lost.
-// Cause: a one-way cut between entry and home.
+// Guards against a caller without a response, and against a key that is held forever by a request
+// that was refused. The home grants the claim and its answer is lost in a one-way partition between
+// home and entry.
 #[test]
 fn a_lost_grant_is_answered_unknown_and_given_back() {
     let mut fleet = Fleet::settled(4);
@@ -274,10 +267,9 @@
     assert!(meanwhile.is_granted() || healed.is_granted());
 }
 
-// Symptom: a repeat is refused as "already ran" although nothing ever ran.
-// Sequence: a caller leaves while its request waits for the claim; the request
-//   ends as "unknown", and the home grants its claim a moment later.
-// Cause: what a caller is told in doubt is taken for what is known.
+// Guards against a duplicate that is refused as "already ran" although nothing ran. A caller leaves
+// while its request waits for the claim. The request ends as "unknown", and the home grants its
+// claim a moment later. The outcome reported to a caller may be weaker than what is known.
 #[test]
 fn a_request_that_ends_before_its_claim_is_granted_gives_it_back() {
     let mut fleet = Fleet::settled(4);
@@ -302,10 +294,9 @@
     assert_eq!(answer.refusal(), (Reason::HomeSilent, Outcome::Unknown));
 }
 
-// Symptom: work runs twice after a process slept for minutes.
-// Sequence: an entry is granted a key and paused before the send; the home
-//   dies; the new home settles and grants the key to a repeat; the entry wakes.
-// Cause: the sleeper believes that its claim still stands.
+// Guards against work that runs twice after a process was paused for minutes. An entry is granted a
+// key and paused before the send. The home crashes, the new home settles and grants the key to a
+// duplicate. When the entry resumes, its claim must no longer permit the send.
 #[test]
 fn a_claim_is_void_for_sending_before_a_new_home_can_grant() {
     let mut fleet = Fleet::settled(4);
--- a/crates/core/tests/keys_histories.rs
+++ b/crates/core/tests/keys_histories.rs
@@ -19,12 +19,12 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Ask(usize),
-    /// Ends the oldest request that runs: whether it ran.
+    /// Ends the oldest running request; the flag says whether it ran.
     End(bool),
     Cut(usize, usize),
     Heal,
     Restart(usize),
-    /// The list names the process no longer, or again.
+    /// Removes the process from the instance list, or adds it back.
     Relist(usize),
     PassSecs(u64),
     PassMillis(u64),
@@ -44,19 +44,19 @@
     prop::collection::vec(step, 1..60)
 }
 
-/// A random history of one key, and what is known from outside.
+/// A random history of one key, and the observations that the property is checked against.
 struct History {
     fleet: Fleet,
     revision: u64,
     live: BTreeSet<usize>,
     asked: Vec<(RequestId, usize)>,
-    /// Requests that were granted, with the time of their end.
+    /// Granted requests with the time of their end.
     granted: Vec<(RequestId, Option<Time>)>,
     not_run: BTreeSet<RequestId>,
     cut_since: Option<Time>,
 }
 
-/// No cut of the histories lasts longer; see `docs/design/at-most-once.md`.
+/// Maximum duration of a partition in the histories; see `docs/design/at-most-once.md`.
 const LONGEST_CUT: Duration = Duration::from_secs(60);
 
 impl History {
@@ -122,7 +122,7 @@
         self.fleet.end(at, request, state);
     }
 
-    /// Everything that the process held ends with it.
+    /// Restarts a process. All requests that it ran end.
     fn restart(&mut self, n: usize) {
         let now = self.fleet.now;
         let old = self.fleet.id(n);
@@ -145,8 +145,8 @@
         self.fleet.deliver();
     }
 
-    /// Returns a grant that came while an earlier request ran, or was still to
-    /// be remembered.
+    /// Returns a request that was granted while an earlier one was running or its outcome still had
+    /// to be remembered.
     fn second_run(&mut self) -> Option<RequestId> {
         let now = self.fleet.now;
         let memory = self.fleet.cfg.memory;
@@ -173,9 +173,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Under any history of restarts, changes of the list, lost messages and
-    // cuts of up to a minute, a key is granted to a second request only after
-    // the first truly did not run, or was to be remembered no longer.
+    // Under any history of restarts, list changes, lost messages and partitions of up to a minute,
+    // a key is granted to a second request only if the first provably did not run or the retention
+    // time of its outcome has passed.
     #[test]
     fn no_history_runs_a_key_twice(steps in steps()) {
         let mut history = History::new();
--- a/crates/core/tests/keys_support/fleet.rs
+++ b/crates/core/tests/keys_support/fleet.rs
@@ -1,4 +1,4 @@
-//! A few processes that exchange claims over links that can be cut.
+//! Simulated processes that exchange claims over links that can be blocked.
 
 use core::time::Duration;
 use oriolemux_core::event::PeerId;
@@ -22,7 +22,7 @@
         matches!(self, Answer::Granted { .. })
     }
 
-    /// Returns reason and outcome of a refusal.
+    /// Returns the reason and the outcome of a refusal.
     pub fn refusal(&self) -> (Reason, Outcome) {
         match self {
             Answer::Granted { .. } => panic!("granted"),
@@ -44,7 +44,7 @@
     pub now: Time,
     processes: Vec<Process>,
     wire: VecDeque<(PeerId, InstanceKey, KeysMessage)>,
-    /// Pairs of processes, in one direction, whose messages are lost.
+    /// Directed links, as pairs of sender and receiver, whose messages are lost.
     cut: BTreeSet<(usize, usize)>,
     answers: BTreeMap<RequestId, Answer>,
     /// Whether the platform confirms the lists of all processes.
@@ -61,7 +61,7 @@
 }
 
 impl Fleet {
-    /// A fleet of `size` processes that have known their list for long.
+    /// Returns a fleet of `size` processes whose settle time has passed.
     pub fn settled(size: usize) -> Self {
         let mut fleet = Fleet {
             cfg: KeysConfig::default(),
@@ -103,7 +103,7 @@
         self.processes[n].id
     }
 
-    /// Returns which process is home of the key `text`, by the list of process 0.
+    /// Returns the process that is the home of the key `text` by the list of process 0.
     pub fn home_of(&self, text: &str) -> usize {
         let ClaimId::Key(hash) = key(text) else {
             unreachable!("a key");
@@ -132,14 +132,14 @@
         self.carry_out(n, out);
     }
 
-    /// Sets the same list everywhere.
+    /// Sets the same list at every process.
     pub fn publish(&mut self, revision: u64, live: &[usize]) {
         for n in 0..self.processes.len() {
             self.set_list(n, revision, live);
         }
     }
 
-    /// Replaces a process by a new life under the same name and address.
+    /// Replaces a process by a new incarnation with the same name and address.
     pub fn restart(&mut self, n: usize, revision: u64, live: &[usize]) {
         let old = self.id(n);
         self.processes[n] = self.process(n);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Process `n` learns that the life `old` is over.
+    /// Tells process `n` that the incarnation `old` has ended.
     pub fn life_over(&mut self, n: usize, old: PeerId) {
         let now = self.now;
         let mut out = Vec::new();
@@ -193,7 +193,7 @@
         Some(self.now.since(self.processes[n].confirmed))
     }
 
-    /// A request arrives at process `n` under the name `id`.
+    /// Submits a request with the name `id` at process `n`.
     pub fn ask_body(&mut self, n: usize, id: ClaimId, body_hash: u64) -> RequestId {
         let claimant = self.request(n);
         let claim = Claim {
@@ -220,7 +220,7 @@
         self.ask_body(n, id, 1)
     }
 
-    /// Asks and waits for the answer.
+    /// Submits a request and waits for the answer to its claim.
     pub fn answer(&mut self, n: usize, id: ClaimId) -> Answer {
         let request = self.ask(n, id);
         self.pass(self.cfg.ask_limit);
@@ -237,7 +237,7 @@
         Some(life.incarnation)
     }
 
-    /// The request ends at process `n`.
+    /// Ends the request at process `n`.
     pub fn end(&mut self, n: usize, request: RequestId, state: HolderState) {
         let now = self.now;
         let mut out = Vec::new();
@@ -248,7 +248,7 @@
         self.deliver();
     }
 
-    /// Hands a message to process `n` as if `from` had sent it.
+    /// Delivers a message to process `n` as if `from` had sent it.
     pub fn inject(&mut self, n: usize, from: PeerId, message: KeysMessage) {
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
@@ -258,7 +258,7 @@
         self.deliver();
     }
 
-    /// Lets time pass, with every timer and message on its way.
+    /// Advances time and runs every timer and message that is due.
     pub fn pass(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Lets time pass in one jump, as a paused process sees it.
+    /// Advances time in one step without running timers, as a paused process observes it.
     pub fn jump(&mut self, time: Duration) {
         self.now += time;
     }
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Delivers what is on the wire; messages of lives that are over are lost.
+    /// Delivers the messages in flight; those of ended incarnations are dropped.
     pub fn deliver(&mut self) {
         while let Some((from, to, message)) = self.wire.pop_front() {
             let find = |key| self.processes.iter().position(|it| it.id.instance == key);
--- a/crates/core/tests/outcome_claims.rs
+++ b/crates/core/tests/outcome_claims.rs
@@ -1,4 +1,4 @@
-//! What may be claimed about a request, attempt by attempt.
+//! The outcome that may be reported for a request, depending on its attempts.
 
 use core::time::Duration;
 use oriolemux_core::outcome::{PriorOutcome, Refusal};
@@ -16,7 +16,7 @@
     AttemptId { request, number }
 }
 
-/// Proof of one attempt, from a request that was never dispatched.
+/// Returns proof that an attempt did not run, taken from a request that was never dispatched.
 fn proof() -> Ran {
     Ran::No(RequestOutcome::new().proof().unwrap())
 }
@@ -50,9 +50,8 @@
     assert_eq!(verdict.retry_after(), Some(Duration::from_secs(2)));
 }
 
-// Symptom: "not run" is said while the work runs.
-// Sequence: an attempt is dispatched, and the process is told to stop at once.
-// Cause: the attempt has not ended, so nothing is known of it.
+// Guards against "not run" for work that is running. An attempt is dispatched and the process must
+// stop at once. The attempt has not ended, so it may have run.
 #[test]
 fn an_open_attempt_may_have_run() {
     let mut outcome = RequestOutcome::new();
@@ -63,10 +62,9 @@
     assert_eq!(verdict.outcome(), Outcome::Unknown);
 }
 
-// Symptom: "not run" is said while the second attempt runs.
-// Sequence: attempt 1 ends, attempt 2 is dispatched, and attempt 1's report
-//   arrives again.
-// Cause: proof for one attempt says nothing about another.
+// Guards against "not run" while the second attempt is running. Attempt 1 ends, attempt 2 is
+// dispatched, and the report of attempt 1 arrives again. Proof for one attempt says nothing about
+// another.
 #[test]
 fn proof_for_an_old_attempt_changes_nothing() {
     let mut outcome = outcome_after(&[proof()]);
@@ -77,10 +75,9 @@
     assert!(outcome.may_have_run());
 }
 
-// Symptom: a caller sells a shirt elsewhere that it has sold already.
-// Sequence: a request under a key runs and its answer is lost; the repeat
-//   reaches an instance that is stopping and is refused as "not run".
-// Cause: the claim is about the repeat, the caller takes it for both.
+// Guards against a caller that executes work elsewhere although it already ran. A request with a
+// key runs and its response is lost. The duplicate reaches an instance that is stopping and is
+// refused as "not run". That statement is about the duplicate, but the caller applies it to both.
 #[test]
 fn a_repeat_without_its_claim_is_never_said_not_to_have_run() {
     let mut outcome = RequestOutcome::under_claim();
@@ -110,9 +107,9 @@
     );
 }
 
-// Symptom: "not run" is said after an engine crashed half-way.
-// Sequence: a proxy before the engine answers 503 with its own page.
-// Cause: a status alone says nothing about whether the engine ran.
+// Guards against "not run" after an engine crashed while it ran the request. A proxy in front of
+// the engine responds with 503 and its own page. A status alone does not state whether the request
+// ran.
 #[rstest]
 #[case::busy(
     429,
--- a/crates/core/tests/outcome_guarantees.rs
+++ b/crates/core/tests/outcome_guarantees.rs
@@ -1,4 +1,4 @@
-//! docs/GUARANTEES.md names only tests that exist.
+//! Checks that every test named in `docs/GUARANTEES.md` exists.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The `file::test` and `folder::file::test` names that stand in backticks on the page.
+/// Returns the `file::test` and `folder::file::test` names in backticks on the page.
 fn named_tests(page: &str) -> Vec<(&str, &str)> {
     page.split('`')
         .skip(1)
--- a/crates/core/tests/outcome_model.rs
+++ b/crates/core/tests/outcome_model.rs
@@ -1,11 +1,10 @@
-//! Exhaustive search over one request's histories: what the entry claims is
-//! held against what the endpoints truly ran.
+//! Exhaustive search over the histories of one request. The outcome that the entry reports is
+//! compared with what the endpoints actually ran.
 //!
-//! Every history of up to three faults, or five for work that must not
-//! repeat, is taken step by step through the real `Delivery`,
-//! `RequestOutcome` and `retry::decide`. The faults: pause, crash of either
-//! side, cut, stall, late arrival of a send that was given up, refusal, error,
-//! and duplicate, crossed, reordered and truncated answers.
+//! Every history of up to three faults, or five for non-idempotent work, is executed step by step
+//! with the real `Delivery`, `RequestOutcome` and `retry::decide`. The faults are a pause, a crash
+//! of either side, a broken connection, a stall, late arrival of an abandoned send, a refusal, an
+//! error, and duplicate, crossed, reordered and truncated responses.
 
 #[path = "outcome_model/world.rs"]
 mod world;
@@ -15,7 +14,7 @@
 use std::collections::BTreeSet;
 use world::{Choice, Config, Mutant, World};
 
-/// What a search saw.
+/// The result of a search.
 struct Found {
     states: usize,
     violation: Option<(&'static str, Vec<Choice>)>,
@@ -29,7 +28,7 @@
     world
 }
 
-/// Visits every reachable state once, and stops at the first that breaks a promise.
+/// Visits every reachable state once and stops at the first that violates a guarantee.
 fn search(config: Config) -> Found {
     let mut seen = BTreeSet::new();
     let mut open = vec![Vec::new()];
@@ -77,7 +76,7 @@
     assert!(found.states > 500, "the search saw only {}", found.states);
 }
 
-// The search itself is proved: each rule, broken on purpose, is noticed.
+// Verifies the search itself: it must detect each rule that is deliberately broken.
 #[rstest]
 #[case::proof_from_resumption(Mutant::RefusedResumeCountsAsProof, false, "false not_run")]
 #[case::repeats_unproven(Mutant::RepeatsUnprovenWork, false, "ran twice")]
--- a/crates/core/tests/outcome_model/world.rs
+++ b/crates/core/tests/outcome_model/world.rs
@@ -1,4 +1,4 @@
-//! One entry, two endpoints and the messages between them, one choice at a time.
+//! Model of one entry, two endpoints and the messages between them, advanced one choice at a time.
 
 use core::time::Duration;
 use oriolemux_core::delivery::{Delivery, EndMark, ResumeResponse, Step, StreamAction};
@@ -12,13 +12,13 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Tokens of every generation.
+/// Number of tokens in every generation.
 const TOKENS: u32 = 3;
 const NOW: Time = Time::from_secs(100);
 const SEND_BEFORE: Time = Time::from_secs(101);
 const AFTER_PAUSE: Time = Time::from_secs(160);
 
-/// A rule that is broken on purpose, to show that the search would notice.
+/// A rule that is deliberately broken, to verify that the search detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
@@ -35,12 +35,13 @@
     pub delivery: DeliveryMode,
     /// Whether the second endpoint generates the same text as the first.
     pub same_text: bool,
-    /// Faults in one history; any pair of failures needs two.
+    /// Maximum number of faults in one history; every pair of failures needs two.
     pub max_faults: u32,
     pub mutant: Mutant,
 }
 
-/// What happens next. Those marked with a fault use up the history's faults.
+/// The next event. Those for which [`Choice::is_fault`] holds count against the maximum number of
+/// faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     Start,
@@ -93,7 +94,7 @@
     stage: Stage,
 }
 
-/// A generation that an endpoint ran; it stays in the record after a crash.
+/// A generation that an endpoint ran; it is kept after a crash of the endpoint.
 #[derive(Clone, Debug)]
 struct Generation {
     endpoint: usize,
@@ -111,7 +112,7 @@
     attempts: u32,
     pending: Option<AttemptMode>,
     conn: Option<Conn>,
-    /// Sends in flight on connections that the entry gave up.
+    /// Sends in flight on connections that the entry abandoned.
     late: Vec<(usize, u32)>,
     generations: Vec<Generation>,
     received: Vec<Vec<u8>>,
@@ -159,7 +160,7 @@
         world
     }
 
-    /// The node orders an attempt; the stream task has not started it yet.
+    /// The node dispatches an attempt; the stream task has not started it yet.
     fn dispatch(&mut self, mode: AttemptMode) {
         self.attempts += 1;
         if self.config.mutant == Mutant::ForgetsEarlierAttempts {
@@ -319,7 +320,7 @@
         self.conn.as_mut().expect("a connection").stage = stage;
     }
 
-    /// Forgets the connection; a send that is still in flight may arrive later.
+    /// Abandons the connection; a send that is still in flight may arrive later.
     fn give_up_conn(&mut self) {
         if let Some(conn) = self.conn.take()
             && conn.ask == Ask::Send
@@ -432,7 +433,7 @@
         self.carry_out(step, &text);
     }
 
-    /// What the shell does with a step.
+    /// Performs a step as the shell does.
     fn carry_out(&mut self, step: Step, text: &[u8]) {
         match step.action {
             StreamAction::Deliver => self.received.push(text.to_vec()),
@@ -464,7 +465,7 @@
         }
     }
 
-    /// What the node does with a failed attempt.
+    /// Handles a failed attempt as the node does.
     fn failed(&mut self, reason: Reason, ran: Ran) {
         self.outcome.on_ended(attempt_id(self.attempts), ran);
         let failure = AttemptFailure {
@@ -487,7 +488,7 @@
         }
     }
 
-    /// Returns the promise that this state breaks, if any.
+    /// Returns the guarantee that this state violates, if any.
     pub fn violation(&self) -> Option<&'static str> {
         let ran = self.generations.len();
         let told = self.told.as_ref().map(Verdict::outcome);
--- a/crates/core/tests/retry_decisions.rs
+++ b/crates/core/tests/retry_decisions.rs
@@ -1,4 +1,4 @@
-//! Which failed attempts are followed by another one.
+//! Decisions about whether a failed attempt is retried.
 
 use core::time::Duration;
 use oriolemux_core::retry::{
@@ -140,10 +140,9 @@
     assert_eq!(told(false), None);
 }
 
-// Symptom: an engine that slows down at the top of the hour is met with several
-//   times the load, and never recovers.
-// Sequence: every request fails once, and every failure is retried.
-// Cause: retries that grow with failures instead of with requests.
+// Guards against retries that multiply the load on an engine that slows down at the top of the
+// hour, so that it never recovers. Every request fails once and every failure is retried, because
+// the number of retries grows with failures instead of with requests.
 #[test]
 fn retries_stay_a_share_of_the_recent_requests() {
     let mut budget = RetryBudget::new();
--- a/crates/core/tests/tickets_failures.rs
+++ b/crates/core/tests/tickets_failures.rs
@@ -1,4 +1,4 @@
-//! Tickets: at most once with no clock, list or shared state to lean on.
+//! Tickets under failures: at-most-once execution without a clock, instance list or shared state.
 
 #[path = "keys_support/fleet.rs"]
 #[allow(dead_code, reason = "each test file uses a part of it")]
@@ -42,10 +42,9 @@
     assert!(fleet.answer(2, ticket).is_granted());
 }
 
-// Symptom: work runs twice after its issuer was restarted.
-// Sequence: a process issues a ticket and runs it, dies, and comes back under
-//   the same name and address; the caller repeats its request.
-// Cause: the new life knows nothing of the old one's tickets.
+// Guards against work that runs twice after the issuer restarted. A process issues a ticket, runs
+// its request, crashes and restarts under the same name and address. The caller sends its request
+// again. The new incarnation has no record of the old one's tickets.
 #[rstest]
 #[case::at_the_new_life(0)]
 #[case::elsewhere(1)]
@@ -60,10 +59,9 @@
     assert_eq!(answer.refusal(), (Reason::HolderGone, Outcome::Unknown));
 }
 
-// Symptom: work runs twice when the answer to a claim is lost.
-// Sequence: the issuer hands the ticket to one process, its answer is lost,
-//   the caller repeats its request at another.
-// Cause: the issuer cannot know whether its answer arrived.
+// Guards against work that runs twice when the answer to a claim is lost. The issuer grants the
+// ticket to one process, the answer is lost, and the caller sends its request again to another
+// process. The issuer cannot know whether its answer arrived.
 #[test]
 fn a_ticket_handed_over_is_not_handed_over_twice() {
     let mut fleet = Fleet::settled(3);
@@ -78,7 +76,7 @@
         body_hash: 1,
         list_revision: 1,
     };
-    // The claim gets through; the answer does not.
+    // The claim arrives, but the answer is lost.
     let asker = fleet.id(1);
     fleet.inject(0, asker, KeysMessage::Request(claim));
 
@@ -97,9 +95,8 @@
     assert!(given_back.is_granted());
 }
 
-// Symptom: a repeat runs what a process that died already ran.
-// Sequence: the ticket was handed over to a process, which died.
-// Cause: the issuer does not know how far the holder came.
+// Guards against a duplicate that executes work a crashed process already executed. The ticket was
+// granted to a process that crashed. The issuer does not know how far the holder got.
 #[test]
 fn a_ticket_whose_holder_died_is_unknown() {
     let mut fleet = Fleet::settled(3);
@@ -112,10 +109,9 @@
     assert_eq!(answer.refusal(), (Reason::HolderGone, Outcome::Unknown));
 }
 
-// Symptom: work runs twice after the issuer slept.
-// Sequence: a process asks for a ticket, gives up waiting and refuses; the
-//   issuer wakes, hands the ticket over, and the caller has gone elsewhere.
-// Cause: the issuer does not know that time has passed.
+// Guards against work that runs twice after the issuer was paused. A process claims a ticket, times
+// out and refuses the request. The issuer resumes and grants the ticket while the caller has moved
+// to another process. The issuer does not know that time has passed.
 #[test]
 fn an_issuer_that_slept_hands_over_to_nobody_who_gave_up() {
     let mut fleet = Fleet::settled(3);
@@ -193,7 +189,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Ask(usize),
-    /// Ends the oldest request that runs: whether it ran.
+    /// Ends the oldest running request; the flag says whether it ran.
     End(bool),
     Cut(usize, usize),
     Heal,
@@ -226,8 +222,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Under any history of cuts, restarts, pauses and lost messages, one ticket
-    // is granted to a second request only after the first truly did not run.
+    // Under any history of partitions, restarts, pauses and lost messages, a ticket is granted to a
+    // second request only if the first provably did not run.
     #[test]
     fn no_history_runs_a_ticket_twice(history in steps()) {
         let mut fleet = Fleet::settled(3);
