--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -469,8 +469,8 @@
     /// Returns whether an endpoint that is not leaving, and not excluded, serves the request's
     /// model.
     fn is_served(&self, req: &CellRequest) -> bool {
-        let holding = self.index.len(req.needs);
-        if holding > req.exclude.len() {
+        let eligible = self.index.len(req.needs);
+        if eligible > req.exclude.len() {
             return true;
         }
         let excluded = |ix| req.exclude.contains(&self.endpoints[ix].info.key);
@@ -484,10 +484,10 @@
         sample
             .map(|ix| {
                 let endpoint = &self.endpoints[*ix];
-                let barred = endpoint.ineligible_reason(now, req);
+                let ineligible = endpoint.ineligible_reason(now, req);
                 Alternative {
                     endpoint: endpoint.info.key,
-                    reason: barred.unwrap_or_else(|| endpoint.no_room_reason(now, req.id)),
+                    reason: ineligible.unwrap_or_else(|| endpoint.no_room_reason(now, req.id)),
                     free: endpoint.indexed.unwrap_or(0),
                 }
             })
--- a/crates/core/src/cell/decision.rs
+++ b/crates/core/src/cell/decision.rs
@@ -74,7 +74,7 @@
     pub endpoint: EndpointKey,
     /// Why it was not chosen.
     pub reason: NotChosen,
-    /// Tokens of KV memory (or calls, for a service) that were free there.
+    /// Tokens of KV cache (or calls, for a service) that were free there.
     pub free: u32,
 }
 
--- a/crates/core/src/cell/drain.rs
+++ b/crates/core/src/cell/drain.rs
@@ -35,12 +35,12 @@
         if !backlogged {
             self.backlogged = false;
         }
-        let time = now.since(self.window_from);
-        if time < WINDOW {
+        let elapsed = now.since(self.window_from);
+        if elapsed < WINDOW {
             return;
         }
         if self.backlogged {
-            let measured = self.granted / time.as_secs_f64();
+            let measured = self.granted / elapsed.as_secs_f64();
             let rate = self.rate.unwrap_or(measured);
             self.rate = Some(rate + GAIN * (measured - rate));
         }
--- a/crates/core/src/cell/endpoint.rs
+++ b/crates/core/src/cell/endpoint.rs
@@ -102,7 +102,7 @@
 
     pub fn meets(&self, needs: Requirement) -> bool {
         match &self.loaded {
-            Some(holdings) if needs != Requirement::ANY => holdings.binary_search(&needs).is_ok(),
+            Some(loaded) if needs != Requirement::ANY => loaded.binary_search(&needs).is_ok(),
             _ => true,
         }
     }
@@ -110,7 +110,7 @@
     /// Applies a load report and returns the number of preemptions since the previous one.
     pub fn report(&mut self, now: Time, report: &LoadReport) -> u64 {
         let lag = Duration::from_millis(report.lag_ms.into());
-        let taken = Time::from_micros(
+        let measured_at = Time::from_micros(
             now.as_micros()
                 .saturating_sub(lag.as_micros().try_into().unwrap_or(u64::MAX)),
         );
@@ -119,11 +119,15 @@
         self.slots = report.max_running;
         self.reported_leaving = report.leaving;
         if self.info.kind == EndpointKind::Model {
-            self.loaded = Some(holdings(report));
+            self.loaded = Some(requirements(report));
         }
         let count = report.running + report.waiting;
-        self.foreign
-            .report(taken, report.kv_tokens_used, count, report.kv_tokens_total);
+        self.foreign.report(
+            measured_at,
+            report.kv_tokens_used,
+            count,
+            report.kv_tokens_total,
+        );
         self.waiting_reports = if report.waiting > 0 {
             self.waiting_reports + 1
         } else {
@@ -314,7 +318,7 @@
 }
 
 /// Returns every requirement that the models in a load report meet, sorted.
-fn holdings(report: &LoadReport) -> Vec<Requirement> {
+fn requirements(report: &LoadReport) -> Vec<Requirement> {
     let mut list = Vec::new();
     for model in &report.models {
         for version in [None, Some(model.version.as_str())] {
--- a/crates/core/src/cell/index.rs
+++ b/crates/core/src/cell/index.rs
@@ -31,21 +31,21 @@
         self.sets.insert(needs, rooms.collect());
     }
 
-    /// Moves an endpoint from room `from` to room `to` in every set whose requirement it `holds`.
+    /// Moves an endpoint from room `from` to room `to` in every set whose requirement it `meets`.
     /// `None` means that it is not indexed.
     pub fn set(
         &mut self,
         ix: EndpointIx,
         from: Option<u32>,
         to: Option<u32>,
-        holds: impl Fn(Requirement) -> bool,
+        meets: impl Fn(Requirement) -> bool,
     ) {
         for (needs, set) in &mut self.sets {
             if let Some(room) = from {
                 set.remove(&(room, ix));
             }
             if let Some(room) = to
-                && holds(*needs)
+                && meets(*needs)
             {
                 set.insert((room, ix));
             }
--- a/crates/core/src/cell/place.rs
+++ b/crates/core/src/cell/place.rs
@@ -48,7 +48,7 @@
     demand: Demand,
     forecast: Forecast,
     margins: Margins,
-    seen: Vec<EndpointIx>,
+    candidates: Vec<EndpointIx>,
     best: Option<(EndpointIx, Scored)>,
     alternatives: Vec<Alternative>,
 }
@@ -72,7 +72,7 @@
             demand,
             forecast,
             margins: Margins::of(&forecast, risk),
-            seen: core::mem::take(&mut cell.candidates),
+            candidates: core::mem::take(&mut cell.candidates),
             best: None,
             alternatives: Vec::new(),
         })
@@ -80,7 +80,7 @@
 
     /// Examines the endpoints that cache the prompt's prefix, then those with the most free room.
     fn run(&mut self, cell: &mut Cell, now: Time) {
-        self.seen.clear();
+        self.candidates.clear();
         let Some(needs) = cell.queue.get(self.id).map(|waiting| waiting.req.needs) else {
             return;
         };
@@ -90,27 +90,27 @@
         };
         let hold = waiting.hold;
         let holders = cell.prefixes.holders(&waiting.req.prefix);
-        self.seen.extend(hold);
+        self.candidates.extend(hold);
         for &ix in holders {
-            if !self.seen.contains(&ix) && cell.endpoints[ix].meets(needs) {
-                self.seen.push(ix);
+            if !self.candidates.contains(&ix) && cell.endpoints[ix].meets(needs) {
+                self.candidates.push(ix);
             }
         }
-        let first = self.seen.len();
+        let first = self.candidates.len();
         for ix in cell.index.roomiest(needs).take(MAX_EXAMINED) {
-            if !self.seen[..first].contains(&ix) {
-                self.seen.push(ix);
+            if !self.candidates[..first].contains(&ix) {
+                self.candidates.push(ix);
             }
         }
-        let seen = core::mem::take(&mut self.seen);
+        let candidates = core::mem::take(&mut self.candidates);
         let mut measured = 0;
-        for &ix in &seen {
+        for &ix in &candidates {
             measured += usize::from(self.examine(cell, now, ix));
             if measured >= MAX_MEASURED {
                 break;
             }
         }
-        cell.candidates = seen;
+        cell.candidates = candidates;
     }
 
     /// Examines one endpoint and returns whether it counts towards the limit of measured endpoints.
@@ -120,8 +120,8 @@
             return false;
         };
         let endpoint = &cell.endpoints[ix];
-        if let Some(why) = endpoint.ineligible_reason(now, &waiting.req) {
-            self.add_alternative(endpoint, why, 0);
+        if let Some(reason) = endpoint.ineligible_reason(now, &waiting.req) {
+            self.add_alternative(endpoint, reason, 0);
             return false;
         }
         let measure = Measure {
@@ -159,11 +159,11 @@
         }
     }
 
-    fn add_alternative(&mut self, endpoint: &Endpoint, lost: NotChosen, free: u32) {
+    fn add_alternative(&mut self, endpoint: &Endpoint, reason: NotChosen, free: u32) {
         if self.alternatives.len() < MAX_ALTERNATIVES {
             self.alternatives.push(Alternative {
                 endpoint: endpoint.info.key,
-                reason: lost,
+                reason,
                 free,
             });
         }
@@ -247,8 +247,8 @@
     let free = |ix: &EndpointIx| {
         let endpoint = &cell.endpoints[*ix];
         let has_reserve = waiting.urgent && endpoint.fits_reserve(now, &cell.cfg, forecast);
-        let is_barred = endpoint.ineligible_reason(now, &waiting.req).is_some();
-        endpoint.held_for.is_none() && !has_reserve && !is_barred
+        let is_ineligible = endpoint.ineligible_reason(now, &waiting.req).is_some();
+        endpoint.held_for.is_none() && !has_reserve && !is_ineligible
     };
     let mut roomiest = cell.index.roomiest(waiting.req.needs).take(MAX_EXAMINED);
     if let Some(ix) = roomiest.find(free) {
--- a/crates/core/src/cell/refresh.rs
+++ b/crates/core/src/cell/refresh.rs
@@ -63,9 +63,9 @@
             return;
         }
         let endpoints = &self.endpoints;
-        let holding = self.by_key.values().copied();
-        let holding = holding.filter(|ix| endpoints[*ix].meets(needs));
-        let rooms = holding.filter_map(|ix| endpoints[ix].indexed.map(|room| (room, ix)));
+        let matching = self.by_key.values().copied();
+        let matching = matching.filter(|ix| endpoints[*ix].meets(needs));
+        let rooms = matching.filter_map(|ix| endpoints[ix].indexed.map(|room| (room, ix)));
         self.index.build(needs, rooms);
     }
 }
--- a/crates/core/src/cell/refuse.rs
+++ b/crates/core/src/cell/refuse.rs
@@ -22,11 +22,11 @@
 
 /// Reviews the requests that were submitted since the last poll and not placed.
 pub(super) fn review_new(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
-    let fresh = core::mem::take(&mut cell.unreviewed);
-    for &id in &fresh {
+    let unreviewed = core::mem::take(&mut cell.unreviewed);
+    for &id in &unreviewed {
         review(cell, now, id, out);
     }
-    cell.unreviewed = fresh;
+    cell.unreviewed = unreviewed;
     cell.unreviewed.clear();
 }
 
--- a/crates/core/src/delivery.rs
+++ b/crates/core/src/delivery.rs
@@ -403,8 +403,8 @@
     }
 
     /// Handles the endpoint's response to a resumption.
-    pub fn on_resume_response(&mut self, answer: ResumeResponse) -> Step {
-        match answer {
+    pub fn on_resume_response(&mut self, response: ResumeResponse) -> Step {
+        match response {
             ResumeResponse::Ok => Step::act(StreamAction::Idle),
             ResumeResponse::Lost => self.fail(Reason::GenerationLost),
         }
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -183,8 +183,8 @@
         workspace: WorkspaceKey,
     ) -> Result<(), Reason> {
         debug_assert!(tickets::is_issued_by(ticket, self.me));
-        let forget_at = now + self.cfg.ticket_life;
-        tickets::issue(&mut self.table, ticket, workspace, forget_at)
+        let expires_at = now + self.cfg.ticket_life;
+        tickets::issue(&mut self.table, ticket, workspace, expires_at)
     }
 
     /// Applies a published instance list: its revision and its live instances. The state of peer
@@ -209,11 +209,11 @@
         incarnation: Incarnation,
         out: &mut Vec<KeysAction>,
     ) {
-        let life = PeerId {
+        let ended = PeerId {
             instance,
             incarnation,
         };
-        self.table.incarnation_ended(life, now + self.cfg.memory);
+        self.table.incarnation_ended(ended, now + self.cfg.memory);
         self.report_to_new_homes(now, Some(instance), out);
     }
 
--- a/crates/core/src/keys/holder.rs
+++ b/crates/core/src/keys/holder.rs
@@ -91,9 +91,9 @@
 
     /// Returns whether an end was reported and has not been acknowledged yet.
     pub fn has_unacked_ends(&self) -> bool {
-        let unnoted =
+        let is_unacked =
             |it: &Holder| matches!(it.phase, Phase::Ended { until, .. } if it.wake < until);
-        self.records.values().any(unnoted)
+        self.records.values().any(is_unacked)
     }
 
     /// Records that the home acknowledged a report, which is then not sent again. The holder is
@@ -119,13 +119,13 @@
     /// Requests a claim for one of this process's requests. The answer is [`KeysAction::Granted`]
     /// or [`KeysAction::Refused`], now or later.
     ///
-    /// `issuer_life` is the current incarnation of a ticket's instance, as far as it is known.
+    /// `issuer_incarnation` is the current incarnation of the ticket's instance, if it is known.
     pub fn request_claim(
         &mut self,
         now: Time,
         list_age: Option<Duration>,
         claim: Claim,
-        issuer_life: Option<Incarnation>,
+        issuer_incarnation: Option<Incarnation>,
         out: &mut Vec<KeysAction>,
     ) {
         let request = claim.claimant;
@@ -133,7 +133,9 @@
             return refuse(request, ClaimRefusal::Full, out);
         }
         let home = match claim.id {
-            ClaimId::Ticket(ticket) if tickets::issuer_has_restarted(ticket, issuer_life) => {
+            ClaimId::Ticket(ticket)
+                if tickets::issuer_has_restarted(ticket, issuer_incarnation) =>
+            {
                 return refuse(request, ClaimRefusal::HolderGone, out);
             }
             ClaimId::Ticket(ticket) => Some(ticket.instance),
--- a/crates/core/src/keys/table.rs
+++ b/crates/core/src/keys/table.rs
@@ -83,12 +83,12 @@
             self.remove(id);
             if let ClaimState::Held(holder) = record.state {
                 let state = ClaimState::HolderGone(holder);
-                let forget_at = now + memory;
+                let expires_at = now + memory;
                 self.put(
                     id,
                     Record {
                         state,
-                        expires_at: forget_at,
+                        expires_at,
                         ..record
                     },
                 );
@@ -97,9 +97,9 @@
     }
 
     /// Marks the claims held by an incarnation that has ended.
-    pub fn incarnation_ended(&mut self, life: PeerId, forget_at: Time) {
+    pub fn incarnation_ended(&mut self, ended: PeerId, expires_at: Time) {
         let held_by = |record: &Record| match record.state {
-            ClaimState::Held(holder) => is_from_incarnation(holder, life).then_some(holder),
+            ClaimState::Held(holder) => is_from_incarnation(holder, ended).then_some(holder),
             _ => None,
         };
         let held: Vec<_> = self
@@ -113,7 +113,7 @@
                 id,
                 Record {
                     state,
-                    expires_at: forget_at,
+                    expires_at,
                     ..record
                 },
             );
--- a/crates/core/src/keys/tickets.rs
+++ b/crates/core/src/keys/tickets.rs
@@ -22,8 +22,8 @@
 
 /// Returns whether the issuer of `ticket` is known to have been replaced, given the current
 /// incarnation of its instance.
-pub fn issuer_has_restarted(ticket: RequestId, life_now: Option<Incarnation>) -> bool {
-    life_now.is_some_and(|life| life != ticket.incarnation)
+pub fn issuer_has_restarted(ticket: RequestId, current: Option<Incarnation>) -> bool {
+    current.is_some_and(|incarnation| incarnation != ticket.incarnation)
 }
 
 /// Issues a ticket unless the table is full.
@@ -31,7 +31,7 @@
     table: &mut ClaimTable,
     ticket: RequestId,
     workspace: WorkspaceKey,
-    forget_at: Time,
+    expires_at: Time,
 ) -> Result<(), Reason> {
     if table.is_full() {
         return Err(Reason::InstanceFull);
@@ -40,7 +40,7 @@
         workspace,
         body_hash: 0,
         state: ClaimState::Free,
-        expires_at: forget_at,
+        expires_at,
     };
     table.put(ClaimId::Ticket(ticket), record);
     Ok(())
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -198,8 +198,8 @@
 }
 
 fn finish<R: Rng>(failure: &AttemptFailure<'_>, reason: Reason, rng: &mut R) -> RetryDecision {
-    let come_back = may_retry(failure) && reason != Reason::CallerGone;
-    let retry_after = come_back.then(|| {
+    let may_retry_later = may_retry(failure) && reason != Reason::CallerGone;
+    let retry_after = may_retry_later.then(|| {
         let spread = rng.random_range(MIN_RETRY_AFTER..=MIN_RETRY_AFTER * 3);
         failure.retry_after.unwrap_or_default().max(spread)
     });
