--- a/crates/core/tests/cell_basics.rs
+++ b/crates/core/tests/cell_basics.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_new() {
+fn a_leaving_endpoint_receives_no_new_requests() {
     let mut cell = cell_with(2, 100_000);
     let report = LoadReport {
         leaving: true,
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn what_a_dead_entry_held_is_free_again() {
+fn withdrawing_an_incarnation_frees_its_room() {
     let mut cell = cell_with(1, 100_000);
     cell.submit(Time::ZERO, request(1, Time::ZERO));
     poll(&mut cell, Time::ZERO);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_request_submitted_twice_holds_room_once() {
+fn a_request_submitted_twice_occupies_room_once() {
     let mut cell = cell_with(1, 100_000);
     cell.submit(Time::ZERO, request(1, Time::ZERO));
     poll(&mut cell, Time::ZERO);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_excluded_endpoint_is_passed_over_and_the_record_says_so() {
+fn an_excluded_endpoint_is_not_chosen_and_the_record_says_so() {
     let mut cell = cell_with(2, 100_000);
     let req = CellRequest {
         exclude: vec![engine(1)],
@@ -199,7 +199,7 @@
 #[case::version(Some("v2"), None, Some(2))]
 #[case::adapter(Some("v2"), Some("crests"), Some(2))]
 #[case::other_version(Some("v1"), None, None)]
-fn a_request_goes_where_its_model_is_loaded(
+fn a_request_is_placed_where_its_model_is_loaded(
     #[case] version: Option<&str>,
     #[case] adapter: Option<&str>,
     #[case] expected: Option<u32>,
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn load_that_others_put_on_an_engine_is_counted() {
+fn load_from_other_sources_is_counted() {
     let mut cell = cell_with(2, 100_000);
     let busy = LoadReport {
         running: 20,
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn what_an_entry_retells_is_counted_by_a_new_home() {
+fn a_new_home_counts_running_requests_that_entries_report() {
     let mut cell = cell_with(1, 100_000);
     let running = Running {
         id: id(9),
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_prefix_is_held() {
+fn a_prompt_is_placed_where_its_prefix_is_cached() {
     let mut cell = cell_with(4, 100_000);
     cell.on_cache_events(Time::ZERO, engine(3), false, &[11, 12, 13], &[]);
 
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn an_endpoint_that_keeps_failing_is_ejected_and_probed_back() {
+fn a_failing_endpoint_is_ejected_and_readmitted_after_a_probe() {
     // Guards against a dead engine that attracts every request because it looks idle. Attempts
     // there fail one after the other and free their room. Routing by free room alone treats a
     // failure like any other end.
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn an_engine_in_which_work_waits_gets_nothing_new_but_urgent_work() {
+fn an_engine_with_waiting_requests_receives_only_urgent_ones() {
     // Guards against a preempted generation that stalls for a minute. After an engine preempts it,
     // further grants fill the room that it needs to resume. This happens if the home uses only its
     // own forecast and ignores requests that wait inside the engine.
--- a/crates/core/tests/cell_lengths.rs
+++ b/crates/core/tests/cell_lengths.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_unknown_entry_is_taken_to_be_heavy_tailed() {
+fn an_unknown_entry_has_a_heavy_tailed_prior() {
     let mut model = LengthModel::new();
     let node = node(&mut model, "a");
 
@@ -53,7 +53,7 @@
 #[case::short(20.0)]
 #[case::medium(400.0)]
 #[case::long(3_000.0)]
-fn the_learned_mean_comes_near_the_true_one(#[case] mean: f64) {
+fn the_learned_mean_approximates_the_true_mean(#[case] mean: f64) {
     let mut model = LengthModel::new();
     let node = node(&mut model, "a");
 
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn answers_cut_off_count_as_longer_than_they_came() {
+fn truncated_outputs_count_as_lower_bounds() {
     let mut model = LengthModel::new();
     let node = node(&mut model, "a");
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_workspace_backs_off_to_its_entry_until_it_has_answers_of_its_own() {
+fn a_workspace_uses_its_entrys_lengths_until_it_has_its_own() {
     let mut model = LengthModel::new();
     let usual = node(&mut model, "usual");
     teach(&mut model, usual, 100.0, 400, 3);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn lengths_that_double_are_noticed_within_a_hundred_answers() {
+fn doubled_lengths_are_detected_within_a_hundred_outputs() {
     // Guards against hours of preemptions after a change of workload. The outputs of an entry
     // double in length from one minute to the next. Without drift detection, the long history
     // outweighs the new lengths until it has been replaced.
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn steady_lengths_are_seldom_taken_for_a_drift() {
+fn steady_lengths_rarely_count_as_a_drift() {
     let mut model = LengthModel::new();
     let node = node(&mut model, "a");
 
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn workspaces_beyond_the_bound_share_what_their_entry_knows() {
+fn workspaces_beyond_the_limit_share_their_entrys_lengths() {
     let mut model = LengthModel::new();
 
     let nodes: Vec<_> = (0..5_000)
--- a/crates/core/tests/cell_messages.rs
+++ b/crates/core/tests/cell_messages.rs
@@ -21,20 +21,22 @@
 
 proptest! {
     #[test]
-    fn a_batch_of_checkpoints_comes_back_as_it_was(batch in checkpoints()) {
+    fn a_batch_of_checkpoints_round_trips(batch in checkpoints()) {
         let message = CellMessage::Progress(batch);
 
         prop_assert_eq!(decode(&encode(&message)), Some(message));
     }
 
     #[test]
-    fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic_the_decoder(
+        bytes in prop::collection::vec(any::<u8>(), 0..200),
+    ) {
         decode(&bytes);
     }
 }
 
 #[test]
-fn a_checkpoint_takes_few_bytes() {
+fn a_checkpoint_encodes_to_few_bytes() {
     let batch = (0..100)
         .map(|n| Checkpoint {
             seq: 3_000_000 + 7 * n,
--- a/crates/core/tests/cell_properties.rs
+++ b/crates/core/tests/cell_properties.rs
@@ -238,12 +238,15 @@
         let next = self.cell.poll(self.now, &mut self.out);
         for decision in self.out.drain(..) {
             let id = decision.id();
-            assert!(self.waiting.remove(&id), "{id} was decided on twice");
+            assert!(self.waiting.remove(&id), "a second decision about {id}");
             if let CellDecision::Grant { endpoint, .. } = decision {
                 self.running.insert(id, endpoint);
             }
         }
-        assert!(next > self.now, "a poll asks to be repeated at once");
+        assert!(
+            next > self.now,
+            "poll() returned a time that is not in the future"
+        );
         next
     }
 
@@ -288,14 +291,14 @@
         }
         driver.drain();
 
-        prop_assert!(driver.waiting.is_empty(), "requests wait for ever");
+        prop_assert!(driver.waiting.is_empty(), "requests are never decided on");
         for id in driver.running.keys().copied().collect::<Vec<_>>() {
             driver.cell.withdraw(driver.now, id);
         }
         let left = driver.cell.snapshot();
         prop_assert_eq!(left.running, 0);
         for endpoint in left.endpoints {
-            prop_assert_eq!(endpoint.counted, 0, "room is lost");
+            prop_assert_eq!(endpoint.counted, 0, "room is leaked");
         }
     }
 
@@ -322,8 +325,8 @@
 /// kind, and returns how long a lone request of another kind waits, or `None` if it is refused.
 fn lone_wait(
     lone: CellRequest,
-    crowd: impl Fn(u64, Time) -> CellRequest,
-    crowd_tokens: u32,
+    background: impl Fn(u64, Time) -> CellRequest,
+    background_tokens: u32,
 ) -> Option<Duration> {
     let mut cell = Cell::new(CellConfig::default(), 1);
     let info = EndpointInfo::near(engine(0), EndpointKind::Model);
@@ -343,7 +346,7 @@
         }
         for _ in 0..2 {
             seq += 1;
-            cell.submit(now, crowd(seq, now));
+            cell.submit(now, background(seq, now));
         }
         if now >= lone_at
             && let Some(lone) = lone.take()
@@ -357,7 +360,7 @@
             cell.on_ended(
                 now,
                 id,
-                crowd_tokens,
+                background_tokens,
                 EndKind::Complete {
                     prompt_tokens: None,
                 },
@@ -369,8 +372,8 @@
                 CellDecision::Grant { id, .. } if id == lone_id => return Some(now.since(lone_at)),
                 CellDecision::Refuse { id, .. } if id == lone_id => return None,
                 CellDecision::Grant { id, .. } => {
-                    let life = Duration::from_secs_f64(f64::from(crowd_tokens) / RATE);
-                    ends.insert((now + life, id), ());
+                    let duration = Duration::from_secs_f64(f64::from(background_tokens) / RATE);
+                    ends.insert((now + duration, id), ());
                 }
                 CellDecision::Refuse { .. } => {}
             }
@@ -382,10 +385,10 @@
 /// Returns the upper bound of the wait that `docs/design/admission.md` guarantees: the wait target,
 /// the time by which requests with an earlier deadline may be overdue, and the duration of the
 /// generations that run when the room is held, with one second of slack.
-fn bound(lone: &CellRequest, crowd: &ClassRules, crowd_tokens: u32) -> Duration {
-    let overdue = crowd.longest_wait - crowd.wait_target;
-    let life = Duration::from_secs_f64(f64::from(crowd_tokens) / RATE);
-    lone.class.wait_target + overdue + life + Duration::from_secs(1)
+fn bound(lone: &CellRequest, background: &ClassRules, background_tokens: u32) -> Duration {
+    let overdue = background.longest_wait - background.wait_target;
+    let duration = Duration::from_secs_f64(f64::from(background_tokens) / RATE);
+    lone.class.wait_target + overdue + duration + Duration::from_secs(1)
 }
 
 proptest! {
@@ -394,15 +397,16 @@
     #[test]
     fn long_work_is_not_starved_by_endless_short_work(
         prompt_tokens in 1_000..12_000u32,
-        crowd_prompt in 100..800u32,
-        crowd_tokens in 5..60u32,
+        background_prompt in 100..800u32,
+        background_tokens in 5..60u32,
         start in 5..60u64,
     ) {
         let mut lone = request(1_000_000, Time::from_secs(start), false, prompt_tokens);
         lone.class.longest_wait = Duration::from_secs(500);
-        let bound = bound(&lone, &class(true), crowd_tokens);
+        let bound = bound(&lone, &class(true), background_tokens);
 
-        let waited = lone_wait(lone, |seq, now| request(seq, now, true, crowd_prompt), crowd_tokens);
+        let background = |seq, now| request(seq, now, true, background_prompt);
+        let waited = lone_wait(lone, background, background_tokens);
 
         prop_assert!(waited.is_some_and(|w| w <= bound), "waited {waited:?}, bound {bound:?}");
     }
@@ -410,8 +414,8 @@
     #[test]
     fn short_urgent_work_is_not_starved_by_endless_long_work(
         prompt_tokens in 50..600u32,
-        crowd_prompt in 200..4_000u32,
-        crowd_tokens in 300..3_000u32,
+        background_prompt in 200..4_000u32,
+        background_tokens in 300..3_000u32,
         start in 5..60u64,
     ) {
         let mut lone = request(1_000_000, Time::from_secs(start), true, prompt_tokens);
@@ -419,7 +423,8 @@
         // It fits into the urgent reserve, so it does not wait for any long request.
         let bound = lone.class.wait_target;
 
-        let waited = lone_wait(lone, |seq, now| request(seq, now, false, crowd_prompt), crowd_tokens);
+        let background = |seq, now| request(seq, now, false, background_prompt);
+        let waited = lone_wait(lone, background, background_tokens);
 
         prop_assert!(waited.is_some_and(|w| w <= bound), "waited {waited:?}, bound {bound:?}");
     }
--- a/crates/core/tests/cell_services.rs
+++ b/crates/core/tests/cell_services.rs
@@ -22,7 +22,7 @@
 #[rstest]
 #[case::small(8.0)]
 #[case::large(60.0)]
-fn the_limit_settles_near_what_a_service_takes_well(#[case] capacity: f64) {
+fn the_limit_converges_near_the_capacity_of_the_service(#[case] capacity: f64) {
     // Guards against sending a service hundreds of calls at once, of which it completes none in
     // time. The limit rises slightly, the latency follows, and the higher latency is learned as the
     // usual one. This happens if the usual latency may increase under load.
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_service_that_became_slower_for_good_gets_its_calls_back() {
+fn the_limit_recovers_after_a_permanent_slowdown() {
     let mut limit = ConcurrencyLimit::default();
     run(&mut limit, USUAL, 40.0, 2_000);
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn failures_shrink_the_limit_at_once_but_never_to_none() {
+fn failures_lower_the_limit_at_once_but_never_to_zero() {
     let mut limit = ConcurrencyLimit::default();
     run(&mut limit, USUAL, 40.0, 2_000);
     let before = limit.limit();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_gap_in_the_events_brings_doubt_until_the_block_is_seen_again() {
+fn a_gap_in_the_events_lowers_belief_until_the_block_is_reported_again() {
     // Guards against sending prompts to an engine that no longer caches their prefix. The event of
     // the eviction is lost in a gap. Blocks reported before the gap must not be trusted as before.
     let engine = EndpointIx::from_u32(0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_block_that_no_event_confirmed_is_not_expected_for_ever() {
+fn a_block_that_no_event_confirms_expires() {
     let engine = EndpointIx::from_u32(0);
     let mut map = PrefixMap::default();
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn an_evicted_block_and_a_forgotten_endpoint_have_no_holders() {
+fn evicted_blocks_and_removed_endpoints_have_no_holders() {
     let (a, b) = (EndpointIx::from_u32(0), EndpointIx::from_u32(1));
     let mut map = PrefixMap::default();
     map.events(a, false, &[1], &[]);
--- a/crates/core/tests/delivery_stream.rs
+++ b/crates/core/tests/delivery_stream.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn hands_on_every_token_once_and_reports_doubling_checkpoints() {
+fn forwards_every_token_once_and_reports_doubling_checkpoints() {
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
     let mut reports = Vec::new();
 
@@ -162,7 +162,7 @@
 #[case::truncated(|d: &mut Delivery| d.on_closed(), Reason::Truncated)]
 #[case::stalled(|d: &mut Delivery| d.on_stall(), Reason::Stalled)]
 #[case::link(|d: &mut Delivery| d.on_link_failure(), Reason::ConnectionLost)]
-fn what_does_not_belong_closes_the_connection_and_resumes(
+fn unexpected_input_closes_the_connection_and_resumes(
     #[case] input: fn(&mut Delivery) -> Step,
     #[case] reason: Reason,
 ) {
@@ -277,7 +277,7 @@
 // Guards against non-idempotent work that is executed twice. The response of the first attempt is
 // lost and a second attempt is started, although the first may have run.
 #[test]
-fn work_that_must_not_repeat_is_never_sent_a_second_time() {
+fn non_idempotent_work_is_never_sent_twice() {
     let once = |number| Dispatch {
         idempotent: false,
         ..dispatch(number, AttemptMode::Fresh)
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn work_that_must_not_repeat_may_be_sent_again_after_a_definite_refusal() {
+fn non_idempotent_work_may_be_sent_again_after_a_definite_refusal() {
     let once = |number| Dispatch {
         idempotent: false,
         ..dispatch(number, AttemptMode::Fresh)
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_replay_that_agrees_goes_on_after_the_last_delivered_token() {
+fn a_matching_replay_continues_after_the_last_delivered_token() {
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
     feed(&mut delivery, 1, 0, 5);
     delivery.on_link_failure();
@@ -330,7 +330,7 @@
 #[case::other_token(|d: &mut Delivery| d.on_token(&id(2), 3, b"other"))]
 #[case::token_split(|d: &mut Delivery| d.on_token(&id(2), 3, b"t"))]
 #[case::ends_early(|d: &mut Delivery| d.on_end(&id(2), end(3)))]
-fn a_replay_that_differs_ends_with_what_stands(#[case] input: fn(&mut Delivery) -> Step) {
+fn a_diverging_replay_ends_with_the_delivered_tokens(#[case] input: fn(&mut Delivery) -> Step) {
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
     feed(&mut delivery, 1, 0, 5);
     delivery.on_endpoint_error();
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn whole_delivery_holds_everything_until_the_end_mark() {
+fn buffered_delivery_holds_back_tokens_until_the_end_mark() {
     let whole = |number| Dispatch {
         delivery: DeliveryMode::Whole,
         ..dispatch(number, AttemptMode::Fresh)
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn answers_after_the_end_are_discarded() {
+fn input_after_the_end_is_discarded() {
     let mut delivery = sent(&dispatch(1, AttemptMode::Fresh));
     feed(&mut delivery, 1, 0, 2);
     delivery.on_end(&id(1), end(2));
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn an_answer_of_a_plain_service_must_echo_its_attempt() {
+fn a_response_of_a_plain_service_must_echo_its_attempt() {
     let call = Dispatch {
         model: String::new(),
         idempotent: false,
@@ -422,7 +422,7 @@
 }
 
 #[test]
-fn a_generation_longer_than_asked_for_is_cut_off() {
+fn a_generation_longer_than_requested_is_stopped() {
     let short = Dispatch {
         max_tokens: 3,
         ..dispatch(1, AttemptMode::Fresh)
--- a/crates/core/tests/keys_failures.rs
+++ b/crates/core/tests/keys_failures.rs
@@ -25,10 +25,10 @@
 // the load balancer routes the duplicate to another entry instance while the first request is still
 // running. The two entry instances do not know of each other's requests.
 #[test]
-fn a_duplicate_on_another_entry_is_never_run() {
+fn a_duplicate_on_another_entry_never_runs() {
     let mut fleet = Fleet::settled(4);
     let [a, b] = entries(&fleet, "order-1");
-    let first = fleet.ask(a, key("order-1"));
+    let first = fleet.request(a, key("order-1"));
 
     let while_running = fleet.answer(b, key("order-1"));
     fleet.end(a, first, DONE);
@@ -52,11 +52,11 @@
 // applies the new list, then receives the late grant. It had no claim to report when the list
 // changed; without a report now, the new home settles and grants the key again.
 #[test]
-fn a_grant_that_arrives_after_its_home_moved_is_told_to_the_new_home() {
+fn a_grant_that_arrives_after_its_home_moved_is_reported_to_the_new_home() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
-    fleet.cut(3, 0);
-    let first = fleet.ask(0, key(&text));
+    fleet.block(3, 0);
+    let first = fleet.request(0, key(&text));
     let old_home = fleet.id(3);
     fleet.publish(2, &[0, 1, 2]);
     fleet.heal();
@@ -75,10 +75,10 @@
 }
 
 #[test]
-fn a_key_is_free_again_if_its_request_truly_did_not_run() {
+fn a_key_is_free_again_if_its_request_provably_did_not_run() {
     let mut fleet = Fleet::settled(4);
     let [a, b] = entries(&fleet, "order-1");
-    let first = fleet.ask(a, key("order-1"));
+    let first = fleet.request(a, key("order-1"));
     fleet.end(a, first, HolderState::NotRun);
 
     let second = fleet.answer(b, key("order-1"));
@@ -90,9 +90,9 @@
 fn a_key_used_for_another_body_is_refused() {
     let mut fleet = Fleet::settled(4);
     let [a, b] = entries(&fleet, "order-1");
-    fleet.ask_body(a, key("order-1"), 1);
+    fleet.request_with_body(a, key("order-1"), 1);
 
-    let other = fleet.ask_body(b, key("order-1"), 2);
+    let other = fleet.request_with_body(b, key("order-1"), 2);
 
     let refusal = fleet.answer_of(other).unwrap().refusal();
     assert_eq!(refusal, (Reason::KeyReused, Outcome::NotRun));
@@ -101,10 +101,10 @@
 // Guards against a duplicate that executes work again. The entry claims the key, sends the request
 // and crashes. No remaining process knows whether the request ran.
 #[test]
-fn the_claim_of_an_entry_that_died_is_unknown() {
+fn the_outcome_of_a_crashed_entrys_claim_is_unknown() {
     let mut fleet = Fleet::settled(4);
     let [a, b] = entries(&fleet, "order-1");
-    fleet.ask(a, key("order-1"));
+    fleet.request(a, key("order-1"));
     fleet.restart(a, 1, &ALL);
 
     let repeat = fleet.answer(b, key("order-1"));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn keys_whose_home_did_not_move_are_served_through_a_change_of_the_list() {
+fn keys_whose_home_did_not_move_are_granted_during_a_list_change() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(1);
     fleet.publish(2, &[0, 1, 2]);
@@ -146,10 +146,10 @@
 // holds a claim, the home crashes, and the new home settles while the first request is still
 // running. The state of the old home is lost; only the holders still know their claims.
 #[test]
-fn holders_tell_a_new_home_what_they_hold() {
+fn holders_report_their_claims_to_a_new_home() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
-    let running = fleet.ask(0, key(&text));
+    let running = fleet.request(0, key(&text));
     fleet.publish(2, &[0, 1, 2]);
     fleet.pass(fleet.cfg.settle * 2);
 
@@ -168,7 +168,7 @@
 fn a_home_restarted_under_the_same_address_is_a_new_home() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
-    fleet.ask(0, key(&text));
+    fleet.request(0, key(&text));
     let unknown = (0..)
         .map(|i| format!("other-{i}"))
         .find(|text| fleet.home_of(text) == 3)
@@ -191,13 +191,13 @@
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
     for (near, far) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
-        fleet.cut_both(near, far);
+        fleet.partition(near, far);
     }
     fleet.set_list(0, 2, &[0, 1]);
     fleet.set_list(1, 2, &[0, 1]);
     fleet.platform_up = false;
 
-    let old_side = fleet.ask(2, key(&text));
+    let old_side = fleet.request(2, key(&text));
     let new_side = fleet.answer(0, key(&text));
     fleet.pass(fleet.cfg.list_fresh);
     let old_side_later = fleet.answer(2, key("order-late"));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn an_asker_with_another_list_is_not_served() {
+fn a_request_under_another_list_revision_is_refused() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
     fleet.set_list(0, 2, &ALL);
@@ -251,10 +251,10 @@
 // that was refused. The home grants the claim and its answer is lost in a one-way partition between
 // home and entry.
 #[test]
-fn a_lost_grant_is_answered_unknown_and_given_back() {
+fn a_lost_grant_ends_as_unknown_and_is_returned() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
-    fleet.cut(3, 0);
+    fleet.block(3, 0);
 
     let lost = fleet.answer(0, key(&text));
     let meanwhile = fleet.answer(1, key(&text));
@@ -271,12 +271,12 @@
 // while its request waits for the claim. The request ends as "unknown", and the home grants its
 // claim a moment later. The outcome reported to a caller may be weaker than what is known.
 #[test]
-fn a_request_that_ends_before_its_claim_is_granted_gives_it_back() {
+fn a_request_that_ends_before_its_claim_is_granted_returns_it() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
-    fleet.cut(3, 0);
-    let left = fleet.ask(0, key(&text));
-    fleet.end(0, left, HolderState::Ended(PriorOutcome::Unknown));
+    fleet.block(3, 0);
+    let abandoned = fleet.request(0, key(&text));
+    fleet.end(0, abandoned, HolderState::Ended(PriorOutcome::Unknown));
 
     let repeat = fleet.answer(1, key(&text));
 
@@ -284,10 +284,10 @@
 }
 
 #[test]
-fn a_silent_home_means_unknown() {
+fn an_unresponsive_home_means_unknown() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
-    fleet.cut_both(0, 3);
+    fleet.partition(0, 3);
 
     let answer = fleet.answer(0, key(&text));
 
@@ -298,30 +298,30 @@
 // key and paused before the send. The home crashes, the new home settles and grants the key to a
 // duplicate. When the entry resumes, its claim must no longer permit the send.
 #[test]
-fn a_claim_is_void_for_sending_before_a_new_home_can_grant() {
+fn a_claim_expires_for_sending_before_a_new_home_can_grant() {
     let mut fleet = Fleet::settled(4);
     let text = fleet.key_at(3);
-    let asked_at = fleet.now;
-    let sleeper = fleet.ask(0, key(&text));
-    let Some(Answer::Granted { valid_until }) = fleet.answer_of(sleeper) else {
+    let requested_at = fleet.now;
+    let paused = fleet.request(0, key(&text));
+    let Some(Answer::Granted { valid_until }) = fleet.answer_of(paused) else {
         panic!("refused");
     };
-    fleet.cut_both(0, 1);
-    fleet.cut_both(0, 2);
+    fleet.partition(0, 1);
+    fleet.partition(0, 2);
     fleet.publish(2, &[0, 1, 2]);
 
     fleet.pass(fleet.cfg.settle);
 
-    assert_eq!(valid_until, asked_at + fleet.cfg.valid);
+    assert_eq!(valid_until, requested_at + fleet.cfg.valid);
     assert!(valid_until < fleet.now);
 }
 
 #[test]
-fn outcomes_are_remembered_for_their_time_and_then_forgotten() {
+fn outcomes_are_kept_for_the_retention_time_only() {
     let mut fleet = Fleet::settled(4);
     let [a, b] = entries(&fleet, "order-1");
     let home = fleet.home_of("order-1");
-    let first = fleet.ask(a, key("order-1"));
+    let first = fleet.request(a, key("order-1"));
     fleet.end(a, first, DONE);
 
     fleet.pass(fleet.cfg.memory - Duration::from_secs(2));
--- a/crates/core/tests/keys_histories.rs
+++ b/crates/core/tests/keys_histories.rs
@@ -18,10 +18,10 @@
 /// One step of a random history.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Ask(usize),
+    Request(usize),
     /// Ends the oldest running request; the flag says whether it ran.
     End(bool),
-    Cut(usize, usize),
+    Block(usize, usize),
     Heal,
     Restart(usize),
     /// Removes the process from the instance list, or adds it back.
@@ -32,9 +32,9 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        6 => (0..4usize).prop_map(Step::Ask),
+        6 => (0..4usize).prop_map(Step::Request),
         2 => any::<bool>().prop_map(Step::End),
-        2 => (0..4usize, 0..4usize).prop_map(|(a, b)| Step::Cut(a, b)),
+        2 => (0..4usize, 0..4usize).prop_map(|(a, b)| Step::Block(a, b)),
         2 => Just(Step::Heal),
         1 => (0..4usize).prop_map(Step::Restart),
         2 => (0..4usize).prop_map(Step::Relist),
@@ -49,15 +49,15 @@
     fleet: Fleet,
     revision: u64,
     live: BTreeSet<usize>,
-    asked: Vec<(RequestId, usize)>,
+    requested: Vec<(RequestId, usize)>,
     /// Granted requests with the time of their end.
     granted: Vec<(RequestId, Option<Time>)>,
     not_run: BTreeSet<RequestId>,
-    cut_since: Option<Time>,
+    partitioned_since: Option<Time>,
 }
 
 /// Maximum duration of a partition in the histories; see `docs/design/at-most-once.md`.
-const LONGEST_CUT: Duration = Duration::from_secs(60);
+const MAX_PARTITION: Duration = Duration::from_secs(60);
 
 impl History {
     fn new() -> Self {
@@ -65,23 +65,23 @@
             fleet: Fleet::settled(4),
             revision: 1,
             live: ALL.into_iter().collect(),
-            asked: Vec::new(),
+            requested: Vec::new(),
             granted: Vec::new(),
             not_run: BTreeSet::new(),
-            cut_since: None,
+            partitioned_since: None,
         }
     }
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Ask(n) => {
-                let request = self.fleet.ask(n, key("order-1"));
-                self.asked.push((request, n));
+            Step::Request(n) => {
+                let request = self.fleet.request(n, key("order-1"));
+                self.requested.push((request, n));
             }
             Step::End(ran) => self.end(ran),
-            Step::Cut(a, b) => {
-                self.fleet.cut(a, b);
-                self.cut_since.get_or_insert(self.fleet.now);
+            Step::Block(a, b) => {
+                self.fleet.block(a, b);
+                self.partitioned_since.get_or_insert(self.fleet.now);
             }
             Step::Heal => self.heal(),
             Step::Restart(n) => self.restart(n),
@@ -93,14 +93,14 @@
 
     fn heal(&mut self) {
         self.fleet.heal();
-        self.cut_since = None;
+        self.partitioned_since = None;
     }
 
     fn pass(&mut self, time: Duration) {
         let now = self.fleet.now;
         if self
-            .cut_since
-            .is_some_and(|since| now + time > since + LONGEST_CUT)
+            .partitioned_since
+            .is_some_and(|since| now + time > since + MAX_PARTITION)
         {
             self.heal();
         }
@@ -118,7 +118,7 @@
             self.not_run.insert(request);
         }
         let state = if ran { DONE } else { HolderState::NotRun };
-        let &(_, at) = self.asked.iter().find(|it| it.0 == request).unwrap();
+        let &(_, at) = self.requested.iter().find(|it| it.0 == request).unwrap();
         self.fleet.end(at, request, state);
     }
 
@@ -150,7 +150,7 @@
     fn second_run(&mut self) -> Option<RequestId> {
         let now = self.fleet.now;
         let memory = self.fleet.cfg.memory;
-        for &(request, _) in &self.asked {
+        for &(request, _) in &self.requested {
             let known = self.granted.iter().any(|it| it.0 == request);
             let answer = self.fleet.answer_of(request);
             if known || !answer.is_some_and(|it| it.is_granted()) {
--- a/crates/core/tests/keys_support/fleet.rs
+++ b/crates/core/tests/keys_support/fleet.rs
@@ -45,11 +45,11 @@
     processes: Vec<Process>,
     wire: VecDeque<(PeerId, InstanceKey, KeysMessage)>,
     /// Directed links, as pairs of sender and receiver, whose messages are lost.
-    cut: BTreeSet<(usize, usize)>,
+    blocked: BTreeSet<(usize, usize)>,
     answers: BTreeMap<RequestId, Answer>,
     /// Whether the platform confirms the lists of all processes.
     pub platform_up: bool,
-    lives: u64,
+    incarnations: u64,
 }
 
 pub fn workspace() -> WorkspaceKey {
@@ -68,10 +68,10 @@
             now: Time::from_secs(1_000),
             processes: Vec::new(),
             wire: VecDeque::new(),
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             answers: BTreeMap::new(),
             platform_up: true,
-            lives: 0,
+            incarnations: 0,
         };
         for n in 0..size {
             let process = fleet.process(n);
@@ -86,10 +86,10 @@
     }
 
     fn process(&mut self, n: usize) -> Process {
-        self.lives += 1;
+        self.incarnations += 1;
         let id = PeerId {
             instance: instance(n),
-            incarnation: Incarnation(self.lives),
+            incarnation: Incarnation(self.incarnations),
         };
         Process {
             id,
@@ -145,12 +145,12 @@
         self.processes[n] = self.process(n);
         self.set_list(n, revision, live);
         for other in (0..self.processes.len()).filter(|&other| other != n) {
-            self.life_over(other, old);
+            self.incarnation_ended(other, old);
         }
     }
 
     /// Tells process `n` that the incarnation `old` has ended.
-    pub fn life_over(&mut self, n: usize, old: PeerId) {
+    pub fn incarnation_ended(&mut self, n: usize, old: PeerId) {
         let now = self.now;
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
@@ -158,20 +158,20 @@
         self.carry_out(n, out);
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+    pub fn block(&mut self, from: usize, to: usize) {
+        self.blocked.insert((from, to));
     }
 
-    pub fn cut_both(&mut self, a: usize, b: usize) {
-        self.cut(a, b);
-        self.cut(b, a);
+    pub fn partition(&mut self, a: usize, b: usize) {
+        self.block(a, b);
+        self.block(b, a);
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked.clear();
     }
 
-    fn request(&mut self, n: usize) -> RequestId {
+    fn next_request_id(&mut self, n: usize) -> RequestId {
         let process = &mut self.processes[n];
         process.requests += 1;
         RequestId {
@@ -182,7 +182,7 @@
     }
 
     pub fn issue(&mut self, n: usize) -> ClaimId {
-        let ticket = self.request(n);
+        let ticket = self.next_request_id(n);
         let now = self.now;
         let keys = &mut self.processes[n].keys;
         keys.issue_ticket(now, ticket, workspace()).expect("room");
@@ -194,8 +194,8 @@
     }
 
     /// Submits a request with the name `id` at process `n`.
-    pub fn ask_body(&mut self, n: usize, id: ClaimId, body_hash: u64) -> RequestId {
-        let claimant = self.request(n);
+    pub fn request_with_body(&mut self, n: usize, id: ClaimId, body_hash: u64) -> RequestId {
+        let claimant = self.next_request_id(n);
         let claim = Claim {
             id,
             claimant,
@@ -203,26 +203,26 @@
             body_hash,
             list_revision: 0,
         };
-        let issuer_life = match id {
-            ClaimId::Ticket(ticket) => self.known_life(ticket.instance),
+        let issuer_incarnation = match id {
+            ClaimId::Ticket(ticket) => self.known_incarnation(ticket.instance),
             ClaimId::Key(_) => None,
         };
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.request_claim(now, age, claim, issuer_life, &mut out);
+        keys.request_claim(now, age, claim, issuer_incarnation, &mut out);
         self.carry_out(n, out);
         self.deliver();
         claimant
     }
 
-    pub fn ask(&mut self, n: usize, id: ClaimId) -> RequestId {
-        self.ask_body(n, id, 1)
+    pub fn request(&mut self, n: usize, id: ClaimId) -> RequestId {
+        self.request_with_body(n, id, 1)
     }
 
     /// Submits a request and waits for the answer to its claim.
     pub fn answer(&mut self, n: usize, id: ClaimId) -> Answer {
-        let request = self.ask(n, id);
+        let request = self.request(n, id);
         self.pass(self.cfg.ask_limit);
         self.answer_of(request).expect("an answer")
     }
@@ -231,10 +231,10 @@
         self.answers.get(&request).cloned()
     }
 
-    fn known_life(&self, of: InstanceKey) -> Option<Incarnation> {
-        let lives = self.processes.iter().map(|process| process.id);
-        let life = lives.into_iter().find(|id| id.instance == of)?;
-        Some(life.incarnation)
+    fn known_incarnation(&self, of: InstanceKey) -> Option<Incarnation> {
+        let ids = self.processes.iter().map(|process| process.id);
+        let id = ids.into_iter().find(|id| id.instance == of)?;
+        Some(id.incarnation)
     }
 
     /// Ends the request at process `n`.
@@ -316,7 +316,7 @@
             let (Some(sender), Some(receiver)) = (find(from.instance), find(to)) else {
                 continue;
             };
-            let lost = self.cut.contains(&(sender, receiver));
+            let lost = self.blocked.contains(&(sender, receiver));
             if lost || self.id(sender) != from {
                 continue;
             }
--- a/crates/core/tests/outcome_claims.rs
+++ b/crates/core/tests/outcome_claims.rs
@@ -37,7 +37,7 @@
 #[case::first_unproven(&[Ran::Maybe, proof()], 0, Outcome::Unknown)]
 #[case::last_unproven(&[proof(), Ran::Maybe], 0, Outcome::Unknown)]
 #[case::tokens_stand(&[Ran::Maybe, proof()], 3, Outcome::Partial)]
-fn claims_not_run_only_if_every_attempt_has_proof(
+fn reports_not_run_only_if_every_attempt_has_proof(
     #[case] ends: &[Ran],
     #[case] delivered: u32,
     #[case] expected: Outcome,
@@ -66,7 +66,7 @@
 // dispatched, and the report of attempt 1 arrives again. Proof for one attempt says nothing about
 // another.
 #[test]
-fn proof_for_an_old_attempt_changes_nothing() {
+fn proof_for_an_old_attempt_is_ignored() {
     let mut outcome = outcome_after(&[proof()]);
     outcome.on_dispatch(attempt(2));
 
@@ -79,7 +79,7 @@
 // key runs and its response is lost. The duplicate reaches an instance that is stopping and is
 // refused as "not run". That statement is about the duplicate, but the caller applies it to both.
 #[test]
-fn a_repeat_without_its_claim_is_never_said_not_to_have_run() {
+fn a_duplicate_without_its_claim_is_never_reported_as_not_run() {
     let mut outcome = RequestOutcome::under_claim();
 
     let before = outcome.finish(Reason::Stopping, None, 0);
@@ -94,7 +94,7 @@
 #[case(PriorOutcome::Unknown, Outcome::Unknown, 0)]
 #[case(PriorOutcome::Partial { delivered: 7 }, Outcome::Partial, 7)]
 #[case(PriorOutcome::Complete, Outcome::Complete, 0)]
-fn a_repeat_is_answered_with_what_became_of_the_first(
+fn a_duplicate_receives_the_outcome_of_the_first_request(
     #[case] earlier: PriorOutcome,
     #[case] outcome: Outcome,
     #[case] delivered: u32,
@@ -136,7 +136,7 @@
 #[case::page(503, "<html>busy</html>", None)]
 #[case::other_status(500, r#"{"error":{"reason":"busy","outcome":"not_run"}}"#, None)]
 #[case::success(200, r#"{"error":{"reason":"busy","outcome":"not_run"}}"#, None)]
-fn only_the_endpoints_own_words_are_a_refusal(
+fn only_an_explicit_statement_of_the_endpoint_is_a_refusal(
     #[case] status: u16,
     #[case] body: &str,
     #[case] expected: Option<Reason>,
--- a/crates/core/tests/outcome_guarantees.rs
+++ b/crates/core/tests/outcome_guarantees.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_test_that_the_page_names_exists() {
+fn every_test_named_on_the_page_exists() {
     let page = fs::read_to_string(root().join("docs/GUARANTEES.md")).unwrap();
 
     let named = named_tests(&page);
--- a/crates/core/tests/outcome_model.rs
+++ b/crates/core/tests/outcome_model.rs
@@ -56,7 +56,7 @@
 }
 
 #[rstest]
-fn no_history_breaks_a_promise(
+fn no_history_violates_a_guarantee(
     #[values(true, false)] idempotent: bool,
     #[values(DeliveryMode::Stream, DeliveryMode::Whole)] delivery: DeliveryMode,
     #[values(true, false)] same_text: bool,
@@ -83,7 +83,7 @@
 #[case::splices(Mutant::SkipsReplayComparison, true, "tokens not from one generation")]
 #[case::crossed(Mutant::TrustsAnyId, true, "tokens not from one generation")]
 #[case::forgets(Mutant::ForgetsEarlierAttempts, true, "false not_run")]
-fn a_broken_rule_is_noticed(
+fn the_search_detects_a_broken_rule(
     #[case] mutant: Mutant,
     #[case] idempotent: bool,
     #[case] promise: &str,
--- a/crates/core/tests/outcome_model/world.rs
+++ b/crates/core/tests/outcome_model/world.rs
@@ -51,8 +51,8 @@
     Arrive,
     ArriveRefused,
     ArriveError,
-    CutLost,
-    CutLate,
+    DisconnectLost,
+    DisconnectLate,
     Stall,
     Next,
     Duplicate,
@@ -74,7 +74,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ask {
+enum Exchange {
     Send,
     Resume { from: u32 },
 }
@@ -90,7 +90,7 @@
 struct Conn {
     endpoint: usize,
     attempt: u32,
-    ask: Ask,
+    exchange: Exchange,
     stage: Stage,
 }
 
@@ -99,7 +99,7 @@
 struct Generation {
     endpoint: usize,
     attempt: u32,
-    made: u32,
+    generated: u32,
     lost: bool,
 }
 
@@ -113,10 +113,10 @@
     pending: Option<AttemptMode>,
     conn: Option<Conn>,
     /// Sends in flight on connections that the entry abandoned.
-    late: Vec<(usize, u32)>,
+    late_sends: Vec<(usize, u32)>,
     generations: Vec<Generation>,
     received: Vec<Vec<u8>>,
-    told: Option<Verdict>,
+    verdict: Option<Verdict>,
     complete: bool,
     entry_gone: bool,
 }
@@ -149,10 +149,10 @@
             attempts: 0,
             pending: None,
             conn: None,
-            late: Vec::new(),
+            late_sends: Vec::new(),
             generations: Vec::new(),
             received: Vec::new(),
-            told: None,
+            verdict: None,
             complete: false,
             entry_gone: false,
         };
@@ -170,11 +170,11 @@
         self.pending = Some(mode);
     }
 
-    fn believes_idempotent(&self) -> bool {
+    fn treats_as_idempotent(&self) -> bool {
         self.config.idempotent || self.config.mutant == Mutant::RepeatsUnprovenWork
     }
 
-    fn order(&self, mode: AttemptMode) -> Dispatch {
+    fn dispatch_order(&self, mode: AttemptMode) -> Dispatch {
         Dispatch {
             attempt: attempt_id(self.attempts),
             endpoint: EndpointTarget {
@@ -187,7 +187,7 @@
             priority: 0,
             max_tokens: TOKENS,
             delivery: self.config.delivery,
-            idempotent: self.believes_idempotent(),
+            idempotent: self.treats_as_idempotent(),
             mode,
             send_before: SEND_BEFORE,
             stall_limit: Duration::from_secs(5),
@@ -201,8 +201,8 @@
 
     pub fn choices(&self) -> Vec<Choice> {
         use Choice::*;
-        let mut choices: Vec<_> = (0..self.late.len()).map(LateArrival).collect();
-        if !self.entry_gone && self.told.is_none() && !self.complete {
+        let mut choices: Vec<_> = (0..self.late_sends.len()).map(LateArrival).collect();
+        if !self.entry_gone && self.verdict.is_none() && !self.complete {
             choices.extend([StopNow, EntryCrash]);
             if self.pending.is_some() {
                 choices.extend([Start, StartAfterPause]);
@@ -214,8 +214,8 @@
                     Arrive,
                     ArriveRefused,
                     ArriveError,
-                    CutLost,
-                    CutLate,
+                    DisconnectLost,
+                    DisconnectLate,
                     Stall,
                     EndpointCrash,
                 ],
@@ -226,7 +226,7 @@
                     EarlierAttempt,
                     Gap,
                     Truncate,
-                    CutLost,
+                    DisconnectLost,
                     Stall,
                     ArriveError,
                     EndpointCrash,
@@ -243,19 +243,19 @@
             Choice::Start => self.start(NOW),
             Choice::StartAfterPause => self.start(AFTER_PAUSE),
             Choice::LateArrival(at) => {
-                let (endpoint, attempt) = self.late.remove(at);
+                let (endpoint, attempt) = self.late_sends.remove(at);
                 self.run(endpoint, attempt);
             }
             Choice::StopNow => {
                 self.delivery.cancel();
                 let delivered = self.received.len() as u32;
-                self.told = Some(self.outcome.finish(Reason::StoppedNow, None, delivered));
-                self.give_up_conn();
+                self.verdict = Some(self.outcome.finish(Reason::StoppedNow, None, delivered));
+                self.abandon_conn();
                 self.pending = None;
             }
             Choice::EntryCrash => {
                 self.entry_gone = true;
-                self.give_up_conn();
+                self.abandon_conn();
                 self.pending = None;
             }
             _ => self.on_conn(choice),
@@ -263,13 +263,13 @@
     }
 
     fn start(&mut self, now: Time) {
-        let mode = self.pending.take().expect("an order");
-        let step = self.delivery.start(&self.order(mode), now);
+        let mode = self.pending.take().expect("a pending dispatch");
+        let step = self.delivery.start(&self.dispatch_order(mode), now);
         if step.action == StreamAction::Send {
             self.conn = Some(Conn {
                 endpoint: endpoint_of(self.attempts),
                 attempt: self.attempts,
-                ask: Ask::Send,
+                exchange: Exchange::Send,
                 stage: Stage::Connecting,
             });
         }
@@ -290,17 +290,17 @@
                 let step = self.delivery.on_endpoint_error();
                 self.carry_out(step, &[]);
             }
-            (Choice::CutLost, _) => {
+            (Choice::DisconnectLost, _) => {
                 let step = self.delivery.on_link_failure();
                 self.carry_out(step, &[]);
             }
-            (Choice::CutLate, _) => {
-                self.give_up_conn();
+            (Choice::DisconnectLate, _) => {
+                self.abandon_conn();
                 let step = self.delivery.on_link_failure();
                 self.carry_out(step, &[]);
             }
             (Choice::Stall, _) => {
-                self.give_up_conn();
+                self.abandon_conn();
                 let step = self.delivery.on_stall();
                 self.carry_out(step, &[]);
             }
@@ -321,12 +321,12 @@
     }
 
     /// Abandons the connection; a send that is still in flight may arrive later.
-    fn give_up_conn(&mut self) {
+    fn abandon_conn(&mut self) {
         if let Some(conn) = self.conn.take()
-            && conn.ask == Ask::Send
+            && conn.exchange == Exchange::Send
             && conn.stage == Stage::InFlight
         {
-            self.late.push((conn.endpoint, conn.attempt));
+            self.late_sends.push((conn.endpoint, conn.attempt));
         }
     }
 
@@ -334,25 +334,25 @@
         self.generations.push(Generation {
             endpoint,
             attempt,
-            made: 0,
+            generated: 0,
             lost: false,
         });
     }
 
     fn arrive(&mut self, conn: Conn) {
         let held = |g: &Generation| g.attempt == conn.attempt && !g.lost;
-        match conn.ask {
-            Ask::Send => {
+        match conn.exchange {
+            Exchange::Send => {
                 self.run(conn.endpoint, conn.attempt);
                 self.delivery.on_response_started();
                 self.set_stage(Stage::Streaming { next: 0 });
             }
-            Ask::Resume { from } if self.generations.iter().any(held) => {
+            Exchange::Resume { from } if self.generations.iter().any(held) => {
                 let step = self.delivery.on_resume_response(ResumeResponse::Ok);
                 self.set_stage(Stage::Streaming { next: from });
                 self.carry_out(step, &[]);
             }
-            Ask::Resume { .. } => {
+            Exchange::Resume { .. } => {
                 let step = self.delivery.on_resume_response(ResumeResponse::Lost);
                 self.carry_out(step, &[]);
             }
@@ -361,7 +361,7 @@
 
     fn refuse(&mut self, conn: Conn) {
         let broken = self.config.mutant == Mutant::RefusedResumeCountsAsProof;
-        if broken && conn.ask != Ask::Send {
+        if broken && conn.exchange != Exchange::Send {
             self.delivery.cancel();
             self.conn = None;
             let proof = RequestOutcome::new().proof().expect("nothing dispatched");
@@ -384,24 +384,24 @@
                 self.carry_out(step, &[]);
             }
             Choice::Next => {
-                self.made(conn.attempt, next + 1);
+                self.generated(conn.attempt, next + 1);
                 self.set_stage(Stage::Streaming { next: next + 1 });
                 self.token(&id, next, self.text(conn.endpoint, next));
             }
             Choice::Duplicate => {
                 let index = next.saturating_sub(1);
-                self.made(conn.attempt, index + 1);
+                self.generated(conn.attempt, index + 1);
                 self.token(&id, index, self.text(conn.endpoint, index));
             }
             Choice::Gap => {
-                self.made(conn.attempt, TOKENS);
+                self.generated(conn.attempt, TOKENS);
                 self.token(&id, next + 1, self.text(conn.endpoint, next + 1));
             }
-            Choice::Crossed => self.foreign("r-1-2-3.1", &id, next, b"crossed".to_vec()),
+            Choice::Crossed => self.foreign_token("r-1-2-3.1", &id, next, b"crossed".to_vec()),
             Choice::EarlierAttempt => {
                 let earlier = conn.attempt.saturating_sub(1);
                 let text = self.text(endpoint_of(earlier), next);
-                self.foreign(&attempt_id(earlier).to_string(), &id, next, text);
+                self.foreign_token(&attempt_id(earlier).to_string(), &id, next, text);
             }
             Choice::Truncate => {
                 let step = self.delivery.on_closed();
@@ -411,14 +411,14 @@
         }
     }
 
-    fn made(&mut self, attempt: u32, tokens: u32) {
+    fn generated(&mut self, attempt: u32, tokens: u32) {
         let running = |g: &&mut Generation| g.attempt == attempt && !g.lost;
         if let Some(generation) = self.generations.iter_mut().find(running) {
-            generation.made = generation.made.max(tokens.min(TOKENS));
+            generation.generated = generation.generated.max(tokens.min(TOKENS));
         }
     }
 
-    fn foreign(&mut self, id: &str, own: &str, index: u32, text: Vec<u8>) {
+    fn foreign_token(&mut self, id: &str, own: &str, index: u32, text: Vec<u8>) {
         let trusts = self.config.mutant == Mutant::TrustsAnyId;
         self.token(if trusts { own } else { id }, index, text);
     }
@@ -441,7 +441,7 @@
                 self.conn = Some(Conn {
                     endpoint: endpoint_of(self.attempts),
                     attempt: self.attempts,
-                    ask: Ask::Resume {
+                    exchange: Exchange::Resume {
                         from: after.map_or(0, |index| index + 1),
                     },
                     stage: Stage::Connecting,
@@ -471,7 +471,7 @@
         let failure = AttemptFailure {
             reason,
             outcome: &self.outcome,
-            idempotent: self.believes_idempotent(),
+            idempotent: self.treats_as_idempotent(),
             delivered: self.delivery.delivered(),
             attempts: self.attempts,
             remaining_wait: Duration::from_secs(60),
@@ -484,15 +484,15 @@
                 let delivered = self.delivery.delivered();
                 self.dispatch(AttemptMode::Replay { delivered });
             }
-            RetryDecision::Finish(verdict) => self.told = Some(verdict),
+            RetryDecision::Finish(verdict) => self.verdict = Some(verdict),
         }
     }
 
     /// Returns the guarantee that this state violates, if any.
     pub fn violation(&self) -> Option<&'static str> {
         let ran = self.generations.len();
-        let told = self.told.as_ref().map(Verdict::outcome);
-        if told == Some(Outcome::NotRun) && ran > 0 {
+        let outcome = self.verdict.as_ref().map(Verdict::outcome);
+        if outcome == Some(Outcome::NotRun) && ran > 0 {
             return Some("false not_run");
         }
         if !self.config.idempotent && ran > 1 {
@@ -502,18 +502,18 @@
             return Some("tokens not from one generation");
         }
         if self.complete && self.received.len() as u32 != TOKENS {
-            return Some("complete without the whole answer");
+            return Some("complete without the full output");
         }
-        let stands = self.told.as_ref().map_or(0, Verdict::delivered);
-        if self.told.is_some() && stands as usize != self.received.len() {
-            return Some("wrong number of tokens said to stand");
+        let reported = self.verdict.as_ref().map_or(0, Verdict::delivered);
+        if self.verdict.is_some() && reported as usize != self.received.len() {
+            return Some("wrong number of delivered tokens reported");
         }
-        let ended = self.entry_gone || self.complete || self.told.is_some();
+        let ended = self.entry_gone || self.complete || self.verdict.is_some();
         (self.choices().is_empty() && !ended).then_some("no answer")
     }
 
     fn is_prefix_of(&self, generation: &Generation) -> bool {
-        self.received.len() as u32 <= generation.made
+        self.received.len() as u32 <= generation.generated
             && (0..)
                 .zip(&self.received)
                 .all(|(index, text)| *text == self.text(generation.endpoint, index))
--- a/crates/core/tests/retry_decisions.rs
+++ b/crates/core/tests/retry_decisions.rs
@@ -63,10 +63,10 @@
 #[case::idempotent_proven(true, proven(), true)]
 #[case::once_proven(false, proven(), true)]
 #[case::once_unproven(false, unproven(), false)]
-fn repeats_only_what_may_be_repeated(
+fn retries_non_idempotent_work_only_with_proof(
     #[case] idempotent: bool,
     #[case] outcome: RequestOutcome,
-    #[case] repeats: bool,
+    #[case] retries: bool,
 ) {
     let failure = AttemptFailure {
         idempotent,
@@ -75,8 +75,8 @@
 
     let decision = decided(&failure);
 
-    assert_eq!(matches!(decision, RetryDecision::Retry { .. }), repeats);
-    if !repeats {
+    assert_eq!(matches!(decision, RetryDecision::Retry { .. }), retries);
+    if !retries {
         assert_eq!(outcome_of(&decision), Some(Outcome::Unknown));
     }
 }
@@ -96,22 +96,22 @@
 #[case::diverged(Reason::ReplayDiverged, 1, Duration::from_secs(10))]
 #[case::caller_gone(Reason::CallerGone, 1, Duration::from_secs(10))]
 #[case::too_many_attempts(Reason::ConnectionLost, MAX_ATTEMPTS, Duration::from_secs(10))]
-#[case::no_patience_left(Reason::ConnectionLost, 1, Duration::ZERO)]
-fn ends_where_another_attempt_cannot_help(
+#[case::no_time_left(Reason::ConnectionLost, 1, Duration::ZERO)]
+fn gives_up_if_another_attempt_cannot_succeed(
     #[case] reason: Reason,
     #[case] attempts: u32,
-    #[case] patience: Duration,
+    #[case] remaining_wait: Duration,
 ) {
     let outcome = unproven();
     let failure = AttemptFailure {
         reason,
         attempts,
-        remaining_wait: patience,
+        remaining_wait,
         ..failure(&outcome)
     };
 
     let RetryDecision::Finish(verdict) = decided(&failure) else {
-        panic!("went on");
+        panic!("another attempt");
     };
 
     assert_eq!(
@@ -121,9 +121,9 @@
 }
 
 #[test]
-fn says_when_to_come_back_only_if_the_work_may_be_repeated() {
+fn suggests_a_retry_delay_only_if_a_retry_is_allowed() {
     let outcome = unproven();
-    let told = |idempotent| {
+    let retry_after = |idempotent| {
         let failure = AttemptFailure {
             idempotent,
             attempts: MAX_ATTEMPTS,
@@ -132,12 +132,12 @@
         };
         match decided(&failure) {
             RetryDecision::Finish(verdict) => verdict.retry_after(),
-            other => panic!("went on: {other:?}"),
+            other => panic!("another attempt: {other:?}"),
         }
     };
 
-    assert_eq!(told(true), Some(Duration::from_secs(30)));
-    assert_eq!(told(false), None);
+    assert_eq!(retry_after(true), Some(Duration::from_secs(30)));
+    assert_eq!(retry_after(false), None);
 }
 
 // Guards against retries that multiply the load on an engine that slows down at the top of the
@@ -156,13 +156,13 @@
     let outcome = unproven();
     let decision = decide(&failure(&outcome), &mut budget, NOW, &mut rng());
     let RetryDecision::Finish(verdict) = decision else {
-        panic!("went on");
+        panic!("another attempt");
     };
     assert_eq!(verdict.reason(), Reason::RetryBudget);
 }
 
 #[test]
-fn a_quiet_instance_still_retries_and_the_window_moves_on() {
+fn an_idle_instance_can_retry_and_the_window_moves_on() {
     let mut budget = RetryBudget::new();
     let taken = (0..100).filter(|_| budget.try_spend(NOW)).count() as u64;
     let later = NOW + Duration::from_secs(BUDGET_WINDOW_SECS as u64);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_clock_that_stands_still_or_jumps_keeps_the_budget_sound() {
+fn the_budget_tolerates_a_clock_that_stops_or_jumps() {
     let mut budget = RetryBudget::new();
     for secs in [5, 5, 900, 899, 901, 1_000_000] {
         budget.on_request(Time::from_secs(secs));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_draws_nothing_from_the_budget() {
+fn refusals_of_a_leaving_endpoint_do_not_spend_the_budget() {
     let mut budget = RetryBudget::new();
     while budget.try_spend(NOW) {}
     let outcome = proven();
--- a/crates/core/tests/tickets_failures.rs
+++ b/crates/core/tests/tickets_failures.rs
@@ -21,7 +21,7 @@
 fn a_ticket_runs_one_request(#[case] used_at: usize) {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    let first = fleet.ask(used_at, ticket);
+    let first = fleet.request(used_at, ticket);
 
     let running: Vec<_> = ALL.map(|n| fleet.answer(n, ticket).refusal()).into();
     fleet.end(used_at, first, DONE);
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn a_ticket_is_free_again_if_its_request_truly_did_not_run() {
+fn a_ticket_is_free_again_if_its_request_provably_did_not_run() {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    let first = fleet.ask(1, ticket);
+    let first = fleet.request(1, ticket);
     fleet.end(1, first, HolderState::NotRun);
 
     assert!(fleet.answer(2, ticket).is_granted());
@@ -46,12 +46,12 @@
 // its request, crashes and restarts under the same name and address. The caller sends its request
 // again. The new incarnation has no record of the old one's tickets.
 #[rstest]
-#[case::at_the_new_life(0)]
+#[case::at_the_new_incarnation(0)]
 #[case::elsewhere(1)]
-fn a_ticket_of_a_life_that_is_over_is_never_run(#[case] used_at: usize) {
+fn a_ticket_of_an_ended_incarnation_never_runs(#[case] used_at: usize) {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    fleet.ask(0, ticket);
+    fleet.request(0, ticket);
     fleet.restart(0, 1, &ALL);
 
     let answer = fleet.answer(used_at, ticket);
@@ -63,12 +63,12 @@
 // ticket to one process, the answer is lost, and the caller sends its request again to another
 // process. The issuer cannot know whether its answer arrived.
 #[test]
-fn a_ticket_handed_over_is_not_handed_over_twice() {
+fn a_granted_ticket_is_not_granted_again() {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    fleet.cut_both(0, 1);
+    fleet.partition(0, 1);
     let issuer = fleet.id(0);
-    let lost = fleet.ask(1, ticket);
+    let lost = fleet.request(1, ticket);
     let claim = Claim {
         id: ticket,
         claimant: lost,
@@ -77,8 +77,8 @@
         list_revision: 1,
     };
     // The claim arrives, but the answer is lost.
-    let asker = fleet.id(1);
-    fleet.inject(0, asker, KeysMessage::Request(claim));
+    let requester = fleet.id(1);
+    fleet.inject(0, requester, KeysMessage::Request(claim));
 
     let repeat = fleet.answer(2, ticket);
     let refused = fleet.answer_of(lost).unwrap();
@@ -88,20 +88,20 @@
         claimant: lost,
     };
     fleet.inject(1, issuer, late);
-    let given_back = fleet.answer(2, ticket);
+    let after_return = fleet.answer(2, ticket);
 
     assert_eq!(repeat.refusal(), (Reason::AlreadyRunning, Outcome::Unknown));
     assert_eq!(refused.refusal(), (Reason::HomeSilent, Outcome::Unknown));
-    assert!(given_back.is_granted());
+    assert!(after_return.is_granted());
 }
 
 // Guards against a duplicate that executes work a crashed process already executed. The ticket was
 // granted to a process that crashed. The issuer does not know how far the holder got.
 #[test]
-fn a_ticket_whose_holder_died_is_unknown() {
+fn the_outcome_of_a_ticket_whose_holder_crashed_is_unknown() {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    fleet.ask(1, ticket);
+    fleet.request(1, ticket);
     fleet.restart(1, 1, &ALL);
 
     let answer = fleet.answer(2, ticket);
@@ -113,13 +113,13 @@
 // out and refuses the request. The issuer resumes and grants the ticket while the caller has moved
 // to another process. The issuer does not know that time has passed.
 #[test]
-fn an_issuer_that_slept_hands_over_to_nobody_who_gave_up() {
+fn a_paused_issuer_grants_nothing_to_a_request_that_timed_out() {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    fleet.cut_both(0, 1);
-    let gave_up = fleet.ask(1, ticket);
+    fleet.partition(0, 1);
+    let timed_out = fleet.request(1, ticket);
     fleet.pass(fleet.cfg.ask_limit);
-    let refused = fleet.answer_of(gave_up).unwrap();
+    let refused = fleet.answer_of(timed_out).unwrap();
     fleet.jump(Duration::from_secs(30));
     fleet.heal();
 
@@ -133,7 +133,7 @@
 fn a_ticket_of_another_workspace_is_refused() {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    let claimant = fleet.ask(1, fleet_key());
+    let claimant = fleet.request(1, fleet_key());
     let foreign = Claim {
         id: ticket,
         claimant,
@@ -141,9 +141,9 @@
         body_hash: 1,
         list_revision: 1,
     };
-    let asker = fleet.id(1);
+    let requester = fleet.id(1);
 
-    fleet.inject(0, asker, KeysMessage::Request(foreign));
+    fleet.inject(0, requester, KeysMessage::Request(foreign));
 
     assert!(fleet.answer(2, ticket).is_granted());
 }
@@ -153,10 +153,10 @@
 }
 
 #[test]
-fn a_process_speaks_only_for_its_own_requests() {
+fn a_process_cannot_report_for_requests_of_others() {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
-    let held_by_1 = fleet.ask(1, ticket);
+    let held_by_1 = fleet.request(1, ticket);
     let claim = Claim {
         id: ticket,
         claimant: held_by_1,
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_ticket_unused_for_long_is_forgotten_and_then_unknown() {
+fn an_unused_ticket_expires_and_is_then_unknown() {
     let mut fleet = Fleet::settled(3);
     let ticket = fleet.issue(0);
     fleet.pass(fleet.cfg.ticket_life + Duration::from_secs(1));
@@ -188,10 +188,10 @@
 /// One step of a random history.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Ask(usize),
+    Request(usize),
     /// Ends the oldest running request; the flag says whether it ran.
     End(bool),
-    Cut(usize, usize),
+    Block(usize, usize),
     Heal,
     Restart(usize),
     Pass(u64),
@@ -200,9 +200,9 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        4 => (0..3usize).prop_map(Step::Ask),
+        4 => (0..3usize).prop_map(Step::Request),
         2 => any::<bool>().prop_map(Step::End),
-        2 => (0..3usize, 0..3usize).prop_map(|(a, b)| Step::Cut(a, b)),
+        2 => (0..3usize, 0..3usize).prop_map(|(a, b)| Step::Block(a, b)),
         2 => Just(Step::Heal),
         1 => (0..3usize).prop_map(Step::Restart),
         2 => (1..2_000u64).prop_map(Step::Pass),
@@ -212,11 +212,11 @@
 }
 
 fn process_of(fleet: &Fleet, request: RequestId) -> Option<usize> {
-    let is_life = |n: &usize| {
+    let is_accepting_process = |n: &usize| {
         let id = fleet.id(*n);
         (id.instance, id.incarnation) == (request.instance, request.incarnation)
     };
-    ALL.into_iter().find(is_life)
+    ALL.into_iter().find(is_accepting_process)
 }
 
 proptest! {
@@ -228,17 +228,17 @@
     fn no_history_runs_a_ticket_twice(history in steps()) {
         let mut fleet = Fleet::settled(3);
         let ticket = fleet.issue(0);
-        let mut asked = Vec::new();
+        let mut requested = Vec::new();
         let mut not_run = Vec::new();
         let mut ended = Vec::new();
         for step in history {
             match step {
-                Step::Ask(n) => asked.push(fleet.ask(n, ticket)),
+                Step::Request(n) => requested.push(fleet.request(n, ticket)),
                 Step::End(ran) => {
                     let runs = |r: &&RequestId| {
                         fleet.answer_of(**r).is_some_and(|a| a.is_granted()) && !ended.contains(*r)
                     };
-                    if let Some(&request) = asked.iter().find(runs) {
+                    if let Some(&request) = requested.iter().find(runs) {
                         ended.push(request);
                         if let Some(n) = process_of(&fleet, request) {
                             if !ran {
@@ -249,13 +249,13 @@
                         }
                     }
                 }
-                Step::Cut(a, b) => fleet.cut(a, b),
+                Step::Block(a, b) => fleet.block(a, b),
                 Step::Heal => fleet.heal(),
                 Step::Restart(n) => fleet.restart(n, 1, &ALL),
                 Step::Pass(ms) => fleet.pass(Duration::from_millis(ms)),
                 Step::Jump(ms) => fleet.jump(Duration::from_millis(ms)),
             }
-            let may_have_run = asked.iter().filter(|r| {
+            let may_have_run = requested.iter().filter(|r| {
                 fleet.answer_of(**r).is_some_and(|a| a.is_granted()) && !not_run.contains(*r)
             });
             prop_assert!(may_have_run.count() <= 1);
