--- a/crates/core/src/cell/place.rs
+++ b/crates/core/src/cell/place.rs
@@ -1,4 +1,4 @@
-//! Placing: which waiting request goes where, now.
+//! Placement of waiting requests on endpoints.
 
 use crate::cell::Cell;
 use crate::cell::decision::{Alternative, CellDecision, GrantRecord, MAX_ALTERNATIVES, NotChosen};
@@ -11,12 +11,12 @@
 use crate::routing::prefix::EndpointIx;
 use crate::time::Time;
 
-/// Endpoints with room that are measured for one request.
+/// Maximum number of endpoints whose fit is computed for one request.
 const MAX_MEASURED: usize = 6;
-/// Endpoints looked at for one request, barred ones included.
+/// Maximum number of endpoints taken from the index for one request, ineligible ones included.
 const MAX_EXAMINED: usize = 24;
 
-/// Grants from the queue until no lane's head fits anywhere.
+/// Grants queued requests until the head of no lane fits at any endpoint.
 pub(super) fn place_waiting(cell: &mut Cell, now: Time, out: &mut Vec<CellDecision>) {
     let mut blocked = core::mem::take(&mut cell.blocked_lanes);
     blocked.clear();
@@ -29,7 +29,7 @@
     cell.blocked_lanes = blocked;
 }
 
-/// Grants one request if it fits; an overdue one that does not gets a hold.
+/// Grants a request if it fits. Otherwise room is held for it once it is overdue.
 fn place(cell: &mut Cell, now: Time, id: RequestId) -> Option<CellDecision> {
     let mut search = Search::new(cell, id)?;
     search.run(cell, now);
@@ -42,13 +42,13 @@
     }
 }
 
-/// The search for a place for one request.
+/// The search for the best endpoint for one request.
 struct Search {
     id: RequestId,
     demand: Demand,
     forecast: Forecast,
     margins: Margins,
-    seen: Vec<EndpointIx>,
+    candidates: Vec<EndpointIx>,
     best: Option<(EndpointIx, Scored)>,
     alternatives: Vec<Alternative>,
 }
@@ -72,15 +72,15 @@
             demand,
             forecast,
             margins: Margins::of(&forecast, risk),
-            seen: core::mem::take(&mut cell.candidates),
+            candidates: core::mem::take(&mut cell.candidates),
             best: None,
             alternatives: Vec::new(),
         })
     }
 
-    /// Looks at the holders of the prompt's prefix, then at the roomiest.
+    /// Examines the endpoints that cache the prompt's prefix, then those with the most free room.
     fn run(&mut self, cell: &mut Cell, now: Time) {
-        self.seen.clear();
+        self.candidates.clear();
         let Some(needs) = cell.queue.get(self.id).map(|waiting| waiting.req.needs) else {
             return;
         };
@@ -90,38 +90,38 @@
         };
         let hold = waiting.hold;
         let holders = cell.prefixes.holders(&waiting.req.prefix);
-        self.seen.extend(hold);
+        self.candidates.extend(hold);
         for &ix in holders {
-            if !self.seen.contains(&ix) && cell.endpoints[ix].meets(needs) {
-                self.seen.push(ix);
+            if !self.candidates.contains(&ix) && cell.endpoints[ix].meets(needs) {
+                self.candidates.push(ix);
             }
         }
-        let first = self.seen.len();
+        let first = self.candidates.len();
         for ix in cell.index.roomiest(needs).take(MAX_EXAMINED) {
-            if !self.seen[..first].contains(&ix) {
-                self.seen.push(ix);
+            if !self.candidates[..first].contains(&ix) {
+                self.candidates.push(ix);
             }
         }
-        let seen = core::mem::take(&mut self.seen);
+        let candidates = core::mem::take(&mut self.candidates);
         let mut measured = 0;
-        for &ix in &seen {
+        for &ix in &candidates {
             measured += usize::from(self.examine(cell, now, ix));
             if measured >= MAX_MEASURED {
                 break;
             }
         }
-        cell.candidates = seen;
+        cell.candidates = candidates;
     }
 
-    /// Looks at one endpoint; returns whether its room was measured.
+    /// Examines one endpoint and returns whether it counts towards the limit of measured endpoints.
     fn examine(&mut self, cell: &mut Cell, now: Time, ix: EndpointIx) -> bool {
         cell.refresh_if_stale(now, ix);
         let Some(waiting) = cell.queue.get(self.id) else {
             return false;
         };
         let endpoint = &cell.endpoints[ix];
-        if let Some(why) = endpoint.ineligible_reason(now, &waiting.req) {
-            self.add_alternative(endpoint, why, 0);
+        if let Some(reason) = endpoint.ineligible_reason(now, &waiting.req) {
+            self.add_alternative(endpoint, reason, 0);
             return false;
         }
         let measure = Measure {
@@ -159,11 +159,11 @@
         }
     }
 
-    fn add_alternative(&mut self, endpoint: &Endpoint, lost: NotChosen, free: u32) {
+    fn add_alternative(&mut self, endpoint: &Endpoint, reason: NotChosen, free: u32) {
         if self.alternatives.len() < MAX_ALTERNATIVES {
             self.alternatives.push(Alternative {
                 endpoint: endpoint.info.key,
-                reason: lost,
+                reason,
                 free,
             });
         }
@@ -218,13 +218,13 @@
     }
 }
 
-/// Holds the room of one endpoint for a request that should have started, so
-/// that what is shorter than it no longer takes each gap as it opens.
+/// Holds the room of one endpoint for an overdue request, so that shorter requests no longer take
+/// each gap as it opens.
 ///
-/// Without this, endless short work starves long work; one would notice it by
-/// refusals of the long class with `wait_expired` while short work flows.
-/// Urgent work that fits into its own reserve needs no hold: were it to take
-/// one, endless urgent work would pass the hold from one to the next.
+/// Without the hold, a steady flow of short requests starves long ones. The symptom is refusals of
+/// the long class with `wait_expired` while short requests are served. Urgent requests that fit
+/// into the urgent reserve get no hold, because under a steady flow of urgent requests the hold
+/// would pass from one to the next forever.
 fn hold_if_overdue(cell: &mut Cell, now: Time, id: RequestId, forecast: &Forecast) {
     let Some(waiting) = cell.queue.get(id) else {
         return;
@@ -247,8 +247,8 @@
     let free = |ix: &EndpointIx| {
         let endpoint = &cell.endpoints[*ix];
         let has_reserve = waiting.urgent && endpoint.fits_reserve(now, &cell.cfg, forecast);
-        let is_barred = endpoint.ineligible_reason(now, &waiting.req).is_some();
-        endpoint.held_for.is_none() && !has_reserve && !is_barred
+        let is_ineligible = endpoint.ineligible_reason(now, &waiting.req).is_some();
+        endpoint.held_for.is_none() && !has_reserve && !is_ineligible
     };
     let mut roomiest = cell.index.roomiest(waiting.req.needs).take(MAX_EXAMINED);
     if let Some(ix) = roomiest.find(free) {
@@ -257,7 +257,7 @@
     }
 }
 
-/// Returns a record of what is known about a request that waits.
+/// Returns a record of the predictions for a waiting request.
 pub(super) fn describe(cell: &mut Cell, now: Time, waiting: &Waiting) -> GrantRecord {
     let queued = cell.queue.len() as u32;
     let cap = waiting.req.max_tokens;
--- a/crates/core/tests/cell_basics.rs
+++ b/crates/core/tests/cell_basics.rs
@@ -1,4 +1,5 @@
-//! A cell grants what fits, refuses what waited too long and forgets what ended.
+//! Basic behaviour of a cell: it grants requests that fit, refuses those that waited too long and
+//! releases the room of those that ended.
 
 use core::time::Duration;
 use oriolemux_core::cell::*;
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_new() {
+fn a_leaving_endpoint_receives_no_new_requests() {
     let mut cell = cell_with(2, 100_000);
     let report = LoadReport {
         leaving: true,
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn what_a_dead_entry_held_is_free_again() {
+fn withdrawing_an_incarnation_frees_its_room() {
     let mut cell = cell_with(1, 100_000);
     cell.submit(Time::ZERO, request(1, Time::ZERO));
     poll(&mut cell, Time::ZERO);
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_request_submitted_twice_holds_room_once() {
+fn a_request_submitted_twice_occupies_room_once() {
     let mut cell = cell_with(1, 100_000);
     cell.submit(Time::ZERO, request(1, Time::ZERO));
     poll(&mut cell, Time::ZERO);
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn an_excluded_endpoint_is_passed_over_and_the_record_says_so() {
+fn an_excluded_endpoint_is_not_chosen_and_the_record_says_so() {
     let mut cell = cell_with(2, 100_000);
     let req = CellRequest {
         exclude: vec![engine(1)],
@@ -198,7 +199,7 @@
 #[case::version(Some("v2"), None, Some(2))]
 #[case::adapter(Some("v2"), Some("crests"), Some(2))]
 #[case::other_version(Some("v1"), None, None)]
-fn a_request_goes_where_its_model_is_loaded(
+fn a_request_is_placed_where_its_model_is_loaded(
     #[case] version: Option<&str>,
     #[case] adapter: Option<&str>,
     #[case] expected: Option<u32>,
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn load_that_others_put_on_an_engine_is_counted() {
+fn load_from_other_sources_is_counted() {
     let mut cell = cell_with(2, 100_000);
     let busy = LoadReport {
         running: 20,
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn what_an_entry_retells_is_counted_by_a_new_home() {
+fn a_new_home_counts_running_requests_that_entries_report() {
     let mut cell = cell_with(1, 100_000);
     let running = Running {
         id: id(9),
@@ -272,7 +273,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_prefix_is_held() {
+fn a_prompt_is_placed_where_its_prefix_is_cached() {
     let mut cell = cell_with(4, 100_000);
     cell.on_cache_events(Time::ZERO, engine(3), false, &[11, 12, 13], &[]);
 
@@ -287,10 +288,10 @@
 }
 
 #[test]
-fn an_endpoint_that_keeps_failing_is_ejected_and_probed_back() {
-    // Symptom: a dead engine draws every request, because it looks idle.
-    // Sequence: attempts there fail one after the other; each frees its room.
-    // Cause: routing by room alone counts a failure as an end like any other.
+fn a_failing_endpoint_is_ejected_and_readmitted_after_a_probe() {
+    // Guards against a dead engine that attracts every request because it looks idle. Attempts
+    // there fail one after the other and free their room. Routing by free room alone treats a
+    // failure like any other end.
     let mut cell = cell_with(2, 100_000);
     let mut failed = 0;
     for second in 0..4 {
@@ -327,7 +328,7 @@
     prompt_tokens: None,
 };
 
-/// Submits eight requests at once and returns where each may run.
+/// Submits eight requests at once and returns the endpoint granted to each.
 fn run_eight(cell: &mut Cell, now: Time) -> Vec<(RequestId, EndpointKey)> {
     for n in 0..8 {
         cell.submit(now, request(now.as_micros() + n, now));
@@ -339,10 +340,10 @@
 
 #[test]
 fn a_long_generation_tells_its_age_often_enough() {
-    // Symptom: a dozen requests are granted at once to a full engine.
-    // Sequence: a generation of 15,000 tokens told its age last at 8,192; its
-    // guessed age reaches the caller's limit, so it counts as about to end.
-    // Cause: checkpoints that double without end.
+    // Guards against a dozen requests being granted at once to a full engine. A generation of
+    // 15,000 tokens reported its age last at 8,192 tokens. Its estimated age reaches the caller's
+    // limit, so it counts as about to end. This happens if the distance between checkpoints doubles
+    // without a bound.
     let mut last = 0;
     for tokens in 1..40_000 {
         if is_checkpoint(tokens) {
@@ -356,11 +357,10 @@
 }
 
 #[test]
-fn an_engine_in_which_work_waits_gets_nothing_new_but_urgent_work() {
-    // Symptom: a preempted plan stalls for a minute.
-    // Sequence: an engine preempts it; grants go on to fill the room that it
-    // needs to start again.
-    // Cause: the home looked at its own forecast only.
+fn an_engine_with_waiting_requests_receives_only_urgent_ones() {
+    // Guards against a preempted generation that stalls for a minute. After an engine preempts it,
+    // further grants fill the room that it needs to resume. This happens if the home uses only its
+    // own forecast and ignores requests that wait inside the engine.
     let mut cell = cell_with(1, 100_000);
     let waiting = LoadReport {
         waiting: 1,
--- a/crates/core/tests/keys_support/fleet.rs
+++ b/crates/core/tests/keys_support/fleet.rs
@@ -1,4 +1,4 @@
-//! A few processes that exchange claims over links that can be cut.
+//! Simulated processes that exchange claims over links that can be blocked.
 
 use core::time::Duration;
 use oriolemux_core::event::PeerId;
@@ -22,7 +22,7 @@
         matches!(self, Answer::Granted { .. })
     }
 
-    /// Returns reason and outcome of a refusal.
+    /// Returns the reason and the outcome of a refusal.
     pub fn refusal(&self) -> (Reason, Outcome) {
         match self {
             Answer::Granted { .. } => panic!("granted"),
@@ -44,12 +44,12 @@
     pub now: Time,
     processes: Vec<Process>,
     wire: VecDeque<(PeerId, InstanceKey, KeysMessage)>,
-    /// Pairs of processes, in one direction, whose messages are lost.
-    cut: BTreeSet<(usize, usize)>,
+    /// Directed links, as pairs of sender and receiver, whose messages are lost.
+    blocked: BTreeSet<(usize, usize)>,
     answers: BTreeMap<RequestId, Answer>,
     /// Whether the platform confirms the lists of all processes.
     pub platform_up: bool,
-    lives: u64,
+    incarnations: u64,
 }
 
 pub fn workspace() -> WorkspaceKey {
@@ -61,17 +61,17 @@
 }
 
 impl Fleet {
-    /// A fleet of `size` processes that have known their list for long.
+    /// Returns a fleet of `size` processes whose settle time has passed.
     pub fn settled(size: usize) -> Self {
         let mut fleet = Fleet {
             cfg: KeysConfig::default(),
             now: Time::from_secs(1_000),
             processes: Vec::new(),
             wire: VecDeque::new(),
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             answers: BTreeMap::new(),
             platform_up: true,
-            lives: 0,
+            incarnations: 0,
         };
         for n in 0..size {
             let process = fleet.process(n);
@@ -86,10 +86,10 @@
     }
 
     fn process(&mut self, n: usize) -> Process {
-        self.lives += 1;
+        self.incarnations += 1;
         let id = PeerId {
             instance: instance(n),
-            incarnation: Incarnation(self.lives),
+            incarnation: Incarnation(self.incarnations),
         };
         Process {
             id,
@@ -103,7 +103,7 @@
         self.processes[n].id
     }
 
-    /// Returns which process is home of the key `text`, by the list of process 0.
+    /// Returns the process that is the home of the key `text` by the list of process 0.
     pub fn home_of(&self, text: &str) -> usize {
         let ClaimId::Key(hash) = key(text) else {
             unreachable!("a key");
@@ -132,25 +132,25 @@
         self.carry_out(n, out);
     }
 
-    /// Sets the same list everywhere.
+    /// Sets the same list at every process.
     pub fn publish(&mut self, revision: u64, live: &[usize]) {
         for n in 0..self.processes.len() {
             self.set_list(n, revision, live);
         }
     }
 
-    /// Replaces a process by a new life under the same name and address.
+    /// Replaces a process by a new incarnation with the same name and address.
     pub fn restart(&mut self, n: usize, revision: u64, live: &[usize]) {
         let old = self.id(n);
         self.processes[n] = self.process(n);
         self.set_list(n, revision, live);
         for other in (0..self.processes.len()).filter(|&other| other != n) {
-            self.life_over(other, old);
+            self.incarnation_ended(other, old);
         }
     }
 
-    /// Process `n` learns that the life `old` is over.
-    pub fn life_over(&mut self, n: usize, old: PeerId) {
+    /// Tells process `n` that the incarnation `old` has ended.
+    pub fn incarnation_ended(&mut self, n: usize, old: PeerId) {
         let now = self.now;
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
@@ -158,20 +158,20 @@
         self.carry_out(n, out);
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+    pub fn block(&mut self, from: usize, to: usize) {
+        self.blocked.insert((from, to));
     }
 
-    pub fn cut_both(&mut self, a: usize, b: usize) {
-        self.cut(a, b);
-        self.cut(b, a);
+    pub fn partition(&mut self, a: usize, b: usize) {
+        self.block(a, b);
+        self.block(b, a);
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked.clear();
     }
 
-    fn request(&mut self, n: usize) -> RequestId {
+    fn next_request_id(&mut self, n: usize) -> RequestId {
         let process = &mut self.processes[n];
         process.requests += 1;
         RequestId {
@@ -182,7 +182,7 @@
     }
 
     pub fn issue(&mut self, n: usize) -> ClaimId {
-        let ticket = self.request(n);
+        let ticket = self.next_request_id(n);
         let now = self.now;
         let keys = &mut self.processes[n].keys;
         keys.issue_ticket(now, ticket, workspace()).expect("room");
@@ -193,9 +193,9 @@
         Some(self.now.since(self.processes[n].confirmed))
     }
 
-    /// A request arrives at process `n` under the name `id`.
-    pub fn ask_body(&mut self, n: usize, id: ClaimId, body_hash: u64) -> RequestId {
-        let claimant = self.request(n);
+    /// Submits a request with the name `id` at process `n`.
+    pub fn request_with_body(&mut self, n: usize, id: ClaimId, body_hash: u64) -> RequestId {
+        let claimant = self.next_request_id(n);
         let claim = Claim {
             id,
             claimant,
@@ -203,26 +203,26 @@
             body_hash,
             list_revision: 0,
         };
-        let issuer_life = match id {
-            ClaimId::Ticket(ticket) => self.known_life(ticket.instance),
+        let issuer_incarnation = match id {
+            ClaimId::Ticket(ticket) => self.known_incarnation(ticket.instance),
             ClaimId::Key(_) => None,
         };
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
         let keys = &mut self.processes[n].keys;
-        keys.request_claim(now, age, claim, issuer_life, &mut out);
+        keys.request_claim(now, age, claim, issuer_incarnation, &mut out);
         self.carry_out(n, out);
         self.deliver();
         claimant
     }
 
-    pub fn ask(&mut self, n: usize, id: ClaimId) -> RequestId {
-        self.ask_body(n, id, 1)
+    pub fn request(&mut self, n: usize, id: ClaimId) -> RequestId {
+        self.request_with_body(n, id, 1)
     }
 
-    /// Asks and waits for the answer.
+    /// Submits a request and waits for the answer to its claim.
     pub fn answer(&mut self, n: usize, id: ClaimId) -> Answer {
-        let request = self.ask(n, id);
+        let request = self.request(n, id);
         self.pass(self.cfg.ask_limit);
         self.answer_of(request).expect("an answer")
     }
@@ -231,13 +231,13 @@
         self.answers.get(&request).cloned()
     }
 
-    fn known_life(&self, of: InstanceKey) -> Option<Incarnation> {
-        let lives = self.processes.iter().map(|process| process.id);
-        let life = lives.into_iter().find(|id| id.instance == of)?;
-        Some(life.incarnation)
+    fn known_incarnation(&self, of: InstanceKey) -> Option<Incarnation> {
+        let ids = self.processes.iter().map(|process| process.id);
+        let id = ids.into_iter().find(|id| id.instance == of)?;
+        Some(id.incarnation)
     }
 
-    /// The request ends at process `n`.
+    /// Ends the request at process `n`.
     pub fn end(&mut self, n: usize, request: RequestId, state: HolderState) {
         let now = self.now;
         let mut out = Vec::new();
@@ -248,7 +248,7 @@
         self.deliver();
     }
 
-    /// Hands a message to process `n` as if `from` had sent it.
+    /// Delivers a message to process `n` as if `from` had sent it.
     pub fn inject(&mut self, n: usize, from: PeerId, message: KeysMessage) {
         let (now, age) = (self.now, self.list_age(n));
         let mut out = Vec::new();
@@ -258,7 +258,7 @@
         self.deliver();
     }
 
-    /// Lets time pass, with every timer and message on its way.
+    /// Advances time and runs every timer and message that is due.
     pub fn pass(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Lets time pass in one jump, as a paused process sees it.
+    /// Advances time in one step without running timers, as a paused process observes it.
     pub fn jump(&mut self, time: Duration) {
         self.now += time;
     }
@@ -309,14 +309,14 @@
         }
     }
 
-    /// Delivers what is on the wire; messages of lives that are over are lost.
+    /// Delivers the messages in flight; those of ended incarnations are dropped.
     pub fn deliver(&mut self) {
         while let Some((from, to, message)) = self.wire.pop_front() {
             let find = |key| self.processes.iter().position(|it| it.id.instance == key);
             let (Some(sender), Some(receiver)) = (find(from.instance), find(to)) else {
                 continue;
             };
-            let lost = self.cut.contains(&(sender, receiver));
+            let lost = self.blocked.contains(&(sender, receiver));
             if lost || self.id(sender) != from {
                 continue;
             }
