--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -4,13 +4,13 @@
 //! may be repeated can so be repeated after an answer that broke off in the
 //! middle, and nothing that is half an answer ever reaches a caller.
 
-use crate::answer::{AnswerBody, Reason};
 use crate::attempts::Attempts;
 use crate::job::Job;
 use crate::link::LinkError;
+use crate::log_event;
 use crate::meters::{ByReason, Histogram};
-use crate::note;
-use crate::ports::{SendHead, WholeAnswer, Wire};
+use crate::ports::{BufferedResponse, ForwardHead, Wire};
+use crate::response::{Reason, ResponseBody};
 use core::time::Duration;
 use http::Response;
 use http_body_util::{BodyExt, Limited};
@@ -36,7 +36,7 @@
 /// What became of one attempt.
 enum Attempt {
     /// The endpoint answered.
-    Answer(WholeAnswer),
+    Answer(BufferedResponse),
     /// The endpoint did not run the call.
     NotRun,
     /// No connection could be made.
@@ -57,7 +57,7 @@
 }
 
 /// Serves a call.
-pub async fn serve<W: Wire>(job: &Job<W>) -> Response<AnswerBody> {
+pub async fn serve<W: Wire>(job: &Job<W>) -> Response<ResponseBody> {
     let mut calls = Calls {
         job,
         attempts: Attempts::default(),
@@ -74,19 +74,19 @@
         drop(in_use);
         calls.note(&place, &attempt).await;
         let repeat = calls.may_repeat(&attempt);
-        note!(
+        log_event!(
             CallAttempt,
             attempt = job.name(),
             endpoint = place.name.as_str(),
             entry = job.entry().name.as_str(),
             repeat = repeat,
-            what = attempt.word(),
+            what = attempt.label(),
             status = attempt.status(),
             ms = job.arrived.elapsed().as_millis() as u64
         );
-        ByReason::Attempts.add(attempt.word());
+        ByReason::Attempts.add(attempt.label());
         if repeat {
-            ByReason::Repeats.add(attempt.word());
+            ByReason::Repeats.add(attempt.label());
         }
         if !repeat {
             return calls.finish(attempt, &place);
@@ -103,7 +103,7 @@
         }
     }
 
-    fn word(&self) -> &'static str {
+    fn label(&self) -> &'static str {
         match self {
             Attempt::Answer(answer) if answer.status.is_server_error() => "failed",
             Attempt::Answer(_) => "answered",
@@ -146,11 +146,11 @@
 
     async fn exchange(&self, place: &Place) -> Attempt {
         let job = self.job;
-        let send = SendHead {
-            deadline: job.left(),
+        let send = ForwardHead {
+            timeout: job.left(),
             endpoint: &place.name,
             workspace: job.workspace_name(),
-            ..SendHead::default()
+            ..ForwardHead::default()
         };
         let (link, answer) = match job.send(place, &send).await {
             Ok(sent) => sent,
@@ -167,8 +167,8 @@
         let head = job
             .cx
             .wire
-            .answer_head(parts.status, &parts.headers, attempt);
-        if head.foreign {
+            .response_head(parts.status, &parts.headers, attempt);
+        if head.wrong_attempt {
             return Attempt::Foreign;
         }
         job.note_head(place, &head, link.sent);
@@ -176,7 +176,7 @@
             return Attempt::NotRun;
         }
         match Limited::new(body, MAX_ANSWER).collect().await {
-            Ok(body) => Attempt::Answer(WholeAnswer {
+            Ok(body) => Attempt::Answer(BufferedResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body: body.to_bytes(),
@@ -233,7 +233,7 @@
         allowed && job.spend_repeat(RepeatKind::Retry)
     }
 
-    fn not_admitted(&self, reason: Reason) -> Response<AnswerBody> {
+    fn not_admitted(&self, reason: Reason) -> Response<ResponseBody> {
         let reason = match reason {
             // An earlier attempt may have run, so that "not run" would be untrue.
             Reason::TurnTaken if self.attempts.may_have_run() => Reason::AnswerLost,
@@ -244,12 +244,12 @@
     }
 
     fn note_failed(&self, endpoint: &str, reason: Reason) {
-        note!(CallFailed, attempt = self.job.name(), entry = self.job.entry().name.as_str(),
+        log_event!(CallFailed, attempt = self.job.name(), entry = self.job.entry().name.as_str(),
             endpoint = endpoint, reason:% = reason,
             ms = self.job.arrived.elapsed().as_millis() as u64);
     }
 
-    fn no_place(&self, why: NoPlace) -> Response<AnswerBody> {
+    fn no_place(&self, why: NoPlace) -> Response<ResponseBody> {
         let reason = match why {
             _ if self.attempts.may_have_run() => Reason::AnswerLost,
             why => Reason::from(why),
@@ -258,11 +258,11 @@
         self.job.refuse(reason)
     }
 
-    fn finish(&self, attempt: Attempt, place: &Place) -> Response<AnswerBody> {
+    fn finish(&self, attempt: Attempt, place: &Place) -> Response<ResponseBody> {
         let reason = match attempt {
             Attempt::Answer(mut answer) => {
                 Histogram::Call.record(self.job.arrived.elapsed());
-                self.job.cx.wire.strip_answer(&mut answer.headers);
+                self.job.cx.wire.strip_response_headers(&mut answer.headers);
                 return answer.into_response();
             }
             _ if self.job.is_refused() => self.job.note_refused(),
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -12,8 +12,8 @@
 
 use crate::cx::{Cx, Open};
 use crate::link::connect_socket;
+use crate::log_event;
 use crate::meters::{ByReason, millis};
-use crate::note;
 use crate::ports::Wire;
 use crate::store::{Source, apply, read_whole};
 use core::time::Duration;
@@ -56,7 +56,7 @@
 
 impl FetchError {
     /// Returns a word for it, which lines and counters carry.
-    pub const fn word(&self) -> &'static str {
+    pub const fn label(&self) -> &'static str {
         match self {
             FetchError::Connection(_) => "connection",
             FetchError::Silent(_) => "silent",
@@ -97,14 +97,14 @@
     match fetched {
         Ok(news) => {
             ByReason::PeerAnswers.add("told");
-            note!(ToldByPeer, peer:% = peer, revision = news.revision, whole = news.whole,
+            log_event!(ToldByPeer, peer:% = peer, revision = news.revision, whole = news.whole,
                 records = news.records.len(), ms = ms);
             take_news(cx, news);
         }
         Err(error) => {
-            ByReason::PeerAnswers.add(error.word());
+            ByReason::PeerAnswers.add(error.label());
             cx.state().not_told(now, peer, error.not_told());
-            note!(NotToldByPeer, peer:% = peer, why = error.word(), revision = after, ms = ms);
+            log_event!(NotToldByPeer, peer:% = peer, why = error.label(), revision = after, ms = ms);
         }
     }
     cx.state().note_behind(cx.now());
@@ -151,7 +151,7 @@
         .map_err(silent)??;
     stream.write_u64(after).await?;
     let mut bytes = Vec::new();
-    while bytes.len() <= format::MAX_NEWS {
+    while bytes.len() <= format::MAX_DELTA_BYTES {
         let read = timeout(SILENCE_LIMIT, stream.read_buf(&mut bytes));
         if read.await.map_err(silent)?? == 0 {
             break;
@@ -198,7 +198,7 @@
         }
         Err(_) => ("unread", 0),
     };
-    note!(
+    log_event!(
         ToldPeer,
         peer:% = from,
         how = how,
--- a/crates/gateway/src/catch_up/format.rs
+++ b/crates/gateway/src/catch_up/format.rs
@@ -11,7 +11,7 @@
 
 /// The largest answer of a peer, before it is compressed: a store of the size that is
 /// designed for, twice.
-pub const MAX_NEWS: usize = 64 * 1024 * 1024;
+pub const MAX_DELTA_BYTES: usize = 64 * 1024 * 1024;
 
 /// As `bincode` writes it.
 const PLAIN: u8 = 0;
@@ -35,15 +35,15 @@
     Records(#[from] bincode::error::DecodeError),
 }
 
-fn config() -> Configuration<LittleEndian, Varint, Limit<MAX_NEWS>> {
-    standard().with_limit::<MAX_NEWS>()
+fn config() -> Configuration<LittleEndian, Varint, Limit<MAX_DELTA_BYTES>> {
+    standard().with_limit::<MAX_DELTA_BYTES>()
 }
 
 /// Writes news.
 ///
 /// # Errors
 ///
-/// Fails if the news is larger than [`MAX_NEWS`].
+/// Fails if the news is larger than [`MAX_DELTA_BYTES`].
 pub fn encode(news: &News) -> Result<Vec<u8>, bincode::error::EncodeError> {
     let mut plain = vec![PLAIN];
     bincode::serde::encode_into_std_write(news, &mut plain, config())?;
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// Says what is wrong with the bytes. A length above [`MAX_NEWS`] is refused before any
+/// Says what is wrong with the bytes. A length above [`MAX_DELTA_BYTES`] is refused before any
 /// memory is taken for it.
 pub fn decode(bytes: &[u8]) -> Result<News, FormatError> {
     match bytes.split_first() {
@@ -67,7 +67,7 @@
         Some((&COMPRESSED, rest)) => {
             let length = rest.first_chunk::<LENGTH_BYTES>();
             let length = length.map_or(0, |it| u32::from_le_bytes(*it) as usize);
-            if length > MAX_NEWS {
+            if length > MAX_DELTA_BYTES {
                 return Err(FormatError::TooLarge(length));
             }
             records(&lz4_flex::decompress_size_prepended(rest)?)
--- a/crates/gateway/src/cx.rs
+++ b/crates/gateway/src/cx.rs
@@ -1,7 +1,7 @@
 //! What all tasks of the gateway share.
 
+use crate::log_event;
 use crate::meters::ByReason;
-use crate::note;
 use crate::ports::Wire;
 use crate::store::Source;
 use core::time::Duration;
@@ -242,19 +242,19 @@
         let data_centre = cordon.data_centre.as_str();
         let (revision, is_news) = (cordon.revision, effect == CordonEffect::Changed);
         match cordon.is_closed {
-            true => note!(
+            true => log_event!(
                 DataCentreCordoned,
                 data_centre = data_centre,
                 revision = revision,
-                from = from.word(),
+                from = from.label(),
                 endpoints = endpoints,
                 is_news = is_news
             ),
-            false => note!(
+            false => log_event!(
                 CordonLifted,
                 data_centre = data_centre,
                 revision = revision,
-                from = from.word(),
+                from = from.label(),
                 endpoints = endpoints,
                 is_news = is_news
             ),
@@ -269,7 +269,7 @@
     pub fn tell_leaving(&self, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
             let name = self.endpoint_name(endpoint);
-            note!(EndpointLeaving, endpoint = name.as_str());
+            log_event!(EndpointLeaving, endpoint = name.as_str());
         }
         if !endpoints.is_empty() {
             self.state().tell_leaving(endpoints);
@@ -284,18 +284,18 @@
         let name = self.endpoint_name(change.endpoint);
         let before = change.before.unwrap_or(0.0);
         match change.after {
-            Some(after) => note!(
+            Some(after) => log_event!(
                 LimitNamed,
                 endpoint = name.as_str(),
                 before = before,
                 after = after,
-                from = from.word()
+                from = from.label()
             ),
-            None => note!(
+            None => log_event!(
                 LimitEnded,
                 endpoint = name.as_str(),
                 before = before,
-                from = from.word()
+                from = from.label()
             ),
         }
         self.dirty.notify_one();
--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/event_log.rs
@@ -211,16 +211,16 @@
 
 /// Logs one line of a numbered event.
 #[macro_export]
-macro_rules! note {
+macro_rules! log_event {
     ($event:ident $(, $($fields:tt)*)?) => {{
-        let event = $crate::notes::GatewayEvent::$event;
+        let event = $crate::event_log::GatewayEvent::$event;
         $crate::meters::count_event(event.name());
-        if let Some(left_out) = $crate::notes::admit(event) {
+        if let Some(left_out) = $crate::event_log::admit(event) {
             if left_out > 0 {
-                log::log!(target: $crate::notes::TARGET, event.level(),
+                log::log!(target: $crate::event_log::TARGET, event.level(),
                     event = event.number(), left_out = left_out; "{}", event.name());
             }
-            log::log!(target: $crate::notes::TARGET, event.level(),
+            log::log!(target: $crate::event_log::TARGET, event.level(),
                 event = event.number() $(, $($fields)*)?; "{}", event.name());
         }
     }};
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -4,13 +4,13 @@
 
 pub use connection::serve;
 
-use crate::answer::{AnswerBody, Reason, refuse};
 use crate::cx::Cx;
 use crate::job::Job;
+use crate::log_event;
 use crate::meters::ByReason;
-use crate::note;
-use crate::ports::{CallerHead, EngineCalls, Held, Wire};
-use crate::turn::Run;
+use crate::ports::{CallerHead, EngineCalls, LastEventId, Wire};
+use crate::response::{Reason, ResponseBody, refuse};
+use crate::run_lease::Run;
 use crate::{call, stream};
 use bytes::Bytes;
 use core::time::Duration;
@@ -64,15 +64,15 @@
     cx: Arc<Cx<W>>,
     engines: E,
     req: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let head = cx.wire.caller_head(req.headers());
-    let patience = head.deadline.unwrap_or(UNKNOWN_PATIENCE);
+    let patience = head.timeout.unwrap_or(UNKNOWN_PATIENCE);
     let attempt = head.attempt.clone();
     let refused = |reason: Reason| {
         let attempt = attempt.as_deref().unwrap_or("-");
         ByReason::Refused.add(&reason.to_string());
-        note!(RefusedAtFront, attempt = attempt, reason:% = reason);
+        log_event!(RefusedAtFront, attempt = attempt, reason:% = reason);
         refuse(reason, patience)
     };
     if !cx.takes_call() {
@@ -107,13 +107,13 @@
 /// Returns whether what the caller says it holds can be a part of its generation. Where
 /// nothing may go on, it is not looked at: the caller gets a generation from its start.
 fn can_go_on(repeat: Repeat, head: &CallerHead) -> bool {
-    match head.held {
-        Held::Event(number) if repeat == Repeat::ResumableStream => {
+    match head.last_event_id {
+        LastEventId::Event(number) if repeat == Repeat::ResumableStream => {
             // An event holds a token or more.
             head.max_tokens == 0 || number <= u64::from(head.max_tokens)
         }
-        Held::Unreadable => repeat != Repeat::ResumableStream,
-        Held::Nothing | Held::Event(_) => true,
+        LastEventId::Unreadable => repeat != Repeat::ResumableStream,
+        LastEventId::Absent | LastEventId::Event(_) => true,
     }
 }
 
@@ -140,7 +140,7 @@
     req: Request<Incoming>,
 ) -> Result<Job<W>, Reason> {
     let entry = judged.catalogue.entry(judged.entry);
-    let patience = judged.head.deadline.unwrap_or(entry.timeout);
+    let patience = judged.head.timeout.unwrap_or(entry.timeout);
     let ends = judged.arrived + patience.min(entry.timeout);
     let host = host_of(&req).to_owned();
     let (parts, body) = req.into_parts();
@@ -193,7 +193,7 @@
     path.map(Uri::from).unwrap_or_default()
 }
 
-async fn run<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<AnswerBody> {
+async fn run<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<ResponseBody> {
     match job.entry().repeat {
         Repeat::Stream | Repeat::ResumableStream => stream::serve(job, engines).await,
         Repeat::Idempotent | Repeat::Once => call::serve(&job).await,
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/gossip.rs
@@ -8,8 +8,8 @@
 //! [`Gateway::hear`]: oriolemux_core::gateway::Gateway::hear
 
 use crate::cx::Cx;
+use crate::log_event;
 use crate::meters::ByReason;
-use crate::note;
 use crate::ports::Wire;
 use crate::store::Source;
 use bincode::config::{Configuration, Limit, LittleEndian, Varint, standard};
@@ -39,7 +39,7 @@
         let ticked = cx.state().tick(now);
         cx.tell_leaving(&ticked.leaving);
         for peer in ticked.silent {
-            note!(PeerSilent, peer:% = peer);
+            log_event!(PeerSilent, peer:% = peer);
         }
         if cx.state().is_behind() {
             cx.behind.notify_one();
@@ -93,10 +93,10 @@
         cx.note_limit(change, Source::Peer);
     }
     if heard.is_new {
-        note!(PeerHeard, peer:% = from, incarnation = life.0);
+        log_event!(PeerHeard, peer:% = from, incarnation = life.0);
     }
     for peer in heard.gone {
-        note!(PeerSilent, peer:% = peer);
+        log_event!(PeerSilent, peer:% = peer);
     }
     if cx.state().is_behind() {
         cx.behind.notify_one();
@@ -115,7 +115,7 @@
 
 fn note_dropped(from: impl core::fmt::Display, why: &str) {
     ByReason::DatagramsDropped.add(why);
-    note!(DatagramDropped, peer:% = from, why = why);
+    log_event!(DatagramDropped, peer:% = from, why = why);
 }
 
 async fn send_all<W: Wire>(cx: &Cx<W>, socket: &UdpSocket, send: Vec<(SocketAddrV4, Body)>) {
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,14 +1,14 @@
 //! One request of a caller, judged and read.
 
-use crate::answer::{AnswerBody, Reason, refuse};
-use crate::ask::{PlaceRequest, ask};
 use crate::cx::Cx;
 use crate::link::{Link, LinkError};
+use crate::log_event;
 use crate::meters::{ByReason, millis};
-use crate::note;
-use crate::ports::{AnswerHead, CallerHead, Held, SendHead, Wire};
+use crate::placement::{PlaceRequest, ask};
+use crate::ports::{CallerHead, ForwardHead, LastEventId, ResponseHead, Wire};
+use crate::response::{Reason, ResponseBody, refuse};
+use crate::run_lease::Run;
 use crate::store::Source;
-use crate::turn::Run;
 use bytes::Bytes;
 use core::time::Duration;
 use http::{HeaderMap, Method, Request, Response, Uri, header};
@@ -79,8 +79,8 @@
 
     /// Returns the last event that the caller holds of a generation that may go on.
     pub fn held(&self) -> Option<u64> {
-        match (self.entry().repeat, self.head.held) {
-            (Repeat::ResumableStream, Held::Event(number)) => Some(number),
+        match (self.entry().repeat, self.head.last_event_id) {
+            (Repeat::ResumableStream, LastEventId::Event(number)) => Some(number),
             _ => None,
         }
     }
@@ -112,7 +112,7 @@
         let now = self.cx.now();
         let spent = self.cx.state().spend_repeat(now, service, kind);
         match spent.is_allowed {
-            true => note!(
+            true => log_event!(
                 RepeatSpent,
                 attempt = self.name(),
                 service = service.as_str(),
@@ -122,7 +122,7 @@
                 left = spent.left,
                 age_ms = millis(spent.age)
             ),
-            false => note!(
+            false => log_event!(
                 RepeatDenied,
                 attempt = self.name(),
                 service = service.as_str(),
@@ -143,28 +143,28 @@
     }
 
     /// Takes in what the head of an endpoint's answer says about the endpoint.
-    pub fn note_head(&self, place: &Place, head: &AnswerHead, sent: Instant) {
+    pub fn note_head(&self, place: &Place, head: &ResponseHead, sent: Instant) {
         let now = self.cx.now();
         let sent = now.before(sent.elapsed()).unwrap_or(Time::ZERO);
         let mut state = self.cx.state();
         if let Some(load) = head.load {
             state.told(now, place.key, load);
         }
-        if let Some(left) = head.cold {
+        if let Some(left) = head.cold_for {
             state.endpoints.told_cold(now, place.key, left);
         }
-        let limit = match head.replaced {
+        let limit = match head.wrong_endpoint {
             true => None,
             false => state.told_limit(now, place.key, sent, head.limit),
         };
         drop(state);
         if head.limit == ToldLimit::Unreadable {
-            note!(LimitUnreadable, endpoint = place.name.as_str());
+            log_event!(LimitUnreadable, endpoint = place.name.as_str());
         }
         if let Some(change) = limit {
             self.cx.note_limit(&change, Source::Endpoint);
         }
-        if head.replaced {
+        if head.wrong_endpoint {
             self.note_replaced(place);
         }
     }
@@ -192,9 +192,9 @@
     }
 
     /// Returns the gateway's own answer, which says when to come back.
-    pub fn refuse(&self, reason: Reason) -> Response<AnswerBody> {
+    pub fn refuse(&self, reason: Reason) -> Response<ResponseBody> {
         ByReason::Refused.add(&reason.to_string());
-        let patience = self.head.deadline.unwrap_or(self.entry().timeout);
+        let patience = self.head.timeout.unwrap_or(self.entry().timeout);
         refuse(reason, patience.saturating_sub(self.arrived.elapsed()))
     }
 
@@ -278,7 +278,7 @@
         tokens: u32,
         (used, in_use): (Used, InUse<W>),
     ) -> (Place, InUse<W>) {
-        note!(
+        log_event!(
             Placed,
             attempt = self.name(),
             entry = self.entry().name.as_str(),
@@ -294,7 +294,7 @@
     }
 
     /// Returns the request as an endpoint is sent it.
-    pub fn request(&self, send: &SendHead<'_>) -> Request<Full<Bytes>> {
+    pub fn request(&self, send: &ForwardHead<'_>) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
@@ -332,7 +332,7 @@
     pub async fn send(
         &self,
         place: &Place,
-        send: &SendHead<'_>,
+        send: &ForwardHead<'_>,
     ) -> Result<(Link, Response<Incoming>), LinkError> {
         let chosen = self.cx.now();
         let limit = self.cx.limits.connect.min(self.left());
@@ -359,7 +359,7 @@
 
 fn note_passed_over(place: &Place, passed_over: bool) {
     if passed_over {
-        note!(EndpointPassedOver, endpoint = place.name.as_str());
+        log_event!(EndpointPassedOver, endpoint = place.name.as_str());
     }
 }
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -129,7 +129,7 @@
 }
 
 /// Returns a body that is known whole.
-pub fn full(bytes: Bytes) -> Full<Bytes> {
+pub fn full_body(bytes: Bytes) -> Full<Bytes> {
     Full::new(bytes)
 }
 
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -139,7 +139,7 @@
 }
 
 /// Shows what the instance believes at the moment.
-pub fn show<W: Wire>(cx: &Cx<W>) {
+pub fn publish_gauges<W: Wire>(cx: &Cx<W>) {
     let now = cx.now();
     let state = cx.state();
     let endpoints = |wanted: fn(&EndpointState) -> bool| {
@@ -172,7 +172,10 @@
         (Gauge::Peers, state.members.live().count() as f64),
         (Gauge::Connections, cx.open(Open::Connection) as f64),
         (Gauge::Running, cx.open(Open::Generation) as f64),
-        (Gauge::LinesLeftOut, crate::notes::lines_left_out() as f64),
+        (
+            Gauge::LinesLeftOut,
+            crate::event_log::lines_left_out() as f64,
+        ),
     ];
     for (gauge, value) in values {
         metrics::gauge!(gauge.name()).set(value);
--- a/crates/gateway/src/page.rs
+++ b/crates/gateway/src/page.rs
@@ -1,9 +1,9 @@
 //! Small pages for the balancer, for operators and for whoever collects metrics.
 
-use crate::answer::{AnswerBody, whole};
 use crate::cx::Cx;
 use crate::meters;
 use crate::ports::Wire;
+use crate::response::{ResponseBody, full_body};
 use crate::status::GatewayStatus;
 use bytes::Bytes;
 use core::convert::Infallible;
@@ -39,7 +39,7 @@
 /// Answers each request with what `answer` returns, for good.
 pub async fn serve<F>(listener: TcpListener, answer: F)
 where
-    F: Fn(Asked) -> Response<AnswerBody> + Clone + Send + Sync + 'static,
+    F: Fn(Asked) -> Response<ResponseBody> + Clone + Send + Sync + 'static,
 {
     loop {
         let stream = match listener.accept().await {
@@ -79,7 +79,7 @@
 }
 
 /// Returns whether this instance takes callers.
-pub fn readiness<W: Wire>(cx: &Cx<W>) -> Response<AnswerBody> {
+pub fn readiness<W: Wire>(cx: &Cx<W>) -> Response<ResponseBody> {
     match cx.state().is_ready() {
         true => plain(StatusCode::OK, ""),
         false => plain(StatusCode::SERVICE_UNAVAILABLE, ""),
@@ -104,7 +104,7 @@
 
 impl<W: Wire> OperatorsPage<W> {
     /// Answers one question.
-    pub fn answer(&self, asked: &Asked) -> Response<AnswerBody> {
+    pub fn answer(&self, asked: &Asked) -> Response<ResponseBody> {
         match (&asked.method, asked.path.as_str()) {
             (&Method::GET, "/status") => self.status(),
             (&Method::POST, "/drain") if asked.from_here => {
@@ -116,14 +116,14 @@
                 "the planned stop is taken from the machine of the instance only\n",
             ),
             (&Method::GET, _) => {
-                meters::show(&self.cx);
-                Response::new(whole((self.metrics)().into()))
+                meters::publish_gauges(&self.cx);
+                Response::new(full_body((self.metrics)().into()))
             }
             _ => plain(StatusCode::METHOD_NOT_ALLOWED, "GET, or POST /drain\n"),
         }
     }
 
-    fn status(&self) -> Response<AnswerBody> {
+    fn status(&self) -> Response<ResponseBody> {
         match serde_json::to_vec(&GatewayStatus::of(&self.cx, &self.instance)) {
             Ok(body) => json(body),
             Err(error) => plain(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
@@ -131,15 +131,15 @@
     }
 }
 
-fn json(body: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(body.into()));
+fn json(body: Vec<u8>) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(body.into()));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(Bytes::copy_from_slice(text.as_bytes())));
+fn plain(status: StatusCode, text: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/placement.rs
@@ -7,8 +7,8 @@
 
 use crate::cx::Cx;
 use crate::job::Job;
+use crate::log_event;
 use crate::meters::ByReason;
-use crate::note;
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::Gateway;
@@ -136,7 +136,7 @@
 
 fn note_alone<W: Wire>(job: &Job<W>, place: &Place) {
     ByReason::Places.add("alone");
-    note!(
+    log_event!(
         PlacedAlone,
         attempt = job.name(),
         endpoint = place.name.as_str(),
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -3,7 +3,7 @@
 //! An implementation translates and calls; it decides nothing, repeats nothing
 //! and keeps no state beyond a connection.
 
-use crate::answer::{AnswerBody, whole};
+use crate::response::{ResponseBody, full_body};
 use bytes::Bytes;
 use core::future::Future;
 use core::time::Duration;
@@ -21,7 +21,7 @@
     /// The caller's name of this attempt, which endpoints echo.
     pub attempt: Option<String>,
     /// How long the caller waits.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// SHA-256 of the key, if there is one.
     pub key_digest: Option<[u8; 32]>,
     /// Tokens of the prompt of a generation.
@@ -31,15 +31,15 @@
     /// How many tokens the caller expects.
     pub expected_tokens: Option<u32>,
     /// Where in a generation the caller wants to go on.
-    pub held: Held,
+    pub last_event_id: LastEventId,
 }
 
 /// What a caller says it holds of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Held {
+pub enum LastEventId {
     /// Nothing.
     #[default]
-    Nothing,
+    Absent,
     /// All events up to this one.
     Event(u64),
     /// Something that cannot be read.
@@ -48,9 +48,9 @@
 
 /// A copy of a generation's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeptCopy<'a> {
+pub struct CopyLocation<'a> {
     /// The engine that keeps it.
-    pub keeper: SocketAddrV4,
+    pub engine: SocketAddrV4,
     /// Its name at that engine.
     pub handle: &'a str,
 }
@@ -60,16 +60,16 @@
 pub struct Resume<'a> {
     /// The memory that it goes on from. Without one the engine reads prompt and events
     /// anew, which only a resumable generation may ask for.
-    pub copy: Option<KeptCopy<'a>>,
+    pub copy: Option<CopyLocation<'a>>,
     /// The last event that the caller holds.
     pub last_event: u64,
 }
 
 /// What an endpoint is told besides the caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SendHead<'a> {
+pub struct ForwardHead<'a> {
     /// The time that is left.
-    pub deadline: Duration,
+    pub timeout: Duration,
     /// The endpoint's name; another one at its address refuses.
     pub endpoint: &'a str,
     /// The workspace of the caller.
@@ -84,17 +84,17 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The endpoint says that the request did not run.
     pub not_run: bool,
     /// The endpoint is not the one that was expected.
-    pub replaced: bool,
+    pub wrong_endpoint: bool,
     /// The attempt that the answer names is another one.
-    pub foreign: bool,
+    pub wrong_attempt: bool,
     /// How full the endpoint says it is.
     pub load: Option<ToldLoad>,
     /// For how long the endpoint says it will still be cold.
-    pub cold: Option<Duration>,
+    pub cold_for: Option<Duration>,
     /// How many requests a second the endpoint says it takes from all instances.
     pub limit: ToldLimit,
 }
@@ -178,18 +178,18 @@
 
     /// Returns the headers for an endpoint: the caller's, less those that concern
     /// one connection and those that are the system's to set, and the system's.
-    fn endpoint_headers(&self, caller: &HeaderMap, send: &SendHead<'_>) -> HeaderMap;
+    fn endpoint_headers(&self, caller: &HeaderMap, send: &ForwardHead<'_>) -> HeaderMap;
 
     /// Reads what the head of an answer to `attempt` says.
-    fn answer_head(
+    fn response_head(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
         attempt: Option<&str>,
-    ) -> AnswerHead;
+    ) -> ResponseHead;
 
     /// Removes the headers of an answer that concern one connection.
-    fn strip_answer(&self, headers: &mut HeaderMap);
+    fn strip_response_headers(&self, headers: &mut HeaderMap);
 
     /// Reads a record.
     fn decode(&self, record: &Record) -> Published;
@@ -223,9 +223,9 @@
 
 /// What became of the call that moves a running generation's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum CopyOutcome {
     /// The copy is complete.
-    Done {
+    Complete {
         /// Its name.
         handle: String,
     },
@@ -243,15 +243,15 @@
     NoAnswer,
 }
 
-impl Moved {
+impl CopyOutcome {
     /// Returns a word for it, which log lines carry.
-    pub const fn word(&self) -> &'static str {
+    pub const fn label(&self) -> &'static str {
         match self {
-            Moved::Done { .. } => "done",
-            Moved::NoRoom { .. } => "no_room",
-            Moved::NotRunning => "not_running",
-            Moved::Busy => "busy",
-            Moved::NoAnswer => "no_answer",
+            CopyOutcome::Complete { .. } => "done",
+            CopyOutcome::NoRoom { .. } => "no_room",
+            CopyOutcome::NotRunning => "not_running",
+            CopyOutcome::Busy => "busy",
+            CopyOutcome::NoAnswer => "no_answer",
         }
     }
 }
@@ -260,14 +260,14 @@
 pub trait EngineCalls: Clone + Send + Sync + 'static {
     /// Copies a running generation's memory from `source` to `target`, and stops it
     /// first if `stop` is set.
-    fn move_run(
+    fn copy_generation(
         &self,
         source: SocketAddrV4,
         attempt: &str,
         target: SocketAddrV4,
         stop: bool,
         limit: Duration,
-    ) -> impl Future<Output = Moved> + Send;
+    ) -> impl Future<Output = CopyOutcome> + Send;
 
     /// Frees a copy that nobody will use, at both engines. Returns whether the engine
     /// took the call.
@@ -281,7 +281,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -290,10 +290,10 @@
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     /// Returns the answer as the caller gets it.
-    pub fn into_response(self) -> Response<AnswerBody> {
-        let mut response = Response::new(whole(self.body));
+    pub fn into_response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(full_body(self.body));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers;
         response
--- a/crates/gateway/src/broken.rs
+++ b/crates/gateway/src/probe.rs
@@ -6,7 +6,7 @@
 //! connection.
 
 use crate::job::Job;
-use crate::note;
+use crate::log_event;
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::state::Place;
@@ -24,35 +24,35 @@
 
 /// What is found at the address of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ProbeResult {
     /// Nobody: the process ended.
-    Nobody,
+    Refused,
     /// Somebody who accepts connections.
-    Somebody,
+    Accepted,
     /// Nothing that can be told.
-    Silence,
+    Unknown,
 }
 
-impl Found {
+impl ProbeResult {
     /// Returns a word for it, which log lines carry.
-    const fn word(self) -> &'static str {
+    const fn label(self) -> &'static str {
         match self {
-            Found::Nobody => "nobody",
-            Found::Somebody => "somebody",
-            Found::Silence => "silence",
+            ProbeResult::Refused => "nobody",
+            ProbeResult::Accepted => "somebody",
+            ProbeResult::Unknown => "silence",
         }
     }
 }
 
 /// Looks whether a process is at `address`.
-pub async fn look(address: SocketAddr) -> Found {
+pub async fn probe(address: SocketAddr) -> ProbeResult {
     match timeout(LOOK_LIMIT, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Found::Somebody,
+        Ok(Ok(_)) => ProbeResult::Accepted,
         Ok(Err(error)) => match error.kind() {
-            ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => Found::Nobody,
-            _ => Found::Silence,
+            ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => ProbeResult::Refused,
+            _ => ProbeResult::Unknown,
         },
-        Err(_) => Found::Silence,
+        Err(_) => ProbeResult::Unknown,
     }
 }
 
@@ -64,19 +64,19 @@
         if begun.is_some_and(|it| it >= RAN_WELL_AFTER) {
             return self.ran_well();
         }
-        let found = look(place.address.into()).await;
-        note!(RunBroke, attempt = self.name(), request:% = self.fingerprint,
+        let found = probe(place.address.into()).await;
+        log_event!(RunBroke, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
-            found = found.word(), has_begun = begun.is_some(),
+            found = found.label(), has_begun = begun.is_some(),
             begun_ms = begun.unwrap_or_default().as_millis() as u64);
         match found {
-            Found::Nobody => self.note_ended(place),
-            Found::Silence => {
+            ProbeResult::Refused => self.note_ended(place),
+            ProbeResult::Unknown => {
                 let now = self.cx.now();
                 let mut state = self.cx.state();
                 state.may_have_ended_with(now, self.fingerprint, place);
             }
-            Found::Somebody => {}
+            ProbeResult::Accepted => {}
         }
     }
 
@@ -87,7 +87,7 @@
         self.note_unreachable(place);
         if is_news {
             let ended = self.cx.state().ended_by(self.fingerprint);
-            note!(EndpointEnded, attempt = self.name(), request:% = self.fingerprint,
+            log_event!(EndpointEnded, attempt = self.name(), request:% = self.fingerprint,
                 entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
                 ended = ended);
             self.cx.tell_suspected();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -15,22 +15,21 @@
 //!
 //! `docs/design/relocation.md` weighs when a generation leaves its engine.
 
-mod ahead;
 mod begin;
-mod go_on;
 mod pace;
+mod pre_copy;
+mod resume;
 mod upstream;
 
-use crate::answer::{AnswerBody, BrokenOff, Reason, refuse};
 use crate::attempts::Attempts;
 use crate::cx::Open;
-use crate::events::{Event, EventSplitter};
 use crate::job::{InUse, Job};
+use crate::log_event;
 use crate::meters::{ByReason, Histogram, millis};
-use crate::note;
-use crate::ports::{EngineCalls, WholeAnswer, Wire};
+use crate::ports::{BufferedResponse, EngineCalls, Wire};
+use crate::response::{Reason, ResponseBody, StreamAborted, refuse};
+use crate::sse::{Event, EventSplitter};
 use crate::stream::Piece;
-use ahead::{CopyAhead, StandingCopy};
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::BodyExt;
 use oriolemux_core::gateway::lengths::Length;
@@ -40,6 +39,7 @@
 use oriolemux_core::gateway::state::Place;
 use oriolemux_core::suspects::RAN_WELL_AFTER;
 use pace::Pace;
+use pre_copy::{CopyAhead, StandingCopy};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
@@ -61,7 +61,7 @@
         headers: HeaderMap,
     },
     /// The engine gave a final answer without events.
-    Answer(WholeAnswer),
+    Answer(BufferedResponse),
     /// It failed and may have run.
     Failed {
         /// The request.
@@ -69,7 +69,7 @@
         /// Where it was.
         attempts: Attempts,
         /// What the caller gets unless it runs again.
-        answer: Response<AnswerBody>,
+        answer: Response<ResponseBody>,
     },
     /// The engine did not run it.
     NotRun {
@@ -198,7 +198,7 @@
     }
 
     /// Gives the request back after it may have run.
-    fn failed(self, answer: Response<AnswerBody>) -> Started<W> {
+    fn failed(self, answer: Response<ResponseBody>) -> Started<W> {
         let mut attempts = self.attempts;
         attempts.note_run(self.source.key);
         Started::Failed {
@@ -305,7 +305,7 @@
                 Step::Wait(until) => cx.clock.instant(until),
             };
             tokio::select! {
-                moved = ahead::ended(&mut self.ahead) => self.on_copied_ahead(moved),
+                moved = pre_copy::ended(&mut self.ahead) => self.on_copied_ahead(moved),
                 frame = upstream.body.frame() => match frame {
                     Some(Ok(frame)) => {
                         self.state.on_bytes(cx.now());
@@ -401,7 +401,7 @@
     async fn break_off(&mut self, why: &str) {
         self.log_end(why);
         // A caller that left meanwhile needs no end.
-        let _ = self.tx.send(Err(BrokenOff)).await;
+        let _ = self.tx.send(Err(StreamAborted)).await;
     }
 
     fn log_end(&self, how: &str) {
@@ -410,7 +410,7 @@
         seen.record();
         ByReason::Generations.add(how);
         Histogram::Generation.record(self.job.arrived.elapsed());
-        note!(
+        log_event!(
             GenerationEnded,
             attempt = self.job.name(),
             entry = entry.name.as_str(),
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -2,12 +2,12 @@
 
 use super::upstream::{Begun, Upstream, sleep_until};
 use super::{MAX_ANSWER, Relay};
-use crate::answer::Reason;
-use crate::ask::PlaceRequest;
 use crate::job::{AT_ONCE, InUse};
 use crate::link::{Link, LinkError};
-use crate::note;
-use crate::ports::{EngineCalls, KeptCopy, Resume, SendHead, WholeAnswer, Wire};
+use crate::log_event;
+use crate::placement::PlaceRequest;
+use crate::ports::{BufferedResponse, CopyLocation, EngineCalls, ForwardHead, Resume, Wire};
+use crate::response::Reason;
 use core::time::Duration;
 use http::Response;
 use http_body_util::{BodyExt, Limited};
@@ -123,7 +123,7 @@
     }
 
     async fn take_back(&mut self, place: Place, in_use: InUse<W>) {
-        note!(
+        log_event!(
             TakenBack,
             attempt = self.job.name(),
             from = self.source.name.as_str(),
@@ -145,8 +145,8 @@
         let (parts, body) = answer.into_parts();
         let attempt = self.job.head.attempt.as_deref();
         let wire = &self.job.cx.wire;
-        let head = wire.answer_head(parts.status, &parts.headers, attempt);
-        if head.foreign {
+        let head = wire.response_head(parts.status, &parts.headers, attempt);
+        if head.wrong_attempt {
             return Begun::Failed(Reason::AnswerForeign);
         }
         self.job.note_head(&self.source, &head, link.sent);
@@ -154,7 +154,7 @@
             return Begun::NotRun { arrived: true };
         }
         let mut headers = parts.headers;
-        wire.strip_answer(&mut headers);
+        wire.strip_response_headers(&mut headers);
         if parts.status.is_success() {
             self.begun = Some(Instant::now());
             return Begun::Stream {
@@ -165,7 +165,7 @@
         }
         let collected = Limited::new(body, MAX_ANSWER).collect();
         match tokio::time::timeout(self.job.left(), collected).await {
-            Ok(Ok(body)) => Begun::Ended(WholeAnswer {
+            Ok(Ok(body)) => Begun::Ended(BufferedResponse {
                 status: parts.status,
                 headers,
                 body: body.to_bytes(),
@@ -185,12 +185,12 @@
     /// Sends the request to the present engine, to go on from `copy` if there is one.
     pub(super) async fn send(
         &self,
-        copy: Option<KeptCopy<'_>>,
+        copy: Option<CopyLocation<'_>>,
     ) -> Result<(Link, Response<Incoming>), LinkError> {
         let last_event = self.state.last_event();
         let goes_on = copy.is_some() || last_event.is_some();
-        let send = SendHead {
-            deadline: self.job.left(),
+        let send = ForwardHead {
+            timeout: self.job.left(),
             endpoint: &self.source.name,
             workspace: self.job.workspace_name(),
             priority: Some(self.job.priority()),
--- a/crates/gateway/src/relay/ahead.rs
+++ b/crates/gateway/src/relay/pre_copy.rs
@@ -1,7 +1,7 @@
 //! The copies of one generation's memory at other engines.
 
 use crate::job::CopyInUse;
-use crate::ports::{EngineCalls, Moved, Wire};
+use crate::ports::{CopyOutcome, EngineCalls, Wire};
 use core::time::Duration;
 use oriolemux_core::gateway::state::Place;
 use std::net::SocketAddrV4;
@@ -30,7 +30,7 @@
     source: SocketAddrV4,
     pub(super) target: Place,
     /// The call under way.
-    task: Option<JoinHandle<Moved>>,
+    task: Option<JoinHandle<CopyOutcome>>,
     /// The copy's name at the source, once it is complete.
     handle: Option<String>,
     _in_use: CopyInUse<W>,
@@ -60,7 +60,7 @@
         let (attempt, target) = (attempt.to_owned(), self.target.address);
         self.task = Some(tokio::spawn(async move {
             engines
-                .move_run(source, &attempt, target, false, AHEAD_LIMIT)
+                .copy_generation(source, &attempt, target, false, AHEAD_LIMIT)
                 .await
         }));
     }
@@ -88,11 +88,11 @@
         let (engines, source) = (self.engines.clone(), self.source);
         tokio::spawn(async move {
             let moved = match task {
-                Some(task) => task.await.unwrap_or(Moved::NoAnswer),
-                None => Moved::NoAnswer,
+                Some(task) => task.await.unwrap_or(CopyOutcome::NoAnswer),
+                None => CopyOutcome::NoAnswer,
             };
             let name = match moved {
-                Moved::Done { handle } => Some(handle),
+                CopyOutcome::Complete { handle } => Some(handle),
                 _ => handle,
             };
             if let Some(name) = name {
@@ -103,14 +103,16 @@
 }
 
 /// Waits for the end of a copy that is under way; for good if there is none.
-pub(super) async fn ended<W: Wire, E: EngineCalls>(ahead: &mut Option<CopyAhead<W, E>>) -> Moved {
+pub(super) async fn ended<W: Wire, E: EngineCalls>(
+    ahead: &mut Option<CopyAhead<W, E>>,
+) -> CopyOutcome {
     let Some(CopyAhead {
         task: Some(task), ..
     }) = ahead
     else {
         return core::future::pending().await;
     };
-    let moved = task.await.unwrap_or(Moved::NoAnswer);
+    let moved = task.await.unwrap_or(CopyOutcome::NoAnswer);
     if let Some(ahead) = ahead {
         ahead.task = None;
     }
--- a/crates/gateway/src/relay/go_on.rs
+++ b/crates/gateway/src/relay/resume.rs
@@ -1,14 +1,14 @@
 //! How a generation goes on at another engine.
 
 use super::Relay;
-use super::ahead::{CopyAhead, StandingCopy};
+use super::pre_copy::{CopyAhead, StandingCopy};
 use super::upstream::Begun;
-use crate::answer::Reason;
 use crate::job::{CopyInUse, InUse};
 use crate::link::LinkError;
+use crate::log_event;
 use crate::meters::ByReason;
-use crate::note;
-use crate::ports::{EngineCalls, KeptCopy, Moved, Wire};
+use crate::ports::{CopyLocation, CopyOutcome, EngineCalls, Wire};
+use crate::response::Reason;
 use core::time::Duration;
 use oriolemux_core::gateway::budget::RepeatKind;
 use oriolemux_core::gateway::choose::CopyKind;
@@ -66,17 +66,17 @@
         }
     }
 
-    pub(super) fn on_copied_ahead(&mut self, moved: Moved) {
-        note!(
+    pub(super) fn on_copied_ahead(&mut self, moved: CopyOutcome) {
+        log_event!(
             CopiedAhead,
             attempt = self.job.name(),
             from = self.source.name.as_str(),
-            how = moved.word(),
+            how = moved.label(),
             event_id = self.state.last_event()
         );
         let now = self.job.cx.now();
         let complete = match (&mut self.ahead, moved) {
-            (Some(ahead), Moved::Done { handle }) => {
+            (Some(ahead), CopyOutcome::Complete { handle }) => {
                 ahead.complete(handle);
                 true
             }
@@ -111,7 +111,7 @@
     async fn go_on_from_ahead(&mut self) -> Option<Begun> {
         let (target, handle) = self.ahead.take()?.take()?;
         ByReason::Relocations.add("ahead");
-        note!(
+        log_event!(
             GoesOnFromAhead,
             attempt = self.job.name(),
             from = self.source.name.as_str(),
@@ -129,7 +129,12 @@
                 break;
             }
             let handle = &handle;
-            begun = self.ask_to_go_on(Some(KeptCopy { keeper, handle })).await;
+            begun = self
+                .ask_to_go_on(Some(CopyLocation {
+                    engine: keeper,
+                    handle,
+                }))
+                .await;
         }
         Some(begun)
     }
@@ -140,7 +145,7 @@
         let attempt = self.job.name().to_owned();
         let address = copy.place.address;
         ByReason::Relocations.add("standing");
-        note!(
+        log_event!(
             GoesOnFromCopy,
             attempt = attempt.as_str(),
             from = self.source.name.as_str(),
@@ -162,7 +167,11 @@
         self.in_use = InUse::go_on(&self.job.cx, target.key, self.tokens);
         self.source = target;
         self.choose_standing().await;
-        self.ask_to_go_on(Some(KeptCopy { keeper, handle })).await
+        self.ask_to_go_on(Some(CopyLocation {
+            engine: keeper,
+            handle,
+        }))
+        .await
     }
 
     /// Goes on at an engine that reads prompt and events anew, if the generation is
@@ -178,7 +187,7 @@
     /// Goes on at `place`, which reads prompt and events anew.
     pub(super) async fn go_on_anew_at(&mut self, place: Place, in_use: InUse<W>) -> Begun {
         ByReason::Relocations.add("anew");
-        note!(
+        log_event!(
             GoesOnAnew,
             attempt = self.job.name(),
             from = self.source.name.as_str(),
@@ -193,7 +202,7 @@
     }
 
     /// Asks the present engine to go on, from a copy or anew.
-    async fn ask_to_go_on(&mut self, copy: Option<KeptCopy<'_>>) -> Begun {
+    async fn ask_to_go_on(&mut self, copy: Option<CopyLocation<'_>>) -> Begun {
         if !self.job.is_admitted() {
             return Begun::Failed(Reason::EndsEndpoints);
         }
@@ -241,7 +250,7 @@
 
     fn cannot_go_on(&self, why: &str) {
         ByReason::Relocations.add("failed");
-        note!(
+        log_event!(
             CannotGoOn,
             attempt = self.job.name(),
             endpoint = self.source.name.as_str(),
@@ -273,7 +282,7 @@
                 CopyKind::Standing => "standing",
                 CopyKind::Ahead => "ahead",
             };
-            note!(
+            log_event!(
                 NoRoomForCopy,
                 attempt = self.job.name(),
                 source = self.source.name.as_str(),
--- a/crates/gateway/src/relay/upstream.rs
+++ b/crates/gateway/src/relay/upstream.rs
@@ -1,9 +1,9 @@
 //! The open end of an engine's answer, and how it begins and pauses.
 
-use crate::answer::Reason;
 use crate::job::InUse;
 use crate::link::Link;
-use crate::ports::{WholeAnswer, Wire};
+use crate::ports::{BufferedResponse, Wire};
+use crate::response::Reason;
 use http::{HeaderMap, StatusCode};
 use hyper::body::Incoming;
 use oriolemux_core::gateway::state::Place;
@@ -44,7 +44,7 @@
         headers: HeaderMap,
     },
     /// A final answer without events.
-    Ended(WholeAnswer),
+    Ended(BufferedResponse),
     /// The engine did not run it.
     NotRun {
         /// Whether it reached the engine.
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/response.rs
@@ -10,12 +10,12 @@
 
 /// The body of an answer, whole or streamed. It fails when a stream is broken
 /// off, so that the connection ends without the mark of a complete answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, StreamAborted>;
 
 /// A stream ended before its end.
 #[derive(Clone, Copy, Debug, displaydoc::Display, thiserror::Error)]
 /// the generation broke off
-pub struct BrokenOff;
+pub struct StreamAborted;
 
 /// The part of the caller's remaining time after which it may be asked to come
 /// back. Callers honour up to a third; a quarter leaves room for what passes on
@@ -131,7 +131,7 @@
 }
 
 /// Returns the answer for `reason` to a caller that waits for `left` more.
-pub fn refuse(reason: Reason, left: Duration) -> Response<AnswerBody> {
+pub fn refuse(reason: Reason, left: Duration) -> Response<ResponseBody> {
     let status = reason.status();
     let mut answer = Response::builder().status(status);
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -141,12 +141,12 @@
     let body = format!("{{\"error\":\"{reason}\"}}\n");
     answer
         .header(header::CONTENT_TYPE, "application/json")
-        .body(whole(body.into()))
-        .unwrap_or_else(|_| Response::new(whole(Bytes::new())))
+        .body(full_body(body.into()))
+        .unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
 /// Returns a body that is complete.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+pub fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,10 +1,10 @@
 //! Starts all parts of the gateway and ends them in order.
 
 use crate::cx::{Clock, Cx, GatewayLimits, Open, StopPlan};
-use crate::note;
+use crate::log_event;
 use crate::page::OperatorsPage;
 use crate::ports::{EngineCalls, Store, Wire};
-use crate::{catch_up, front, news, page, store};
+use crate::{catch_up, front, gossip, page, store};
 use core::time::Duration;
 use oriolemux_core::gateway::budget::BudgetConfig;
 use oriolemux_core::gateway::{Gateway, GatewayConfig};
@@ -40,10 +40,13 @@
 }
 
 /// Puts settings in force that were read anew, for good.
-async fn follow_reloads<W: Wire>(cx: Arc<Cx<W>>, mut reloads: watch::Receiver<Option<Reloaded>>) {
+async fn follow_reloads<W: Wire>(
+    cx: Arc<Cx<W>>,
+    mut reloads: watch::Receiver<Option<ReloadedSettings>>,
+) {
     while reloads.changed().await.is_ok() {
         let reloaded = reloads.borrow_and_update().clone();
-        if let Some(Reloaded { seeds, budget }) = reloaded {
+        if let Some(ReloadedSettings { seeds, budget }) = reloaded {
             let now = cx.now();
             cx.state().reload(now, seeds, budget);
         }
@@ -67,7 +70,7 @@
     /// For peers, over UDP and TCP.
     pub peers: SocketAddrV4,
     /// The page of metrics and for operators, if there is one.
-    pub metrics: Option<Page>,
+    pub metrics: Option<MetricsPage>,
     /// Bounds of the sockets.
     pub limits: GatewayLimits,
     /// How long callers are still taken after readiness was withdrawn.
@@ -80,7 +83,7 @@
 
 /// A page that is rendered when it is asked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Page {
+pub struct MetricsPage {
     /// Where it is served.
     pub listen: SocketAddr,
     /// Returns its text.
@@ -89,7 +92,7 @@
 
 /// Settings that may change while an instance runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reloaded {
+pub struct ReloadedSettings {
     /// Addresses at which peers may answer.
     pub seeds: Vec<SocketAddrV4>,
     /// The fleet's bound of repeats.
@@ -109,12 +112,12 @@
         source: std::io::Error,
     },
     /// a part ended that runs for good
-    PartEnded,
+    TaskEnded,
 }
 
 /// The listeners of an instance, bound before anything starts, so that an address
 /// that is in use ends the process at once. A port of 0 takes any free one.
-pub struct Bound {
+pub struct BoundListeners {
     front: TcpListener,
     readiness: TcpListener,
     peers: TcpListener,
@@ -136,7 +139,7 @@
     pub metrics: Option<SocketAddr>,
 }
 
-impl Bound {
+impl BoundListeners {
     /// Binds all listeners.
     ///
     /// # Errors
@@ -156,7 +159,7 @@
             peers: local_v4(&peers).unwrap_or(settings.peers),
             metrics: metrics.as_ref().and_then(|it| it.local_addr().ok()),
         };
-        Ok(Bound {
+        Ok(BoundListeners {
             front,
             readiness,
             peers,
@@ -179,7 +182,7 @@
         ];
         let metrics = self.addresses.metrics.map(|address| ("metrics", address));
         for (listener, address) in listeners.into_iter().chain(metrics) {
-            note!(Listening, listener = listener, address:% = address);
+            log_event!(Listening, listener = listener, address:% = address);
         }
     }
 
@@ -194,7 +197,7 @@
         wire: W,
         store_client: S,
         engines: E,
-        reloads: watch::Receiver<Option<Reloaded>>,
+        reloads: watch::Receiver<Option<ReloadedSettings>>,
         stop: CancellationToken,
     ) -> Result<(), RunError> {
         self.announce();
@@ -207,8 +210,8 @@
         let socket = Arc::new(self.socket);
         let mut parts = JoinSet::new();
         parts.spawn(store::keep_up(Arc::clone(&cx), store_client));
-        parts.spawn(news::tell(Arc::clone(&cx), Arc::clone(&socket)));
-        parts.spawn(news::hear(Arc::clone(&cx), socket));
+        parts.spawn(gossip::tell(Arc::clone(&cx), Arc::clone(&socket)));
+        parts.spawn(gossip::hear(Arc::clone(&cx), socket));
         parts.spawn(catch_up::answer(Arc::clone(&cx), self.peers));
         parts.spawn(catch_up::catch_up(Arc::clone(&cx)));
         let asked = Arc::clone(&cx);
@@ -229,7 +232,7 @@
         let door = parts.spawn(front);
         tokio::select! {
             () = stop.cancelled() => {}
-            _ = parts.join_next() => return Err(RunError::PartEnded),
+            _ = parts.join_next() => return Err(RunError::TaskEnded),
         }
         end_in_order(&cx, &settings, &callers, &door).await;
         Ok(())
@@ -262,7 +265,7 @@
     let left = settings.grace.saturating_sub(begun.elapsed());
     if tokio::time::timeout(left, callers.wait()).await.is_err() {
         let requests = cx.open(Open::Request) + cx.open(Open::Generation);
-        note!(StoppedWithRequests, requests = requests);
+        log_event!(StoppedWithRequests, requests = requests);
     }
 }
 
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/run_lease.rs
@@ -5,11 +5,11 @@
 //!
 //! [`core::gateway::suspects`]: oriolemux_core::gateway::suspects
 
-use crate::answer::Reason;
 use crate::cx::Cx;
 use crate::job::Job;
-use crate::note;
+use crate::log_event;
 use crate::ports::Wire;
+use crate::response::Reason;
 use core::time::Duration;
 use oriolemux_core::fingerprint::Fingerprint;
 use oriolemux_core::suspects::{Admission, Turn};
@@ -129,7 +129,7 @@
     /// Notes that the request is refused; returns the reason.
     pub fn note_refused(&self) -> Reason {
         let ended = self.cx.state().ended_by(self.fingerprint);
-        note!(SuspectRefused, attempt = self.name(), request:% = self.fingerprint,
+        log_event!(SuspectRefused, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), ended = ended);
         Reason::EndsEndpoints
     }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -41,7 +41,7 @@
 /// Whether an endpoint takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Takes {
+pub enum Availability {
     /// It does.
     Work,
     /// It failed several times in a row and is passed over for a while.
@@ -166,7 +166,7 @@
     /// Its data centre.
     pub data_centre: String,
     /// Whether it takes new work.
-    pub takes: Takes,
+    pub takes: Availability,
     /// Whether the last that was seen of it here was a failure.
     pub failing: bool,
     /// Requests that run there.
@@ -301,11 +301,11 @@
     let used = state.used(endpoint.key);
     let record = &endpoint.record;
     let takes = match endpoint.state {
-        EndpointState::Leaving { .. } | EndpointState::Unnamed => Takes::Nothing,
-        _ if state.endpoints.is_cordoned(endpoint.key) => Takes::Cordoned,
-        EndpointState::Lapsed { .. } => Takes::Lapsed,
-        EndpointState::Serving if endpoint.is_ejected(now) => Takes::PassedOver,
-        EndpointState::Serving => Takes::Work,
+        EndpointState::Leaving { .. } | EndpointState::Unnamed => Availability::Nothing,
+        _ if state.endpoints.is_cordoned(endpoint.key) => Availability::Cordoned,
+        EndpointState::Lapsed { .. } => Availability::Lapsed,
+        EndpointState::Serving if endpoint.is_ejected(now) => Availability::PassedOver,
+        EndpointState::Serving => Availability::Work,
     };
     EndpointStatus {
         name: record.name.clone(),
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -7,7 +7,7 @@
 //! [`StoreReader`]: oriolemux_core::gateway::reader::StoreReader
 
 use crate::cx::Cx;
-use crate::note;
+use crate::log_event;
 use crate::ports::{Published, Store, Wire};
 use core::time::Duration;
 use oriolemux_core::gateway::reader::{ANSWER_SLACK, CallFailure, Step, StoreReader, WATCH_WAIT};
@@ -143,14 +143,14 @@
     match result {
         Ok(()) => {
             if answered(&mut state.reader, now) {
-                note!(StoreRegained, revision = state.replica.revision());
+                log_event!(StoreRegained, revision = state.replica.revision());
             }
         }
         Err(failure) => {
             let draw = state.draw();
             if state.reader.on_failure(now, failure, draw) {
                 let failure = format!("{failure:?}");
-                note!(
+                log_event!(
                     StoreLost,
                     failure = failure.as_str(),
                     revision = state.replica.revision()
@@ -175,7 +175,7 @@
 
 impl Source {
     /// Returns a word for it, which lines carry.
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Source::Store => "store",
             Source::Peer => "peer",
@@ -230,7 +230,7 @@
 }
 
 fn note_unreadable(record: &Record, why: &str) {
-    note!(
+    log_event!(
         RecordUnreadable,
         key = record.key.as_str(),
         revision = record.revision,
@@ -242,12 +242,12 @@
     let version = source.version;
     let published = cx.state().publish_catalogue(source);
     match published {
-        Ok(true) => note!(CatalogueInForce, version = version, from = from.word()),
-        Ok(false) => note!(CatalogueOlder, version = version),
+        Ok(true) => log_event!(CatalogueInForce, version = version, from = from.label()),
+        Ok(false) => log_event!(CatalogueOlder, version = version),
         Err(findings) => {
             for finding in findings {
                 let finding = finding.to_string();
-                note!(
+                log_event!(
                     CatalogueRejected,
                     version = version,
                     finding = finding.as_str()
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -4,13 +4,13 @@
 //! what waits here can still go to any engine. It is sent with a standing copy
 //! where that pays, and its [`relay`](crate::relay) then has it to its end.
 
-use crate::answer::{AnswerBody, BrokenOff, Reason};
-use crate::ask::PlaceRequest;
 use crate::attempts::Attempts;
 use crate::job::{InUse, Job};
-use crate::note;
+use crate::log_event;
+use crate::placement::PlaceRequest;
 use crate::ports::{EngineCalls, Wire};
 use crate::relay::{Relay, Started};
+use crate::response::{Reason, ResponseBody, StreamAborted};
 use bytes::Bytes;
 use core::pin::Pin;
 use core::task::{Context, Poll};
@@ -37,10 +37,10 @@
 const TOKEN_TIME: Duration = Duration::from_millis(10);
 
 /// What goes to the caller's connection.
-pub type Piece = Result<Bytes, BrokenOff>;
+pub type Piece = Result<Bytes, StreamAborted>;
 
 /// Serves a generation.
-pub async fn serve<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<AnswerBody> {
+pub async fn serve<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<ResponseBody> {
     let mut attempts = Attempts::default();
     let length = job.length();
     let expected = TOKEN_TIME * length.rest(0);
@@ -86,7 +86,7 @@
                     return answer;
                 }
             }
-            Start::Lost => return Response::new(crate::answer::whole(Bytes::new())),
+            Start::Lost => return Response::new(crate::response::full_body(Bytes::new())),
         }
     }
 }
@@ -101,7 +101,7 @@
 /// How a generation began.
 enum Start<W: Wire> {
     /// There is an answer: events that come, or a final one without events.
-    Ended(Response<AnswerBody>),
+    Ended(Response<ResponseBody>),
     /// The engine did not run it.
     NotRun {
         job: Box<Job<W>>,
@@ -112,7 +112,7 @@
     Failed {
         job: Box<Job<W>>,
         attempts: Attempts,
-        answer: Response<AnswerBody>,
+        answer: Response<ResponseBody>,
     },
     /// The relay ended without a word, which only a fault of it can cause.
     Lost,
@@ -157,7 +157,7 @@
     status: StatusCode,
     mut headers: HeaderMap,
     pieces: mpsc::Receiver<Piece>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     // The length of what an engine sent says nothing when another goes on.
     headers.remove(header::CONTENT_LENGTH);
     let mut response = Response::new(PieceBody { pieces }.boxed_unsync());
@@ -182,14 +182,14 @@
 }
 
 /// Answers a generation that has no place.
-fn give_up<W: Wire>(job: &Job<W>, attempts: &Attempts, reason: Reason) -> Response<AnswerBody> {
+fn give_up<W: Wire>(job: &Job<W>, attempts: &Attempts, reason: Reason) -> Response<ResponseBody> {
     // Where it may have run, "not run" would be untrue.
     let reason = match reason {
         Reason::EndsEndpoints => reason,
         _ if attempts.may_have_run() => Reason::AnswerLost,
         _ => reason,
     };
-    note!(GenerationRefused, attempt = job.name(), entry = job.entry().name.as_str(),
+    log_event!(GenerationRefused, attempt = job.name(), entry = job.entry().name.as_str(),
         reason:% = reason, ms = job.arrived.elapsed().as_millis() as u64);
     job.refuse(reason)
 }
@@ -202,12 +202,12 @@
 
 impl http_body::Body for PieceBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamAborted>>> {
         let piece = core::task::ready!(self.pieces.poll_recv(cx));
         Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
     }
--- a/crates/gateway/tests/catch_up_format.rs
+++ b/crates/gateway/tests/catch_up_format.rs
@@ -2,7 +2,7 @@
 
 use oriolemux_core::gateway::Record;
 use oriolemux_core::gateway::replica::News;
-use oriolemux_gateway::catch_up::format::{FormatError, MAX_NEWS, decode, encode};
+use oriolemux_gateway::catch_up::format::{FormatError, MAX_DELTA_BYTES, decode, encode};
 use proptest::prelude::*;
 
 fn news(records: Vec<Record>) -> News {
@@ -44,7 +44,7 @@
 
     let read = decode(&bytes);
 
-    assert!(matches!(read, Err(FormatError::TooLarge(it)) if it > MAX_NEWS));
+    assert!(matches!(read, Err(FormatError::TooLarge(it)) if it > MAX_DELTA_BYTES));
 }
 
 proptest! {
--- a/crates/gateway/tests/refusals.rs
+++ b/crates/gateway/tests/refusals.rs
@@ -1,7 +1,7 @@
 //! When callers that were refused are asked to come back, and what they get then.
 
 use core::time::Duration;
-use oriolemux_gateway::answer::{Reason, retry_after};
+use oriolemux_gateway::response::{Reason, retry_after};
 use rstest::rstest;
 
 const PLAN: Duration = Duration::from_secs(39);
--- a/crates/gateway/tests/senders.rs
+++ b/crates/gateway/tests/senders.rs
@@ -42,6 +42,6 @@
 /// Guards against copies to an engine that may not be used.
 #[test]
 fn copies_are_begun_in_one_place() {
-    assert_eq!(files_with(".move_run("), ["relay/ahead.rs"]);
+    assert_eq!(files_with(".copy_generation("), ["relay/pre_copy.rs"]);
     assert_eq!(files_with("copy_to: self"), ["relay/begin.rs"]);
 }
--- a/crates/oriolemux/src/cli/gateway.rs
+++ b/crates/oriolemux/src/cli/gateway.rs
@@ -12,7 +12,9 @@
 use oriolemux_core::gateway::GatewayConfig;
 use oriolemux_core::gateway::budget::BudgetConfig;
 use oriolemux_core::ids::stable_hash;
-use oriolemux_gateway::{Bound, GatewayLimits, Page, Reloaded, RunConfig, RunError};
+use oriolemux_gateway::{
+    BoundListeners, GatewayLimits, MetricsPage, ReloadedSettings, RunConfig, RunError,
+};
 use oriolemux_platform::{EngineClient, PlatformWire, StoreClient};
 use rand::Rng;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -57,7 +59,7 @@
 impl StartError {
     const fn exit_status(&self) -> ExitStatus {
         match self {
-            StartError::Run(RunError::PartEnded) => ExitStatus::PartFailed,
+            StartError::Run(RunError::TaskEnded) => ExitStatus::PartFailed,
             StartError::StoppedNow => ExitStatus::StoppedNow,
             _ => ExitStatus::CannotStart,
         }
@@ -103,7 +105,9 @@
     }
     let store = StoreClient::new(settings.store.address);
     let config = run_config(settings, incarnation);
-    let bound = Bound::bind(&config).await.map_err(StartError::Run)?;
+    let bound = BoundListeners::bind(&config)
+        .await
+        .map_err(StartError::Run)?;
     let run = bound.run(
         config,
         PlatformWire,
@@ -131,7 +135,7 @@
 async fn follow_settings(
     mut hangup: tokio::signal::unix::Signal,
     file: String,
-    reloaded: watch::Sender<Option<Reloaded>>,
+    reloaded: watch::Sender<Option<ReloadedSettings>>,
 ) {
     let mut known = std::fs::read(&file).ok();
     loop {
@@ -150,7 +154,7 @@
         match GatewaySettings::load(&file) {
             Ok(settings) => {
                 events::emit_shell(&ShellNote::SettingsRead { file: &file });
-                reloaded.send_replace(Some(Reloaded {
+                reloaded.send_replace(Some(ReloadedSettings {
                     seeds: seeds(&settings),
                     budget: budget(&settings.repeats),
                 }));
@@ -172,7 +176,7 @@
         front: settings.callers.listen,
         readiness: settings.readiness.listen,
         peers: settings.peers.listen,
-        metrics: settings.metrics.enabled.then_some(Page {
+        metrics: settings.metrics.enabled.then_some(MetricsPage {
             listen: settings.metrics.listen,
             render: metrics::render,
         }),
--- a/crates/oriolemux/src/cli/operate/gateway_text.rs
+++ b/crates/oriolemux/src/cli/operate/gateway_text.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::print_line;
 use oriolemux_gateway::GatewayStatus;
-use oriolemux_gateway::status::{EndpointStatus, HomeStatus, Takes};
+use oriolemux_gateway::status::{Availability, EndpointStatus, HomeStatus};
 use std::net::SocketAddrV4;
 
 pub(super) fn print_status(status: &GatewayStatus) {
@@ -85,11 +85,11 @@
 
 fn print_endpoint(endpoint: &EndpointStatus) {
     let takes = match endpoint.takes {
-        Takes::Work => "takes work",
-        Takes::PassedOver => "passed over",
-        Takes::Cordoned => "data centre cordoned",
-        Takes::Lapsed => "entry lapsed",
-        Takes::Nothing => "leaves",
+        Availability::Work => "takes work",
+        Availability::PassedOver => "passed over",
+        Availability::Cordoned => "data centre cordoned",
+        Availability::Lapsed => "entry lapsed",
+        Availability::Nothing => "leaves",
     };
     let failing = if endpoint.failing { ", failing" } else { "" };
     print_line(format_args!(
--- a/crates/oriolemux/src/endpoints/http.rs
+++ b/crates/oriolemux/src/endpoints/http.rs
@@ -14,7 +14,7 @@
 use oriolemux_core::event::{Dispatch, EndpointTarget, LoadReport, OrderKind, OrderResult};
 use oriolemux_core::outcome::Refusal;
 use oriolemux_core::{AttemptId, Reason, Time};
-use oriolemux_gateway::broken::{Found, look};
+use oriolemux_gateway::probe::{ProbeResult, probe};
 use reqwest::{Client, RequestBuilder, Response};
 use serde::de::DeserializeOwned;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -276,7 +276,7 @@
     }
 
     async fn has_ended(&self, endpoint: &EndpointTarget) -> bool {
-        look(endpoint.address).await == Found::Nobody
+        probe(endpoint.address).await == ProbeResult::Refused
     }
 
     fn distrust_idle_connections(&self) {
--- a/crates/oriolemux/src/events/docs.rs
+++ b/crates/oriolemux/src/events/docs.rs
@@ -3,8 +3,8 @@
 use super::LogEvent;
 use crate::metrics::{Counter, Gauge, Histogram, ReasonCounter};
 use oriolemux_core::reason::Reason;
+use oriolemux_gateway::event_log::GatewayEvent;
 use oriolemux_gateway::meters::{self, ByReason};
-use oriolemux_gateway::notes::GatewayEvent;
 
 const HEAD: &str = "# Events, reasons and metrics
 
@@ -27,7 +27,7 @@
 const GATEWAY: &str = "
 ## Events of instances for HTTP entries
 
-They come from `crates/gateway/src/notes.rs`. Of each event so many lines a second
+They come from `crates/gateway/src/event_log.rs`. Of each event so many lines a second
 are logged; `left_out` on a line of its own says how many were not. The field
 `attempt` is the caller's own name of its attempt, so that a failed request is
 found by what its caller holds.
--- a/crates/oriolemux/src/story.rs
+++ b/crates/oriolemux/src/story.rs
@@ -13,7 +13,7 @@
 
 use core::fmt;
 use core::time::Duration;
-use oriolemux_gateway::notes::GatewayEvent;
+use oriolemux_gateway::event_log::GatewayEvent;
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::time::SystemTime;
--- a/crates/oriolemux/src/story/cause.rs
+++ b/crates/oriolemux/src/story/cause.rs
@@ -1,7 +1,7 @@
 //! What became of a request, and why, as far as its lines tell.
 
 use super::line::LogLine;
-use oriolemux_gateway::notes::GatewayEvent;
+use oriolemux_gateway::event_log::GatewayEvent;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/oriolemux/tests/events_docs.rs
+++ b/crates/oriolemux/tests/events_docs.rs
@@ -1,7 +1,7 @@
 //! `docs/EVENTS.md` says what the code does.
 
 use oriolemux::events::{LogEvent, render_docs};
-use oriolemux_gateway::notes::GatewayEvent;
+use oriolemux_gateway::event_log::GatewayEvent;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
