--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -17,18 +17,18 @@
     /// These do not count as refusals. What goes wrong otherwise: while the store is silent,
     /// engines that went keep their entries; a generation that finds several of them in a row
     /// is given up though other engines have room.
-    pub fn note_unreached(&mut self, endpoint: EndpointKey) {
+    pub fn record_unreached(&mut self, endpoint: EndpointKey) {
         self.tried.push(endpoint);
     }
 
     /// Notes an endpoint that did not run the request.
-    pub fn note_refused(&mut self, endpoint: EndpointKey) {
+    pub fn record_refused(&mut self, endpoint: EndpointKey) {
         self.tried.push(endpoint);
         self.refused += 1;
     }
 
     /// Notes an endpoint at which the request may have run.
-    pub fn note_run(&mut self, endpoint: EndpointKey) {
+    pub fn record_run(&mut self, endpoint: EndpointKey) {
         self.tried.push(endpoint);
         self.runs += 1;
     }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -20,21 +20,21 @@
 use std::time::Instant;
 
 /// The largest answer of a plain service that is held.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// How many times the target the first attempt of an idempotent call may take. An
 /// endpoint that hangs is given up then, while there is time for another one.
-const FIRST_ATTEMPT_TARGETS: f64 = 3.0;
+const FIRST_ATTEMPT_TARGET_FACTOR: f64 = 3.0;
 
 /// A repeat with less time left than this would only be work in vain.
-const MIN_LEFT: Duration = Duration::from_millis(30);
+const MIN_RETRY_TIME: Duration = Duration::from_millis(30);
 
 /// Sends beyond the entry's attempts that may follow a definite refusal, which ran
 /// nothing.
 const MAX_REFUSED_SENDS: usize = 2;
 
 /// What became of one attempt.
-enum Attempt {
+enum AttemptOutcome {
     /// The endpoint answered.
     Answer(BufferedResponse),
     /// The endpoint did not run the call.
@@ -49,7 +49,7 @@
         begun: Option<Instant>,
     },
     /// The answer was another request's; the call may have run.
-    Foreign,
+    WrongAttempt,
     /// The time was over.
     Timeout,
     /// The call was refused while it was there, because it ended too many endpoints.
@@ -58,22 +58,22 @@
 
 /// Serves a call.
 pub async fn serve<W: Wire>(job: &Job<W>) -> Response<ResponseBody> {
-    let mut calls = Calls {
+    let mut calls = CallAttempts {
         job,
         attempts: Attempts::default(),
     };
     loop {
-        if let Err(reason) = job.admitted().await {
-            return calls.not_admitted(reason);
+        if let Err(reason) = job.wait_until_admitted().await {
+            return calls.refuse_unadmitted(reason);
         }
         let (place, in_use) = match job.place(calls.attempts.tried()) {
             Ok(chosen) => chosen,
-            Err(why) => return calls.no_place(why),
+            Err(why) => return calls.refuse_unplaced(why),
         };
         let attempt = calls.attempt(&place).await;
         drop(in_use);
-        calls.note(&place, &attempt).await;
-        let repeat = calls.may_repeat(&attempt);
+        calls.record(&place, &attempt).await;
+        let repeat = calls.may_retry(&attempt);
         log_event!(
             CallAttempt,
             attempt = job.name(),
@@ -94,71 +94,71 @@
     }
 }
 
-impl Attempt {
+impl AttemptOutcome {
     /// Returns the status of the endpoint's answer; 0 if there was none.
     fn status(&self) -> u16 {
         match self {
-            Attempt::Answer(answer) => answer.status.as_u16(),
+            AttemptOutcome::Answer(answer) => answer.status.as_u16(),
             _ => 0,
         }
     }
 
     fn label(&self) -> &'static str {
         match self {
-            Attempt::Answer(answer) if answer.status.is_server_error() => "failed",
-            Attempt::Answer(_) => "answered",
-            Attempt::NotRun => "not_run",
-            Attempt::NoConnection => "no_connection",
-            Attempt::Withdrawn => "withdrawn",
-            Attempt::Lost { .. } => "lost",
-            Attempt::Foreign => "foreign",
-            Attempt::Timeout => "timeout",
-            Attempt::Refused => "refused",
+            AttemptOutcome::Answer(answer) if answer.status.is_server_error() => "failed",
+            AttemptOutcome::Answer(_) => "answered",
+            AttemptOutcome::NotRun => "not_run",
+            AttemptOutcome::NoConnection => "no_connection",
+            AttemptOutcome::Withdrawn => "withdrawn",
+            AttemptOutcome::Lost { .. } => "lost",
+            AttemptOutcome::WrongAttempt => "foreign",
+            AttemptOutcome::Timeout => "timeout",
+            AttemptOutcome::Refused => "refused",
         }
     }
 }
 
 /// The attempts of one call.
-struct Calls<'a, W: Wire> {
+struct CallAttempts<'a, W: Wire> {
     job: &'a Job<W>,
     attempts: Attempts,
 }
 
-impl<W: Wire> Calls<'_, W> {
-    async fn attempt(&self, place: &Place) -> Attempt {
-        let limit = self.limit();
+impl<W: Wire> CallAttempts<'_, W> {
+    async fn attempt(&self, place: &Place) -> AttemptOutcome {
+        let limit = self.attempt_timeout();
         tokio::select! {
             attempt = self.exchange(place) => attempt,
-            () = tokio::time::sleep(limit) => Attempt::Timeout,
-            () = self.job.refused() => Attempt::Refused,
+            () = tokio::time::sleep(limit) => AttemptOutcome::Timeout,
+            () = self.job.wait_until_refused() => AttemptOutcome::Refused,
         }
     }
 
     /// Returns how long this attempt may take.
-    fn limit(&self) -> Duration {
-        let left = self.job.left();
+    fn attempt_timeout(&self) -> Duration {
+        let left = self.job.remaining();
         let entry = self.job.entry();
         if self.attempts.next_is_last(entry) {
             return left;
         }
-        entry.target.mul_f64(FIRST_ATTEMPT_TARGETS).min(left)
+        entry.target.mul_f64(FIRST_ATTEMPT_TARGET_FACTOR).min(left)
     }
 
-    async fn exchange(&self, place: &Place) -> Attempt {
+    async fn exchange(&self, place: &Place) -> AttemptOutcome {
         let job = self.job;
         let send = ForwardHead {
-            timeout: job.left(),
+            timeout: job.remaining(),
             endpoint: &place.name,
             workspace: job.workspace_name(),
             ..ForwardHead::default()
         };
         let (link, answer) = match job.send(place, &send).await {
             Ok(sent) => sent,
-            Err(LinkError::Withdrawn) => return Attempt::Withdrawn,
-            Err(error) if error.never_sent() => return Attempt::NoConnection,
+            Err(LinkError::Withdrawn) => return AttemptOutcome::Withdrawn,
+            Err(error) if error.never_sent() => return AttemptOutcome::NoConnection,
             Err(error) => {
                 log::debug!("a call was lost: {error}");
-                return Attempt::Lost { begun: None };
+                return AttemptOutcome::Lost { begun: None };
             }
         };
         let begun = Some(Instant::now());
@@ -169,118 +169,121 @@
             .wire
             .response_head(parts.status, &parts.headers, attempt);
         if head.wrong_attempt {
-            return Attempt::Foreign;
+            return AttemptOutcome::WrongAttempt;
         }
-        job.note_head(place, &head, link.sent);
+        job.observe_response_head(place, &head, link.sent);
         if head.not_run {
-            return Attempt::NotRun;
+            return AttemptOutcome::NotRun;
         }
-        match Limited::new(body, MAX_ANSWER).collect().await {
-            Ok(body) => Attempt::Answer(BufferedResponse {
+        match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
+            Ok(body) => AttemptOutcome::Answer(BufferedResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body: body.to_bytes(),
             }),
             Err(error) => {
                 log::debug!("an answer of {} broke: {error}", place.name);
-                Attempt::Lost { begun }
+                AttemptOutcome::Lost { begun }
             }
         }
     }
 
-    async fn note(&mut self, place: &Place, attempt: &Attempt) {
+    async fn record(&mut self, place: &Place, attempt: &AttemptOutcome) {
         match attempt {
-            Attempt::Answer(answer) => {
+            AttemptOutcome::Answer(answer) => {
                 self.job.cx.state().endpoints.on_success(place.key);
                 if answer.status.is_success() {
-                    self.job.ran_well();
+                    self.job.on_run_succeeded();
                 }
             }
-            Attempt::NotRun | Attempt::Refused | Attempt::Withdrawn => {}
-            Attempt::NoConnection => self.job.note_unreachable(place),
-            Attempt::Lost { begun } => {
-                self.job.note_failure(place);
-                self.job.note_broken(place, *begun).await;
+            AttemptOutcome::NotRun | AttemptOutcome::Refused | AttemptOutcome::Withdrawn => {}
+            AttemptOutcome::NoConnection => self.job.record_unreachable(place),
+            AttemptOutcome::Lost { begun } => {
+                self.job.record_failure(place);
+                self.job.on_connection_broken(place, *begun).await;
+            }
+            AttemptOutcome::WrongAttempt | AttemptOutcome::Timeout => {
+                self.job.record_failure(place)
             }
-            Attempt::Foreign | Attempt::Timeout => self.job.note_failure(place),
         }
         match attempt {
-            Attempt::NotRun | Attempt::NoConnection | Attempt::Withdrawn => {
-                self.attempts.note_refused(place.key);
+            AttemptOutcome::NotRun | AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn => {
+                self.attempts.record_refused(place.key);
             }
-            _ => self.attempts.note_run(place.key),
+            _ => self.attempts.record_run(place.key),
         }
     }
 
     /// Returns whether the call is sent once more, and spends a repeat if so.
-    fn may_repeat(&self, attempt: &Attempt) -> bool {
+    fn may_retry(&self, attempt: &AttemptOutcome) -> bool {
         let job = self.job;
-        if job.left() < MIN_LEFT || job.is_refused() {
+        if job.remaining() < MIN_RETRY_TIME || job.is_refused() {
             return false;
         }
         let allowed = match attempt {
             // Nothing arrived anywhere, so that nothing is repeated.
-            Attempt::NoConnection | Attempt::Withdrawn => {
+            AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn => {
                 return self.attempts.refused() <= MAX_REFUSED_SENDS;
             }
-            Attempt::NotRun => self.attempts.refused() <= MAX_REFUSED_SENDS,
-            Attempt::Answer(answer) if !answer.status.is_server_error() => false,
-            Attempt::Refused => false,
-            Attempt::Answer(_) | Attempt::Lost { .. } | Attempt::Foreign | Attempt::Timeout => {
-                self.attempts.may_run_again(job.entry())
-            }
+            AttemptOutcome::NotRun => self.attempts.refused() <= MAX_REFUSED_SENDS,
+            AttemptOutcome::Answer(answer) if !answer.status.is_server_error() => false,
+            AttemptOutcome::Refused => false,
+            AttemptOutcome::Answer(_)
+            | AttemptOutcome::Lost { .. }
+            | AttemptOutcome::WrongAttempt
+            | AttemptOutcome::Timeout => self.attempts.may_run_again(job.entry()),
         };
-        allowed && job.spend_repeat(RepeatKind::Retry)
+        allowed && job.try_spend_retry(RepeatKind::Retry)
     }
 
-    fn not_admitted(&self, reason: Reason) -> Response<ResponseBody> {
+    fn refuse_unadmitted(&self, reason: Reason) -> Response<ResponseBody> {
         let reason = match reason {
             // An earlier attempt may have run, so that "not run" would be untrue.
             Reason::TurnTaken if self.attempts.may_have_run() => Reason::AnswerLost,
             reason => reason,
         };
-        self.note_failed("-", reason);
+        self.log_failure("-", reason);
         self.job.refuse(reason)
     }
 
-    fn note_failed(&self, endpoint: &str, reason: Reason) {
+    fn log_failure(&self, endpoint: &str, reason: Reason) {
         log_event!(CallFailed, attempt = self.job.name(), entry = self.job.entry().name.as_str(),
             endpoint = endpoint, reason:% = reason,
             ms = self.job.arrived.elapsed().as_millis() as u64);
     }
 
-    fn no_place(&self, why: NoPlace) -> Response<ResponseBody> {
+    fn refuse_unplaced(&self, why: NoPlace) -> Response<ResponseBody> {
         let reason = match why {
             _ if self.attempts.may_have_run() => Reason::AnswerLost,
             why => Reason::from(why),
         };
-        self.note_failed("-", reason);
+        self.log_failure("-", reason);
         self.job.refuse(reason)
     }
 
-    fn finish(&self, attempt: Attempt, place: &Place) -> Response<ResponseBody> {
+    fn finish(&self, attempt: AttemptOutcome, place: &Place) -> Response<ResponseBody> {
         let reason = match attempt {
-            Attempt::Answer(mut answer) => {
+            AttemptOutcome::Answer(mut answer) => {
                 Histogram::Call.record(self.job.arrived.elapsed());
                 self.job.cx.wire.strip_response_headers(&mut answer.headers);
                 return answer.into_response();
             }
-            _ if self.job.is_refused() => self.job.note_refused(),
+            _ if self.job.is_refused() => self.job.log_refusal(),
             // An earlier attempt may have run, so that "not run" would be untrue.
-            Attempt::NotRun | Attempt::NoConnection | Attempt::Withdrawn
+            AttemptOutcome::NotRun | AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn
                 if self.attempts.may_have_run() =>
             {
                 Reason::AnswerLost
             }
-            Attempt::NotRun => Reason::NotRunAtEndpoint,
-            Attempt::NoConnection => Reason::NoConnection,
-            Attempt::Withdrawn => Reason::NoEndpoint,
-            Attempt::Lost { .. } => Reason::AnswerLost,
-            Attempt::Foreign => Reason::AnswerForeign,
-            Attempt::Timeout => Reason::Timeout,
-            Attempt::Refused => Reason::EndsEndpoints,
+            AttemptOutcome::NotRun => Reason::NotRunAtEndpoint,
+            AttemptOutcome::NoConnection => Reason::NoConnection,
+            AttemptOutcome::Withdrawn => Reason::NoEndpoint,
+            AttemptOutcome::Lost { .. } => Reason::AnswerLost,
+            AttemptOutcome::WrongAttempt => Reason::AnswerForeign,
+            AttemptOutcome::Timeout => Reason::Timeout,
+            AttemptOutcome::Refused => Reason::EndsEndpoints,
         };
-        self.note_failed(&place.name, reason);
+        self.log_failure(&place.name, reason);
         self.job.refuse(reason)
     }
 }
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -10,12 +10,12 @@
 
 pub mod format;
 
-use crate::cx::{Cx, Open};
+use crate::cx::{Cx, OpenKind};
 use crate::link::connect_socket;
 use crate::log_event;
 use crate::meters::{ByReason, millis};
 use crate::ports::Wire;
-use crate::store::{Source, apply, read_whole};
+use crate::store::{Source, apply, finish_full_read};
 use core::time::Duration;
 use format::FormatError;
 use oriolemux_core::gateway::catch_up::{LARGE_NEWS, MAX_LARGE_TOLD, NotTold};
@@ -30,13 +30,13 @@
 
 /// How long a peer may take to read what it asked for. One that takes longer holds up
 /// others, and reads the store meanwhile.
-const TELL_LIMIT: Duration = Duration::from_secs(3);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An answer of which nothing came for so long does not come.
-const SILENCE_LIMIT: Duration = Duration::from_millis(700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The purpose under which answers are counted.
-const STORE_NEWS: &str = "store_news";
+const STORE_DELTA_PURPOSE: &str = "store_news";
 
 /// How long to wait before another connection is accepted where one could not be.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
@@ -65,7 +65,7 @@
         }
     }
 
-    const fn not_told(&self) -> NotTold {
+    const fn fetch_failure(&self) -> NotTold {
         match self {
             FetchError::Refused => NotTold::Refused,
             _ => NotTold::Failed,
@@ -76,15 +76,15 @@
 /// Asks peers whenever one knows more, for good.
 pub async fn catch_up<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
-        cx.behind.notified().await;
+        cx.catch_up_due.notified().await;
         let peer = cx.state().better_informed(cx.now());
         if let Some(peer) = peer {
-            ask(&cx, peer).await;
+            fetch_from(&cx, peer).await;
         }
     }
 }
 
-async fn ask<W: Wire>(cx: &Cx<W>, peer: SocketAddrV4) {
+async fn fetch_from<W: Wire>(cx: &Cx<W>, peer: SocketAddrV4) {
     let begun = Instant::now();
     let after = cx.state().replica.revision();
     let fetched = tokio::select! {
@@ -97,14 +97,14 @@
     match fetched {
         Ok(news) => {
             ByReason::PeerAnswers.add("told");
-            log_event!(ToldByPeer, peer:% = peer, revision = news.revision, whole = news.whole,
+            log_event!(DeltaReceived, peer:% = peer, revision = news.revision, whole = news.whole,
                 records = news.records.len(), ms = ms);
-            take_news(cx, news);
+            apply_delta(cx, news);
         }
         Err(error) => {
             ByReason::PeerAnswers.add(error.label());
-            cx.state().not_told(now, peer, error.not_told());
-            log_event!(NotToldByPeer, peer:% = peer, why = error.label(), revision = after, ms = ms);
+            cx.state().not_told(now, peer, error.fetch_failure());
+            log_event!(DeltaFetchFailed, peer:% = peer, why = error.label(), revision = after, ms = ms);
         }
     }
     cx.state().note_behind(cx.now());
@@ -112,7 +112,7 @@
 
 async fn no_longer_behind<W: Wire>(cx: &Cx<W>) {
     loop {
-        let changed = cx.changed.notified();
+        let changed = cx.replica_changed.notified();
         if !cx.state().is_behind() {
             return;
         }
@@ -120,21 +120,21 @@
     }
 }
 
-fn take_news<W: Wire>(cx: &Cx<W>, news: News) {
+fn apply_delta<W: Wire>(cx: &Cx<W>, news: News) {
     let seen: BTreeMap<String, ()> = match news.whole {
         true => news.records.iter().map(|it| (it.key.clone(), ())).collect(),
         false => BTreeMap::new(),
     };
     let has_news = apply(cx, Source::Peer, news.records);
     if news.whole {
-        read_whole(cx, Source::Peer, &seen, news.revision);
+        finish_full_read(cx, Source::Peer, &seen, news.revision);
     } else {
         cx.state().replica.reached(news.revision);
     }
     if has_news {
         // Who was told can tell it on, and the others must hear so at once.
         cx.state().announce();
-        cx.dirty.notify_one();
+        cx.gossip_due.notify_one();
     }
 }
 
@@ -145,14 +145,14 @@
 /// Fails if the peer cannot be reached, falls silent or refuses, or if its answer cannot
 /// be read. How long an answer takes as long as it comes is the caller's to bound.
 pub async fn fetch(peer: SocketAddrV4, after: u64) -> Result<News, FetchError> {
-    let silent = |_| FetchError::Silent(SILENCE_LIMIT);
-    let mut stream = timeout(SILENCE_LIMIT, connect_socket(peer))
+    let silent = |_| FetchError::Silent(SILENCE_TIMEOUT);
+    let mut stream = timeout(SILENCE_TIMEOUT, connect_socket(peer))
         .await
         .map_err(silent)??;
     stream.write_u64(after).await?;
     let mut bytes = Vec::new();
     while bytes.len() <= format::MAX_DELTA_BYTES {
-        let read = timeout(SILENCE_LIMIT, stream.read_buf(&mut bytes));
+        let read = timeout(SILENCE_TIMEOUT, stream.read_buf(&mut bytes));
         if read.await.map_err(silent)?? == 0 {
             break;
         }
@@ -164,12 +164,12 @@
 }
 
 /// Answers peers that ask what was published, for good.
-pub async fn answer<W: Wire>(cx: Arc<Cx<W>>, listener: TcpListener) {
+pub async fn serve_deltas<W: Wire>(cx: Arc<Cx<W>>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let cx = Arc::clone(&cx);
-                tokio::spawn(async move { tell(&cx, stream, from).await });
+                tokio::spawn(async move { serve_peer(&cx, stream, from).await });
             }
             Err(error) => {
                 log::warn!("cannot accept a peer: {error}");
@@ -180,18 +180,18 @@
 }
 
 /// How the telling of a peer ended.
-enum Told {
+enum DeltaTransfer {
     /// It was told something small, or refused.
-    Little,
+    Small,
     /// It read all of so many bytes on the wire.
     Large(usize),
 }
 
-async fn tell<W: Wire>(cx: &Arc<Cx<W>>, stream: TcpStream, from: SocketAddr) {
+async fn serve_peer<W: Wire>(cx: &Arc<Cx<W>>, stream: TcpStream, from: SocketAddr) {
     let begun = Instant::now();
-    let (how, bytes) = match timeout(TELL_LIMIT, tell_all(cx, stream)).await {
-        Ok(Ok(Told::Little)) => return,
-        Ok(Ok(Told::Large(bytes))) => ("read", bytes),
+    let (how, bytes) = match timeout(TRANSFER_TIMEOUT, send_delta(cx, stream)).await {
+        Ok(Ok(DeltaTransfer::Small)) => return,
+        Ok(Ok(DeltaTransfer::Large(bytes))) => ("read", bytes),
         Ok(Err(error)) => {
             log::debug!("{from} was not told: {error}");
             ("broken", 0)
@@ -199,36 +199,36 @@
         Err(_) => ("unread", 0),
     };
     log_event!(
-        ToldPeer,
+        DeltaSent,
         peer:% = from,
         how = how,
         bytes = bytes,
         ms = millis(begun.elapsed()),
-        at_once = cx.open(Open::LargeTelling)
+        at_once = cx.open_count(OpenKind::LargeTransfer)
     );
 }
 
 /// Tells all that the peer has not, unless that is much and others are being told.
-async fn tell_all<W: Wire>(cx: &Arc<Cx<W>>, mut stream: TcpStream) -> io::Result<Told> {
+async fn send_delta<W: Wire>(cx: &Arc<Cx<W>>, mut stream: TcpStream) -> io::Result<DeltaTransfer> {
     let after = stream.read_u64().await?;
     let size = cx.state().replica.news_size(after);
     if size <= LARGE_NEWS {
         let bytes = encode(cx, after)?;
         stream.write_all(&bytes).await?;
         stream.shutdown().await?;
-        cx.note_sent(STORE_NEWS, bytes.len());
-        return Ok(Told::Little);
+        cx.record_sent(STORE_DELTA_PURPOSE, bytes.len());
+        return Ok(DeltaTransfer::Small);
     }
-    let Some(_telling) = cx.begin_large_telling(MAX_LARGE_TOLD) else {
-        return Ok(Told::Little);
+    let Some(_telling) = cx.begin_large_transfer(MAX_LARGE_TOLD) else {
+        return Ok(DeltaTransfer::Small);
     };
     let bytes = encode(cx, after)?;
     stream.write_all(&bytes).await?;
     stream.shutdown().await?;
-    cx.note_sent(STORE_NEWS, bytes.len());
+    cx.record_sent(STORE_DELTA_PURPOSE, bytes.len());
     // What is written may still be on the way. The peer closes when it has read it all.
     stream.read_to_end(&mut Vec::new()).await?;
-    Ok(Told::Large(bytes.len()))
+    Ok(DeltaTransfer::Large(bytes.len()))
 }
 
 fn encode<W: Wire>(cx: &Cx<W>, after: u64) -> io::Result<Vec<u8>> {
--- a/crates/gateway/src/cx.rs
+++ b/crates/gateway/src/cx.rs
@@ -59,30 +59,30 @@
     /// Bounds of the sockets.
     pub limits: GatewayLimits,
     /// Told when what is known of the store has changed.
-    pub changed: Notify,
+    pub replica_changed: Notify,
     /// Told when endpoints began to leave, or their data centre was closed.
     pub departures: Notify,
     /// Told when a home may have decided about a place.
     pub decided: Notify,
     /// Told when there is news of requests that end endpoints.
-    pub suspected: Notify,
+    pub suspects_changed: Notify,
     /// Told when peers should hear of something soon.
-    pub dirty: Notify,
+    pub gossip_due: Notify,
     /// Told when a peer knows more of the store.
-    pub behind: Notify,
+    pub catch_up_due: Notify,
     /// Cancelled when the planned stop begins.
     pub stopping: CancellationToken,
     /// Cancelled when callers' idle connections are to be closed.
     pub closing: CancellationToken,
     state: Mutex<Gateway>,
-    sent: Mutex<BTreeMap<&'static str, Sent>>,
+    sent: Mutex<BTreeMap<&'static str, SentTotals>>,
     open: [AtomicUsize; OPEN_KINDS],
     stop: OnceLock<StopPlan>,
 }
 
 /// What was sent to peers for one purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentTotals {
     /// Datagrams, or answers over a connection.
     pub messages: u64,
     /// Their bytes, without those of the transport.
@@ -97,12 +97,12 @@
     /// All that comes later is refused, not run.
     pub no_calls_from: Instant,
     /// What still runs then is cut off.
-    pub ends: Instant,
+    pub deadline: Instant,
 }
 
 /// What is counted while it is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Open {
+pub enum OpenKind {
     /// A caller's connection.
     Connection,
     /// A request, until the head of its answer is ready.
@@ -110,10 +110,10 @@
     /// A generation, until its last event is passed on.
     Generation,
     /// A peer that is told much of what the store published, until it has read it.
-    LargeTelling,
+    LargeTransfer,
 }
 
-/// How many kinds of [`Open`] there are.
+/// How many kinds of [`OpenKind`] there are.
 const OPEN_KINDS: usize = 4;
 
 impl<W: Wire> Cx<W> {
@@ -123,12 +123,12 @@
             wire,
             clock,
             limits,
-            changed: Notify::new(),
+            replica_changed: Notify::new(),
             departures: Notify::new(),
             decided: Notify::new(),
-            suspected: Notify::new(),
-            dirty: Notify::new(),
-            behind: Notify::new(),
+            suspects_changed: Notify::new(),
+            gossip_due: Notify::new(),
+            catch_up_due: Notify::new(),
             stopping: CancellationToken::new(),
             closing: CancellationToken::new(),
             state: Mutex::new(state),
@@ -156,7 +156,7 @@
     }
 
     /// Counts something until what is returned is dropped.
-    pub fn count(self: &Arc<Self>, what: Open) -> OpenGuard<W> {
+    pub fn count(self: &Arc<Self>, what: OpenKind) -> OpenGuard<W> {
         self.open[what as usize].fetch_add(1, Ordering::Relaxed);
         OpenGuard {
             cx: Arc::clone(self),
@@ -166,24 +166,24 @@
 
     /// Counts a caller's connection until what is returned is dropped; nothing if there are too many.
     pub fn open_connection(self: &Arc<Self>) -> Option<OpenGuard<W>> {
-        let guard = self.count(Open::Connection);
-        (self.open(Open::Connection) <= self.limits.connections).then_some(guard)
+        let guard = self.count(OpenKind::Connection);
+        (self.open_count(OpenKind::Connection) <= self.limits.connections).then_some(guard)
     }
 
     /// Counts a peer that is told much until what is returned is dropped; nothing if `most`
     /// are told already.
-    pub fn begin_large_telling(self: &Arc<Self>, most: usize) -> Option<OpenGuard<W>> {
-        let guard = self.count(Open::LargeTelling);
-        (self.open(Open::LargeTelling) <= most).then_some(guard)
+    pub fn begin_large_transfer(self: &Arc<Self>, most: usize) -> Option<OpenGuard<W>> {
+        let guard = self.count(OpenKind::LargeTransfer);
+        (self.open_count(OpenKind::LargeTransfer) <= most).then_some(guard)
     }
 
     /// Returns how many are open.
-    pub fn open(&self, what: Open) -> usize {
+    pub fn open_count(&self, what: OpenKind) -> usize {
         self.open[what as usize].load(Ordering::Relaxed)
     }
 
     /// Counts what was sent to a peer.
-    pub fn note_sent(&self, purpose: &'static str, bytes: usize) {
+    pub fn record_sent(&self, purpose: &'static str, bytes: usize) {
         ByReason::PeerMessages.add(purpose);
         ByReason::PeerBytes.add_many(purpose, bytes as u64);
         let mut sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
@@ -193,7 +193,7 @@
     }
 
     /// Returns what was sent to peers, by purpose.
-    pub fn sent(&self) -> BTreeMap<&'static str, Sent> {
+    pub fn sent(&self) -> BTreeMap<&'static str, SentTotals> {
         let sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
         sent.clone()
     }
@@ -203,7 +203,7 @@
         self.stop.get_or_init(|| plan);
         self.state().stop();
         self.stopping.cancel();
-        self.dirty.notify_one();
+        self.gossip_due.notify_one();
     }
 
     /// Returns whether a generation that is expected to take so long may begin.
@@ -211,28 +211,28 @@
     /// What goes wrong otherwise: a generation that came late in a planned stop, and is
     /// longer than expected, is cut off when the stop ends. Those that came before
     /// the balancer can have noticed cannot be refused for that; later ones can.
-    pub fn takes_generation(&self, expected: Duration) -> bool {
+    pub fn accepts_generation(&self, expected: Duration) -> bool {
         let now = Instant::now();
         self.stop
             .get()
-            .is_none_or(|plan| now < plan.no_generations_from && now + expected <= plan.ends)
+            .is_none_or(|plan| now < plan.no_generations_from && now + expected <= plan.deadline)
     }
 
     /// Returns whether a call may begin.
-    pub fn takes_call(&self) -> bool {
+    pub fn accepts_call(&self) -> bool {
         let now = Instant::now();
         self.stop.get().is_none_or(|plan| now < plan.no_calls_from)
     }
 
     /// Tells those who wait, and peers, that there is news of requests that end endpoints.
-    pub fn tell_suspected(&self) {
-        self.suspected.notify_waiters();
+    pub fn announce_suspects(&self) {
+        self.suspects_changed.notify_waiters();
         self.decided.notify_waiters();
-        self.dirty.notify_one();
+        self.gossip_due.notify_one();
     }
 
     /// Tells those who wait, and peers, what the operator said about a data centre.
-    pub fn tell_cordon(&self, cordon: &Cordon, effect: CordonEffect, from: Source) {
+    pub fn announce_cordon(&self, cordon: &Cordon, effect: CordonEffect, from: Source) {
         if effect == CordonEffect::Outdated {
             return;
         }
@@ -259,53 +259,53 @@
                 is_news = is_news
             ),
         }
-        self.changed.notify_waiters();
+        self.replica_changed.notify_waiters();
         self.departures.notify_waiters();
         self.decided.notify_waiters();
-        self.dirty.notify_one();
+        self.gossip_due.notify_one();
     }
 
     /// Tells those who wait, and peers, that endpoints began to leave.
-    pub fn tell_leaving(&self, endpoints: &[EndpointKey]) {
+    pub fn announce_leaving(&self, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
             let name = self.endpoint_name(endpoint);
             log_event!(EndpointLeaving, endpoint = name.as_str());
         }
         if !endpoints.is_empty() {
             self.state().tell_leaving(endpoints);
-            self.changed.notify_waiters();
+            self.replica_changed.notify_waiters();
             self.departures.notify_waiters();
-            self.dirty.notify_one();
+            self.gossip_due.notify_one();
         }
     }
 
     /// Tells what an endpoint or a peer said about an endpoint's limit, and lets peers hear it.
-    pub fn note_limit(&self, change: &LimitChange, from: Source) {
+    pub fn announce_limit(&self, change: &LimitChange, from: Source) {
         let name = self.endpoint_name(change.endpoint);
         let before = change.before.unwrap_or(0.0);
         match change.after {
             Some(after) => log_event!(
-                LimitNamed,
+                LimitReported,
                 endpoint = name.as_str(),
                 before = before,
                 after = after,
                 from = from.label()
             ),
             None => log_event!(
-                LimitEnded,
+                LimitLifted,
                 endpoint = name.as_str(),
                 before = before,
                 from = from.label()
             ),
         }
-        self.dirty.notify_one();
+        self.gossip_due.notify_one();
     }
 }
 
 /// Something that is open.
 pub struct OpenGuard<W> {
     cx: Arc<Cx<W>>,
-    what: Open,
+    what: OpenKind,
 }
 
 impl<W> Drop for OpenGuard<W> {
--- a/crates/gateway/src/event_log.rs
+++ b/crates/gateway/src/event_log.rs
@@ -74,17 +74,17 @@
     /// An attempt of a call ended; the line says how, and whether it is repeated.
     CallAttempt = 803, "call_attempt", Info, USUAL;
     /// An endpoint failed several times in a row and is passed over for a while.
-    EndpointPassedOver = 804, "endpoint_passed_over", Info, USUAL;
+    EndpointEjected = 804, "endpoint_passed_over", Info, USUAL;
     /// A call failed; the line names the reason and the last endpoint.
     CallFailed = 805, "call_failed", Info, FAILURES;
     /// A generation was refused and did not run.
     GenerationRefused = 806, "generation_refused", Info, FAILURES;
     /// A generation left its engine and goes on from the copy made at the notice.
-    GoesOnFromAhead = 807, "generation_goes_on_from_ahead", Info, USUAL;
+    ResumedFromPreCopy = 807, "generation_goes_on_from_ahead", Info, USUAL;
     /// A generation goes on where its standing copy is kept.
-    GoesOnFromCopy = 808, "generation_goes_on_from_copy", Info, USUAL;
+    ResumedFromStandby = 808, "generation_goes_on_from_copy", Info, USUAL;
     /// The engine that was to go on with a generation did not; the line says why.
-    CannotGoOn = 809, "generation_cannot_go_on", Info, FAILURES;
+    ResumeFailed = 809, "generation_cannot_go_on", Info, FAILURES;
     /// A generation ended; the line says how, how late, and through how many engines.
     GenerationEnded = 810, "generation_ended", Info, FAILURES;
     /// The store answers again.
@@ -92,7 +92,7 @@
     /// The store does not answer this instance; serving goes on with what is known.
     StoreLost = 812, "store_lost", Warn, USUAL;
     /// A peer told what it knows of the store.
-    ToldByPeer = 813, "told_by_peer", Info, USUAL;
+    DeltaReceived = 813, "told_by_peer", Info, USUAL;
     /// A record of the store cannot be read. A catalogue in force stays; an entry of an
     /// endpoint names none to use until it is written again.
     RecordUnreadable = 814, "record_unreadable", Warn, USUAL;
@@ -105,34 +105,34 @@
     /// The grace of a planned stop was over before the last request was answered.
     StoppedWithRequests = 818, "stopped_with_requests", Warn, USUAL;
     /// A copy of a generation's memory was made, or was not, while its engine leaves.
-    CopiedAhead = 819, "generation_copied_ahead", Info, USUAL;
+    PreCopyEnded = 819, "generation_copied_ahead", Info, USUAL;
     /// An endpoint was chosen; the line shows what was known of it.
     Placed = 820, "placed", Info, USUAL;
     /// A peer was heard for the first time in its present life, or again after it was gone.
-    PeerHeard = 821, "peer_heard", Info, USUAL;
+    PeerJoined = 821, "peer_heard", Info, USUAL;
     /// A peer answered neither this instance nor others, and counts as gone.
-    PeerSilent = 822, "peer_silent", Info, USUAL;
+    PeerGone = 822, "peer_silent", Info, USUAL;
     /// No engine has room for a copy of a generation; the line says for which kind of copy.
     NoRoomForCopy = 823, "no_room_for_copy", Info, USUAL;
     /// A generation that may run again waited inside its engine and is sent to another one.
-    TakenBack = 824, "generation_taken_back", Info, USUAL;
+    Reassigned = 824, "generation_taken_back", Info, USUAL;
     /// A resumable generation goes on at an engine that reads prompt and events anew.
-    GoesOnAnew = 825, "generation_goes_on_anew", Info, USUAL;
+    Recomputed = 825, "generation_goes_on_anew", Info, USUAL;
     /// A peer was told what the store published; the line says how much, to how many at
     /// once, and how it ended. A small answer that was read to its end has no line.
-    ToldPeer = 826, "told_peer", Info, USUAL;
+    DeltaSent = 826, "told_peer", Info, USUAL;
     /// A peer that knows more of the store did not tell it; the line says why.
-    NotToldByPeer = 827, "not_told_by_peer", Info, USUAL;
+    DeltaFetchFailed = 827, "not_told_by_peer", Info, USUAL;
     /// A datagram was dropped: it cannot be read, or is of another version or deployment.
     DatagramDropped = 828, "datagram_dropped", Info, FEW;
     /// No home answered a request for a place in time, and this instance decided alone.
-    PlacedAlone = 829, "placed_alone", Info, USUAL;
+    PlacedWithoutHome = 829, "placed_alone", Info, USUAL;
     /// The connection to an endpoint ended before its answer did. The line names the request by
     /// what makes two attempts the same one, and says whether the endpoint ended too.
-    RunBroke = 830, "run_broke", Info, FAILURES;
+    ConnectionBroken = 830, "run_broke", Info, FAILURES;
     /// A request ended an endpoint that began it; the line says how many it is known to have
     /// ended.
-    EndpointEnded = 831, "endpoint_ended_by_request", Warn, USUAL;
+    EndpointCrashed = 831, "endpoint_ended_by_request", Warn, USUAL;
     /// A request is refused because it ended too many endpoints.
     SuspectRefused = 832, "suspect_refused", Warn, USUAL;
     /// The operator closed a data centre to new work: what runs there goes on, nothing new is
@@ -142,14 +142,14 @@
     CordonLifted = 834, "cordon_lifted", Info, USUAL;
     /// A request is sent to one endpoint more, at the expense of the fleet's budget. The line says
     /// why, how many instances are heard and known, since when this one runs, and what is left.
-    RepeatSpent = 835, "repeat_spent", Info, USUAL;
+    RetryGranted = 835, "repeat_spent", Info, USUAL;
     /// A request is not sent to one endpoint more, because the budget has nothing left for it.
-    RepeatDenied = 836, "repeat_denied", Info, FAILURES;
+    RetryDenied = 836, "repeat_denied", Info, FAILURES;
     /// An endpoint names how many requests a second it takes from all instances, or names another
     /// rate; 0 is none.
-    LimitNamed = 837, "endpoint_limit_named", Info, USUAL;
+    LimitReported = 837, "endpoint_limit_named", Info, USUAL;
     /// An endpoint names no limit any more.
-    LimitEnded = 838, "endpoint_limit_ended", Info, USUAL;
+    LimitLifted = 838, "endpoint_limit_ended", Info, USUAL;
     /// The limit that an endpoint names cannot be read; what it said before holds.
     LimitUnreadable = 839, "endpoint_limit_unreadable", Warn, FEW;
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -10,7 +10,7 @@
 use crate::meters::ByReason;
 use crate::ports::{CallerHead, EngineCalls, LastEventId, Wire};
 use crate::response::{Reason, ResponseBody, refuse};
-use crate::run_lease::Run;
+use crate::run_lease::RunGuard;
 use crate::{call, stream};
 use bytes::Bytes;
 use core::time::Duration;
@@ -24,11 +24,11 @@
 use std::time::Instant;
 
 /// The time that a caller is assumed to wait if nothing is known of it.
-const UNKNOWN_PATIENCE: Duration = Duration::from_secs(1);
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a request waits for the first catalogue of an instance that has just started.
 /// It is read in some 10 ms; ten times as long covers a store that is slow.
-const FIRST_CATALOGUE_WAIT: Duration = Duration::from_millis(250);
+const FIRST_CATALOGUE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The share of its caller's patience that a request waits for it at most.
 const FIRST_CATALOGUE_SHARE: f64 = 0.25;
@@ -41,10 +41,10 @@
 /// a day whose instances all stop at once. Once the store is known not to answer, nobody
 /// waits.
 async fn first_catalogue<W: Wire>(cx: &Cx<W>, patience: Duration) -> Option<Arc<Catalogue>> {
-    let wait = FIRST_CATALOGUE_WAIT.min(patience.mul_f64(FIRST_CATALOGUE_SHARE));
+    let wait = FIRST_CATALOGUE_TIMEOUT.min(patience.mul_f64(FIRST_CATALOGUE_SHARE));
     let until = tokio::time::Instant::now() + wait;
     loop {
-        let mut changed = core::pin::pin!(cx.changed.notified());
+        let mut changed = core::pin::pin!(cx.replica_changed.notified());
         changed.as_mut().enable();
         let (catalogue, store_is_away) = {
             let state = cx.state();
@@ -67,7 +67,7 @@
 ) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let head = cx.wire.caller_head(req.headers());
-    let patience = head.timeout.unwrap_or(UNKNOWN_PATIENCE);
+    let patience = head.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let attempt = head.attempt.clone();
     let refused = |reason: Reason| {
         let attempt = attempt.as_deref().unwrap_or("-");
@@ -75,7 +75,7 @@
         log_event!(RefusedAtFront, attempt = attempt, reason:% = reason);
         refuse(reason, patience)
     };
-    if !cx.takes_call() {
+    if !cx.accepts_call() {
         return refused(Reason::Stopping);
     }
     let Some(catalogue) = first_catalogue(&cx, patience).await else {
@@ -86,17 +86,17 @@
         Judgement::NoEntry => refused(Reason::NoEntry),
         Judgement::UnknownKey => refused(Reason::UnknownKey),
         Judgement::Serve { entry, workspace } => {
-            if !can_go_on(catalogue.entry(entry).repeat, &head) {
+            if !is_valid_last_event_id(catalogue.entry(entry).repeat, &head) {
                 return refused(Reason::NoSuchEvent);
             }
-            let judged = Judged {
+            let judged = MatchedRequest {
                 catalogue,
                 entry,
                 workspace,
                 head,
                 arrived,
             };
-            match read(cx, judged, req).await {
+            match read_body(cx, judged, req).await {
                 Ok(job) => run(job, engines).await,
                 Err(reason) => refused(reason),
             }
@@ -106,19 +106,19 @@
 
 /// Returns whether what the caller says it holds can be a part of its generation. Where
 /// nothing may go on, it is not looked at: the caller gets a generation from its start.
-fn can_go_on(repeat: Repeat, head: &CallerHead) -> bool {
+fn is_valid_last_event_id(repeat: Repeat, head: &CallerHead) -> bool {
     match head.last_event_id {
         LastEventId::Event(number) if repeat == Repeat::ResumableStream => {
             // An event holds a token or more.
             head.max_tokens == 0 || number <= u64::from(head.max_tokens)
         }
-        LastEventId::Unreadable => repeat != Repeat::ResumableStream,
+        LastEventId::Invalid => repeat != Repeat::ResumableStream,
         LastEventId::Absent | LastEventId::Event(_) => true,
     }
 }
 
 /// A request's head with its judgement.
-struct Judged {
+struct MatchedRequest {
     catalogue: Arc<Catalogue>,
     entry: EntryId,
     workspace: Option<WorkspaceId>,
@@ -134,9 +134,9 @@
 
 /// Reads the body whole. A request is sent on only when all of it is here, so
 /// that a caller that stalls in the middle of it holds no place at an endpoint.
-async fn read<W: Wire>(
+async fn read_body<W: Wire>(
     cx: Arc<Cx<W>>,
-    judged: Judged,
+    judged: MatchedRequest,
     req: Request<Incoming>,
 ) -> Result<Job<W>, Reason> {
     let entry = judged.catalogue.entry(judged.entry);
@@ -161,7 +161,7 @@
         path: parts.uri.path_and_query().map_or("", |it| it.as_str()),
         body: &body,
     });
-    let run = Run::begin(&cx, fingerprint);
+    let run = RunGuard::begin(&cx, fingerprint);
     let now = cx.now();
     let mut state = cx.state();
     let draw = state.draw();
@@ -183,7 +183,7 @@
         fingerprint,
         run,
         arrived: judged.arrived,
-        ends,
+        deadline: ends,
     })
 }
 
--- a/crates/gateway/src/front/connection.rs
+++ b/crates/gateway/src/front/connection.rs
@@ -1,7 +1,7 @@
 //! Connections of callers: how long they may be idle, and how they are closed.
 
 use super::handle;
-use crate::cx::{Cx, Open};
+use crate::cx::{Cx, OpenKind};
 use crate::ports::{EngineCalls, Wire};
 use core::convert::Infallible;
 use core::pin::Pin;
@@ -63,7 +63,7 @@
         let answer = handle(Arc::clone(&cx), engines.clone(), req);
         let (activity, cx) = (Arc::clone(&activity), Arc::clone(&cx));
         async move {
-            let open = cx.count(Open::Request);
+            let open = cx.count(OpenKind::Request);
             activity.begin_request();
             let mut answer = answer.await;
             activity.end_request();
@@ -76,7 +76,7 @@
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.max_head_bytes.max(MIN_BUFFER));
+    builder.max_buf_size(limits.max_head_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = core::pin::pin!(builder.serve_connection(io, service));
     let mut closing = false;
     loop {
@@ -102,10 +102,10 @@
 }
 
 /// The least time between two looks, whatever the bounds are.
-const LEAST_PAUSE: core::time::Duration = core::time::Duration::from_millis(10);
+const MIN_CHECK_INTERVAL: core::time::Duration = core::time::Duration::from_millis(10);
 
 /// The HTTP library asks for at least this much buffer.
-const MIN_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
 /// What a connection does.
 #[derive(Debug)]
@@ -179,7 +179,7 @@
         };
         bound
             .min(now + limits.head_timeout / 2)
-            .max(now + LEAST_PAUSE)
+            .max(now + MIN_CHECK_INTERVAL)
     }
 
     fn verdict(&self, limits: CallerLimits) -> Verdict {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -29,33 +29,36 @@
 }
 
 /// Tells peers what is due, for good.
-pub async fn tell<W: Wire>(cx: Arc<Cx<W>>, socket: Arc<UdpSocket>) {
+pub async fn send_loop<W: Wire>(cx: Arc<Cx<W>>, socket: Arc<UdpSocket>) {
     loop {
         let tick = cx.state().tick_interval();
-        if timeout(tick.min(TICK), cx.dirty.notified()).await.is_ok() {
+        if timeout(tick.min(TICK), cx.gossip_due.notified())
+            .await
+            .is_ok()
+        {
             sleep(TELL_DELAY).await;
         }
         let now = cx.now();
         let ticked = cx.state().tick(now);
-        cx.tell_leaving(&ticked.leaving);
+        cx.announce_leaving(&ticked.leaving);
         for peer in ticked.silent {
-            log_event!(PeerSilent, peer:% = peer);
+            log_event!(PeerGone, peer:% = peer);
         }
         if cx.state().is_behind() {
-            cx.behind.notify_one();
+            cx.catch_up_due.notify_one();
         }
         if ticked.decided {
             cx.decided.notify_waiters();
         }
         if ticked.suspected {
-            cx.tell_suspected();
+            cx.announce_suspects();
         }
         send_all(&cx, &socket, ticked.send).await;
     }
 }
 
 /// Hears peers, for good.
-pub async fn hear<W: Wire>(cx: Arc<Cx<W>>, socket: Arc<UdpSocket>) {
+pub async fn receive_loop<W: Wire>(cx: Arc<Cx<W>>, socket: Arc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
         let (length, from) = match socket.recv_from(&mut buf).await {
@@ -68,52 +71,52 @@
         let decoded =
             bincode::serde::decode_from_slice::<Datagram, _>(&buf[..length], datagram_format());
         match decoded {
-            Ok((datagram, _)) => take_in(&cx, &socket, datagram).await,
+            Ok((datagram, _)) => on_datagram(&cx, &socket, datagram).await,
             Err(error) => {
                 log::debug!("a datagram from {from} cannot be read: {error}");
-                note_dropped(from, "unreadable");
+                log_dropped(from, "unreadable");
             }
         }
     }
 }
 
-async fn take_in<W: Wire>(cx: &Cx<W>, socket: &UdpSocket, datagram: Datagram) {
+async fn on_datagram<W: Wire>(cx: &Cx<W>, socket: &UdpSocket, datagram: Datagram) {
     let now = cx.now();
     let (from, life) = (datagram.from.address, datagram.from.life);
     let heard = cx.state().hear(now, datagram);
     let heard = match heard {
         Ok(heard) => heard,
-        Err(why) => return note_dropped(from, why.word()),
+        Err(why) => return log_dropped(from, why.word()),
     };
-    cx.tell_leaving(&heard.leaving);
+    cx.announce_leaving(&heard.leaving);
     for (cordon, effect) in &heard.cordons {
-        cx.tell_cordon(cordon, *effect, Source::Peer);
+        cx.announce_cordon(cordon, *effect, Source::Peer);
     }
     for change in &heard.limits {
-        cx.note_limit(change, Source::Peer);
+        cx.announce_limit(change, Source::Peer);
     }
     if heard.is_new {
-        log_event!(PeerHeard, peer:% = from, incarnation = life.0);
+        log_event!(PeerJoined, peer:% = from, incarnation = life.0);
     }
     for peer in heard.gone {
-        log_event!(PeerSilent, peer:% = peer);
+        log_event!(PeerGone, peer:% = peer);
     }
     if cx.state().is_behind() {
-        cx.behind.notify_one();
+        cx.catch_up_due.notify_one();
     }
     if heard.tell_soon {
-        cx.dirty.notify_one();
+        cx.gossip_due.notify_one();
     }
     if heard.decided {
         cx.decided.notify_waiters();
     }
     if heard.suspected {
-        cx.tell_suspected();
+        cx.announce_suspects();
     }
     send_all(cx, socket, heard.send).await;
 }
 
-fn note_dropped(from: impl core::fmt::Display, why: &str) {
+fn log_dropped(from: impl core::fmt::Display, why: &str) {
     ByReason::DatagramsDropped.add(why);
     log_event!(DatagramDropped, peer:% = from, why = why);
 }
@@ -130,7 +133,7 @@
             log::error!("a datagram for {purpose} cannot be written: {error}");
             continue;
         }
-        cx.note_sent(purpose, buf.len());
+        cx.record_sent(purpose, buf.len());
         if let Err(error) = socket.send_to(&buf, to).await {
             log::debug!("peer {to} cannot be told: {error}");
         }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -4,10 +4,10 @@
 use crate::link::{Link, LinkError};
 use crate::log_event;
 use crate::meters::{ByReason, millis};
-use crate::placement::{PlaceRequest, ask};
+use crate::placement::{PlacementParams, request_placement};
 use crate::ports::{CallerHead, ForwardHead, LastEventId, ResponseHead, Wire};
 use crate::response::{Reason, ResponseBody, refuse};
-use crate::run_lease::Run;
+use crate::run_lease::RunGuard;
 use crate::store::Source;
 use bytes::Bytes;
 use core::time::Duration;
@@ -32,7 +32,7 @@
 
 /// How long what wants a place at once may wait for a home: for the home and the next in
 /// rank, one after the other.
-pub const AT_ONCE: Duration = HOME_PATIENCE.saturating_mul(3);
+pub const IMMEDIATE_PLACEMENT_TIMEOUT: Duration = HOME_PATIENCE.saturating_mul(3);
 
 /// A request that was judged by one catalogue and read whole.
 pub struct Job<W: Wire> {
@@ -59,11 +59,11 @@
     /// What makes it the same request as another attempt.
     pub fingerprint: Fingerprint,
     /// It counts as running for as long.
-    pub run: Run<W>,
+    pub run: RunGuard<W>,
     /// When the request's head was read.
     pub arrived: Instant,
     /// When its time is over.
-    pub ends: Instant,
+    pub deadline: Instant,
 }
 
 impl<W: Wire> Job<W> {
@@ -78,7 +78,7 @@
     }
 
     /// Returns the last event that the caller holds of a generation that may go on.
-    pub fn held(&self) -> Option<u64> {
+    pub fn last_event_id(&self) -> Option<u64> {
         match (self.entry().repeat, self.head.last_event_id) {
             (Repeat::ResumableStream, LastEventId::Event(number)) => Some(number),
             _ => None,
@@ -86,8 +86,8 @@
     }
 
     /// Returns the time that is left.
-    pub fn left(&self) -> Duration {
-        self.ends.saturating_duration_since(Instant::now())
+    pub fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Returns the service.
@@ -107,13 +107,13 @@
     }
 
     /// Spends one of the fleet's repeats; returns whether there was one.
-    pub fn spend_repeat(&self, kind: RepeatKind) -> bool {
+    pub fn try_spend_retry(&self, kind: RepeatKind) -> bool {
         let service = &self.service().name;
         let now = self.cx.now();
         let spent = self.cx.state().spend_repeat(now, service, kind);
         match spent.is_allowed {
             true => log_event!(
-                RepeatSpent,
+                RetryGranted,
                 attempt = self.name(),
                 service = service.as_str(),
                 kind:% = kind,
@@ -123,7 +123,7 @@
                 age_ms = millis(spent.age)
             ),
             false => log_event!(
-                RepeatDenied,
+                RetryDenied,
                 attempt = self.name(),
                 service = service.as_str(),
                 kind:% = kind,
@@ -137,13 +137,13 @@
     }
 
     /// Returns whether the fleet's budget has a repeat for a generation that goes on.
-    pub fn may_move(&self) -> bool {
+    pub fn may_resume(&self) -> bool {
         let now = self.cx.now();
         self.cx.state().may_move(now, &self.service().name)
     }
 
     /// Takes in what the head of an endpoint's answer says about the endpoint.
-    pub fn note_head(&self, place: &Place, head: &ResponseHead, sent: Instant) {
+    pub fn observe_response_head(&self, place: &Place, head: &ResponseHead, sent: Instant) {
         let now = self.cx.now();
         let sent = now.before(sent.elapsed()).unwrap_or(Time::ZERO);
         let mut state = self.cx.state();
@@ -162,32 +162,32 @@
             log_event!(LimitUnreadable, endpoint = place.name.as_str());
         }
         if let Some(change) = limit {
-            self.cx.note_limit(&change, Source::Endpoint);
+            self.cx.announce_limit(&change, Source::Endpoint);
         }
         if head.wrong_endpoint {
-            self.note_replaced(place);
+            self.record_replaced(place);
         }
     }
 
     /// Notes that a request failed at an endpoint.
-    pub fn note_failure(&self, place: &Place) {
+    pub fn record_failure(&self, place: &Place) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_failure(now, place.key);
-        note_passed_over(place, passed_over);
+        log_ejection(place, passed_over);
     }
 
     /// Notes that no connection to an endpoint could be made.
-    pub fn note_unreachable(&self, place: &Place) {
+    pub fn record_unreachable(&self, place: &Place) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_unreachable(now, place.key);
-        note_passed_over(place, passed_over);
+        log_ejection(place, passed_over);
     }
 
     /// Notes that another process answers at the address of an endpoint.
-    pub fn note_replaced(&self, place: &Place) {
+    pub fn record_replaced(&self, place: &Place) {
         let now = self.cx.now();
         if self.cx.state().endpoints.leave(now, place.key) {
-            self.cx.tell_leaving(&[place.key]);
+            self.cx.announce_leaving(&[place.key]);
         }
     }
 
@@ -198,12 +198,12 @@
         refuse(reason, patience.saturating_sub(self.arrived.elapsed()))
     }
 
-    /// Chooses an endpoint for a call and counts it there until [`InUse`] is dropped.
+    /// Chooses an endpoint for a call and counts it there until [`UsageGuard`] is dropped.
     ///
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Place, InUse<W>), NoPlace> {
+    pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Place, UsageGuard<W>), NoPlace> {
         let now = self.cx.now();
         let mut state = self.cx.state();
         let place = state.place(now, &self.demand(0, exclude))?;
@@ -218,56 +218,56 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub async fn ask_place(
+    pub async fn request_placement(
         &self,
-        asked: PlaceRequest<'_>,
+        asked: PlacementParams<'_>,
         until: Instant,
-    ) -> Result<(Place, InUse<W>), NoPlace> {
+    ) -> Result<(Place, UsageGuard<W>), NoPlace> {
         let begin = |state: &mut Gateway, place: &Place| self.begin_use(state, place, asked.tokens);
-        let (place, begun) = ask(self, asked, until, begin).await?;
-        self.cx.dirty.notify_one();
+        let (place, begun) = request_placement(self, asked, until, begin).await?;
+        self.cx.gossip_due.notify_one();
         Ok(self.placed(place, asked.tokens, begun))
     }
 
     /// Asks for a place for a copy of what runs at `source`, and counts it there.
-    pub async fn ask_copy(
+    pub async fn request_copy_placement(
         &self,
         source: EndpointKey,
         kind: CopyKind,
         tokens: u32,
-    ) -> Option<(Place, CopyInUse<W>)> {
-        let asked = PlaceRequest {
-            want: Want::Copy { source, kind },
+    ) -> Option<(Place, CopyUsageGuard<W>)> {
+        let asked = PlacementParams {
+            kind: Want::Copy { source, kind },
             tokens,
             exclude: &[],
         };
         let begin = |state: &mut Gateway, place: &Place| {
             state.usage.begin_copy(place.key, tokens);
-            CopyInUse {
+            CopyUsageGuard {
                 cx: Arc::clone(&self.cx),
                 endpoint: place.key,
                 tokens,
             }
         };
-        let until = Instant::now() + AT_ONCE;
-        let found = ask(self, asked, until, begin).await.ok();
-        self.cx.dirty.notify_one();
+        let until = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
+        let found = request_placement(self, asked, until, begin).await.ok();
+        self.cx.gossip_due.notify_one();
         found
     }
 
     /// Counts a request at an endpoint; returns what was known to run there.
-    fn begin_use(&self, state: &mut Gateway, place: &Place, tokens: u32) -> (Used, InUse<W>) {
+    fn begin_use(&self, state: &mut Gateway, place: &Place, tokens: u32) -> (Used, UsageGuard<W>) {
         let used = state.used(place.key);
         let unread = match tokens {
             0 => 0,
             _ => self.head.prompt_tokens,
         };
         state.usage.begin(place.key, tokens, unread);
-        let in_use = InUse {
+        let in_use = UsageGuard {
             cx: Arc::clone(&self.cx),
             endpoint: place.key,
             tokens,
-            unread,
+            pending_prefill: unread,
         };
         (used, in_use)
     }
@@ -276,8 +276,8 @@
         &self,
         place: Place,
         tokens: u32,
-        (used, in_use): (Used, InUse<W>),
-    ) -> (Place, InUse<W>) {
+        (used, in_use): (Used, UsageGuard<W>),
+    ) -> (Place, UsageGuard<W>) {
         log_event!(
             Placed,
             attempt = self.name(),
@@ -335,7 +335,7 @@
         send: &ForwardHead<'_>,
     ) -> Result<(Link, Response<Incoming>), LinkError> {
         let chosen = self.cx.now();
-        let limit = self.cx.limits.connect.min(self.left());
+        let limit = self.cx.limits.connect.min(self.remaining());
         let mut link = Link::connect(place.address, limit).await?;
         let is_withdrawn = {
             let now = self.cx.now();
@@ -357,31 +357,31 @@
     }
 }
 
-fn note_passed_over(place: &Place, passed_over: bool) {
+fn log_ejection(place: &Place, passed_over: bool) {
     if passed_over {
-        log_event!(EndpointPassedOver, endpoint = place.name.as_str());
+        log_event!(EndpointEjected, endpoint = place.name.as_str());
     }
 }
 
 /// Counts a request at an endpoint until it is dropped.
-pub struct InUse<W: Wire> {
+pub struct UsageGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     endpoint: EndpointKey,
     tokens: u32,
     /// Prompt tokens that count as not read.
-    unread: u32,
+    pending_prefill: u32,
 }
 
-impl<W: Wire> InUse<W> {
+impl<W: Wire> UsageGuard<W> {
     /// Counts a generation that goes on at another engine, which reads hardly anything.
-    pub fn go_on(cx: &Arc<Cx<W>>, endpoint: EndpointKey, tokens: u32) -> Self {
+    pub fn for_resumed(cx: &Arc<Cx<W>>, endpoint: EndpointKey, tokens: u32) -> Self {
         cx.state().usage.begin(endpoint, tokens, 0);
-        cx.dirty.notify_one();
-        InUse {
+        cx.gossip_due.notify_one();
+        UsageGuard {
             cx: Arc::clone(cx),
             endpoint,
             tokens,
-            unread: 0,
+            pending_prefill: 0,
         }
     }
 
@@ -393,30 +393,32 @@
     }
 
     /// Notes the first byte of the answer.
-    pub fn first_byte(&mut self) {
-        if self.unread > 0 {
-            let unread = core::mem::take(&mut self.unread);
+    pub fn on_first_byte(&mut self) {
+        if self.pending_prefill > 0 {
+            let unread = core::mem::take(&mut self.pending_prefill);
             let mut state = self.cx.state();
             state.usage.first_byte(self.endpoint, unread);
             drop(state);
-            self.tell();
+            self.schedule_gossip();
         }
     }
 
     /// Homes are told of generations only. Plain calls are over before the news could be used.
-    fn tell(&self) {
+    fn schedule_gossip(&self) {
         if self.tokens > 0 {
-            self.cx.dirty.notify_one();
+            self.cx.gossip_due.notify_one();
         }
     }
 }
 
-impl<W: Wire> Drop for InUse<W> {
+impl<W: Wire> Drop for UsageGuard<W> {
     fn drop(&mut self) {
         let mut state = self.cx.state();
-        state.usage.end(self.endpoint, self.tokens, self.unread);
+        state
+            .usage
+            .end(self.endpoint, self.tokens, self.pending_prefill);
         drop(state);
-        self.tell();
+        self.schedule_gossip();
     }
 }
 
@@ -432,7 +434,7 @@
     }
 
     /// Returns the request as it waits for room of `tokens`.
-    pub fn waiter(&self, tokens: u32) -> Waiter {
+    pub fn queued_request(&self, tokens: u32) -> Waiter {
         let now = self.cx.now();
         Waiter {
             id: self.cx.state().draw_id(),
@@ -453,15 +455,15 @@
 }
 
 /// Counts a standing copy at an endpoint until it is dropped.
-pub struct CopyInUse<W: Wire> {
+pub struct CopyUsageGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     endpoint: EndpointKey,
     tokens: u32,
 }
 
-impl<W: Wire> Drop for CopyInUse<W> {
+impl<W: Wire> Drop for CopyUsageGuard<W> {
     fn drop(&mut self) {
         self.cx.state().usage.end_copy(self.endpoint, self.tokens);
-        self.cx.dirty.notify_one();
+        self.cx.gossip_due.notify_one();
     }
 }
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -3,7 +3,7 @@
 //! The tables are the only place that names them; `docs/EVENTS.md` lists them.
 //! Without a recorder they cost next to nothing and go nowhere.
 
-use crate::cx::{Cx, Open};
+use crate::cx::{Cx, OpenKind};
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::EndpointState;
@@ -170,8 +170,11 @@
             state.endpoints.cordons().closed().count() as f64,
         ),
         (Gauge::Peers, state.members.live().count() as f64),
-        (Gauge::Connections, cx.open(Open::Connection) as f64),
-        (Gauge::Running, cx.open(Open::Generation) as f64),
+        (
+            Gauge::Connections,
+            cx.open_count(OpenKind::Connection) as f64,
+        ),
+        (Gauge::Running, cx.open_count(OpenKind::Generation) as f64),
         (
             Gauge::LinesLeftOut,
             crate::event_log::lines_left_out() as f64,
--- a/crates/gateway/src/page.rs
+++ b/crates/gateway/src/page.rs
@@ -27,19 +27,19 @@
 
 /// What is asked of a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct PageRequest {
     /// The method.
     pub method: Method,
     /// The path.
     pub path: String,
     /// Whether the question came from this machine, over an address of its own.
-    pub from_here: bool,
+    pub is_local: bool,
 }
 
 /// Answers each request with what `answer` returns, for good.
 pub async fn serve<F>(listener: TcpListener, answer: F)
 where
-    F: Fn(Asked) -> Response<ResponseBody> + Clone + Send + Sync + 'static,
+    F: Fn(PageRequest) -> Response<ResponseBody> + Clone + Send + Sync + 'static,
 {
     loop {
         let stream = match listener.accept().await {
@@ -50,14 +50,14 @@
                 continue;
             }
         };
-        let from_here = is_from_here(&stream);
+        let from_here = is_local(&stream);
         let answer = answer.clone();
         tokio::spawn(async move {
             let service = service_fn(|req: Request<Incoming>| {
-                let answer = answer(Asked {
+                let answer = answer(PageRequest {
                     method: req.method().clone(),
                     path: req.uri().path().to_owned(),
-                    from_here,
+                    is_local: from_here,
                 });
                 async move { Ok::<_, Infallible>(answer) }
             });
@@ -71,7 +71,7 @@
 
 /// Returns whether both ends of a connection have one address. Nobody else can hold a
 /// connection from an address of this machine.
-fn is_from_here(stream: &TcpStream) -> bool {
+fn is_local(stream: &TcpStream) -> bool {
     match (stream.local_addr(), stream.peer_addr()) {
         (Ok(local), Ok(peer)) => local.ip() == peer.ip(),
         _ => false,
@@ -104,10 +104,10 @@
 
 impl<W: Wire> OperatorsPage<W> {
     /// Answers one question.
-    pub fn answer(&self, asked: &Asked) -> Response<ResponseBody> {
+    pub fn answer(&self, asked: &PageRequest) -> Response<ResponseBody> {
         match (&asked.method, asked.path.as_str()) {
             (&Method::GET, "/status") => self.status(),
-            (&Method::POST, "/drain") if asked.from_here => {
+            (&Method::POST, "/drain") if asked.is_local => {
                 self.stop.cancel();
                 json(br#"{"readiness":"stopping"}"#.to_vec())
             }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -21,29 +21,29 @@
 
 /// How often a request that waits for a place looks again without being told to. It must see
 /// soon that no home answers.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The same once a home has said that it waits.
-const LOOK_WAITING: Duration = Duration::from_millis(50);
+const QUEUED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A placement request that a home knows of until it is dropped.
-struct Open<W: Wire> {
+struct PlacementGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     id: u64,
 }
 
-impl<W: Wire> Drop for Open<W> {
+impl<W: Wire> Drop for PlacementGuard<W> {
     fn drop(&mut self) {
         self.cx.state().ask_no_longer(self.id);
-        self.cx.dirty.notify_one();
+        self.cx.gossip_due.notify_one();
     }
 }
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceRequest<'a> {
+pub struct PlacementParams<'a> {
     /// What it wants.
-    pub want: Want,
+    pub kind: Want,
     /// Tokens of memory that it is expected to take.
     pub tokens: u32,
     /// Endpoints that are not to be chosen.
@@ -56,23 +56,23 @@
 /// # Errors
 ///
 /// Returns why there is no place.
-pub async fn ask<W: Wire, T>(
+pub async fn request_placement<W: Wire, T>(
     job: &Job<W>,
-    asked: PlaceRequest<'_>,
+    asked: PlacementParams<'_>,
     until: Instant,
     take: impl Fn(&mut Gateway, &Place) -> T,
 ) -> Result<(Place, T), NoPlace> {
     let cx = &job.cx;
-    let waiter = job.waiter(asked.tokens);
+    let waiter = job.queued_request(asked.tokens);
     let (id, service) = (waiter.id, waiter.service);
     let request = PlacementRequest {
         waiter,
-        want: asked.want,
+        want: asked.kind,
         exclude: asked.exclude.to_vec(),
     };
     cx.state().ask(cx.now(), request);
-    cx.dirty.notify_one();
-    let _open = Open {
+    cx.gossip_due.notify_one();
+    let _open = PlacementGuard {
         cx: Arc::clone(cx),
         id,
     };
@@ -88,7 +88,7 @@
         }
         let now = cx.now();
         let is_over = Instant::now() >= until;
-        let mut look = LOOK_AGAIN;
+        let mut look = POLL_INTERVAL;
         let why = {
             let mut state = cx.state();
             match state.verdict(now, id) {
@@ -105,22 +105,22 @@
                 }
                 Verdict::Decided(Decision::Denied(why)) => return Err(why),
                 Verdict::Decided(Decision::Waits(why)) => {
-                    look = LOOK_WAITING;
+                    look = QUEUED_POLL_INTERVAL;
                     why
                 }
                 Verdict::Asked => NoPlace::Full,
                 Verdict::Unanswered => {
                     state.home_unanswered(now, service, id);
                     let demand = job.demand(asked.tokens, asked.exclude);
-                    match state.place_alone(now, &demand, asked.want) {
+                    match state.place_alone(now, &demand, asked.kind) {
                         Ok(place) => {
                             let taken = take(&mut state, &place);
                             state.ask_no_longer(id);
                             drop(state);
-                            note_alone(job, &place);
+                            log_placed_without_home(job, &place);
                             return Ok((place, taken));
                         }
-                        Err(why) if asked.want != Want::Place => return Err(why),
+                        Err(why) if asked.kind != Want::Place => return Err(why),
                         Err(why) => why,
                     }
                 }
@@ -134,10 +134,10 @@
     }
 }
 
-fn note_alone<W: Wire>(job: &Job<W>, place: &Place) {
+fn log_placed_without_home<W: Wire>(job: &Job<W>, place: &Place) {
     ByReason::Places.add("alone");
     log_event!(
-        PlacedAlone,
+        PlacedWithoutHome,
         attempt = job.name(),
         endpoint = place.name.as_str(),
         ms = job.arrived.elapsed().as_millis() as u64
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -43,7 +43,7 @@
     /// All events up to this one.
     Event(u64),
     /// Something that cannot be read.
-    Unreadable,
+    Invalid,
 }
 
 /// A copy of a generation's memory.
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -20,7 +20,7 @@
 /// How long an endpoint may take to accept the connection that shows that it lives. One round
 /// trip between data centres takes some 3 ms; a packet that is lost comes again after more
 /// than this, and then nothing is known.
-const LOOK_LIMIT: Duration = Duration::from_millis(150);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// What is found at the address of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 /// Looks whether a process is at `address`.
 pub async fn probe(address: SocketAddr) -> ProbeResult {
-    match timeout(LOOK_LIMIT, TcpStream::connect(address)).await {
+    match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProbeResult::Accepted,
         Ok(Err(error)) => match error.kind() {
             ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => ProbeResult::Refused,
@@ -59,18 +59,18 @@
 impl<W: Wire> Job<W> {
     /// Finds out what became of the endpoint whose connection ended before its answer, which
     /// had begun at `begun` if it had.
-    pub async fn note_broken(&self, place: &Place, begun: Option<Instant>) {
+    pub async fn on_connection_broken(&self, place: &Place, begun: Option<Instant>) {
         let begun = begun.map(|at| at.elapsed());
         if begun.is_some_and(|it| it >= RAN_WELL_AFTER) {
-            return self.ran_well();
+            return self.on_run_succeeded();
         }
         let found = probe(place.address.into()).await;
-        log_event!(RunBroke, attempt = self.name(), request:% = self.fingerprint,
+        log_event!(ConnectionBroken, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
             found = found.label(), has_begun = begun.is_some(),
             begun_ms = begun.unwrap_or_default().as_millis() as u64);
         match found {
-            ProbeResult::Refused => self.note_ended(place),
+            ProbeResult::Refused => self.on_endpoint_crash(place),
             ProbeResult::Unknown => {
                 let now = self.cx.now();
                 let mut state = self.cx.state();
@@ -81,16 +81,16 @@
     }
 
     /// Notes that an endpoint ended with the request.
-    fn note_ended(&self, place: &Place) {
+    fn on_endpoint_crash(&self, place: &Place) {
         let now = self.cx.now();
         let is_news = self.cx.state().ended_with(now, self.fingerprint, place);
-        self.note_unreachable(place);
+        self.record_unreachable(place);
         if is_news {
             let ended = self.cx.state().ended_by(self.fingerprint);
-            log_event!(EndpointEnded, attempt = self.name(), request:% = self.fingerprint,
+            log_event!(EndpointCrashed, attempt = self.name(), request:% = self.fingerprint,
                 entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
                 ended = ended);
-            self.cx.tell_suspected();
+            self.cx.announce_suspects();
         }
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -22,14 +22,14 @@
 mod upstream;
 
 use crate::attempts::Attempts;
-use crate::cx::Open;
-use crate::job::{InUse, Job};
+use crate::cx::OpenKind;
+use crate::job::{Job, UsageGuard};
 use crate::log_event;
 use crate::meters::{ByReason, Histogram, millis};
 use crate::ports::{BufferedResponse, EngineCalls, Wire};
 use crate::response::{Reason, ResponseBody, StreamAborted, refuse};
 use crate::sse::{Event, EventSplitter};
-use crate::stream::Piece;
+use crate::stream::Chunk;
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::BodyExt;
 use oriolemux_core::gateway::lengths::Length;
@@ -39,20 +39,20 @@
 use oriolemux_core::gateway::state::Place;
 use oriolemux_core::suspects::RAN_WELL_AFTER;
 use pace::Pace;
-use pre_copy::{CopyAhead, StandingCopy};
+use pre_copy::{PreCopy, StandbyCopy};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
-use upstream::{Begun, Pause, Upstream, sleep_until};
+use upstream::{AttemptStart, StopReason, Upstream, sleep_until};
 
 /// Events after which a generation's memory is counted anew: about every half second.
 const RECOUNT_EVENTS: u64 = 16;
 
 /// The largest answer that is no stream.
-const MAX_ANSWER: usize = 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
 /// How a generation began.
-pub enum Started<W: Wire> {
+pub enum StartOutcome<W: Wire> {
     /// Events come.
     Streaming {
         /// The status.
@@ -79,29 +79,29 @@
         attempts: Attempts,
         /// Whether it reached the engine, and so counts among the repeats when it is
         /// sent once more.
-        arrived: bool,
+        reached_engine: bool,
     },
 }
 
 /// One generation.
 pub struct Relay<W: Wire, E: EngineCalls> {
     job: Job<W>,
-    engines: E,
+    engine_calls: E,
     /// Where the request was before the present engine.
     attempts: Attempts,
-    source: Place,
-    in_use: InUse<W>,
+    engine: Place,
+    usage: UsageGuard<W>,
     length: Length,
     /// The memory that the generation is counted with.
-    tokens: u32,
+    reserved_tokens: u32,
     state: Relocation,
-    standing: Option<StandingCopy<W>>,
-    ahead: Option<CopyAhead<W, E>>,
+    standby: Option<StandbyCopy<W>>,
+    pre_copy: Option<PreCopy<W, E>>,
     /// When the present engine's answer began.
-    begun: Option<Instant>,
+    response_started: Option<Instant>,
     splitter: EventSplitter,
     pace: Pace,
-    tx: mpsc::Sender<Piece>,
+    tx: mpsc::Sender<Chunk>,
 }
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
@@ -110,28 +110,28 @@
         job: Job<W>,
         engines: E,
         attempts: Attempts,
-        chosen: (Place, InUse<W>),
+        chosen: (Place, UsageGuard<W>),
         length: Length,
-        tx: mpsc::Sender<Piece>,
+        tx: mpsc::Sender<Chunk>,
     ) -> Self {
         let tokens = job.expected_memory(length, 0);
         let pace = Pace::new(job.arrived.elapsed());
         let entry = job.entry();
         let silence = silence_limit(entry.target, entry.gap_target);
-        let held = job.held();
+        let held = job.last_event_id();
         let (source, in_use) = chosen;
         Relay {
             job,
-            engines,
+            engine_calls: engines,
             attempts,
-            source,
-            in_use,
+            engine: source,
+            usage: in_use,
             length,
-            tokens,
+            reserved_tokens: tokens,
             state: Relocation::new(silence).after(held),
-            standing: None,
-            ahead: None,
-            begun: None,
+            standby: None,
+            pre_copy: None,
+            response_started: None,
             splitter: EventSplitter::default(),
             pace,
             tx,
@@ -139,69 +139,69 @@
     }
 
     /// Runs the relay as a task; it ends when the caller leaves.
-    pub fn spawn(self) -> oneshot::Receiver<Started<W>> {
+    pub fn spawn(self) -> oneshot::Receiver<StartOutcome<W>> {
         let (started, rx) = oneshot::channel();
         tokio::spawn(async move {
-            let _open = self.job.cx.count(Open::Generation);
+            let _open = self.job.cx.count(OpenKind::Generation);
             self.run(started).await;
         });
         rx
     }
 
-    async fn run(mut self, mut started: oneshot::Sender<Started<W>>) {
+    async fn run(mut self, mut started: oneshot::Sender<StartOutcome<W>>) {
         let begun = tokio::select! {
-            begun = self.begin() => begun,
+            begun = self.start() => begun,
             () = started.closed() => {
                 self.log_end("caller_left_early");
                 return;
             }
         };
         let upstream = match begun {
-            Begun::Stream {
+            AttemptStart::Stream {
                 upstream,
                 status,
                 headers,
             } => {
                 // A caller that left meanwhile is noticed by its closed channel.
-                let _ = started.send(Started::Streaming { status, headers });
+                let _ = started.send(StartOutcome::Streaming { status, headers });
                 upstream
             }
-            Begun::Ended(answer) if answer.status.is_server_error() => {
+            AttemptStart::FinalResponse(answer) if answer.status.is_server_error() => {
                 let _ = started.send(self.failed(answer.into_response()));
                 return;
             }
-            Begun::Ended(answer) => {
-                let _ = started.send(Started::Answer(answer));
+            AttemptStart::FinalResponse(answer) => {
+                let _ = started.send(StartOutcome::Answer(answer));
                 return;
             }
-            Begun::NotRun { arrived } => {
+            AttemptStart::NotRun { reached_engine } => {
                 let mut attempts = self.attempts;
-                match arrived {
-                    true => attempts.note_refused(self.source.key),
-                    false => attempts.note_unreached(self.source.key),
+                match reached_engine {
+                    true => attempts.record_refused(self.engine.key),
+                    false => attempts.record_unreached(self.engine.key),
                 }
-                let _ = started.send(Started::NotRun {
+                let _ = started.send(StartOutcome::NotRun {
                     job: Box::new(self.job),
                     attempts,
-                    arrived,
+                    reached_engine,
                 });
                 return;
             }
-            Begun::Failed(reason) => {
+            AttemptStart::Failed(reason) => {
                 self.log_end(&reason.to_string());
-                let answer = refuse(reason, self.job.left());
+                let answer = refuse(reason, self.job.remaining());
                 let _ = started.send(self.failed(answer));
                 return;
             }
         };
-        self.follow(upstream).await;
+        self.forward_stream(upstream).await;
     }
 
     /// Gives the request back after it may have run.
-    fn failed(self, answer: Response<ResponseBody>) -> Started<W> {
+    fn failed(self, answer: Response<ResponseBody>) -> StartOutcome<W> {
         let mut attempts = self.attempts;
-        attempts.note_run(self.source.key);
-        Started::Failed {
+        attempts.record_run(self.engine.key);
+        StartOutcome::Failed {
             job: Box::new(self.job),
             attempts,
             answer,
@@ -209,56 +209,58 @@
     }
 
     /// Passes events on until the stream ends, moving to other engines on the way.
-    async fn follow(mut self, mut upstream: Upstream) {
+    async fn forward_stream(mut self, mut upstream: Upstream) {
         loop {
-            let pause = self.pass_events(&mut upstream).await;
+            let pause = self.forward_events(&mut upstream).await;
             let next = match pause {
-                Pause::End => {
+                StopReason::End => {
                     self.finish();
                     return;
                 }
-                Pause::CallerGone => {
+                StopReason::CallerGone => {
                     self.log_end("caller_left");
                     return;
                 }
-                Pause::Timeout => return self.break_off("timeout").await,
-                Pause::Gap => return self.break_off("event_missing").await,
-                Pause::Leave => {
+                StopReason::Timeout => return self.break_off("timeout").await,
+                StopReason::Gap => return self.break_off("event_missing").await,
+                StopReason::Relocate => {
                     upstream.link.close().await;
-                    if let Err(reason) = self.may_go_on().await {
+                    if let Err(reason) = self.wait_until_admitted().await {
                         return self.break_off(&reason.to_string()).await;
                     }
-                    self.leave().await
+                    self.relocate().await
                 }
-                Pause::GoOnAnew(place, in_use) => {
+                StopReason::Recompute(place, in_use) => {
                     upstream.link.close().await;
-                    self.job.note_failure(&self.source);
-                    Some(self.go_on_anew_at(place, in_use).await)
+                    self.job.record_failure(&self.engine);
+                    Some(self.recompute_at(place, in_use).await)
                 }
-                Pause::Broken => {
+                StopReason::Broken => {
                     upstream.link.close().await;
-                    self.job.note_failure(&self.source);
-                    self.job.note_broken(&self.source, self.begun).await;
-                    if let Err(reason) = self.may_go_on().await {
+                    self.job.record_failure(&self.engine);
+                    self.job
+                        .on_connection_broken(&self.engine, self.response_started)
+                        .await;
+                    if let Err(reason) = self.wait_until_admitted().await {
                         return self.break_off(&reason.to_string()).await;
                     }
-                    self.leave().await
+                    self.relocate().await
                 }
-                Pause::GivenUp => {
+                StopReason::EngineFailed => {
                     upstream.link.close().await;
-                    self.job.note_failure(&self.source);
-                    self.leave().await
+                    self.job.record_failure(&self.engine);
+                    self.relocate().await
                 }
             };
             let next = match next {
-                Some(begun @ Begun::Stream { .. }) => Some(begun),
-                Some(Begun::Failed(reason @ Reason::BudgetSpent)) => {
+                Some(begun @ AttemptStart::Stream { .. }) => Some(begun),
+                Some(AttemptStart::Failed(reason @ Reason::BudgetSpent)) => {
                     return self.break_off(&reason.to_string()).await;
                 }
-                _ => self.go_on_anew().await,
+                _ => self.recompute().await,
             };
             match next {
-                Some(Begun::Stream { upstream: next, .. }) => upstream = next,
+                Some(AttemptStart::Stream { upstream: next, .. }) => upstream = next,
                 _ => return self.break_off("no_copy").await,
             }
         }
@@ -269,34 +271,34 @@
     /// # Errors
     ///
     /// Returns why it may not: it ended its engines, or runs elsewhere too.
-    async fn may_go_on(&self) -> Result<(), Reason> {
-        let ran_for = self.begun.map(|at| at.elapsed());
+    async fn wait_until_admitted(&self) -> Result<(), Reason> {
+        let ran_for = self.response_started.map(|at| at.elapsed());
         if ran_for.is_some_and(|it| it >= RAN_WELL_AFTER) {
-            self.job.ran_well();
+            self.job.on_run_succeeded();
         }
-        self.job.admitted_to_go_on().await
+        self.job.wait_until_admitted_to_resume().await
     }
 
-    async fn pass_events(&mut self, upstream: &mut Upstream) -> Pause<W> {
+    async fn forward_events(&mut self, upstream: &mut Upstream) -> StopReason<W> {
         loop {
             while let Some(event) = self.splitter.next_event() {
-                if let Some(pause) = self.pass_on(event).await {
+                if let Some(pause) = self.forward_event(event).await {
                     return pause;
                 }
             }
             let cx = Arc::clone(&self.job.cx);
             let mut departures = core::pin::pin!(cx.departures.notified());
             departures.as_mut().enable();
-            self.drop_cordoned_copy();
+            self.drop_cordoned_pre_copy();
             let wait = match self.next_step() {
                 Step::CopyAhead => {
-                    self.copy_ahead().await;
+                    self.start_pre_copy().await;
                     continue;
                 }
-                Step::Leave => return Pause::Leave,
-                Step::GiveUp => return Pause::GivenUp,
+                Step::Leave => return StopReason::Relocate,
+                Step::GiveUp => return StopReason::EngineFailed,
                 Step::GoOnAnew => match self.engine_with_room().await {
-                    Some((place, in_use)) => return Pause::GoOnAnew(place, in_use),
+                    Some((place, in_use)) => return StopReason::Recompute(place, in_use),
                     None => {
                         self.state.anew_impossible(cx.now());
                         continue;
@@ -305,24 +307,24 @@
                 Step::Wait(until) => cx.clock.instant(until),
             };
             tokio::select! {
-                moved = pre_copy::ended(&mut self.ahead) => self.on_copied_ahead(moved),
+                moved = pre_copy::wait_for_end(&mut self.pre_copy) => self.on_pre_copy_ended(moved),
                 frame = upstream.body.frame() => match frame {
                     Some(Ok(frame)) => {
                         self.state.on_bytes(cx.now());
                         let data = frame.into_data().unwrap_or_default();
                         if !self.splitter.push(&data) {
-                            return Pause::GivenUp;
+                            return StopReason::EngineFailed;
                         }
                     }
                     Some(Err(error)) => {
                         log::debug!("a generation's connection broke: {error}");
-                        return Pause::Broken;
+                        return StopReason::Broken;
                     }
-                    None if self.splitter.has_rest() => return Pause::Broken,
-                    None => return Pause::End,
+                    None if self.splitter.has_partial_event() => return StopReason::Broken,
+                    None => return StopReason::End,
                 },
-                () = self.tx.closed() => return Pause::CallerGone,
-                () = tokio::time::sleep_until(self.job.ends.into()) => return Pause::Timeout,
+                () = self.tx.closed() => return StopReason::CallerGone,
+                () = tokio::time::sleep_until(self.job.deadline.into()) => return StopReason::Timeout,
                 () = sleep_until(wait) => {}
                 () = departures => {}
             }
@@ -331,33 +333,33 @@
 
     /// Passes one event on, unless the caller holds it already. A caller that takes
     /// nothing holds the generation up no longer than its time.
-    async fn pass_on(&mut self, event: Event) -> Option<Pause<W>> {
+    async fn forward_event(&mut self, event: Event) -> Option<StopReason<W>> {
         let now = self.job.cx.now();
         let is_first_here = !self.state.has_begun_here();
         match self.state.on_event(now, event.id) {
             Delivery::Pass => {}
             Delivery::Again => return None,
-            Delivery::Gap => return Some(Pause::Gap),
+            Delivery::Gap => return Some(StopReason::Gap),
         }
         if is_first_here {
-            self.job.cx.state().endpoints.on_answer(self.source.key);
-            self.in_use.first_byte();
+            self.job.cx.state().endpoints.on_answer(self.engine.key);
+            self.usage.on_first_byte();
         }
         self.pace.on_event(Instant::now());
         self.recount();
         let sent = self.tx.send(Ok(event.bytes));
-        match tokio::time::timeout_at(self.job.ends.into(), sent).await {
+        match tokio::time::timeout_at(self.job.deadline.into(), sent).await {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(Pause::CallerGone),
-            Err(_) => Some(Pause::Timeout),
+            Ok(Err(_)) => Some(StopReason::CallerGone),
+            Err(_) => Some(StopReason::Timeout),
         }
     }
 
     fn next_step(&self) -> Step {
         let cx = &self.job.cx;
         let now = cx.now();
-        let standing = self.standing.as_ref().map(|copy| copy.place.key);
-        let ahead = self.ahead.as_ref().map(|ahead| ahead.target.key);
+        let standing = self.standby.as_ref().map(|copy| copy.place.key);
+        let ahead = self.pre_copy.as_ref().map(|ahead| ahead.target.key);
         let mut state = cx.state();
         let standing_takes_work = standing.is_some_and(|key| state.is_usable(key));
         let target = match self.state.go_on_from(now, standing_takes_work) {
@@ -365,7 +367,7 @@
             Some(GoOnFrom::Standing) => standing,
             None => None,
         };
-        let leaving = state.leaving_since(self.source.key);
+        let leaving = state.leaving_since(self.engine.key);
         let view = View {
             leaves_for: leaving.map(|since| now.since(since)),
             standing_takes_work,
@@ -380,20 +382,20 @@
     fn recount(&mut self) {
         if self.state.events().is_multiple_of(RECOUNT_EVENTS) {
             let made = self.state.tokens();
-            self.tokens = self.job.expected_memory(self.length, made);
-            self.in_use.adjust(self.tokens);
+            self.reserved_tokens = self.job.expected_memory(self.length, made);
+            self.usage.adjust(self.reserved_tokens);
         }
     }
 
     fn finish(&mut self) {
         let cx = &self.job.cx;
         let mut state = cx.state();
-        state.endpoints.on_success(self.source.key);
+        state.endpoints.on_success(self.engine.key);
         state
             .lengths
             .learn(&self.job.entry().name, self.state.tokens());
         drop(state);
-        self.job.ran_well();
+        self.job.on_run_succeeded();
         self.log_end("complete");
     }
 
@@ -406,7 +408,7 @@
 
     fn log_end(&self, how: &str) {
         let entry = self.job.entry();
-        let seen = self.pace.seen(self.job.arrived);
+        let seen = self.pace.summary(self.job.arrived);
         seen.record();
         ByReason::Generations.add(how);
         Histogram::Generation.record(self.job.arrived.elapsed());
@@ -414,7 +416,7 @@
             GenerationEnded,
             attempt = self.job.name(),
             entry = entry.name.as_str(),
-            endpoint = self.source.name.as_str(),
+            endpoint = self.engine.name.as_str(),
             events = self.state.events(),
             moves = self.state.moves(),
             late = seen.is_late(entry),
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -1,11 +1,11 @@
 //! How a generation begins: until the head of an engine's answer is there.
 
-use super::upstream::{Begun, Upstream, sleep_until};
-use super::{MAX_ANSWER, Relay};
-use crate::job::{AT_ONCE, InUse};
+use super::upstream::{AttemptStart, Upstream, sleep_until};
+use super::{MAX_RESPONSE_BYTES, Relay};
+use crate::job::{IMMEDIATE_PLACEMENT_TIMEOUT, UsageGuard};
 use crate::link::{Link, LinkError};
 use crate::log_event;
-use crate::placement::PlaceRequest;
+use crate::placement::PlacementParams;
 use crate::ports::{BufferedResponse, CopyLocation, EngineCalls, ForwardHead, Resume, Wire};
 use crate::response::Reason;
 use core::time::Duration;
@@ -20,10 +20,10 @@
 use std::time::Instant;
 
 /// The pause before an engine with room is looked for again.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const REASSIGN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What an engine that was sent the request did.
-enum Asked<W: Wire> {
+enum SendOutcome<W: Wire> {
     /// It answered, or its connection failed.
     Sent(Result<(Link, Response<Incoming>), LinkError>),
     /// The time of the request was over.
@@ -31,7 +31,7 @@
     /// It was refused while it was there, because it ended too many engines.
     Refused,
     /// It made the request wait, and another engine has room.
-    TakenBack(Place, InUse<W>),
+    Reassign(Place, UsageGuard<W>),
 }
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
@@ -40,29 +40,31 @@
     /// If its engine breaks before that, nothing is asked of the engine that is to keep its
     /// copy. Memory is copied as it grows, so that there is none; and an engine that fails by
     /// itself when it is asked would have run a second time what may run once.
-    pub(super) async fn begin(&mut self) -> Begun {
-        self.choose_standing().await;
+    pub(super) async fn start(&mut self) -> AttemptStart {
+        self.choose_standby().await;
         let error = loop {
-            match self.ask().await {
-                Asked::Timeout => return Begun::Failed(Reason::Timeout),
-                Asked::Refused => return Begun::Failed(self.job.note_refused()),
-                Asked::Sent(Ok((link, answer))) => return self.read_head(link, answer).await,
-                Asked::Sent(Err(error)) => break error,
-                Asked::TakenBack(place, in_use) => self.take_back(place, in_use).await,
+            match self.send_and_wait().await {
+                SendOutcome::Timeout => return AttemptStart::Failed(Reason::Timeout),
+                SendOutcome::Refused => return AttemptStart::Failed(self.job.log_refusal()),
+                SendOutcome::Sent(Ok((link, answer))) => return self.read_head(link, answer).await,
+                SendOutcome::Sent(Err(error)) => break error,
+                SendOutcome::Reassign(place, in_use) => self.reassign(place, in_use).await,
             }
         };
         if error.never_sent() {
             if !matches!(error, LinkError::Withdrawn) {
-                self.job.note_unreachable(&self.source);
+                self.job.record_unreachable(&self.engine);
             }
-            return Begun::NotRun { arrived: false };
+            return AttemptStart::NotRun {
+                reached_engine: false,
+            };
         }
-        self.job.note_failure(&self.source);
-        self.job.note_broken(&self.source, None).await;
+        self.job.record_failure(&self.engine);
+        self.job.on_connection_broken(&self.engine, None).await;
         log::debug!("a generation was lost before its first event: {error}");
         match self.job.is_refused() {
-            true => Begun::Failed(self.job.note_refused()),
-            false => Begun::Failed(Reason::AnswerLost),
+            true => AttemptStart::Failed(self.job.log_refusal()),
+            false => AttemptStart::Failed(Reason::AnswerLost),
         }
     }
 
@@ -70,34 +72,34 @@
     ///
     /// Dropping the wait closes the connection, so that a request that is taken back is
     /// cancelled before it is sent elsewhere.
-    async fn ask(&self) -> Asked<W> {
+    async fn send_and_wait(&self) -> SendOutcome<W> {
         let mut sent = core::pin::pin!(self.send(None));
-        let mut look = self.may_run_again().then(|| self.take_back_at());
+        let mut look = self.may_run_again().then(|| self.reassign_at());
         let cx = &self.job.cx;
         let mut is_cordoned = false;
         loop {
             let mut departures = core::pin::pin!(cx.departures.notified());
             departures.as_mut().enable();
-            if !is_cordoned && cx.state().endpoints.is_cordoned(self.source.key) {
+            if !is_cordoned && cx.state().endpoints.is_cordoned(self.engine.key) {
                 is_cordoned = true;
                 look = look.map(|_| Instant::now());
             }
             tokio::select! {
-                sent = &mut sent => return Asked::Sent(sent),
-                () = tokio::time::sleep_until(self.job.ends.into()) => return Asked::Timeout,
-                () = self.job.refused() => return Asked::Refused,
+                sent = &mut sent => return SendOutcome::Sent(sent),
+                () = tokio::time::sleep_until(self.job.deadline.into()) => return SendOutcome::Timeout,
+                () = self.job.wait_until_refused() => return SendOutcome::Refused,
                 () = departures => {}
                 () = sleep_until(look) => {
                     if let Some((place, in_use)) = self.engine_with_room().await {
-                        return Asked::TakenBack(place, in_use);
+                        return SendOutcome::Reassign(place, in_use);
                     }
-                    look = Some(Instant::now() + LOOK_AGAIN);
+                    look = Some(Instant::now() + REASSIGN_RETRY_INTERVAL);
                 }
             }
         }
     }
 
-    fn take_back_at(&self) -> Instant {
+    fn reassign_at(&self) -> Instant {
         Instant::now() + take_back_after(self.job.entry().target)
     }
 
@@ -107,77 +109,84 @@
     }
 
     /// Returns an engine with room that was not tried, if the fleet's repeats allow it.
-    pub(super) async fn engine_with_room(&self) -> Option<(Place, InUse<W>)> {
+    pub(super) async fn engine_with_room(&self) -> Option<(Place, UsageGuard<W>)> {
         let mut tried = self.attempts.tried().to_vec();
-        tried.push(self.source.key);
-        let asked = PlaceRequest {
-            want: Want::Aside,
-            tokens: self.tokens,
+        tried.push(self.engine.key);
+        let asked = PlacementParams {
+            kind: Want::Aside,
+            tokens: self.reserved_tokens,
             exclude: &tried,
         };
-        let until = Instant::now() + AT_ONCE;
-        let chosen = self.job.ask_place(asked, until).await.ok()?;
+        let until = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
+        let chosen = self.job.request_placement(asked, until).await.ok()?;
         self.job
-            .spend_repeat(RepeatKind::ReadAnew)
+            .try_spend_retry(RepeatKind::ReadAnew)
             .then_some(chosen)
     }
 
-    async fn take_back(&mut self, place: Place, in_use: InUse<W>) {
+    async fn reassign(&mut self, place: Place, in_use: UsageGuard<W>) {
         log_event!(
-            TakenBack,
+            Reassigned,
             attempt = self.job.name(),
-            from = self.source.name.as_str(),
+            from = self.engine.name.as_str(),
             to = place.name.as_str(),
             ms = self.job.arrived.elapsed().as_millis() as u64
         );
-        self.settle_at(place, in_use).await;
+        self.switch_to(place, in_use).await;
     }
 
     /// Makes `place` the present engine; the generation may have run at the one before.
-    pub(super) async fn settle_at(&mut self, place: Place, in_use: InUse<W>) {
-        self.attempts.note_run(self.source.key);
-        self.in_use = in_use;
-        self.source = place;
-        self.choose_standing().await;
+    pub(super) async fn switch_to(&mut self, place: Place, in_use: UsageGuard<W>) {
+        self.attempts.record_run(self.engine.key);
+        self.usage = in_use;
+        self.engine = place;
+        self.choose_standby().await;
     }
 
-    pub(super) async fn read_head(&mut self, link: Link, answer: Response<Incoming>) -> Begun {
+    pub(super) async fn read_head(
+        &mut self,
+        link: Link,
+        answer: Response<Incoming>,
+    ) -> AttemptStart {
         let (parts, body) = answer.into_parts();
         let attempt = self.job.head.attempt.as_deref();
         let wire = &self.job.cx.wire;
         let head = wire.response_head(parts.status, &parts.headers, attempt);
         if head.wrong_attempt {
-            return Begun::Failed(Reason::AnswerForeign);
+            return AttemptStart::Failed(Reason::AnswerForeign);
         }
-        self.job.note_head(&self.source, &head, link.sent);
+        self.job
+            .observe_response_head(&self.engine, &head, link.sent);
         if head.not_run {
-            return Begun::NotRun { arrived: true };
+            return AttemptStart::NotRun {
+                reached_engine: true,
+            };
         }
         let mut headers = parts.headers;
         wire.strip_response_headers(&mut headers);
         if parts.status.is_success() {
-            self.begun = Some(Instant::now());
-            return Begun::Stream {
+            self.response_started = Some(Instant::now());
+            return AttemptStart::Stream {
                 upstream: Upstream { link, body },
                 status: parts.status,
                 headers,
             };
         }
-        let collected = Limited::new(body, MAX_ANSWER).collect();
-        match tokio::time::timeout(self.job.left(), collected).await {
-            Ok(Ok(body)) => Begun::Ended(BufferedResponse {
+        let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect();
+        match tokio::time::timeout(self.job.remaining(), collected).await {
+            Ok(Ok(body)) => AttemptStart::FinalResponse(BufferedResponse {
                 status: parts.status,
                 headers,
                 body: body.to_bytes(),
             }),
-            _ => Begun::Failed(Reason::AnswerLost),
+            _ => AttemptStart::Failed(Reason::AnswerLost),
         }
     }
 
     /// Returns where the present engine is to keep a standing copy, unless that engine was
     /// withdrawn since it was chosen.
-    fn standing_address(&self) -> Option<SocketAddrV4> {
-        let place = &self.standing.as_ref()?.place;
+    fn standby_address(&self) -> Option<SocketAddrV4> {
+        let place = &self.standby.as_ref()?.place;
         let state = self.job.cx.state();
         state.is_usable(place.key).then_some(place.address)
     }
@@ -190,16 +199,16 @@
         let last_event = self.state.last_event();
         let goes_on = copy.is_some() || last_event.is_some();
         let send = ForwardHead {
-            timeout: self.job.left(),
-            endpoint: &self.source.name,
+            timeout: self.job.remaining(),
+            endpoint: &self.engine.name,
             workspace: self.job.workspace_name(),
             priority: Some(self.job.priority()),
-            copy_to: self.standing_address(),
+            copy_to: self.standby_address(),
             resume: goes_on.then(|| Resume {
                 copy,
                 last_event: last_event.unwrap_or(0),
             }),
         };
-        self.job.send(&self.source, &send).await
+        self.job.send(&self.engine, &send).await
     }
 }
--- a/crates/gateway/src/relay/pace.rs
+++ b/crates/gateway/src/relay/pace.rs
@@ -36,9 +36,9 @@
     }
 
     /// Returns what a caller that arrived then has seen.
-    pub(super) fn seen(&self, arrived: Instant) -> Seen {
+    pub(super) fn summary(&self, arrived: Instant) -> PaceSummary {
         let first = self.first.map(|first| first - arrived);
-        Seen {
+        PaceSummary {
             waited_ms: millis(self.waited),
             first_ms: first.map_or(0, millis),
             pause_ms: millis(self.longest_pause),
@@ -50,7 +50,7 @@
 
 /// What a caller has seen of a generation.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct PaceSummary {
     pub(super) waited_ms: u64,
     /// Milliseconds to the first event; 0 if there was none.
     pub(super) first_ms: u64,
@@ -59,7 +59,7 @@
     longest_pause: Duration,
 }
 
-impl Seen {
+impl PaceSummary {
     /// Records the times in histograms.
     pub(super) fn record(&self) {
         if let Some(first) = self.first {
--- a/crates/gateway/src/relay/pre_copy.rs
+++ b/crates/gateway/src/relay/pre_copy.rs
@@ -1,6 +1,6 @@
 //! The copies of one generation's memory at other engines.
 
-use crate::job::CopyInUse;
+use crate::job::CopyUsageGuard;
 use crate::ports::{CopyOutcome, EngineCalls, Wire};
 use core::time::Duration;
 use oriolemux_core::gateway::state::Place;
@@ -9,15 +9,15 @@
 
 /// How long a copy ahead may take: copies queue on the links of both engines, and
 /// no notice is much longer.
-const AHEAD_LIMIT: Duration = Duration::from_millis(2_500);
+const PRE_COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How long the call that frees a copy may take.
-const FREE_LIMIT: Duration = Duration::from_millis(500);
+const FREE_COPY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Where the engine of a generation keeps a copy up to date.
-pub(super) struct StandingCopy<W: Wire> {
+pub(super) struct StandbyCopy<W: Wire> {
     pub(super) place: Place,
-    pub(super) _in_use: CopyInUse<W>,
+    pub(super) _usage: CopyUsageGuard<W>,
 }
 
 /// A copy that is made while the generation still runs at an engine that leaves.
@@ -25,7 +25,7 @@
 /// Dropping it frees the copy. What goes wrong otherwise: a generation that ends
 /// before it leaves holds memory at an engine for seconds that nobody uses, seen as
 /// prompts that wait for room at engines with few generations.
-pub(super) struct CopyAhead<W: Wire, E: EngineCalls> {
+pub(super) struct PreCopy<W: Wire, E: EngineCalls> {
     engines: E,
     source: SocketAddrV4,
     pub(super) target: Place,
@@ -33,18 +33,18 @@
     task: Option<JoinHandle<CopyOutcome>>,
     /// The copy's name at the source, once it is complete.
     handle: Option<String>,
-    _in_use: CopyInUse<W>,
+    _in_use: CopyUsageGuard<W>,
 }
 
-impl<W: Wire, E: EngineCalls> CopyAhead<W, E> {
+impl<W: Wire, E: EngineCalls> PreCopy<W, E> {
     /// Returns a copy from `source` to `target` that is not begun.
     pub(super) fn new(
         engines: E,
         source: SocketAddrV4,
         target: Place,
-        in_use: CopyInUse<W>,
+        in_use: CopyUsageGuard<W>,
     ) -> Self {
-        CopyAhead {
+        PreCopy {
             engines,
             source,
             target,
@@ -55,12 +55,12 @@
     }
 
     /// Begins the copy, or brings it up to date.
-    pub(super) fn begin(&mut self, attempt: &str) {
+    pub(super) fn start(&mut self, attempt: &str) {
         let (engines, source) = (self.engines.clone(), self.source);
         let (attempt, target) = (attempt.to_owned(), self.target.address);
         self.task = Some(tokio::spawn(async move {
             engines
-                .copy_generation(source, &attempt, target, false, AHEAD_LIMIT)
+                .copy_generation(source, &attempt, target, false, PRE_COPY_TIMEOUT)
                 .await
         }));
     }
@@ -79,7 +79,7 @@
     }
 }
 
-impl<W: Wire, E: EngineCalls> Drop for CopyAhead<W, E> {
+impl<W: Wire, E: EngineCalls> Drop for PreCopy<W, E> {
     fn drop(&mut self) {
         let (task, handle) = (self.task.take(), self.handle.take());
         if task.is_none() && handle.is_none() {
@@ -96,17 +96,17 @@
                 _ => handle,
             };
             if let Some(name) = name {
-                engines.free_copy(source, &name, FREE_LIMIT).await;
+                engines.free_copy(source, &name, FREE_COPY_TIMEOUT).await;
             }
         });
     }
 }
 
 /// Waits for the end of a copy that is under way; for good if there is none.
-pub(super) async fn ended<W: Wire, E: EngineCalls>(
-    ahead: &mut Option<CopyAhead<W, E>>,
+pub(super) async fn wait_for_end<W: Wire, E: EngineCalls>(
+    ahead: &mut Option<PreCopy<W, E>>,
 ) -> CopyOutcome {
-    let Some(CopyAhead {
+    let Some(PreCopy {
         task: Some(task), ..
     }) = ahead
     else {
--- a/crates/gateway/src/relay/upstream.rs
+++ b/crates/gateway/src/relay/upstream.rs
@@ -1,6 +1,6 @@
 //! The open end of an engine's answer, and how it begins and pauses.
 
-use crate::job::InUse;
+use crate::job::UsageGuard;
 use crate::link::Link;
 use crate::ports::{BufferedResponse, Wire};
 use crate::response::Reason;
@@ -16,19 +16,19 @@
 }
 
 /// Why the relay stopped to read from an engine.
-pub(super) enum Pause<W: Wire> {
+pub(super) enum StopReason<W: Wire> {
     /// The stream came to its end.
     End,
     /// The caller left.
     CallerGone,
     /// The engine leaves and it is time to go.
-    Leave,
+    Relocate,
     /// The engine is silent, and this one can read the generation anew.
-    GoOnAnew(Place, InUse<W>),
+    Recompute(Place, UsageGuard<W>),
     /// The connection broke.
     Broken,
     /// The engine fell silent or sent what is no stream.
-    GivenUp,
+    EngineFailed,
     /// Time is over.
     Timeout,
     /// An event is missing.
@@ -36,7 +36,7 @@
 }
 
 /// How a request to an engine began.
-pub(super) enum Begun {
+pub(super) enum AttemptStart {
     /// Events come.
     Stream {
         upstream: Upstream,
@@ -44,11 +44,11 @@
         headers: HeaderMap,
     },
     /// A final answer without events.
-    Ended(BufferedResponse),
+    FinalResponse(BufferedResponse),
     /// The engine did not run it.
     NotRun {
         /// Whether it reached the engine.
-        arrived: bool,
+        reached_engine: bool,
     },
     /// It failed.
     Failed(Reason),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,6 +1,6 @@
 //! Starts all parts of the gateway and ends them in order.
 
-use crate::cx::{Clock, Cx, GatewayLimits, Open, StopPlan};
+use crate::cx::{Clock, Cx, GatewayLimits, OpenKind, StopPlan};
 use crate::log_event;
 use crate::page::OperatorsPage;
 use crate::ports::{EngineCalls, Store, Wire};
@@ -18,29 +18,29 @@
 use tokio_util::task::TaskTracker;
 
 /// How long before the end of a planned stop the door is closed.
-const DOOR_CLOSES: Duration = Duration::from_millis(500);
+const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
 /// How long before the end of a planned stop calls are refused: longer than a call
 /// takes, so that none is cut off.
-const NO_CALLS: Duration = Duration::from_millis(1_500);
+const CALL_CUTOFF: Duration = Duration::from_millis(1_500);
 
 /// How long before the end of the notice generations are refused. What comes within
 /// the notice may be cut off by the end of the stop; this keeps clear of its edge.
-const NO_GENERATIONS: Duration = Duration::from_millis(500);
+const GENERATION_CUTOFF: Duration = Duration::from_millis(500);
 
 fn stop_plan(settings: &RunConfig) -> StopPlan {
     let now = std::time::Instant::now();
     let ends = now + settings.grace;
-    let takes_for = settings.notice.saturating_sub(NO_GENERATIONS);
+    let takes_for = settings.notice.saturating_sub(GENERATION_CUTOFF);
     StopPlan {
         no_generations_from: now + takes_for,
-        no_calls_from: ends.checked_sub(NO_CALLS).unwrap_or(now),
-        ends,
+        no_calls_from: ends.checked_sub(CALL_CUTOFF).unwrap_or(now),
+        deadline: ends,
     }
 }
 
 /// Puts settings in force that were read anew, for good.
-async fn follow_reloads<W: Wire>(
+async fn apply_reloads<W: Wire>(
     cx: Arc<Cx<W>>,
     mut reloads: watch::Receiver<Option<ReloadedSettings>>,
 ) {
@@ -56,7 +56,7 @@
 }
 
 /// How often a planned stop looks whether the last request is answered.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Where an instance listens, and its bounds.
 #[derive(Clone, Debug)]
@@ -174,7 +174,7 @@
         self.addresses
     }
 
-    fn announce(&self) {
+    fn log_listeners(&self) {
         let listeners = [
             ("front", self.addresses.front),
             ("readiness", self.addresses.readiness),
@@ -200,7 +200,7 @@
         reloads: watch::Receiver<Option<ReloadedSettings>>,
         stop: CancellationToken,
     ) -> Result<(), RunError> {
-        self.announce();
+        self.log_listeners();
         let clock = Clock::start();
         let mut config = settings.config.clone();
         config.address = self.addresses.peers;
@@ -209,10 +209,10 @@
         let callers = TaskTracker::new();
         let socket = Arc::new(self.socket);
         let mut parts = JoinSet::new();
-        parts.spawn(store::keep_up(Arc::clone(&cx), store_client));
-        parts.spawn(gossip::tell(Arc::clone(&cx), Arc::clone(&socket)));
-        parts.spawn(gossip::hear(Arc::clone(&cx), socket));
-        parts.spawn(catch_up::answer(Arc::clone(&cx), self.peers));
+        parts.spawn(store::follow_store(Arc::clone(&cx), store_client));
+        parts.spawn(gossip::send_loop(Arc::clone(&cx), Arc::clone(&socket)));
+        parts.spawn(gossip::receive_loop(Arc::clone(&cx), socket));
+        parts.spawn(catch_up::serve_deltas(Arc::clone(&cx), self.peers));
         parts.spawn(catch_up::catch_up(Arc::clone(&cx)));
         let asked = Arc::clone(&cx);
         parts.spawn(page::serve(self.readiness, move |_| {
@@ -227,14 +227,14 @@
             };
             parts.spawn(page::serve(listener, move |asked| operators.answer(&asked)));
         }
-        parts.spawn(follow_reloads(Arc::clone(&cx), reloads));
+        parts.spawn(apply_reloads(Arc::clone(&cx), reloads));
         let front = front::serve(Arc::clone(&cx), engines, self.front, callers.clone());
         let door = parts.spawn(front);
         tokio::select! {
             () = stop.cancelled() => {}
             _ = parts.join_next() => return Err(RunError::TaskEnded),
         }
-        end_in_order(&cx, &settings, &callers, &door).await;
+        stop_gracefully(&cx, &settings, &callers, &door).await;
         Ok(())
     }
 }
@@ -246,7 +246,7 @@
 /// The door stays open as long as the process does. What goes wrong otherwise: where
 /// several instances stop one after the other, the balancer sends callers to all of
 /// them, and a closed door is a caller without an answer.
-async fn end_in_order<W: Wire>(
+async fn stop_gracefully<W: Wire>(
     cx: &Arc<Cx<W>>,
     settings: &RunConfig,
     callers: &TaskTracker,
@@ -255,16 +255,16 @@
     let begun = Instant::now();
     cx.begin_stop(stop_plan(settings));
     sleep(settings.notice).await;
-    let door_closes = settings.grace.saturating_sub(DOOR_CLOSES);
-    while cx.open(Open::Generation) > 0 && begun.elapsed() < door_closes {
-        sleep(STOP_LOOK).await;
+    let door_closes = settings.grace.saturating_sub(LISTENER_CLOSE_MARGIN);
+    while cx.open_count(OpenKind::Generation) > 0 && begun.elapsed() < door_closes {
+        sleep(STOP_POLL_INTERVAL).await;
     }
     door.abort();
     cx.closing.cancel();
     callers.close();
     let left = settings.grace.saturating_sub(begun.elapsed());
     if tokio::time::timeout(left, callers.wait()).await.is_err() {
-        let requests = cx.open(Open::Request) + cx.open(Open::Generation);
+        let requests = cx.open_count(OpenKind::Request) + cx.open_count(OpenKind::Generation);
         log_event!(StoppedWithRequests, requests = requests);
     }
 }
@@ -279,7 +279,7 @@
 }
 
 /// Ports that are tried until one is free for UDP and TCP alike.
-const PEER_PORT_TRIES: usize = 16;
+const MAX_PEER_PORT_ATTEMPTS: usize = 16;
 
 /// Binds the same port for datagrams and for connections of peers.
 async fn listen_to_peers(address: SocketAddrV4) -> Result<(TcpListener, UdpSocket), RunError> {
@@ -289,7 +289,7 @@
         let bound = local_v4(&listener).unwrap_or(address);
         match UdpSocket::bind(SocketAddr::V4(bound)).await {
             Ok(socket) => return Ok((listener, socket)),
-            Err(_) if address.port() == 0 && tries < PEER_PORT_TRIES => tries += 1,
+            Err(_) if address.port() == 0 && tries < MAX_PEER_PORT_ATTEMPTS => tries += 1,
             Err(source) => {
                 return Err(RunError::Listen {
                     listener: "peers",
--- a/crates/gateway/src/run_lease.rs
+++ b/crates/gateway/src/run_lease.rs
@@ -18,38 +18,38 @@
 use tokio::time::timeout;
 
 /// How often a request that waits for its turn looks again without being told to.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a generation that lost its engine may wait for its turn at the next one. A caller
 /// bears a pause of some 180 ms between events.
-const GO_ON_PATIENCE: Duration = Duration::from_millis(100);
+const RESUME_ADMISSION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A request that counts as running until it is dropped.
-pub struct Run<W: Wire> {
+pub struct RunGuard<W: Wire> {
     cx: Arc<Cx<W>>,
-    turn: Turn,
+    run: Turn,
 }
 
-impl<W: Wire> Run<W> {
+impl<W: Wire> RunGuard<W> {
     /// Counts a request from now on.
     pub fn begin(cx: &Arc<Cx<W>>, fingerprint: Fingerprint) -> Self {
-        Run {
+        RunGuard {
             cx: Arc::clone(cx),
-            turn: cx.state().begin_run(fingerprint),
+            run: cx.state().begin_run(fingerprint),
         }
     }
 
     fn admission(&self) -> Admission {
         let now = self.cx.now();
-        self.cx.state().admit_run(now, self.turn)
+        self.cx.state().admit_run(now, self.run)
     }
 }
 
-impl<W: Wire> Drop for Run<W> {
+impl<W: Wire> Drop for RunGuard<W> {
     fn drop(&mut self) {
-        let is_awaited = self.cx.state().end_run(self.turn);
+        let is_awaited = self.cx.state().end_run(self.run);
         if is_awaited {
-            self.cx.dirty.notify_one();
+            self.cx.gossip_due.notify_one();
         }
     }
 }
@@ -61,8 +61,8 @@
     /// # Errors
     ///
     /// Returns why it may not.
-    pub async fn admitted(&self) -> Result<(), Reason> {
-        let until = (self.arrived + self.entry().target).min(self.ends);
+    pub async fn wait_until_admitted(&self) -> Result<(), Reason> {
+        let until = (self.arrived + self.entry().target).min(self.deadline);
         self.admitted_until(until).await
     }
 
@@ -71,8 +71,8 @@
     /// # Errors
     ///
     /// Returns why it may not.
-    pub async fn admitted_to_go_on(&self) -> Result<(), Reason> {
-        let until = (Instant::now() + GO_ON_PATIENCE).min(self.ends);
+    pub async fn wait_until_admitted_to_resume(&self) -> Result<(), Reason> {
+        let until = (Instant::now() + RESUME_ADMISSION_TIMEOUT).min(self.deadline);
         self.admitted_until(until).await
     }
 
@@ -83,13 +83,13 @@
             decided.as_mut().enable();
             match self.run.admission() {
                 Admission::Go => return Ok(()),
-                Admission::Refused => return Err(self.note_refused()),
+                Admission::Refused => return Err(self.log_refusal()),
                 Admission::NoHome => return Err(Reason::TurnTaken),
                 Admission::Wait if Instant::now() >= until => return Err(Reason::TurnTaken),
-                Admission::Wait => cx.dirty.notify_one(),
+                Admission::Wait => cx.gossip_due.notify_one(),
             }
             // Time that is over is not told by anybody, so the wait is bounded.
-            let _ = timeout(LOOK_AGAIN, decided).await;
+            let _ = timeout(POLL_INTERVAL, decided).await;
         }
     }
 
@@ -109,9 +109,9 @@
     ///
     /// What goes wrong otherwise: while the third endpoint ends, copies of the request wait
     /// at others behind prompts that are read, and end these too.
-    pub async fn refused(&self) {
+    pub async fn wait_until_refused(&self) {
         loop {
-            let mut news = core::pin::pin!(self.cx.suspected.notified());
+            let mut news = core::pin::pin!(self.cx.suspects_changed.notified());
             news.as_mut().enable();
             if self.is_refused() {
                 return;
@@ -121,13 +121,13 @@
     }
 
     /// Notes that the request ran well.
-    pub fn ran_well(&self) {
+    pub fn on_run_succeeded(&self) {
         let now = self.cx.now();
         self.cx.state().ran_well(now, self.fingerprint);
     }
 
     /// Notes that the request is refused; returns the reason.
-    pub fn note_refused(&self) -> Reason {
+    pub fn log_refusal(&self) -> Reason {
         let ended = self.cx.state().ended_by(self.fingerprint);
         log_event!(SuspectRefused, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), ended = ended);
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns whether bytes wait that are no whole event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -3,7 +3,7 @@
 //! It is the answer of `/status` on the listener for metrics, and what
 //! `oriolemux status` prints. Its fields are stable; new ones may come.
 
-use crate::cx::{Cx, Open};
+use crate::cx::{Cx, OpenKind};
 use crate::meters::millis;
 use crate::ports::Wire;
 use oriolemux_core::gateway::endpoints::Endpoint;
@@ -218,8 +218,8 @@
                 watches: state.watches(now),
                 unsettled: state.is_unsettled(now),
             },
-            connections: cx.open(Open::Connection),
-            generations: cx.open(Open::Generation),
+            connections: cx.open_count(OpenKind::Connection),
+            generations: cx.open_count(OpenKind::Generation),
             endpoints,
             peers: peers
                 .map(|(address, peer)| peer_status(now, address, peer))
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -20,10 +20,10 @@
 
 /// How long one page may take to begin. A store that is slow takes up to some hundred
 /// milliseconds.
-const PAGE_LIMIT: Duration = Duration::from_millis(1_500);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Reads and watches the store for good.
-pub async fn keep_up<W: Wire, S: Store>(cx: Arc<Cx<W>>, store: S) {
+pub async fn follow_store<W: Wire, S: Store>(cx: Arc<Cx<W>>, store: S) {
     loop {
         let step = cx.state().next_step(cx.now());
         match step {
@@ -34,7 +34,7 @@
             }
             Step::Read => {
                 let result = read_all(&cx, &store).await;
-                note(&cx, result, StoreReader::on_read);
+                record_result(&cx, result, StoreReader::on_read);
             }
             Step::Watch => watch(&cx, &store).await,
         }
@@ -46,7 +46,7 @@
     let mut after: Option<String> = None;
     let mut began = None;
     loop {
-        let page = store.page(after.as_deref(), PAGE_LIMIT).await?;
+        let page = store.page(after.as_deref(), PAGE_TIMEOUT).await?;
         // Pages are no snapshot: what was written after the first one may be missing
         // from the others, so that only the first page's revision is certain.
         let began = *began.get_or_insert(page.revision);
@@ -57,12 +57,12 @@
         apply(cx, Source::Store, page.records);
         if page.next.is_none() || last.is_some_and(|key| cx.wire.is_past_cordons(&key)) {
             cx.state().cordons_read();
-            cx.changed.notify_waiters();
+            cx.replica_changed.notify_waiters();
         }
         match page.next {
             Some(next) => after = Some(next),
             None => {
-                read_whole(cx, Source::Store, &seen, began);
+                finish_full_read(cx, Source::Store, &seen, began);
                 let now = cx.now();
                 cx.state().note_behind(now);
                 return Ok(());
@@ -72,12 +72,17 @@
 }
 
 /// Ends a read of everything as of revision `began`: what `seen` does not name is gone.
-pub fn read_whole<W: Wire>(cx: &Cx<W>, from: Source, seen: &BTreeMap<String, ()>, began: u64) {
+pub fn finish_full_read<W: Wire>(
+    cx: &Cx<W>,
+    from: Source,
+    seen: &BTreeMap<String, ()>,
+    began: u64,
+) {
     let missing = cx.state().replica.missing_from(seen, began);
     apply(cx, from, missing);
     cx.state().replica.read_whole(began);
     lift_missing_cordons(cx, from, began);
-    cx.changed.notify_waiters();
+    cx.replica_changed.notify_waiters();
 }
 
 /// Lifts cordons that peers told of and that were gone from the store at revision `began`: the
@@ -102,7 +107,7 @@
         .collect();
     drop(state);
     for (cordon, effect) in lifted.iter().zip(effects) {
-        cx.tell_cordon(cordon, effect, from);
+        cx.announce_cordon(cordon, effect, from);
     }
 }
 
@@ -126,14 +131,14 @@
         if has_news {
             state.announce();
             drop(state);
-            cx.dirty.notify_one();
+            cx.gossip_due.notify_one();
         }
     });
-    note(cx, result, answered);
+    record_result(cx, result, answered);
 }
 
 /// Takes the result of a call into account.
-fn note<W: Wire>(
+fn record_result<W: Wire>(
     cx: &Cx<W>,
     result: Result<(), CallFailure>,
     answered: fn(&mut StoreReader, Time) -> bool,
@@ -156,7 +161,7 @@
                     revision = state.replica.revision()
                 );
                 // Whoever waits for a first catalogue need not wait any longer.
-                cx.changed.notify_waiters();
+                cx.replica_changed.notify_waiters();
             }
         }
     }
@@ -200,7 +205,7 @@
         has_news = true;
         let now = cx.now();
         match published {
-            Published::Catalogue(source) => put_in_force(cx, from, source),
+            Published::Catalogue(source) => apply_catalogue(cx, from, source),
             Published::Endpoint(endpoint) => {
                 left.extend(cx.state().publish_endpoint(now, endpoint));
             }
@@ -209,27 +214,27 @@
             }
             Published::Cordon { cordon, why } => {
                 if let Some(why) = why {
-                    note_unreadable(&record, &why);
+                    log_unreadable(&record, &why);
                 }
                 let effect = cx.state().publish_cordon(now, cordon.clone());
-                cx.tell_cordon(&cordon, effect, from);
+                cx.announce_cordon(&cordon, effect, from);
             }
             Published::Other => {}
             Published::EndpointUnreadable { name, why } => {
                 cx.state().endpoints.cannot_read(&name);
-                note_unreadable(&record, &why);
+                log_unreadable(&record, &why);
             }
-            Published::Unreadable(why) => note_unreadable(&record, &why),
+            Published::Unreadable(why) => log_unreadable(&record, &why),
         }
     }
-    cx.tell_leaving(&left);
+    cx.announce_leaving(&left);
     if has_news {
-        cx.changed.notify_waiters();
+        cx.replica_changed.notify_waiters();
     }
     has_news
 }
 
-fn note_unreadable(record: &Record, why: &str) {
+fn log_unreadable(record: &Record, why: &str) {
     log_event!(
         RecordUnreadable,
         key = record.key.as_str(),
@@ -238,7 +243,7 @@
     );
 }
 
-fn put_in_force<W: Wire>(cx: &Cx<W>, from: Source, source: CatalogueSource) {
+fn apply_catalogue<W: Wire>(cx: &Cx<W>, from: Source, source: CatalogueSource) {
     let version = source.version;
     let published = cx.state().publish_catalogue(source);
     match published {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -5,11 +5,11 @@
 //! where that pays, and its [`relay`](crate::relay) then has it to its end.
 
 use crate::attempts::Attempts;
-use crate::job::{InUse, Job};
+use crate::job::{Job, UsageGuard};
 use crate::log_event;
-use crate::placement::PlaceRequest;
+use crate::placement::PlacementParams;
 use crate::ports::{EngineCalls, Wire};
-use crate::relay::{Relay, Started};
+use crate::relay::{Relay, StartOutcome};
 use crate::response::{Reason, ResponseBody, StreamAborted};
 use bytes::Bytes;
 use core::pin::Pin;
@@ -26,67 +26,69 @@
 use tokio::sync::mpsc;
 
 /// Pieces of a stream that wait for the caller's connection.
-const PIECES: usize = 64;
+const STREAM_BUFFER_CHUNKS: usize = 64;
 
 /// How many times the target a generation waits for room. Later it could only be
 /// late, and the caller knows better what to do with its time.
-const WAIT_TARGETS: f64 = 1.0;
+const WAIT_TARGET_FACTOR: f64 = 1.0;
 
 /// How long a token takes, as measured on engines with some five generations beside
 /// prompts that are read.
-const TOKEN_TIME: Duration = Duration::from_millis(10);
+const TOKEN_DURATION: Duration = Duration::from_millis(10);
 
 /// What goes to the caller's connection.
-pub type Piece = Result<Bytes, StreamAborted>;
+pub type Chunk = Result<Bytes, StreamAborted>;
 
 /// Serves a generation.
 pub async fn serve<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<ResponseBody> {
     let mut attempts = Attempts::default();
     let length = job.length();
-    let expected = TOKEN_TIME * length.rest(0);
-    if !job.cx.takes_generation(expected) {
-        return give_up(&job, &attempts, Reason::Stopping);
+    let expected = TOKEN_DURATION * length.rest(0);
+    if !job.cx.accepts_generation(expected) {
+        return refuse_generation(&job, &attempts, Reason::Stopping);
     }
     let tokens = job.expected_memory(length, 0);
     let mut job = job;
     loop {
-        if let Err(reason) = job.admitted().await {
-            return give_up(&job, &attempts, reason);
+        if let Err(reason) = job.wait_until_admitted().await {
+            return refuse_generation(&job, &attempts, reason);
         }
-        let chosen = match wait_for_place(&job, tokens, attempts.tried()).await {
+        let chosen = match wait_for_placement(&job, tokens, attempts.tried()).await {
             Ok(chosen) => chosen,
-            Err(reason) => return give_up(&job, &attempts, reason),
+            Err(reason) => return refuse_generation(&job, &attempts, reason),
         };
         if !job.is_admitted() {
             continue;
         }
         match start(job, engines.clone(), attempts, chosen, length).await {
-            Start::Ended(answer) => return answer,
-            Start::NotRun {
+            GenerationStart::Ended(answer) => return answer,
+            GenerationStart::NotRun {
                 job: returned,
                 attempts: so_far,
-                arrived,
+                reached_engine,
             } => {
                 (job, attempts) = (*returned, so_far);
-                let may_repeat = !arrived || job.spend_repeat(RepeatKind::Retry);
+                let may_repeat = !reached_engine || job.try_spend_retry(RepeatKind::Retry);
                 if attempts.refused() > MAX_REFUSED_SENDS || !may_repeat {
-                    return give_up(&job, &attempts, Reason::NotRunAtEndpoint);
+                    return refuse_generation(&job, &attempts, Reason::NotRunAtEndpoint);
                 }
             }
-            Start::Failed {
+            GenerationStart::Failed {
                 job: returned,
                 attempts: so_far,
                 answer,
             } => {
                 (job, attempts) = (*returned, so_far);
                 let may_repeat = attempts.may_run_again(job.entry())
-                    && job.left() > MIN_LEFT
+                    && job.remaining() > MIN_RETRY_TIME
                     && !job.is_refused();
-                if !may_repeat || !job.spend_repeat(RepeatKind::Retry) {
+                if !may_repeat || !job.try_spend_retry(RepeatKind::Retry) {
                     return answer;
                 }
             }
-            Start::Lost => return Response::new(crate::response::full_body(Bytes::new())),
+            GenerationStart::Lost => {
+                return Response::new(crate::response::full_body(Bytes::new()));
+            }
         }
     }
 }
@@ -96,17 +98,17 @@
 
 /// A repeat with less time left than this would only be work in vain: a prompt is read
 /// in some 0.2 s.
-const MIN_LEFT: Duration = Duration::from_millis(250);
+const MIN_RETRY_TIME: Duration = Duration::from_millis(250);
 
 /// How a generation began.
-enum Start<W: Wire> {
+enum GenerationStart<W: Wire> {
     /// There is an answer: events that come, or a final one without events.
     Ended(Response<ResponseBody>),
     /// The engine did not run it.
     NotRun {
         job: Box<Job<W>>,
         attempts: Attempts,
-        arrived: bool,
+        reached_engine: bool,
     },
     /// It failed and may have run.
     Failed {
@@ -122,67 +124,75 @@
     job: Job<W>,
     engines: E,
     attempts: Attempts,
-    chosen: (Place, InUse<W>),
+    chosen: (Place, UsageGuard<W>),
     length: Length,
-) -> Start<W> {
-    let (tx, rx) = mpsc::channel(PIECES);
+) -> GenerationStart<W> {
+    let (tx, rx) = mpsc::channel(STREAM_BUFFER_CHUNKS);
     let relay = Relay::new(job, engines, attempts, chosen, length, tx);
     let started = relay.spawn();
     match started.await {
-        Ok(Started::Streaming { status, headers }) => Start::Ended(streamed(status, headers, rx)),
-        Ok(Started::Answer(answer)) => Start::Ended(answer.into_response()),
-        Ok(Started::Failed {
+        Ok(StartOutcome::Streaming { status, headers }) => {
+            GenerationStart::Ended(streamed(status, headers, rx))
+        }
+        Ok(StartOutcome::Answer(answer)) => GenerationStart::Ended(answer.into_response()),
+        Ok(StartOutcome::Failed {
             job,
             attempts,
             answer,
-        }) => Start::Failed {
+        }) => GenerationStart::Failed {
             job,
             attempts,
             answer,
         },
-        Ok(Started::NotRun {
+        Ok(StartOutcome::NotRun {
             job,
             attempts,
-            arrived,
-        }) => Start::NotRun {
+            reached_engine,
+        }) => GenerationStart::NotRun {
             job,
             attempts,
-            arrived,
+            reached_engine,
         },
-        Err(_) => Start::Lost,
+        Err(_) => GenerationStart::Lost,
     }
 }
 
 fn streamed(
     status: StatusCode,
     mut headers: HeaderMap,
-    pieces: mpsc::Receiver<Piece>,
+    pieces: mpsc::Receiver<Chunk>,
 ) -> Response<ResponseBody> {
     // The length of what an engine sent says nothing when another goes on.
     headers.remove(header::CONTENT_LENGTH);
-    let mut response = Response::new(PieceBody { pieces }.boxed_unsync());
+    let mut response = Response::new(ChunkBody { pieces }.boxed_unsync());
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-async fn wait_for_place<W: Wire>(
+async fn wait_for_placement<W: Wire>(
     job: &Job<W>,
     tokens: u32,
     tried: &[EndpointKey],
-) -> Result<(Place, InUse<W>), Reason> {
-    let limit = job.entry().target.mul_f64(WAIT_TARGETS);
-    let until = (job.arrived + limit).min(job.ends);
-    let asked = PlaceRequest {
-        want: Want::Place,
+) -> Result<(Place, UsageGuard<W>), Reason> {
+    let limit = job.entry().target.mul_f64(WAIT_TARGET_FACTOR);
+    let until = (job.arrived + limit).min(job.deadline);
+    let asked = PlacementParams {
+        kind: Want::Place,
         tokens,
         exclude: tried,
     };
-    job.ask_place(asked, until).await.map_err(Reason::from)
+    job.request_placement(asked, until)
+        .await
+        .map_err(Reason::from)
 }
 
 /// Answers a generation that has no place.
-fn give_up<W: Wire>(job: &Job<W>, attempts: &Attempts, reason: Reason) -> Response<ResponseBody> {
+fn refuse_generation<W: Wire>(
+    job: &Job<W>,
+    attempts: &Attempts,
+    reason: Reason,
+) -> Response<ResponseBody> {
     // Where it may have run, "not run" would be untrue.
     let reason = match reason {
         Reason::EndsEndpoints => reason,
@@ -196,11 +206,11 @@
 
 /// The body of a streamed answer. When the caller leaves, it is dropped, and the
 /// relay learns of it by its closed channel.
-struct PieceBody {
-    pieces: mpsc::Receiver<Piece>,
+struct ChunkBody {
+    pieces: mpsc::Receiver<Chunk>,
 }
 
-impl http_body::Body for PieceBody {
+impl http_body::Body for ChunkBody {
     type Data = Bytes;
     type Error = StreamAborted;
 
--- a/crates/oriolemux/src/story.rs
+++ b/crates/oriolemux/src/story.rs
@@ -108,7 +108,7 @@
 /// Returns whether an event tells what became of an endpoint.
 fn is_of_endpoint(event: u32) -> bool {
     event == GatewayEvent::EndpointLeaving.number()
-        || event == GatewayEvent::EndpointPassedOver.number()
+        || event == GatewayEvent::EndpointEjected.number()
 }
 
 /// Returns whether an event tells what became of an instance or its store.
--- a/crates/oriolemux/src/story/cause.rs
+++ b/crates/oriolemux/src/story/cause.rs
@@ -193,7 +193,7 @@
             ended: line.number("ended"),
         });
     }
-    last(GatewayEvent::EndpointEnded).map(|line| Cause::EndedEndpoint {
+    last(GatewayEvent::EndpointCrashed).map(|line| Cause::EndedEndpoint {
         endpoint: field(line, "endpoint"),
         request: field(line, "request"),
         ended: line.number("ended"),
@@ -227,10 +227,11 @@
     let last = |event| steps.iter().rfind(|line| event_of(line) == Some(event));
     let moved = steps.iter().rfind(|line| {
         let event = event_of(line);
-        event == Some(GatewayEvent::GoesOnFromAhead) || event == Some(GatewayEvent::GoesOnFromCopy)
+        event == Some(GatewayEvent::ResumedFromPreCopy)
+            || event == Some(GatewayEvent::ResumedFromStandby)
     });
     let engine = end.field("endpoint").unwrap_or("-").to_owned();
-    if let (Some(moved), Some(refused)) = (moved, last(GatewayEvent::CannotGoOn))
+    if let (Some(moved), Some(refused)) = (moved, last(GatewayEvent::ResumeFailed))
         && refused.time >= moved.time
     {
         return Cause::NotTakenUp {
@@ -246,7 +247,7 @@
     });
     let no_room = last(GatewayEvent::NoRoomForCopy)
         .is_some_and(|line| line.field("source") == Some(engine.as_str()));
-    let failed = last(GatewayEvent::CopiedAhead)
+    let failed = last(GatewayEvent::PreCopyEnded)
         .filter(|line| line.field("from") == Some(engine.as_str()))
         .and_then(|line| line.field("how"));
     let why = match failed {
