--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -4,13 +4,13 @@
 
 pub use connection::serve;
 
-use crate::answer::{AnswerBody, Reason, refuse};
 use crate::cx::Cx;
 use crate::job::Job;
+use crate::log_event;
 use crate::meters::ByReason;
-use crate::note;
-use crate::ports::{CallerHead, EngineCalls, Held, Wire};
-use crate::turn::Run;
+use crate::ports::{CallerHead, EngineCalls, LastEventId, Wire};
+use crate::response::{Reason, ResponseBody, refuse};
+use crate::run_lease::RunGuard;
 use crate::{call, stream};
 use bytes::Bytes;
 use core::time::Duration;
@@ -24,11 +24,11 @@
 use std::time::Instant;
 
 /// The time that a caller is assumed to wait if nothing is known of it.
-const UNKNOWN_PATIENCE: Duration = Duration::from_secs(1);
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a request waits for the first catalogue of an instance that has just started.
 /// It is read in some 10 ms; ten times as long covers a store that is slow.
-const FIRST_CATALOGUE_WAIT: Duration = Duration::from_millis(250);
+const FIRST_CATALOGUE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The share of its caller's patience that a request waits for it at most.
 const FIRST_CATALOGUE_SHARE: f64 = 0.25;
@@ -41,10 +41,10 @@
 /// a day whose instances all stop at once. Once the store is known not to answer, nobody
 /// waits.
 async fn first_catalogue<W: Wire>(cx: &Cx<W>, patience: Duration) -> Option<Arc<Catalogue>> {
-    let wait = FIRST_CATALOGUE_WAIT.min(patience.mul_f64(FIRST_CATALOGUE_SHARE));
+    let wait = FIRST_CATALOGUE_TIMEOUT.min(patience.mul_f64(FIRST_CATALOGUE_SHARE));
     let until = tokio::time::Instant::now() + wait;
     loop {
-        let mut changed = core::pin::pin!(cx.changed.notified());
+        let mut changed = core::pin::pin!(cx.replica_changed.notified());
         changed.as_mut().enable();
         let (catalogue, store_is_away) = {
             let state = cx.state();
@@ -64,18 +64,18 @@
     cx: Arc<Cx<W>>,
     engines: E,
     req: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let head = cx.wire.caller_head(req.headers());
-    let patience = head.deadline.unwrap_or(UNKNOWN_PATIENCE);
+    let patience = head.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let attempt = head.attempt.clone();
     let refused = |reason: Reason| {
         let attempt = attempt.as_deref().unwrap_or("-");
         ByReason::Refused.add(&reason.to_string());
-        note!(RefusedAtFront, attempt = attempt, reason:% = reason);
+        log_event!(RefusedAtFront, attempt = attempt, reason:% = reason);
         refuse(reason, patience)
     };
-    if !cx.takes_call() {
+    if !cx.accepts_call() {
         return refused(Reason::Stopping);
     }
     let Some(catalogue) = first_catalogue(&cx, patience).await else {
@@ -86,17 +86,17 @@
         RequestMatch::NoEntry => refused(Reason::NoEntry),
         RequestMatch::UnknownKey => refused(Reason::UnknownKey),
         RequestMatch::Serve { entry, workspace } => {
-            if !can_go_on(catalogue.entry(entry).kind, &head) {
+            if !is_valid_last_event_id(catalogue.entry(entry).kind, &head) {
                 return refused(Reason::NoSuchEvent);
             }
-            let judged = Judged {
+            let judged = MatchedRequest {
                 catalogue,
                 entry,
                 workspace,
                 head,
                 arrived,
             };
-            match read(cx, judged, req).await {
+            match read_body(cx, judged, req).await {
                 Ok(job) => run(job, engines).await,
                 Err(reason) => refused(reason),
             }
@@ -106,19 +106,19 @@
 
 /// Returns whether what the caller says it holds can be a part of its generation. Where
 /// nothing may go on, it is not looked at: the caller gets a generation from its start.
-fn can_go_on(repeat: RequestKind, head: &CallerHead) -> bool {
-    match head.held {
-        Held::Event(number) if repeat == RequestKind::ResumableStream => {
+fn is_valid_last_event_id(repeat: RequestKind, head: &CallerHead) -> bool {
+    match head.last_event_id {
+        LastEventId::Event(number) if repeat == RequestKind::ResumableStream => {
             // An event holds a token or more.
             head.max_tokens == 0 || number <= u64::from(head.max_tokens)
         }
-        Held::Unreadable => repeat != RequestKind::ResumableStream,
-        Held::Nothing | Held::Event(_) => true,
+        LastEventId::Invalid => repeat != RequestKind::ResumableStream,
+        LastEventId::Absent | LastEventId::Event(_) => true,
     }
 }
 
 /// A request's head with its judgement.
-struct Judged {
+struct MatchedRequest {
     catalogue: Arc<Catalogue>,
     entry: EntryId,
     workspace: Option<WorkspaceId>,
@@ -134,13 +134,13 @@
 
 /// Reads the body whole. A request is sent on only when all of it is here, so
 /// that a caller that stalls in the middle of it holds no place at an endpoint.
-async fn read<W: Wire>(
+async fn read_body<W: Wire>(
     cx: Arc<Cx<W>>,
-    judged: Judged,
+    judged: MatchedRequest,
     req: Request<Incoming>,
 ) -> Result<Job<W>, Reason> {
     let entry = judged.catalogue.entry(judged.entry);
-    let patience = judged.head.deadline.unwrap_or(entry.timeout);
+    let patience = judged.head.timeout.unwrap_or(entry.timeout);
     let ends = judged.arrived + patience.min(entry.timeout);
     let host = host_of(&req).to_owned();
     let (parts, body) = req.into_parts();
@@ -161,7 +161,7 @@
         path: parts.uri.path_and_query().map_or("", |it| it.as_str()),
         body: &body,
     });
-    let run = Run::begin(&cx, fingerprint);
+    let run = RunGuard::begin(&cx, fingerprint);
     let now = cx.now();
     let mut state = cx.state();
     let draw = state.draw();
@@ -183,7 +183,7 @@
         fingerprint,
         run,
         arrived: judged.arrived,
-        ends,
+        deadline: ends,
     })
 }
 
@@ -193,7 +193,7 @@
     path.map(Uri::from).unwrap_or_default()
 }
 
-async fn run<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<AnswerBody> {
+async fn run<W: Wire, E: EngineCalls>(job: Job<W>, engines: E) -> Response<ResponseBody> {
     match job.entry().kind {
         RequestKind::Stream | RequestKind::ResumableStream => stream::serve(job, engines).await,
         RequestKind::Idempotent | RequestKind::AtMostOnce => call::serve(&job).await,
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -3,7 +3,7 @@
 //! The tables are the only place that names them; `docs/EVENTS.md` lists them.
 //! Without a recorder they cost next to nothing and go nowhere.
 
-use crate::cx::{Cx, Open};
+use crate::cx::{Cx, OpenKind};
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::EndpointState;
@@ -139,7 +139,7 @@
 }
 
 /// Shows what the instance believes at the moment.
-pub fn show<W: Wire>(cx: &Cx<W>) {
+pub fn publish_gauges<W: Wire>(cx: &Cx<W>) {
     let now = cx.now();
     let state = cx.state();
     let endpoints = |wanted: fn(&EndpointState) -> bool| {
@@ -170,9 +170,15 @@
             state.endpoints.cordons().closed().count() as f64,
         ),
         (Gauge::Peers, state.members.live().count() as f64),
-        (Gauge::Connections, cx.open(Open::Connection) as f64),
-        (Gauge::Running, cx.open(Open::Generation) as f64),
-        (Gauge::LinesLeftOut, crate::notes::lines_left_out() as f64),
+        (
+            Gauge::Connections,
+            cx.open_count(OpenKind::Connection) as f64,
+        ),
+        (Gauge::Running, cx.open_count(OpenKind::Generation) as f64),
+        (
+            Gauge::LinesLeftOut,
+            crate::event_log::lines_left_out() as f64,
+        ),
     ];
     for (gauge, value) in values {
         metrics::gauge!(gauge.name()).set(value);
--- a/crates/gateway/src/page.rs
+++ b/crates/gateway/src/page.rs
@@ -1,9 +1,9 @@
 //! Small pages for the balancer, for operators and for whoever collects metrics.
 
-use crate::answer::{AnswerBody, whole};
 use crate::cx::Cx;
 use crate::meters;
 use crate::ports::Wire;
+use crate::response::{ResponseBody, full_body};
 use crate::status::GatewayStatus;
 use bytes::Bytes;
 use core::convert::Infallible;
@@ -27,19 +27,19 @@
 
 /// What is asked of a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct PageRequest {
     /// The method.
     pub method: Method,
     /// The path.
     pub path: String,
     /// Whether the question came from this machine, over an address of its own.
-    pub from_here: bool,
+    pub is_local: bool,
 }
 
 /// Answers each request with what `answer` returns, for good.
 pub async fn serve<F>(listener: TcpListener, answer: F)
 where
-    F: Fn(Asked) -> Response<AnswerBody> + Clone + Send + Sync + 'static,
+    F: Fn(PageRequest) -> Response<ResponseBody> + Clone + Send + Sync + 'static,
 {
     loop {
         let stream = match listener.accept().await {
@@ -50,14 +50,14 @@
                 continue;
             }
         };
-        let from_here = is_from_here(&stream);
+        let from_here = is_local(&stream);
         let answer = answer.clone();
         tokio::spawn(async move {
             let service = service_fn(|req: Request<Incoming>| {
-                let answer = answer(Asked {
+                let answer = answer(PageRequest {
                     method: req.method().clone(),
                     path: req.uri().path().to_owned(),
-                    from_here,
+                    is_local: from_here,
                 });
                 async move { Ok::<_, Infallible>(answer) }
             });
@@ -71,7 +71,7 @@
 
 /// Returns whether both ends of a connection have one address. Nobody else can hold a
 /// connection from an address of this machine.
-fn is_from_here(stream: &TcpStream) -> bool {
+fn is_local(stream: &TcpStream) -> bool {
     match (stream.local_addr(), stream.peer_addr()) {
         (Ok(local), Ok(peer)) => local.ip() == peer.ip(),
         _ => false,
@@ -79,7 +79,7 @@
 }
 
 /// Returns whether this instance takes callers.
-pub fn readiness<W: Wire>(cx: &Cx<W>) -> Response<AnswerBody> {
+pub fn readiness<W: Wire>(cx: &Cx<W>) -> Response<ResponseBody> {
     match cx.state().is_ready() {
         true => plain(StatusCode::OK, ""),
         false => plain(StatusCode::SERVICE_UNAVAILABLE, ""),
@@ -104,10 +104,10 @@
 
 impl<W: Wire> OperatorsPage<W> {
     /// Answers one question.
-    pub fn answer(&self, asked: &Asked) -> Response<AnswerBody> {
+    pub fn answer(&self, asked: &PageRequest) -> Response<ResponseBody> {
         match (&asked.method, asked.path.as_str()) {
             (&Method::GET, "/status") => self.status(),
-            (&Method::POST, "/drain") if asked.from_here => {
+            (&Method::POST, "/drain") if asked.is_local => {
                 self.stop.cancel();
                 json(br#"{"readiness":"stopping"}"#.to_vec())
             }
@@ -116,14 +116,14 @@
                 "the planned stop is taken from the machine of the instance only\n",
             ),
             (&Method::GET, _) => {
-                meters::show(&self.cx);
-                Response::new(whole((self.metrics)().into()))
+                meters::publish_gauges(&self.cx);
+                Response::new(full_body((self.metrics)().into()))
             }
             _ => plain(StatusCode::METHOD_NOT_ALLOWED, "GET, or POST /drain\n"),
         }
     }
 
-    fn status(&self) -> Response<AnswerBody> {
+    fn status(&self) -> Response<ResponseBody> {
         match serde_json::to_vec(&GatewayStatus::of(&self.cx, &self.instance)) {
             Ok(body) => json(body),
             Err(error) => plain(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
@@ -131,15 +131,15 @@
     }
 }
 
-fn json(body: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(body.into()));
+fn json(body: Vec<u8>) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(body.into()));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(Bytes::copy_from_slice(text.as_bytes())));
+fn plain(status: StatusCode, text: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
--- a/crates/gateway/src/broken.rs
+++ b/crates/gateway/src/probe.rs
@@ -6,7 +6,7 @@
 //! connection.
 
 use crate::job::Job;
-use crate::note;
+use crate::log_event;
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::state::Place;
@@ -20,77 +20,77 @@
 /// How long an endpoint may take to accept the connection that shows that it lives. One round
 /// trip between data centres takes some 3 ms; a packet that is lost comes again after more
 /// than this, and then nothing is known.
-const LOOK_LIMIT: Duration = Duration::from_millis(150);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// What is found at the address of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ProbeResult {
     /// Nobody: the process ended.
-    Nobody,
+    Refused,
     /// Somebody who accepts connections.
-    Somebody,
+    Accepted,
     /// Nothing that can be told.
-    Silence,
+    Unknown,
 }
 
-impl Found {
+impl ProbeResult {
     /// Returns a word for it, which log lines carry.
-    const fn word(self) -> &'static str {
+    const fn label(self) -> &'static str {
         match self {
-            Found::Nobody => "nobody",
-            Found::Somebody => "somebody",
-            Found::Silence => "silence",
+            ProbeResult::Refused => "nobody",
+            ProbeResult::Accepted => "somebody",
+            ProbeResult::Unknown => "silence",
         }
     }
 }
 
 /// Looks whether a process is at `address`.
-pub async fn look(address: SocketAddr) -> Found {
-    match timeout(LOOK_LIMIT, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Found::Somebody,
+pub async fn probe(address: SocketAddr) -> ProbeResult {
+    match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(Ok(_)) => ProbeResult::Accepted,
         Ok(Err(error)) => match error.kind() {
-            ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => Found::Nobody,
-            _ => Found::Silence,
+            ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => ProbeResult::Refused,
+            _ => ProbeResult::Unknown,
         },
-        Err(_) => Found::Silence,
+        Err(_) => ProbeResult::Unknown,
     }
 }
 
 impl<W: Wire> Job<W> {
     /// Finds out what became of the endpoint whose connection ended before its answer, which
     /// had begun at `begun` if it had.
-    pub async fn note_broken(&self, place: &Place, begun: Option<Instant>) {
+    pub async fn on_connection_broken(&self, place: &Place, begun: Option<Instant>) {
         let begun = begun.map(|at| at.elapsed());
         if begun.is_some_and(|it| it >= RAN_WELL_AFTER) {
-            return self.ran_well();
+            return self.on_run_succeeded();
         }
-        let found = look(place.address.into()).await;
-        note!(RunBroke, attempt = self.name(), request:% = self.fingerprint,
+        let found = probe(place.address.into()).await;
+        log_event!(ConnectionBroken, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
-            found = found.word(), has_begun = begun.is_some(),
+            found = found.label(), has_begun = begun.is_some(),
             begun_ms = begun.unwrap_or_default().as_millis() as u64);
         match found {
-            Found::Nobody => self.note_ended(place),
-            Found::Silence => {
+            ProbeResult::Refused => self.on_endpoint_crash(place),
+            ProbeResult::Unknown => {
                 let now = self.cx.now();
                 let mut state = self.cx.state();
                 state.may_have_ended_with(now, self.fingerprint, place);
             }
-            Found::Somebody => {}
+            ProbeResult::Accepted => {}
         }
     }
 
     /// Notes that an endpoint ended with the request.
-    fn note_ended(&self, place: &Place) {
+    fn on_endpoint_crash(&self, place: &Place) {
         let now = self.cx.now();
         let is_news = self.cx.state().ended_with(now, self.fingerprint, place);
-        self.note_unreachable(place);
+        self.record_unreachable(place);
         if is_news {
             let ended = self.cx.state().ended_by(self.fingerprint);
-            note!(EndpointEnded, attempt = self.name(), request:% = self.fingerprint,
+            log_event!(EndpointCrashed, attempt = self.name(), request:% = self.fingerprint,
                 entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
                 ended = ended);
-            self.cx.tell_suspected();
+            self.cx.announce_suspects();
         }
     }
 }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -3,7 +3,7 @@
 //! It is the answer of `/status` on the listener for metrics, and what
 //! `oriolemux status` prints. Its fields are stable; new ones may come.
 
-use crate::cx::{Cx, Open};
+use crate::cx::{Cx, OpenKind};
 use crate::meters::millis;
 use crate::ports::Wire;
 use oriolemux_core::gateway::endpoints::Endpoint;
@@ -41,7 +41,7 @@
 /// Whether an endpoint takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Takes {
+pub enum Availability {
     /// It does.
     Work,
     /// It failed several times in a row and is passed over for a while.
@@ -166,7 +166,7 @@
     /// Its data centre.
     pub data_centre: String,
     /// Whether it takes new work.
-    pub takes: Takes,
+    pub takes: Availability,
     /// Whether the last that was seen of it here was a failure.
     pub failing: bool,
     /// Requests that run there.
@@ -218,8 +218,8 @@
                 watches: state.watches(now),
                 unsettled: state.is_unsettled(now),
             },
-            connections: cx.open(Open::Connection),
-            generations: cx.open(Open::Generation),
+            connections: cx.open_count(OpenKind::Connection),
+            generations: cx.open_count(OpenKind::Generation),
             endpoints,
             peers: peers
                 .map(|(address, peer)| peer_status(now, address, peer))
@@ -301,11 +301,11 @@
     let used = state.used(endpoint.key);
     let record = &endpoint.record;
     let takes = match endpoint.state {
-        EndpointState::Leaving { .. } | EndpointState::Unreadable => Takes::Nothing,
-        _ if state.endpoints.is_cordoned(endpoint.key) => Takes::Cordoned,
-        EndpointState::Lapsed { .. } => Takes::Lapsed,
-        EndpointState::Serving if endpoint.is_ejected(now) => Takes::PassedOver,
-        EndpointState::Serving => Takes::Work,
+        EndpointState::Leaving { .. } | EndpointState::Unreadable => Availability::Nothing,
+        _ if state.endpoints.is_cordoned(endpoint.key) => Availability::Cordoned,
+        EndpointState::Lapsed { .. } => Availability::Lapsed,
+        EndpointState::Serving if endpoint.is_ejected(now) => Availability::PassedOver,
+        EndpointState::Serving => Availability::Work,
     };
     EndpointStatus {
         name: record.name.clone(),
--- a/crates/oriolemux/src/story.rs
+++ b/crates/oriolemux/src/story.rs
@@ -13,7 +13,7 @@
 
 use core::fmt;
 use core::time::Duration;
-use oriolemux_gateway::notes::GatewayEvent;
+use oriolemux_gateway::event_log::GatewayEvent;
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::time::SystemTime;
@@ -108,7 +108,7 @@
 /// Returns whether an event tells what became of an endpoint.
 fn is_of_endpoint(event: u32) -> bool {
     event == GatewayEvent::EndpointLeaving.number()
-        || event == GatewayEvent::EndpointPassedOver.number()
+        || event == GatewayEvent::EndpointEjected.number()
 }
 
 /// Returns whether an event tells what became of an instance or its store.
