--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -47,7 +47,7 @@
     /// What that comes to.
     pub digest: u64,
     /// Whether entries may be missing from the store and come back.
-    pub unsettled: bool,
+    pub may_miss_records: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -88,9 +88,9 @@
     }
 
     /// Returns whether entries may be missing from the store, as one that watches says.
-    pub fn says_unsettled(&self, now: Time) -> bool {
+    pub fn any_may_miss_records(&self, now: Time) -> bool {
         let mut heard = self.heard.values();
-        heard.any(|it| it.beacon.unsettled && now.since(it.at) < UNSETTLED_FRESH)
+        heard.any(|it| it.beacon.may_miss_records && now.since(it.at) < UNSETTLED_FRESH)
     }
 
     /// Returns the last beacons.
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -189,7 +189,7 @@
 
     /// Returns whether entries that are missing may be back soon: the store is
     /// away for long, or was until a moment ago.
-    pub fn is_unsettled(&self, now: Time) -> bool {
+    pub fn may_miss_records(&self, now: Time) -> bool {
         let is_away = self.is_away() && self.may_have_lapsed(now);
         is_away || self.recovered.is_some_and(|at| now.since(at) < SETTLE)
     }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -5,7 +5,7 @@
 mod repeats;
 mod suspects;
 
-pub use peers::{Heard, Ignored, TELL_DELAY, TICK};
+pub use peers::{DatagramOutcome, DropReason, GOSSIP_DELAY, TICK};
 
 use super::ask::AskTable;
 use super::beacons::Beacons;
@@ -53,7 +53,7 @@
 
 /// What is due by time alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ticked {
+pub struct TickOutcome {
     /// Endpoints that began to leave.
     pub leaving: Vec<EndpointKey>,
     /// Instances that count as gone now.
@@ -61,14 +61,14 @@
     /// Whether a request that waits for a place or its turn may have a decision.
     pub decided: bool,
     /// Whether there is news of suspects.
-    pub suspected: bool,
+    pub suspects_changed: bool,
     /// What is to be sent.
     pub send: Vec<(SocketAddrV4, Body)>,
 }
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Placement {
     /// The endpoint.
     pub key: EndpointKey,
     /// Its published name, which the endpoint checks.
@@ -198,7 +198,7 @@
         let began = self.endpoints.publish(now, record);
         if self.endpoints.newest(&name) != before {
             // Another life is there now, so that the one before ended.
-            self.endpoints_ended(now, before.as_slice());
+            self.on_endpoints_lost(now, before.as_slice());
         }
         began
     }
@@ -206,11 +206,11 @@
     /// Takes in that an endpoint's entry vanished; returns the endpoint if it began to
     /// leave.
     pub fn endpoint_vanished(&mut self, now: Time, name: &str) -> Option<EndpointKey> {
-        let unsettled = self.is_unsettled(now);
+        let unsettled = self.may_miss_records(now);
         let newest = self.endpoints.newest(name);
         let gone = self.endpoints.vanish(now, name, unsettled);
         if !unsettled {
-            self.endpoints_ended(now, newest.as_slice());
+            self.on_endpoints_lost(now, newest.as_slice());
         }
         gone
     }
@@ -220,8 +220,8 @@
     /// An instance that does not watch calls the store rarely, and hears of an outage
     /// from those that do. Without asking them it would take entries that lapsed for
     /// gone, for good, and tell so: after an outage no endpoint would be left.
-    pub fn is_unsettled(&self, now: Time) -> bool {
-        self.reader.is_unsettled(now) || self.beacons.says_unsettled(now)
+    pub fn may_miss_records(&self, now: Time) -> bool {
+        self.reader.may_miss_records(now) || self.beacons.any_may_miss_records(now)
     }
 
     /// Puts settings in force that may change while an instance runs.
@@ -312,7 +312,7 @@
 
     /// Takes in what an answer to a request sent at `sent` says about its endpoint's limit;
     /// returns what that changed.
-    pub fn told_limit(
+    pub fn observe_limit(
         &mut self,
         now: Time,
         key: EndpointKey,
@@ -326,7 +326,7 @@
     }
 
     /// Notes a load that an endpoint told.
-    pub fn told(&mut self, now: Time, key: EndpointKey, load: ToldLoad) {
+    pub fn observe_load(&mut self, now: Time, key: EndpointKey, load: ToldLoad) {
         self.usage.told(now, key, load);
     }
 }
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -1,6 +1,6 @@
 //! What an instance sends its peers and does about what they send.
 
-use super::{Gateway, Ticked};
+use super::{Gateway, TickOutcome};
 use crate::gateway::ask::REPORT_AGAIN;
 use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, reader_rank};
 use crate::gateway::catch_up::{NotTold, Provider};
@@ -16,7 +16,7 @@
 use std::net::SocketAddrV4;
 
 /// Changes within this time go into one datagram.
-pub const TELL_DELAY: Duration = Duration::from_millis(2);
+pub const GOSSIP_DELAY: Duration = Duration::from_millis(2);
 
 /// The longest time between two looks at what is due.
 pub const TICK: Duration = Duration::from_millis(50);
@@ -27,7 +27,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ignored {
+pub enum DropReason {
     /// It is of another version.
     Version,
     /// It is of another deployment.
@@ -36,20 +36,20 @@
     Own,
 }
 
-impl Ignored {
+impl DropReason {
     /// Returns a word for it, which counters carry.
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
-            Ignored::Version => "version",
-            Ignored::Deployment => "deployment",
-            Ignored::Own => "own_address",
+            DropReason::Version => "version",
+            DropReason::Deployment => "deployment",
+            DropReason::Own => "own_address",
         }
     }
 }
 
 /// What a datagram brought.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct DatagramOutcome {
     /// Endpoints that began to leave.
     pub leaving: Vec<EndpointKey>,
     /// Words of the operator about data centres that were not known, and what they are to this
@@ -62,11 +62,11 @@
     /// Instances that count as gone now.
     pub gone: Vec<SocketAddrV4>,
     /// Whether something is to be told on soon.
-    pub tell_soon: bool,
+    pub gossip_soon: bool,
     /// Whether a request that waits for a place or its turn may have a decision.
     pub decided: bool,
     /// Whether there is news of suspects.
-    pub suspected: bool,
+    pub suspects_changed: bool,
     /// What is to be sent at once.
     pub send: Vec<(SocketAddrV4, Body)>,
 }
@@ -77,19 +77,23 @@
     /// # Errors
     ///
     /// Returns why it does not concern this instance; then nothing has changed.
-    pub fn hear(&mut self, now: Time, datagram: Datagram) -> Result<Heard, Ignored> {
+    pub fn on_datagram(
+        &mut self,
+        now: Time,
+        datagram: Datagram,
+    ) -> Result<DatagramOutcome, DropReason> {
         if datagram.version != GOSSIP_VERSION {
-            return Err(Ignored::Version);
+            return Err(DropReason::Version);
         }
         if datagram.deployment != self.cfg.deployment {
-            return Err(Ignored::Deployment);
+            return Err(DropReason::Deployment);
         }
         let from = datagram.from.address;
         if from == self.cfg.address {
-            return Err(Ignored::Own);
+            return Err(DropReason::Own);
         }
         self.fleet.hear(now, datagram.fleet);
-        let mut heard = Heard::default();
+        let mut heard = DatagramOutcome::default();
         let mut change = Change::default();
         let (revision, digest) = (datagram.revision, datagram.digest);
         let says_more = datagram.claims().any(|it| self.is_more(it.0, it.1));
@@ -104,12 +108,18 @@
         if says_more {
             self.catch_up.note(now, true);
         }
-        heard.suspected = self.suspects.take_changed();
-        heard.tell_soon = self.outbox.has_new();
+        heard.suspects_changed = self.suspects.take_changed();
+        heard.gossip_soon = self.outbox.has_new();
         Ok(heard)
     }
 
-    fn hear_body(&mut self, now: Time, datagram: Datagram, heard: &mut Heard, change: &mut Change) {
+    fn hear_body(
+        &mut self,
+        now: Time,
+        datagram: Datagram,
+        heard: &mut DatagramOutcome,
+        change: &mut Change,
+    ) {
         let from = datagram.from.address;
         match datagram.body {
             Body::Probe {
@@ -174,7 +184,13 @@
         }
     }
 
-    fn hear_news(&mut self, now: Time, news: Items, heard: &mut Heard, change: &mut Change) {
+    fn hear_news(
+        &mut self,
+        now: Time,
+        news: Items,
+        heard: &mut DatagramOutcome,
+        change: &mut Change,
+    ) {
         for update in news.members {
             self.members.hear_of(now, update, change);
         }
@@ -204,7 +220,13 @@
         self.hear_blames(now, &news.blames);
     }
 
-    fn sync_with(&mut self, now: Time, peer: SocketAddrV4, theirs: u64, heard: &mut Heard) {
+    fn sync_with(
+        &mut self,
+        now: Time,
+        peer: SocketAddrV4,
+        theirs: u64,
+        heard: &mut DatagramOutcome,
+    ) {
         if self.members.asks_for_all(now, theirs) {
             heard.send.push((peer, Body::AskMembers));
         }
@@ -222,7 +244,7 @@
     }
 
     /// Tells peers soon that endpoints leave.
-    pub fn tell_leaving(&mut self, endpoints: &[EndpointKey]) {
+    pub fn gossip_leaving(&mut self, endpoints: &[EndpointKey]) {
         let instances = self.instances();
         for &endpoint in endpoints {
             self.outbox.add_leaving(endpoint, instances);
@@ -243,20 +265,20 @@
     }
 
     /// Does what is due by time alone, and returns what changed and what is to be sent.
-    pub fn tick(&mut self, now: Time) -> Ticked {
+    pub fn tick(&mut self, now: Time) -> TickOutcome {
         let mut change = self.members.tick(now, &mut self.rng);
-        let mut ticked = Ticked {
+        let mut ticked = TickOutcome {
             silent: core::mem::take(&mut change.gone),
             send: core::mem::take(&mut change.send),
-            ..Ticked::default()
+            ..TickOutcome::default()
         };
         self.tell_updates(change);
         self.beacons.tick(now);
         self.beacon(now);
-        let unsettled = self.is_unsettled(now);
+        let unsettled = self.may_miss_records(now);
         ticked.leaving = self.endpoints.tick(now, unsettled);
-        self.endpoints_ended(now, &ticked.leaving);
-        ticked.suspected = self.suspects.take_changed();
+        self.on_endpoints_lost(now, &ticked.leaving);
+        ticked.suspects_changed = self.suspects.take_changed();
         self.suspects.tick(now);
         let live = self.members.live().map(|(address, _)| address);
         let heard_most_seeds = self.members.has_heard_most_seeds();
@@ -266,7 +288,7 @@
         let endpoints = &self.endpoints;
         self.limits.tick(now, |it| endpoints.get(it).is_some());
         self.outbox.tick(now);
-        self.note_behind(now);
+        self.update_behind(now);
         self.tell_news(now, &mut ticked.send);
         ticked.decided = self.report(now, &mut ticked.send);
         ticked.decided |= self.report_turns(now, &mut ticked.send);
@@ -289,7 +311,7 @@
             store_age_ms: self.store_age_ms(now),
             revision: self.replica.revision(),
             digest: self.replica.digest(),
-            unsettled: self.reader.is_unsettled(now),
+            may_miss_records: self.reader.may_miss_records(now),
         };
         self.beacons.hear(now, own);
         self.outbox.add_beacon(own);
@@ -425,7 +447,7 @@
 
     /// Returns a peer that knows more of the store than this instance and may be asked
     /// now, drawn among those that know most.
-    pub fn better_informed(&mut self, now: Time) -> Option<SocketAddrV4> {
+    pub fn choose_provider(&mut self, now: Time) -> Option<SocketAddrV4> {
         let watches = self.watches(now);
         let better: Vec<Provider> = self.better().collect();
         let able = self.catch_up.may_be_asked(now, &better, watches);
@@ -433,7 +455,7 @@
     }
 
     /// Notes whether a peer knows more of the store than this instance.
-    pub fn note_behind(&mut self, now: Time) {
+    pub fn update_behind(&mut self, now: Time) {
         let behind = self.better().next().is_some();
         self.catch_up.note(now, behind);
     }
@@ -450,7 +472,7 @@
     }
 
     /// Notes that a peer did not tell what it knows.
-    pub fn not_told(&mut self, now: Time, peer: SocketAddrV4, why: NotTold) {
+    pub fn on_fetch_failure(&mut self, now: Time, peer: SocketAddrV4, why: NotTold) {
         let draw = self.draw();
         self.catch_up.not_told(now, peer, why, draw);
     }
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -1,6 +1,6 @@
 //! Where requests go: what this instance asks of homes, and what it decides as one.
 
-use super::{Gateway, Place};
+use super::{Gateway, Placement};
 use crate::gateway::ask::{PlacementRequest, REPORT_AGAIN, REPORT_WAITING, Verdict, Want};
 use crate::gateway::choose::{self, Demand, NoPlace, World};
 use crate::gateway::cold::{self, ColdLimits, OWN_PART};
@@ -43,7 +43,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Place, NoPlace> {
+    pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Placement, NoPlace> {
         let barred = self.barred(now, demand);
         let both;
         let exclude = match barred.is_empty() {
@@ -130,7 +130,7 @@
 
     /// Returns whether a generation may go on at an engine, as far as that bears few requests, and
     /// counts it there.
-    pub fn admit_to_go_on(&mut self, now: Time, key: EndpointKey) -> bool {
+    pub fn admit_resumed(&mut self, now: Time, key: EndpointKey) -> bool {
         let Some(bound) = self.rate_bound(now, key) else {
             return true;
         };
@@ -146,12 +146,12 @@
     /// # Errors
     ///
     /// Returns why there is no place.
-    pub fn place_alone(
+    pub fn place_without_home(
         &mut self,
         now: Time,
         demand: &Demand<'_>,
         want: Want,
-    ) -> Result<Place, NoPlace> {
+    ) -> Result<Placement, NoPlace> {
         let Want::Copy { source, kind } = want else {
             return self.place(now, demand);
         };
@@ -169,18 +169,18 @@
     }
 
     /// Returns an endpoint to which new work may be sent as a place.
-    pub fn place_at(&self, key: EndpointKey) -> Option<Place> {
-        self.endpoints.usable(key).map(Place::of)
+    pub fn place_at(&self, key: EndpointKey) -> Option<Placement> {
+        self.endpoints.usable(key).map(Placement::of)
     }
 
     /// Asks for a place.
-    pub fn ask(&mut self, now: Time, request: PlacementRequest) {
+    pub fn request_placement(&mut self, now: Time, request: PlacementRequest) {
         self.asks.enter(now, request);
         self.ask_changes += 1;
     }
 
     /// Asks no longer, because the request has its place or gave up.
-    pub fn ask_no_longer(&mut self, id: u64) {
+    pub fn withdraw_placement(&mut self, id: u64) {
         self.asks.leave(id);
         self.ask_changes += 1;
     }
@@ -192,15 +192,15 @@
 
     /// Notes that no home answered a request for a place of `service`: the next in rank is
     /// asked.
-    pub fn home_unanswered(&mut self, now: Time, service: u64, id: u64) {
+    pub fn on_home_timeout(&mut self, now: Time, service: u64, id: u64) {
         if let Some(home) = self.acting_home(now, service) {
             self.asks.pass_over(now, home);
         }
-        self.ask_again(now, id);
+        self.retry_placement(now, id);
     }
 
     /// Asks anew, because what was granted cannot be taken.
-    pub fn ask_again(&mut self, now: Time, id: u64) {
+    pub fn retry_placement(&mut self, now: Time, id: u64) {
         self.asks.ask_again(now, id);
         self.ask_changes += 1;
     }
@@ -216,7 +216,7 @@
 
     /// Returns whether no prompt waits at an engine, as far as is known. A generation
     /// that goes on there would wait behind it.
-    pub fn is_quiet(&self, now: Time, key: EndpointKey) -> bool {
+    pub fn has_no_pending_prefill(&self, now: Time, key: EndpointKey) -> bool {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
         let others = service.and_then(|it| self.asks.fresh_view(now, it, UNREAD_FRESH));
@@ -428,9 +428,9 @@
     }
 }
 
-impl Place {
+impl Placement {
     fn of(endpoint: &Endpoint) -> Self {
-        Place {
+        Placement {
             key: endpoint.key,
             name: endpoint.record.name.clone(),
             address: endpoint.record.address,
--- a/crates/core/src/gateway/state/repeats.rs
+++ b/crates/core/src/gateway/state/repeats.rs
@@ -7,7 +7,12 @@
 impl Gateway {
     /// Asks to send a request of `service` to one endpoint more, and spends a repeat if it may.
     /// Everything that sends what was sent before asks this.
-    pub fn spend_repeat(&mut self, now: Time, service: &str, kind: RepeatKind) -> RepeatDecision {
+    pub fn try_spend_retry(
+        &mut self,
+        now: Time,
+        service: &str,
+        kind: RepeatKind,
+    ) -> RepeatDecision {
         let has_moves = self.has_engines(service);
         let is_allowed = self.budget.spend(now, service, kind, has_moves);
         RepeatDecision {
@@ -20,7 +25,7 @@
     }
 
     /// Returns whether a generation of `service` may go on at another engine now.
-    pub fn may_move(&mut self, now: Time, service: &str) -> bool {
+    pub fn may_relocate(&mut self, now: Time, service: &str) -> bool {
         self.budget.left(now, service) >= 1.0
     }
 
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -1,6 +1,6 @@
 //! What this instance believes of suspects, and what follows for its requests.
 
-use super::{Gateway, Place};
+use super::{Gateway, Placement};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::gossip::Body;
 use crate::gateway::suspects::TELL_INTERVAL;
@@ -42,14 +42,14 @@
     ///
     /// What goes wrong otherwise: a request that was at three engines when they lost their
     /// power is refused, though it is none that ends engines.
-    pub fn ran_well(&mut self, now: Time, fingerprint: Fingerprint) {
+    pub fn on_run_succeeded(&mut self, now: Time, fingerprint: Fingerprint) {
         if self.suspects.ledger.clear(now, fingerprint) {
             self.tell_blame(now, fingerprint);
         }
     }
 
     /// Returns how many endpoints a request is known to have ended.
-    pub fn ended_by(&self, fingerprint: Fingerprint) -> usize {
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         self.suspects.ledger.ended(fingerprint)
     }
 
@@ -57,17 +57,22 @@
     /// news of the request.
     ///
     /// An endpoint that was known to leave ended as it said it would, and nobody is to blame.
-    pub fn ended_with(&mut self, now: Time, fingerprint: Fingerprint, place: &Place) -> bool {
+    pub fn on_endpoint_crash(
+        &mut self,
+        now: Time,
+        fingerprint: Fingerprint,
+        place: &Placement,
+    ) -> bool {
         if self.leaving_since(place.key).is_some() {
             return false;
         }
-        self.endpoints_ended(now, &[place.key]);
+        self.on_endpoints_lost(now, &[place.key]);
         self.blame(now, fingerprint, place.key)
     }
 
     /// Keeps in mind that the connection to an endpoint ended, and that it cannot be told yet
     /// whether the endpoint did.
-    pub fn may_have_ended_with(&mut self, now: Time, fingerprint: Fingerprint, place: &Place) {
+    pub fn on_connection_lost(&mut self, now: Time, fingerprint: Fingerprint, place: &Placement) {
         if self.leaving_since(place.key).is_none() {
             self.suspects.keep_undecided(now, fingerprint, place.key);
         }
@@ -75,7 +80,7 @@
 
     /// Notes that endpoints ended, or left without a word; what was kept in mind of them is now
     /// certain.
-    pub fn endpoints_ended(&mut self, now: Time, endpoints: &[EndpointKey]) {
+    pub fn on_endpoints_lost(&mut self, now: Time, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
             for fingerprint in self.suspects.take_undecided(endpoint) {
                 self.blame(now, fingerprint, endpoint);
--- a/crates/core/tests/gateway_budget_fleet.rs
+++ b/crates/core/tests/gateway_budget_fleet.rs
@@ -134,7 +134,7 @@
         let Some(core) = &mut self.fleet.nodes[index].core else {
             return false;
         };
-        let spent = core.spend_repeat(now, SERVICE, kind);
+        let spent = core.try_spend_retry(now, SERVICE, kind);
         if spent.is_allowed {
             self.repeats.push(now);
         }
--- a/crates/core/tests/gateway_catch_up.rs
+++ b/crates/core/tests/gateway_catch_up.rs
@@ -76,7 +76,7 @@
 }
 
 fn hear(one: &mut Gateway, now: Time, said: Datagram) {
-    one.hear(now, said).expect("it is of the fleet");
+    one.on_datagram(now, said).expect("it is of the fleet");
 }
 
 /// Where an instance gets the change from, and how much is missing.
@@ -147,7 +147,7 @@
         let one = &mut self.instances[index];
         learn(one);
         one.reader.on_answer(self.now);
-        one.note_behind(self.now);
+        one.update_behind(self.now);
         self.fetches[index] = Fetch::Nothing;
         self.tell(index);
     }
@@ -172,12 +172,12 @@
         if self.fetches[index] != Fetch::Nothing {
             return;
         }
-        let Some(peer) = one.better_informed(now) else {
+        let Some(peer) = one.choose_provider(now) else {
             return;
         };
         let teller = Fleet::index(peer);
         if self.told_by(teller) >= MAX_LARGE_TOLD {
-            self.instances[index].not_told(now, peer, NotTold::Refused);
+            self.instances[index].on_fetch_failure(now, peer, NotTold::Refused);
             return;
         }
         self.fetches[index] = Fetch::FromPeer {
@@ -284,13 +284,13 @@
     let mut one = gateway(1);
     hear(&mut one, now, told(2, CHANGED, 1));
     let later = now + Duration::from_millis(200);
-    assert_eq!(one.better_informed(later), Some(address(2)));
+    assert_eq!(one.choose_provider(later), Some(address(2)));
 
-    one.not_told(later, address(2), NotTold::Refused);
+    one.on_fetch_failure(later, address(2), NotTold::Refused);
 
-    assert_eq!(one.better_informed(later), None);
+    assert_eq!(one.choose_provider(later), None);
     let after = later + Duration::from_millis(300);
-    assert_eq!(one.better_informed(after), Some(address(2)));
+    assert_eq!(one.choose_provider(after), Some(address(2)));
 }
 
 /// Symptom: an instance goes on asking peers that cannot tell it. Cause: its being behind
@@ -308,10 +308,10 @@
 
     for ask in 1..5 {
         let at = now + OWN_READ_AFTER / 5 * ask;
-        if let Some(peer) = one.better_informed(at) {
-            one.not_told(at, peer, NotTold::Failed);
+        if let Some(peer) = one.choose_provider(at) {
+            one.on_fetch_failure(at, peer, NotTold::Failed);
         }
-        one.note_behind(at);
+        one.update_behind(at);
     }
 
     assert_eq!(one.next_step(now + OWN_READ_AFTER), Step::Watch);
@@ -324,8 +324,8 @@
     hear(&mut one, now, told(2, CHANGED, 1));
     learn(&mut one);
 
-    one.note_behind(now + Duration::from_millis(20));
+    one.update_behind(now + Duration::from_millis(20));
 
     assert!(!one.is_behind());
-    assert_eq!(one.better_informed(now + OWN_READ_AFTER), None);
+    assert_eq!(one.choose_provider(now + OWN_READ_AFTER), None);
 }
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -163,7 +163,7 @@
             want: Want::Place,
             exclude: Vec::new(),
         };
-        self.core(index).ask(now, request);
+        self.core(index).request_placement(now, request);
         self.fleet.hurry(index);
         self.waiting.push((index, id));
     }
@@ -184,8 +184,8 @@
             let place = match core.verdict(now, id) {
                 Verdict::Decided(Decision::Granted(key)) => Some(key),
                 Verdict::Unanswered => {
-                    core.home_unanswered(now, service_hash("model"), id);
-                    let alone = core.place_alone(now, &demand, Want::Place);
+                    core.on_home_timeout(now, service_hash("model"), id);
+                    let alone = core.place_without_home(now, &demand, Want::Place);
                     alone.ok().map(|it| it.key)
                 }
                 _ => None,
@@ -193,7 +193,7 @@
             match place {
                 Some(key) => {
                     core.usage.begin(key, 10, 0);
-                    core.ask_no_longer(id);
+                    core.withdraw_placement(id);
                     self.sent.push((now, key));
                     self.fleet.hurry(index);
                 }
@@ -392,7 +392,7 @@
     };
     let source = EndpointKey::of("e-source");
 
-    let place = one.place_alone(now, &demand, Want::Copy { source, kind });
+    let place = one.place_without_home(now, &demand, Want::Copy { source, kind });
 
     assert_eq!(place, Err(NoPlace::Full));
 }
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -245,10 +245,10 @@
 
 /// Asks for a place at an instance that is its own home.
 fn granted(one: &mut Gateway, now: Time, want: Want) -> Verdict {
-    one.ask(now, request(1, want));
+    one.request_placement(now, request(1, want));
     one.tick(now);
     let verdict = one.verdict(now, 1);
-    one.ask_no_longer(1);
+    one.withdraw_placement(1);
     one.tick(now);
     verdict
 }
@@ -267,7 +267,7 @@
             assert!(!closed.contains(&place.key), "{}", place.name);
         }
         for want in all_wants() {
-            let alone = one.place_alone(now, &demand("model"), want);
+            let alone = one.place_without_home(now, &demand("model"), want);
             assert!(alone.is_err() || alone.is_ok_and(|it| !closed.contains(&it.key)));
             let verdict = granted(&mut one, now, want);
             let is_closed = |it: &EndpointKey| closed.contains(it);
@@ -287,7 +287,7 @@
 fn a_place_that_was_granted_before_is_not_taken() {
     let mut one = two_places();
     let now = Time::from_secs(1);
-    one.ask(now, request(1, Want::Place));
+    one.request_placement(now, request(1, Want::Place));
     one.tick(now);
     let Verdict::Decided(Decision::Granted(key)) = one.verdict(now, 1) else {
         panic!("an empty engine is given");
@@ -302,7 +302,7 @@
 
     one.publish_cordon(now, cordon(&place, 5, true));
     let taken = one.place_at(key);
-    one.ask_again(now, 1);
+    one.retry_placement(now, 1);
     one.tick(now);
 
     assert_eq!(taken, None);
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -166,7 +166,7 @@
             if limit.is_some() {
                 self.told.entry(index).or_insert(now);
             }
-            let change = self.core(index).told_limit(now, key, sent, told);
+            let change = self.core(index).observe_limit(now, key, sent, told);
             if change.is_some() {
                 self.fleet.hurry(index);
             }
@@ -310,7 +310,7 @@
     let mut one = instances::gateway(1);
     let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
     one.publish_endpoint(now, record(IN_NEED));
-    one.told_limit(now, key, now, ToldLimit::PerSecond(RATE));
+    one.observe_limit(now, key, now, ToldLimit::PerSecond(RATE));
 
     let later = EndpointRecord {
         born: Some(5),
--- a/crates/core/tests/gateway_places.rs
+++ b/crates/core/tests/gateway_places.rs
@@ -128,7 +128,7 @@
             want: Want::Place,
             exclude: Vec::new(),
         };
-        self.core(instance).ask(now, request);
+        self.core(instance).request_placement(now, request);
         self.fleet.hurry(instance);
         self.asking.push(Asking {
             instance,
@@ -165,14 +165,14 @@
         let place = match core.verdict(now, asking.id) {
             Verdict::Decided(Decision::Granted(key)) => Some(key),
             Verdict::Unanswered => {
-                core.home_unanswered(now, service_hash("model"), asking.id);
+                core.on_home_timeout(now, service_hash("model"), asking.id);
                 let demand = Demand {
                     service: "model",
                     engine: Some(ENGINE),
                     tokens: TOKENS,
                     exclude: &[],
                 };
-                let place = core.place_alone(now, &demand, Want::Place).ok();
+                let place = core.place_without_home(now, &demand, Want::Place).ok();
                 self.alone += usize::from(place.is_some());
                 place.map(|it| it.key)
             }
@@ -182,7 +182,7 @@
             return Some(asking);
         };
         core.usage.begin(at, TOKENS, 0);
-        core.ask_no_longer(asking.id);
+        core.withdraw_placement(asking.id);
         self.fleet.hurry(asking.instance);
         self.longest = self.longest.max(now.since(asking.since));
         self.running.push(Running {
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -7,7 +7,7 @@
 use instances::{address, alive, beacon, datagram, gateway, sign_of_life};
 use oriolemux_core::gateway::members::{Status, Update};
 use oriolemux_core::gateway::reader::{CallFailure, READER_FRESH, READERS, Step};
-use oriolemux_core::gateway::state::Ignored;
+use oriolemux_core::gateway::state::DropReason;
 use oriolemux_core::gateway::{Body, Datagram, EndpointRecord, Gateway};
 use oriolemux_core::{EndpointKey, Time};
 
@@ -31,7 +31,7 @@
 }
 
 fn hear(one: &mut Gateway, now: Time, datagram: Datagram) {
-    one.hear(now, datagram).expect("it is of the fleet");
+    one.on_datagram(now, datagram).expect("it is of the fleet");
 }
 
 fn watching(fleet: &[Gateway], now: Time) -> usize {
@@ -149,9 +149,9 @@
         ..sign_of_life(3)
     };
 
-    assert_eq!(one.hear(now, foreign), Err(Ignored::Deployment));
-    assert_eq!(one.hear(now, newer), Err(Ignored::Version));
-    assert_eq!(one.hear(now, sign_of_life(1)), Err(Ignored::Own));
+    assert_eq!(one.on_datagram(now, foreign), Err(DropReason::Deployment));
+    assert_eq!(one.on_datagram(now, newer), Err(DropReason::Version));
+    assert_eq!(one.on_datagram(now, sign_of_life(1)), Err(DropReason::Own));
     assert_eq!(one.instances(), 1);
 }
 
@@ -212,10 +212,13 @@
     let now = heard + Duration::from_secs(4);
 
     one.reader.on_failure(now, CallFailure::NoAnswer, 0.5);
-    assert!(one.reader.is_unsettled(now));
+    assert!(one.reader.may_miss_records(now));
     one.reader.on_read(now);
-    assert!(one.reader.is_unsettled(now), "entries may still be missing");
-    assert!(!one.reader.is_unsettled(now + Duration::from_secs(3)));
+    assert!(
+        one.reader.may_miss_records(now),
+        "entries may still be missing"
+    );
+    assert!(!one.reader.may_miss_records(now + Duration::from_secs(3)));
 }
 
 /// Symptom: generations are lost with engines whose entries were removed. Sequence:
@@ -229,11 +232,14 @@
     let cut = heard + Duration::from_secs(1);
 
     one.reader.on_failure(cut, CallFailure::NoAnswer, 0.5);
-    let during = one.reader.is_unsettled(cut);
+    let during = one.reader.may_miss_records(cut);
     one.reader.on_answer(cut + Duration::from_millis(100));
 
     assert!(!during);
-    assert!(!one.reader.is_unsettled(cut + Duration::from_millis(200)));
+    assert!(
+        !one.reader
+            .may_miss_records(cut + Duration::from_millis(200))
+    );
 }
 
 #[test]
@@ -269,7 +275,7 @@
     one.publish_endpoint(now, record.clone());
     let mut unsettled = beacon(3, 1, 0);
     if let Body::News(news) = &mut unsettled.body {
-        news.beacons[0].unsettled = true;
+        news.beacons[0].may_miss_records = true;
     }
 
     hear(&mut one, now, unsettled);
@@ -290,11 +296,11 @@
     one.reader.on_read(heard);
     let failed = heard + Duration::from_secs(3);
     one.reader.on_failure(failed, CallFailure::NoAnswer, 0.5);
-    assert!(one.is_unsettled(failed));
+    assert!(one.may_miss_records(failed));
 
     one.reader.stand_by();
 
-    assert!(!one.is_unsettled(failed + Duration::from_secs(1)));
+    assert!(!one.may_miss_records(failed + Duration::from_secs(1)));
 }
 
 /// Symptom: one of several instances that know more is overrun, the others are asked by
@@ -316,7 +322,7 @@
     let later = now + Duration::from_millis(200);
     let asking = behind.iter_mut();
     let asked: Vec<_> = asking
-        .filter_map(|one| one.better_informed(later))
+        .filter_map(|one| one.choose_provider(later))
         .collect();
 
     assert_eq!(asked.len(), 40, "each asks somebody");
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -10,7 +10,7 @@
 use instances::{address, engine};
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
 use oriolemux_core::gateway::gossip::Items;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::gateway::{Body, EndpointRecord, Gateway};
 use oriolemux_core::suspects::{
     Admission, Blame, MAX_SUSPECTS, REFUSED_FOR, Turn, TurnAnswer, TurnReport,
@@ -134,13 +134,13 @@
     fn end(&mut self, attempt: Attempt, at: EndpointKey) {
         let now = self.fleet.now;
         self.ended.insert(at);
-        let place = Place {
+        let place = Placement {
             key: at,
             name: String::new(),
             address: address(1),
         };
         if let Some(core) = self.core(attempt.instance) {
-            core.ended_with(now, attempt.turn.fingerprint, &place);
+            core.on_endpoint_crash(now, attempt.turn.fingerprint, &place);
             core.end_run(attempt.turn);
         }
         self.fleet.hurry(attempt.instance);
@@ -281,13 +281,13 @@
     scene.fleet.passes = |from, to| (from < 10) == (to < 10);
     let now = scene.fleet.now;
     for number in 0..3 {
-        let place = Place {
+        let place = Placement {
             key: EndpointKey::of(&format!("e-{number}")),
             name: String::new(),
             address: address(1),
         };
         let core = scene.core(0).expect("it is there");
-        core.ended_with(now, fingerprint("fatal"), &place);
+        core.on_endpoint_crash(now, fingerprint("fatal"), &place);
     }
     scene.fleet.run(Duration::from_secs(5));
     let now = scene.fleet.now;
@@ -329,7 +329,7 @@
 fn a_request_that_ran_well_is_free_everywhere() {
     let mut scene = Scene::new(30, 10);
     let popular = fingerprint("popular");
-    let place = |number: u32| Place {
+    let place = |number: u32| Placement {
         key: EndpointKey::of(&format!("e-{number}")),
         name: String::new(),
         address: address(1),
@@ -337,25 +337,28 @@
     for number in 0..2 {
         let now = scene.fleet.now;
         let core = scene.core(number).expect("it is there");
-        core.ended_with(now, popular, &place(number as u32));
+        core.on_endpoint_crash(now, popular, &place(number as u32));
         scene.fleet.hurry(number);
     }
     scene.fleet.run(Duration::from_millis(300));
 
     let now = scene.fleet.now;
-    scene.core(7).expect("it is there").ran_well(now, popular);
+    scene
+        .core(7)
+        .expect("it is there")
+        .on_run_succeeded(now, popular);
     scene.fleet.hurry(7);
     scene.fleet.run(Duration::from_millis(300));
     let now = scene.fleet.now;
     let core = scene.core(3).expect("it is there");
-    core.ended_with(now, popular, &place(9));
+    core.on_endpoint_crash(now, popular, &place(9));
     scene.fleet.hurry(3);
     scene.fleet.run(Duration::from_millis(300));
 
     let now = scene.fleet.now;
     for node in &scene.fleet.nodes {
         let core = node.core.as_ref().expect("it is there");
-        assert_eq!(core.ended_by(popular), 1);
+        assert_eq!(core.crash_count(popular), 1);
         assert!(!core.is_refused(now, popular));
     }
 }
@@ -371,13 +374,13 @@
     let now = scene.fleet.now;
     for number in 0..200 {
         let index = number % size;
-        let place = Place {
+        let place = Placement {
             key: EndpointKey::of(&format!("e-{}", number / 8)),
             name: String::new(),
             address: address(1),
         };
         let core = scene.core(index).expect("it is there");
-        core.ended_with(now, fingerprint(&format!("r-{number}")), &place);
+        core.on_endpoint_crash(now, fingerprint(&format!("r-{number}")), &place);
         scene.fleet.hurry(index);
     }
     scene.fleet.forget_sent();
@@ -405,13 +408,13 @@
     let now = scene.fleet.now;
     for number in 0..600 {
         let index = number % 30;
-        let place = Place {
+        let place = Placement {
             key: EndpointKey::of(&format!("gone-{}", number / 8)),
             name: String::new(),
             address: address(1),
         };
         let core = scene.core(index).expect("it is there");
-        core.ended_with(now, fingerprint(&format!("r-{number}")), &place);
+        core.on_endpoint_crash(now, fingerprint(&format!("r-{number}")), &place);
         scene.fleet.hurry(index);
     }
     scene.come(0);
@@ -432,8 +435,8 @@
     gateway.publish_endpoint(Time::from_secs(1), record.clone());
     let key = record.key();
     let place = gateway.place_at(key).expect("it takes work");
-    gateway.may_have_ended_with(Time::from_secs(2), fingerprint("fatal"), &place);
-    assert_eq!(gateway.ended_by(fingerprint("fatal")), 0);
+    gateway.on_connection_lost(Time::from_secs(2), fingerprint("fatal"), &place);
+    assert_eq!(gateway.crash_count(fingerprint("fatal")), 0);
     (gateway, key)
 }
 
@@ -443,7 +446,7 @@
 
     gateway.endpoint_vanished(Time::from_secs(5), "e-1");
 
-    assert_eq!(gateway.ended_by(fingerprint("fatal")), 1);
+    assert_eq!(gateway.crash_count(fingerprint("fatal")), 1);
 }
 
 #[test]
@@ -458,7 +461,7 @@
         },
     );
 
-    assert_eq!(gateway.ended_by(fingerprint("fatal")), 1);
+    assert_eq!(gateway.crash_count(fingerprint("fatal")), 1);
 }
 
 /// Symptom: a sound request counts as one that ended its endpoint. Sequence: its connection is
@@ -470,7 +473,7 @@
 
     gateway.endpoint_vanished(Time::from_secs(14), "e-1");
 
-    assert_eq!(gateway.ended_by(fingerprint("fatal")), 0);
+    assert_eq!(gateway.crash_count(fingerprint("fatal")), 0);
 }
 
 fn told() -> impl Strategy<Value = Body> {
@@ -523,7 +526,7 @@
         for (number, body) in bodies.into_iter().enumerate() {
             let now = Time::from_millis(1_000 + 50 * number as u64);
             let datagram = instances::datagram(2, 0, 0, body);
-            let heard = gateway.hear(now, datagram).expect("it is of the fleet");
+            let heard = gateway.on_datagram(now, datagram).expect("it is of the fleet");
             let ticked = gateway.tick(now);
             for (_, body) in heard.send.into_iter().chain(ticked.send) {
                 if let Body::News(items) = &body {
@@ -549,7 +552,7 @@
         },
     );
 
-    gateway.ended_with(Time::from_secs(5), fingerprint("other"), &place);
+    gateway.on_endpoint_crash(Time::from_secs(5), fingerprint("other"), &place);
 
-    assert_eq!(gateway.ended_by(fingerprint("other")), 0);
+    assert_eq!(gateway.crash_count(fingerprint("other")), 0);
 }
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -14,7 +14,7 @@
 use oriolemux_core::gateway::Gateway;
 use oriolemux_core::gateway::ask::{Decision, PlacementRequest, Verdict, Want};
 use oriolemux_core::gateway::choose::NoPlace;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::ids::EndpointKey;
 use std::sync::Arc;
 use std::time::Instant;
@@ -34,7 +34,7 @@
 
 impl<W: Wire> Drop for Open<W> {
     fn drop(&mut self) {
-        self.cx.state().ask_no_longer(self.id);
+        self.cx.state().withdraw_placement(self.id);
         self.cx.dirty.notify_one();
     }
 }
@@ -60,8 +60,8 @@
     job: &Job<W>,
     asked: PlaceRequest<'_>,
     until: Instant,
-    take: impl Fn(&mut Gateway, &Place) -> T,
-) -> Result<(Place, T), NoPlace> {
+    take: impl Fn(&mut Gateway, &Placement) -> T,
+) -> Result<(Placement, T), NoPlace> {
     let cx = &job.cx;
     let waiter = job.waiter(asked.tokens);
     let (id, service) = (waiter.id, waiter.service);
@@ -70,7 +70,7 @@
         want: asked.want,
         exclude: asked.exclude.to_vec(),
     };
-    cx.state().ask(cx.now(), request);
+    cx.state().request_placement(cx.now(), request);
     cx.dirty.notify_one();
     let _open = Open {
         cx: Arc::clone(cx),
@@ -95,12 +95,12 @@
                 Verdict::Decided(Decision::Granted(key)) => {
                     if let Some(place) = state.place_at(key) {
                         let taken = take(&mut state, &place);
-                        state.ask_no_longer(id);
+                        state.withdraw_placement(id);
                         ByReason::Places.add("home");
                         return Ok((place, taken));
                     }
                     // It began to leave while the answer was under way.
-                    state.ask_again(now, id);
+                    state.retry_placement(now, id);
                     NoPlace::NoEndpoint
                 }
                 Verdict::Decided(Decision::Denied(why)) => return Err(why),
@@ -110,12 +110,12 @@
                 }
                 Verdict::Asked => NoPlace::Full,
                 Verdict::Unanswered => {
-                    state.home_unanswered(now, service, id);
+                    state.on_home_timeout(now, service, id);
                     let demand = job.demand(asked.tokens, asked.exclude);
-                    match state.place_alone(now, &demand, asked.want) {
+                    match state.place_without_home(now, &demand, asked.want) {
                         Ok(place) => {
                             let taken = take(&mut state, &place);
-                            state.ask_no_longer(id);
+                            state.withdraw_placement(id);
                             drop(state);
                             note_alone(job, &place);
                             return Ok((place, taken));
@@ -134,7 +134,7 @@
     }
 }
 
-fn note_alone<W: Wire>(job: &Job<W>, place: &Place) {
+fn note_alone<W: Wire>(job: &Job<W>, place: &Placement) {
     ByReason::Places.add("alone");
     note!(
         PlacedAlone,
--- a/crates/gateway/src/broken.rs
+++ b/crates/gateway/src/broken.rs
@@ -9,7 +9,7 @@
 use crate::note;
 use crate::ports::Wire;
 use core::time::Duration;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::suspects::RAN_WELL_AFTER;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
 impl<W: Wire> Job<W> {
     /// Finds out what became of the endpoint whose connection ended before its answer, which
     /// had begun at `begun` if it had.
-    pub async fn note_broken(&self, place: &Place, begun: Option<Instant>) {
+    pub async fn note_broken(&self, place: &Placement, begun: Option<Instant>) {
         let begun = begun.map(|at| at.elapsed());
         if begun.is_some_and(|it| it >= RAN_WELL_AFTER) {
             return self.ran_well();
@@ -74,19 +74,22 @@
             Found::Silence => {
                 let now = self.cx.now();
                 let mut state = self.cx.state();
-                state.may_have_ended_with(now, self.fingerprint, place);
+                state.on_connection_lost(now, self.fingerprint, place);
             }
             Found::Somebody => {}
         }
     }
 
     /// Notes that an endpoint ended with the request.
-    fn note_ended(&self, place: &Place) {
+    fn note_ended(&self, place: &Placement) {
         let now = self.cx.now();
-        let is_news = self.cx.state().ended_with(now, self.fingerprint, place);
+        let is_news = self
+            .cx
+            .state()
+            .on_endpoint_crash(now, self.fingerprint, place);
         self.note_unreachable(place);
         if is_news {
-            let ended = self.cx.state().ended_by(self.fingerprint);
+            let ended = self.cx.state().crash_count(self.fingerprint);
             note!(EndpointEnded, attempt = self.name(), request:% = self.fingerprint,
                 entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
                 ended = ended);
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -16,7 +16,7 @@
 use http_body_util::{BodyExt, Limited};
 use oriolemux_core::gateway::budget::RepeatKind;
 use oriolemux_core::gateway::choose::NoPlace;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::time::Instant;
 
 /// The largest answer of a plain service that is held.
@@ -125,7 +125,7 @@
 }
 
 impl<W: Wire> Calls<'_, W> {
-    async fn attempt(&self, place: &Place) -> Attempt {
+    async fn attempt(&self, place: &Placement) -> Attempt {
         let limit = self.limit();
         tokio::select! {
             attempt = self.exchange(place) => attempt,
@@ -144,7 +144,7 @@
         entry.target.mul_f64(FIRST_ATTEMPT_TARGETS).min(left)
     }
 
-    async fn exchange(&self, place: &Place) -> Attempt {
+    async fn exchange(&self, place: &Placement) -> Attempt {
         let job = self.job;
         let send = SendHead {
             deadline: job.left(),
@@ -188,7 +188,7 @@
         }
     }
 
-    async fn note(&mut self, place: &Place, attempt: &Attempt) {
+    async fn note(&mut self, place: &Placement, attempt: &Attempt) {
         match attempt {
             Attempt::Answer(answer) => {
                 self.job.cx.state().endpoints.on_success(place.key);
@@ -258,7 +258,7 @@
         self.job.refuse(reason)
     }
 
-    fn finish(&self, attempt: Attempt, place: &Place) -> Response<AnswerBody> {
+    fn finish(&self, attempt: Attempt, place: &Placement) -> Response<AnswerBody> {
         let reason = match attempt {
             Attempt::Answer(mut answer) => {
                 Histogram::Call.record(self.job.arrived.elapsed());
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -77,7 +77,7 @@
 pub async fn catch_up<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         cx.behind.notified().await;
-        let peer = cx.state().better_informed(cx.now());
+        let peer = cx.state().choose_provider(cx.now());
         if let Some(peer) = peer {
             ask(&cx, peer).await;
         }
@@ -103,11 +103,11 @@
         }
         Err(error) => {
             ByReason::PeerAnswers.add(error.word());
-            cx.state().not_told(now, peer, error.not_told());
+            cx.state().on_fetch_failure(now, peer, error.not_told());
             note!(NotToldByPeer, peer:% = peer, why = error.word(), revision = after, ms = ms);
         }
     }
-    cx.state().note_behind(cx.now());
+    cx.state().update_behind(cx.now());
 }
 
 async fn no_longer_behind<W: Wire>(cx: &Cx<W>) {
--- a/crates/gateway/src/cx.rs
+++ b/crates/gateway/src/cx.rs
@@ -272,7 +272,7 @@
             note!(EndpointLeaving, endpoint = name.as_str());
         }
         if !endpoints.is_empty() {
-            self.state().tell_leaving(endpoints);
+            self.state().gossip_leaving(endpoints);
             self.changed.notify_waiters();
             self.departures.notify_waiters();
             self.dirty.notify_one();
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -22,7 +22,7 @@
 use oriolemux_core::gateway::lengths::{self, Length};
 use oriolemux_core::gateway::queue::{Waiter, service_hash};
 use oriolemux_core::gateway::rate_limits::ToldLimit;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::gateway::usage::Used;
 use oriolemux_core::gateway::{Demand, EntryId, Gateway, Repeat};
 use oriolemux_core::ids::EndpointKey;
@@ -110,7 +110,7 @@
     pub fn spend_repeat(&self, kind: RepeatKind) -> bool {
         let service = &self.service().name;
         let now = self.cx.now();
-        let spent = self.cx.state().spend_repeat(now, service, kind);
+        let spent = self.cx.state().try_spend_retry(now, service, kind);
         match spent.is_allowed {
             true => note!(
                 RepeatSpent,
@@ -139,23 +139,23 @@
     /// Returns whether the fleet's budget has a repeat for a generation that goes on.
     pub fn may_move(&self) -> bool {
         let now = self.cx.now();
-        self.cx.state().may_move(now, &self.service().name)
+        self.cx.state().may_relocate(now, &self.service().name)
     }
 
     /// Takes in what the head of an endpoint's answer says about the endpoint.
-    pub fn note_head(&self, place: &Place, head: &AnswerHead, sent: Instant) {
+    pub fn note_head(&self, place: &Placement, head: &AnswerHead, sent: Instant) {
         let now = self.cx.now();
         let sent = now.before(sent.elapsed()).unwrap_or(Time::ZERO);
         let mut state = self.cx.state();
         if let Some(load) = head.load {
-            state.told(now, place.key, load);
+            state.observe_load(now, place.key, load);
         }
         if let Some(left) = head.cold {
             state.endpoints.told_cold(now, place.key, left);
         }
         let limit = match head.replaced {
             true => None,
-            false => state.told_limit(now, place.key, sent, head.limit),
+            false => state.observe_limit(now, place.key, sent, head.limit),
         };
         drop(state);
         if head.limit == ToldLimit::Unreadable {
@@ -170,21 +170,21 @@
     }
 
     /// Notes that a request failed at an endpoint.
-    pub fn note_failure(&self, place: &Place) {
+    pub fn note_failure(&self, place: &Placement) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_failure(now, place.key);
         note_passed_over(place, passed_over);
     }
 
     /// Notes that no connection to an endpoint could be made.
-    pub fn note_unreachable(&self, place: &Place) {
+    pub fn note_unreachable(&self, place: &Placement) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_unreachable(now, place.key);
         note_passed_over(place, passed_over);
     }
 
     /// Notes that another process answers at the address of an endpoint.
-    pub fn note_replaced(&self, place: &Place) {
+    pub fn note_replaced(&self, place: &Placement) {
         let now = self.cx.now();
         if self.cx.state().endpoints.leave(now, place.key) {
             self.cx.tell_leaving(&[place.key]);
@@ -203,7 +203,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Place, InUse<W>), NoPlace> {
+    pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Placement, InUse<W>), NoPlace> {
         let now = self.cx.now();
         let mut state = self.cx.state();
         let place = state.place(now, &self.demand(0, exclude))?;
@@ -222,8 +222,9 @@
         &self,
         asked: PlaceRequest<'_>,
         until: Instant,
-    ) -> Result<(Place, InUse<W>), NoPlace> {
-        let begin = |state: &mut Gateway, place: &Place| self.begin_use(state, place, asked.tokens);
+    ) -> Result<(Placement, InUse<W>), NoPlace> {
+        let begin =
+            |state: &mut Gateway, place: &Placement| self.begin_use(state, place, asked.tokens);
         let (place, begun) = ask(self, asked, until, begin).await?;
         self.cx.dirty.notify_one();
         Ok(self.placed(place, asked.tokens, begun))
@@ -235,13 +236,13 @@
         source: EndpointKey,
         kind: CopyKind,
         tokens: u32,
-    ) -> Option<(Place, CopyInUse<W>)> {
+    ) -> Option<(Placement, CopyInUse<W>)> {
         let asked = PlaceRequest {
             want: Want::Copy { source, kind },
             tokens,
             exclude: &[],
         };
-        let begin = |state: &mut Gateway, place: &Place| {
+        let begin = |state: &mut Gateway, place: &Placement| {
             state.usage.begin_copy(place.key, tokens);
             CopyInUse {
                 cx: Arc::clone(&self.cx),
@@ -256,7 +257,7 @@
     }
 
     /// Counts a request at an endpoint; returns what was known to run there.
-    fn begin_use(&self, state: &mut Gateway, place: &Place, tokens: u32) -> (Used, InUse<W>) {
+    fn begin_use(&self, state: &mut Gateway, place: &Placement, tokens: u32) -> (Used, InUse<W>) {
         let used = state.used(place.key);
         let unread = match tokens {
             0 => 0,
@@ -274,10 +275,10 @@
 
     fn placed(
         &self,
-        place: Place,
+        place: Placement,
         tokens: u32,
         (used, in_use): (Used, InUse<W>),
-    ) -> (Place, InUse<W>) {
+    ) -> (Placement, InUse<W>) {
         note!(
             Placed,
             attempt = self.name(),
@@ -331,7 +332,7 @@
     /// Returns how the connection failed.
     pub async fn send(
         &self,
-        place: &Place,
+        place: &Placement,
         send: &SendHead<'_>,
     ) -> Result<(Link, Response<Incoming>), LinkError> {
         let chosen = self.cx.now();
@@ -342,7 +343,7 @@
             let mut state = self.cx.state();
             match send.resume {
                 Some(_) => {
-                    state.endpoints.is_cordoned(place.key) || !state.admit_to_go_on(now, place.key)
+                    state.endpoints.is_cordoned(place.key) || !state.admit_resumed(now, place.key)
                 }
                 None => {
                     !state.is_usable(place.key) || !state.admit_to_limit(now, place.key, chosen)
@@ -357,7 +358,7 @@
     }
 }
 
-fn note_passed_over(place: &Place, passed_over: bool) {
+fn note_passed_over(place: &Placement, passed_over: bool) {
     if passed_over {
         note!(EndpointPassedOver, endpoint = place.name.as_str());
     }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -1,11 +1,11 @@
 //! What instances send each other unasked: datagrams.
 //!
-//! The core says what to send to whom and when ([`Gateway::tick`], [`Gateway::hear`]). What
+//! The core says what to send to whom and when ([`Gateway::tick`], [`Gateway::on_datagram`]). What
 //! does not fit a datagram, the records of the store, is asked for: [`catch_up`].
 //!
 //! [`catch_up`]: crate::catch_up
 //! [`Gateway::tick`]: oriolemux_core::gateway::Gateway::tick
-//! [`Gateway::hear`]: oriolemux_core::gateway::Gateway::hear
+//! [`Gateway::on_datagram`]: oriolemux_core::gateway::Gateway::on_datagram
 
 use crate::cx::Cx;
 use crate::meters::ByReason;
@@ -13,7 +13,7 @@
 use crate::ports::Wire;
 use crate::store::Source;
 use bincode::config::{Configuration, Limit, LittleEndian, Varint, standard};
-use oriolemux_core::gateway::state::{TELL_DELAY, TICK};
+use oriolemux_core::gateway::state::{GOSSIP_DELAY, TICK};
 use oriolemux_core::gateway::{Body, Datagram};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     loop {
         let tick = cx.state().tick_interval();
         if timeout(tick.min(TICK), cx.dirty.notified()).await.is_ok() {
-            sleep(TELL_DELAY).await;
+            sleep(GOSSIP_DELAY).await;
         }
         let now = cx.now();
         let ticked = cx.state().tick(now);
@@ -47,7 +47,7 @@
         if ticked.decided {
             cx.decided.notify_waiters();
         }
-        if ticked.suspected {
+        if ticked.suspects_changed {
             cx.tell_suspected();
         }
         send_all(&cx, &socket, ticked.send).await;
@@ -80,10 +80,10 @@
 async fn take_in<W: Wire>(cx: &Cx<W>, socket: &UdpSocket, datagram: Datagram) {
     let now = cx.now();
     let (from, life) = (datagram.from.address, datagram.from.life);
-    let heard = cx.state().hear(now, datagram);
+    let heard = cx.state().on_datagram(now, datagram);
     let heard = match heard {
         Ok(heard) => heard,
-        Err(why) => return note_dropped(from, why.word()),
+        Err(why) => return note_dropped(from, why.label()),
     };
     cx.tell_leaving(&heard.leaving);
     for (cordon, effect) in &heard.cordons {
@@ -101,13 +101,13 @@
     if cx.state().is_behind() {
         cx.behind.notify_one();
     }
-    if heard.tell_soon {
+    if heard.gossip_soon {
         cx.dirty.notify_one();
     }
     if heard.decided {
         cx.decided.notify_waiters();
     }
-    if heard.suspected {
+    if heard.suspects_changed {
         cx.tell_suspected();
     }
     send_all(cx, socket, heard.send).await;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -37,7 +37,7 @@
 use oriolemux_core::gateway::relocation::{
     Delivery, GoOnFrom, Relocation, Step, View, silence_limit,
 };
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::suspects::RAN_WELL_AFTER;
 use pace::Pace;
 use std::sync::Arc;
@@ -89,7 +89,7 @@
     engines: E,
     /// Where the request was before the present engine.
     attempts: Attempts,
-    source: Place,
+    source: Placement,
     in_use: InUse<W>,
     length: Length,
     /// The memory that the generation is counted with.
@@ -110,7 +110,7 @@
         job: Job<W>,
         engines: E,
         attempts: Attempts,
-        chosen: (Place, InUse<W>),
+        chosen: (Placement, InUse<W>),
         length: Length,
         tx: mpsc::Sender<Piece>,
     ) -> Self {
@@ -369,9 +369,10 @@
         let view = View {
             leaves_for: leaving.map(|since| now.since(since)),
             standing_takes_work,
-            target_is_quiet: target.is_some_and(|key| state.is_quiet(now, key)),
+            target_is_quiet: target.is_some_and(|key| state.has_no_pending_prefill(now, key)),
             may_go_on_anew: self.may_run_again(),
-            is_budget_spent: leaving.is_some() && !state.may_move(now, &self.job.service().name),
+            is_budget_spent: leaving.is_some()
+                && !state.may_relocate(now, &self.job.service().name),
         };
         self.state.next(now, &view)
     }
--- a/crates/gateway/src/relay/ahead.rs
+++ b/crates/gateway/src/relay/ahead.rs
@@ -3,7 +3,7 @@
 use crate::job::CopyInUse;
 use crate::ports::{EngineCalls, Moved, Wire};
 use core::time::Duration;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::net::SocketAddrV4;
 use tokio::task::JoinHandle;
 
@@ -16,7 +16,7 @@
 
 /// Where the engine of a generation keeps a copy up to date.
 pub(super) struct StandingCopy<W: Wire> {
-    pub(super) place: Place,
+    pub(super) place: Placement,
     pub(super) _in_use: CopyInUse<W>,
 }
 
@@ -28,7 +28,7 @@
 pub(super) struct CopyAhead<W: Wire, E: EngineCalls> {
     engines: E,
     source: SocketAddrV4,
-    pub(super) target: Place,
+    pub(super) target: Placement,
     /// The call under way.
     task: Option<JoinHandle<Moved>>,
     /// The copy's name at the source, once it is complete.
@@ -41,7 +41,7 @@
     pub(super) fn new(
         engines: E,
         source: SocketAddrV4,
-        target: Place,
+        target: Placement,
         in_use: CopyInUse<W>,
     ) -> Self {
         CopyAhead {
@@ -71,7 +71,7 @@
     }
 
     /// Gives the copy to whoever goes on from it; nothing if it is not complete.
-    pub(super) fn take(mut self) -> Option<(Place, String)> {
+    pub(super) fn take(mut self) -> Option<(Placement, String)> {
         let handle = self.handle.take()?;
         // A call that brings the copy up to date may end as it likes.
         self.task = None;
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -15,7 +15,7 @@
 use oriolemux_core::gateway::ask::Want;
 use oriolemux_core::gateway::budget::RepeatKind;
 use oriolemux_core::gateway::relocation::take_back_after;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
@@ -31,7 +31,7 @@
     /// It was refused while it was there, because it ended too many engines.
     Refused,
     /// It made the request wait, and another engine has room.
-    TakenBack(Place, InUse<W>),
+    TakenBack(Placement, InUse<W>),
 }
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
@@ -107,7 +107,7 @@
     }
 
     /// Returns an engine with room that was not tried, if the fleet's repeats allow it.
-    pub(super) async fn engine_with_room(&self) -> Option<(Place, InUse<W>)> {
+    pub(super) async fn engine_with_room(&self) -> Option<(Placement, InUse<W>)> {
         let mut tried = self.attempts.tried().to_vec();
         tried.push(self.source.key);
         let asked = PlaceRequest {
@@ -122,7 +122,7 @@
             .then_some(chosen)
     }
 
-    async fn take_back(&mut self, place: Place, in_use: InUse<W>) {
+    async fn take_back(&mut self, place: Placement, in_use: InUse<W>) {
         note!(
             TakenBack,
             attempt = self.job.name(),
@@ -134,7 +134,7 @@
     }
 
     /// Makes `place` the present engine; the generation may have run at the one before.
-    pub(super) async fn settle_at(&mut self, place: Place, in_use: InUse<W>) {
+    pub(super) async fn settle_at(&mut self, place: Placement, in_use: InUse<W>) {
         self.attempts.note_run(self.source.key);
         self.in_use = in_use;
         self.source = place;
--- a/crates/gateway/src/relay/go_on.rs
+++ b/crates/gateway/src/relay/go_on.rs
@@ -13,7 +13,7 @@
 use oriolemux_core::gateway::budget::RepeatKind;
 use oriolemux_core::gateway::choose::CopyKind;
 use oriolemux_core::gateway::relocation::STANDING_MIN_TOKENS;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::net::SocketAddrV4;
 use std::time::Instant;
 use tokio::time::sleep;
@@ -151,7 +151,7 @@
     }
 
     /// Asks `target` to go on with the generation whose memory `keeper` holds.
-    async fn go_on(&mut self, target: Place, keeper: SocketAddrV4, handle: &str) -> Begun {
+    async fn go_on(&mut self, target: Placement, keeper: SocketAddrV4, handle: &str) -> Begun {
         if !self.spend_repeat(RepeatKind::GoOn).await {
             let denied = Reason::BudgetSpent;
             self.cannot_go_on(&denied.to_string());
@@ -176,7 +176,7 @@
     }
 
     /// Goes on at `place`, which reads prompt and events anew.
-    pub(super) async fn go_on_anew_at(&mut self, place: Place, in_use: InUse<W>) -> Begun {
+    pub(super) async fn go_on_anew_at(&mut self, place: Placement, in_use: InUse<W>) -> Begun {
         ByReason::Relocations.add("anew");
         note!(
             GoesOnAnew,
@@ -266,7 +266,7 @@
     }
 
     /// Returns another engine with room for a copy.
-    async fn another_place(&self, kind: CopyKind) -> Option<(Place, CopyInUse<W>)> {
+    async fn another_place(&self, kind: CopyKind) -> Option<(Placement, CopyInUse<W>)> {
         let place = self.job.ask_copy(self.source.key, kind, self.tokens).await;
         if place.is_none() {
             let kind = match kind {
--- a/crates/gateway/src/relay/upstream.rs
+++ b/crates/gateway/src/relay/upstream.rs
@@ -6,7 +6,7 @@
 use crate::ports::{WholeAnswer, Wire};
 use http::{HeaderMap, StatusCode};
 use hyper::body::Incoming;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::time::Instant;
 
 /// The open connection that events come on.
@@ -24,7 +24,7 @@
     /// The engine leaves and it is time to go.
     Leave,
     /// The engine is silent, and this one can read the generation anew.
-    GoOnAnew(Place, InUse<W>),
+    GoOnAnew(Placement, InUse<W>),
     /// The connection broke.
     Broken,
     /// The engine fell silent or sent what is no stream.
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -216,7 +216,7 @@
                 revision: state.replica.revision(),
                 answered_ms_ago: state.reader.heard().map(|heard| millis(now.since(heard))),
                 watches: state.watches(now),
-                unsettled: state.is_unsettled(now),
+                unsettled: state.may_miss_records(now),
             },
             connections: cx.open(Open::Connection),
             generations: cx.open(Open::Generation),
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -64,7 +64,7 @@
             None => {
                 read_whole(cx, Source::Store, &seen, began);
                 let now = cx.now();
-                cx.state().note_behind(now);
+                cx.state().update_behind(now);
                 return Ok(());
             }
         }
@@ -122,7 +122,7 @@
         let now = cx.now();
         let mut state = cx.state();
         state.replica.reached(changes.revision);
-        state.note_behind(now);
+        state.update_behind(now);
         if has_news {
             state.announce();
             drop(state);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -21,7 +21,7 @@
 use oriolemux_core::gateway::ask::Want;
 use oriolemux_core::gateway::budget::RepeatKind;
 use oriolemux_core::gateway::lengths::Length;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::ids::EndpointKey;
 use tokio::sync::mpsc;
 
@@ -122,7 +122,7 @@
     job: Job<W>,
     engines: E,
     attempts: Attempts,
-    chosen: (Place, InUse<W>),
+    chosen: (Placement, InUse<W>),
     length: Length,
 ) -> Start<W> {
     let (tx, rx) = mpsc::channel(PIECES);
@@ -170,7 +170,7 @@
     job: &Job<W>,
     tokens: u32,
     tried: &[EndpointKey],
-) -> Result<(Place, InUse<W>), Reason> {
+) -> Result<(Placement, InUse<W>), Reason> {
     let limit = job.entry().target.mul_f64(WAIT_TARGETS);
     let until = (job.arrived + limit).min(job.ends);
     let asked = PlaceRequest {
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -123,12 +123,12 @@
     /// Notes that the request ran well.
     pub fn ran_well(&self) {
         let now = self.cx.now();
-        self.cx.state().ran_well(now, self.fingerprint);
+        self.cx.state().on_run_succeeded(now, self.fingerprint);
     }
 
     /// Notes that the request is refused; returns the reason.
     pub fn note_refused(&self) -> Reason {
-        let ended = self.cx.state().ended_by(self.fingerprint);
+        let ended = self.cx.state().crash_count(self.fingerprint);
         note!(SuspectRefused, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), ended = ended);
         Reason::EndsEndpoints
