--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -6,7 +6,7 @@
 //! order of their rank. What goes wrong if all of them do at once: 195 instances ask a store
 //! that is silent, and pay for each call.
 
-use super::reader::{READER_FRESH, READERS};
+use super::reader::{READER_FRESH, WATCHERS};
 use crate::ids::{Incarnation, stable_hash};
 use crate::time::Time;
 use core::time::Duration;
@@ -26,7 +26,7 @@
 
 /// The most instances that watch. A store that turns away nine of ten is heard by one of
 /// them in all but one of a thousand cases.
-const MOST_READERS: usize = 64;
+const MAX_WATCHERS: usize = 64;
 
 /// A beacon that is so old says nothing any more.
 const FORGET: Duration = Duration::from_secs(30);
@@ -37,7 +37,7 @@
     /// The instance that says so.
     pub origin: SocketAddrV4,
     /// Its life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Counts its beacons.
     pub number: u64,
     /// Milliseconds since the store answered it last.
@@ -66,7 +66,8 @@
     /// Takes a beacon in; returns whether it was not heard before.
     pub fn hear(&mut self, now: Time, beacon: Beacon) -> bool {
         let known = self.heard.get(&beacon.origin).map(|it| it.beacon);
-        let is_old = known.is_some_and(|it| it.life == beacon.life && it.number >= beacon.number);
+        let is_old = known
+            .is_some_and(|it| it.incarnation == beacon.incarnation && it.number >= beacon.number);
         if is_old {
             return false;
         }
@@ -104,13 +105,13 @@
         let silent = now.since(last.unwrap_or(since).max(since));
         let beyond = silent.saturating_sub(READER_FRESH);
         if beyond.is_zero() {
-            return READERS;
+            return WATCHERS;
         }
         let doublings = beyond.as_millis() / WIDEN_AFTER.as_millis() + 1;
         let doublings = u32::try_from(doublings)
             .unwrap_or(u32::MAX)
-            .min(MOST_READERS.ilog2());
-        (READERS << doublings).min(MOST_READERS)
+            .min(MAX_WATCHERS.ilog2());
+        (WATCHERS << doublings).min(MAX_WATCHERS)
     }
 }
 
@@ -123,7 +124,7 @@
 
 /// Returns the rank of an instance among readers; the lowest reads first. A hash, so
 /// that the load does not follow the order of addresses.
-pub fn reader_rank(address: SocketAddrV4) -> (u64, SocketAddrV4) {
+pub fn watcher_rank(address: SocketAddrV4) -> (u64, SocketAddrV4) {
     let port = address.port().to_le_bytes();
     let hash = stable_hash(&[b"reader", &address.ip().octets(), &port]);
     (hash, address)
--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -9,8 +9,8 @@
 use super::beacons::Beacon;
 use super::cordons::Cordon;
 use super::fleet_size::ToldSize;
-use super::home::{Answer, Report};
-use super::members::Update;
+use super::home::{PlacementAnswer, PlacementReport};
+use super::members::MemberUpdate;
 use super::rate_limits::LimitWord;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Items {
     /// What changed among the instances.
-    pub members: Vec<Update>,
+    pub members: Vec<MemberUpdate>,
     /// Endpoints that leave.
     pub leaving: Vec<EndpointKey>,
     /// What those say that watch the store.
@@ -85,7 +85,7 @@
     /// Tells deployments apart that share a network.
     pub deployment: u64,
     /// What the sender says of itself.
-    pub from: Update,
+    pub from: MemberUpdate,
     /// The store's revision up to which the sender knows everything.
     pub revision: u64,
     /// What that comes to, see [`Replica::digest`](super::replica::Replica::digest).
@@ -146,7 +146,7 @@
     /// Asks for all instances.
     AskMembers,
     /// Instances that take part.
-    Members(Vec<Update>),
+    Members(Vec<MemberUpdate>),
     /// The suspects that ended the most endpoints, for an instance that knows others.
     Suspects(Vec<Blame>),
     /// What an instance tells the home of suspects.
@@ -154,14 +154,14 @@
     /// What that home answers.
     TurnAnswer(TurnAnswer),
     /// What an instance tells a home.
-    Report(Report),
+    PlacementReport(PlacementReport),
     /// What a home answers.
-    Answer(Answer),
+    PlacementAnswer(PlacementAnswer),
 }
 
 impl Body {
     /// Returns a probe that tells what is `doubted` of its target.
-    pub fn probe(number: u64, members: u64, doubted: Option<Update>) -> Self {
+    pub fn probe(number: u64, members: u64, doubted: Option<MemberUpdate>) -> Self {
         let news = Items {
             members: doubted.into_iter().collect(),
             ..Items::default()
@@ -184,7 +184,7 @@
     }
 
     /// Tells an instance what is believed of it, so that it can refute that.
-    pub fn accuse(believed: Update) -> Self {
+    pub fn accuse(believed: MemberUpdate) -> Self {
         Body::News(Items {
             members: vec![believed],
             ..Items::default()
@@ -207,8 +207,8 @@
             Body::AskMembers | Body::Members(_) => "members",
             Body::Suspects(_) => "suspects",
             Body::Turns(_) | Body::TurnAnswer(_) => "turns",
-            Body::Report(_) => "placement_reports",
-            Body::Answer(_) => "placement_answers",
+            Body::PlacementReport(_) => "placement_reports",
+            Body::PlacementAnswer(_) => "placement_answers",
         }
     }
 }
@@ -224,7 +224,7 @@
 /// News that this instance still tells.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
-    members: BTreeMap<SocketAddrV4, Told<Update>>,
+    members: BTreeMap<SocketAddrV4, Told<MemberUpdate>>,
     leaving: BTreeMap<EndpointKey, Told<EndpointKey>>,
     beacons: BTreeMap<SocketAddrV4, Told<Beacon>>,
     cordons: BTreeMap<String, Told<Cordon>>,
@@ -239,7 +239,7 @@
 
 impl Outbox {
     /// Takes in what changed about an instance, among so many.
-    pub fn add_member(&mut self, update: Update, instances: usize) {
+    pub fn add_member(&mut self, update: MemberUpdate, instances: usize) {
         let told = Told::new(update, tells(instances));
         self.members.insert(update.address, told);
     }
--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -6,10 +6,10 @@
 //! after a second, with its use, its placement requests and its reservations: a frozen instance
 //! must hold nobody up for longer.
 
-mod doubt;
+mod ejections;
 mod message;
 
-pub use message::{Answer, PlacementMessage, Report};
+pub use message::{PlacementAnswer, PlacementMessage, PlacementReport};
 
 use super::ask::{Decision, PlacementRequest, Want};
 use super::catalogue::EngineLimits;
@@ -22,7 +22,7 @@
 use crate::ids::{EndpointKey, Incarnation};
 use crate::time::Time;
 use core::time::Duration;
-use doubt::Doubts;
+use ejections::Doubts;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -31,7 +31,7 @@
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long the word of an instance is believed: two reports in a row may be lost.
-pub const REPORT_FRESH: Duration = Duration::from_millis(1_000);
+pub const REPORT_TTL: Duration = Duration::from_millis(1_000);
 
 /// How often one instance is told what others run. It goes by that only where no home answers.
 const VIEW_INTERVAL: Duration = Duration::from_millis(250);
@@ -39,7 +39,7 @@
 /// What is known of one instance.
 #[derive(Clone, Debug)]
 struct Reporter {
-    life: Incarnation,
+    incarnation: Incarnation,
     number: u64,
     heard: Time,
     data_centre: String,
@@ -108,8 +108,17 @@
 
 impl Home {
     /// Takes a report in. One that is older than the last one changes nothing.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, life: Incarnation, report: Report) {
-        let known = self.reporters.get_mut(&from).filter(|it| it.life == life);
+    pub fn on_report(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        life: Incarnation,
+        report: PlacementReport,
+    ) {
+        let known = self
+            .reporters
+            .get_mut(&from)
+            .filter(|it| it.incarnation == life);
         let (viewed, mut reserved) = match known {
             Some(known) if known.number >= report.number => return,
             Some(known) => (known.viewed, core::mem::take(&mut known.reserved)),
@@ -125,7 +134,7 @@
             }
         }
         let reporter = Reporter {
-            life,
+            incarnation: life,
             number: report.number,
             heard: now,
             data_centre: report.data_centre,
@@ -145,7 +154,7 @@
     /// Forgets instances that fell silent.
     pub fn tick(&mut self, now: Time) {
         self.reporters
-            .retain(|_, it| now.since(it.heard) < REPORT_FRESH);
+            .retain(|_, it| now.since(it.heard) < REPORT_TTL);
         self.doubts.tick(now);
         self.bounded_granted.tick(now);
     }
@@ -156,7 +165,7 @@
     }
 
     /// Returns whether somebody waits for a decision of this instance.
-    pub fn is_asked(&self) -> bool {
+    pub fn has_requests(&self) -> bool {
         self.reporters
             .values()
             .any(|it| it.decides && !it.requests.is_empty())
@@ -184,7 +193,11 @@
     }
 
     /// Decides about all placement requests, and returns what instances are to be told.
-    pub fn decide(&mut self, now: Time, engines: Engines<'_>) -> Vec<(SocketAddrV4, Answer)> {
+    pub fn decide(
+        &mut self,
+        now: Time,
+        engines: Engines<'_>,
+    ) -> Vec<(SocketAddrV4, PlacementAnswer)> {
         let service = service_hash(engines.service);
         self.release_unusable(engines.endpoints);
         let mut others = self.others(now, None);
@@ -212,7 +225,7 @@
             let view = self.view_for(now, from);
             send.push((
                 from,
-                Answer {
+                PlacementAnswer {
                     service,
                     decisions,
                     view,
--- a/crates/core/src/gateway/home/message.rs
+++ b/crates/core/src/gateway/home/message.rs
@@ -21,7 +21,7 @@
 
 /// What an instance tells the home of a service and the next in rank.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct PlacementReport {
     /// The hash of the service's name.
     pub service: u64,
     /// Counts the reports of the instance's life.
@@ -44,7 +44,7 @@
 
 /// What a home answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct PlacementAnswer {
     /// The hash of the service's name.
     pub service: u64,
     /// What it decided.
@@ -55,7 +55,7 @@
 
 impl PlacementRequest {
     /// Returns the placement request as it travels.
-    pub fn to_tell(&self, now: Time) -> PlacementMessage {
+    pub fn to_message(&self, now: Time) -> PlacementMessage {
         PlacementMessage {
             waiting: self.waiter.to_tell(now),
             want: self.want,
--- a/crates/core/src/gateway/members.rs
+++ b/crates/core/src/gateway/members.rs
@@ -10,7 +10,7 @@
 
 mod probes;
 
-pub use probes::{PROBE_INTERVAL, SUSPICION};
+pub use probes::{PROBE_INTERVAL, SUSPICION_TIMEOUT};
 
 use super::gossip::Body;
 use crate::ids::{Incarnation, stable_hash};
@@ -45,20 +45,20 @@
 
 /// What is told of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
+pub struct MemberUpdate {
     /// Where it answers peers.
     pub address: SocketAddrV4,
     /// Its life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// How often it has refuted what was said of it in this life.
-    pub refuted: u32,
+    pub refutations: u32,
     /// What it is.
     pub status: Status,
 }
 
-impl Update {
+impl MemberUpdate {
     fn rank(&self) -> (u32, Status) {
-        (self.refuted, self.status)
+        (self.refutations, self.status)
     }
 }
 
@@ -66,11 +66,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
     /// What was told of it last; nothing if only its address is known.
-    update: Option<Update>,
+    update: Option<MemberUpdate>,
     /// Since when, or since when its address is known.
     since: Time,
     /// When a datagram of its own came last.
-    pub heard: Option<Time>,
+    pub last_datagram: Option<Time>,
     /// The store's revision that it said it knows.
     pub revision: u64,
     /// What that comes to.
@@ -100,7 +100,7 @@
     /// Instances that count as gone now.
     pub gone: Vec<SocketAddrV4>,
     /// What is to be told of instances.
-    pub updates: Vec<Update>,
+    pub updates: Vec<MemberUpdate>,
     /// What is to be sent.
     pub send: Vec<(SocketAddrV4, Body)>,
 }
@@ -108,7 +108,7 @@
 /// All instances known.
 #[derive(Clone, Debug)]
 pub struct Members {
-    own: Update,
+    own: MemberUpdate,
     /// The seeds, without this instance.
     seeds: Vec<SocketAddrV4>,
     is_seed: bool,
@@ -127,10 +127,10 @@
         life: Incarnation,
         seeds: &[SocketAddrV4],
     ) -> Self {
-        let own = Update {
+        let own = MemberUpdate {
             address,
-            life,
-            refuted: 0,
+            incarnation: life,
+            refutations: 0,
             status: Status::Alive,
         };
         let mut members = Members {
@@ -157,12 +157,12 @@
     }
 
     /// Returns what this instance says of itself.
-    pub fn own(&self) -> Update {
+    pub fn own(&self) -> MemberUpdate {
         self.own
     }
 
     /// Notes that this instance stops; returns what is to be told.
-    pub fn stop(&mut self) -> Update {
+    pub fn stop(&mut self) -> MemberUpdate {
         self.own.status = Status::Stopping;
         self.own
     }
@@ -184,7 +184,7 @@
     pub fn has_heard_most_seeds(&self) -> bool {
         let is_heard = |it: &&SocketAddrV4| {
             let known = self.others.get(it);
-            known.is_some_and(|it| it.heard.is_some())
+            known.is_some_and(|it| it.last_datagram.is_some())
         };
         let others = self.seeds.iter().filter(is_heard).count();
         let own = usize::from(self.is_seed);
@@ -201,11 +201,11 @@
     pub fn digest(&self) -> u64 {
         let live = self.live().filter_map(|(_, it)| it.update);
         let all = live.chain([self.own]);
-        all.fold(0, |sum, it| sum ^ hash_of(it.address, it.life))
+        all.fold(0, |sum, it| sum ^ hash_of(it.address, it.incarnation))
     }
 
     /// Notes what an instance is now, and that others are to hear of it.
-    fn set(&mut self, now: Time, update: Update, change: &mut Change) {
+    fn set(&mut self, now: Time, update: MemberUpdate, change: &mut Change) {
         if let Some(known) = self.others.get_mut(&update.address) {
             known.update = Some(update);
             known.since = now;
@@ -214,7 +214,7 @@
     }
 
     /// Draws some of the others that take part, but for `except`.
-    pub fn draw(
+    pub fn sample(
         &self,
         rng: &mut SmallRng,
         most: usize,
@@ -230,16 +230,16 @@
     pub fn hear(
         &mut self,
         now: Time,
-        said: Update,
+        said: MemberUpdate,
         revision: u64,
         digest: u64,
         change: &mut Change,
     ) -> bool {
         let known = self.others.entry(said.address).or_insert(unheard(now));
-        known.heard = Some(now);
+        known.last_datagram = Some(now);
         known.revision = revision;
         known.digest = digest;
-        let Some(update) = known.update.filter(|it| it.life == said.life) else {
+        let Some(update) = known.update.filter(|it| it.incarnation == said.incarnation) else {
             known.update = Some(said);
             known.since = now;
             change.updates.push(said);
@@ -263,7 +263,7 @@
     }
 
     /// Takes in what others say of an instance.
-    pub fn hear_of(&mut self, now: Time, told: Update, change: &mut Change) {
+    pub fn on_update(&mut self, now: Time, told: MemberUpdate, change: &mut Change) {
         if told.address == self.own.address {
             self.refute(told, change);
             return;
@@ -276,7 +276,7 @@
                 known.since = now;
                 change.updates.push(told);
             }
-            Some(update) if update.life == told.life => {
+            Some(update) if update.incarnation == told.incarnation => {
                 if told.rank() > update.rank() {
                     known.update = Some(told);
                     known.since = now;
@@ -298,10 +298,11 @@
         }
     }
 
-    fn refute(&mut self, told: Update, change: &mut Change) {
-        let is_own_life = told.life == self.own.life;
-        if is_own_life && told.status >= Status::Suspect && told.refuted >= self.own.refuted {
-            self.own.refuted = told.refuted.saturating_add(1);
+    fn refute(&mut self, told: MemberUpdate, change: &mut Change) {
+        let is_own_life = told.incarnation == self.own.incarnation;
+        if is_own_life && told.status >= Status::Suspect && told.refutations >= self.own.refutations
+        {
+            self.own.refutations = told.refutations.saturating_add(1);
             change.updates.push(self.own);
         } else if !is_own_life && told.status < Status::Gone {
             change.updates.push(self.own);
@@ -315,7 +316,7 @@
     }
 
     /// Returns whether to ask `peer`, which believes in other instances, for all of them.
-    pub fn asks_for_all(&mut self, now: Time, theirs: u64) -> bool {
+    pub fn should_sync(&mut self, now: Time, theirs: u64) -> bool {
         let is_due = self.synced.is_none_or(|at| now.since(at) >= SYNC_INTERVAL);
         if !is_due || (theirs == self.digest() && self.synced.is_some()) {
             return false;
@@ -325,10 +326,12 @@
     }
 
     /// Returns all instances that take part, this one included, in parts that fit a datagram.
-    pub fn list(&self) -> Vec<Vec<Update>> {
+    pub fn list(&self) -> Vec<Vec<MemberUpdate>> {
         let live = self.live().filter_map(|(_, it)| it.update);
-        let all: Vec<Update> = live.chain([self.own]).collect();
-        all.chunks(LIST_CHUNK).map(<[Update]>::to_vec).collect()
+        let all: Vec<MemberUpdate> = live.chain([self.own]).collect();
+        all.chunks(LIST_CHUNK)
+            .map(<[MemberUpdate]>::to_vec)
+            .collect()
     }
 }
 
@@ -336,7 +339,7 @@
     Member {
         update: None,
         since: now,
-        heard: None,
+        last_datagram: None,
         revision: 0,
         digest: 0,
     }
--- a/crates/core/src/gateway/members/probes.rs
+++ b/crates/core/src/gateway/members/probes.rs
@@ -1,6 +1,6 @@
 //! Who is probed when, and what follows from silence.
 
-use super::{Change, Members, Status, Update};
+use super::{Change, MemberUpdate, Members, Status};
 use crate::gateway::gossip::Body;
 use crate::ids::Incarnation;
 use crate::time::Time;
@@ -26,7 +26,7 @@
 
 /// How long a suspected instance has to refute it: news takes some 50 ms to it and as long
 /// back, and an instance that gets an eighth of a processor may pause for 100 ms.
-pub const SUSPICION: Duration = Duration::from_millis(1_200);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The time between two attempts to find anybody, while nobody is known.
 const JOIN_INTERVAL: Duration = Duration::from_millis(100);
@@ -51,7 +51,7 @@
     number: u64,
     target: SocketAddrV4,
     /// The life that is probed, if it is known.
-    life: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
     sent: Time,
     helped: bool,
 }
@@ -90,7 +90,7 @@
 impl Members {
     /// Takes in the answer to a probe; returns to whom it is passed on, for whom this
     /// instance had probed.
-    pub fn acknowledged(&mut self, number: u64) -> Option<(SocketAddrV4, Body)> {
+    pub fn on_ack(&mut self, number: u64) -> Option<(SocketAddrV4, Body)> {
         self.probes.open.retain(|it| it.number != number);
         let at = self
             .probes
@@ -102,7 +102,7 @@
     }
 
     /// Probes `target` in the place of `asker`.
-    pub fn help(
+    pub fn probe_for(
         &mut self,
         now: Time,
         asker: SocketAddrV4,
@@ -166,7 +166,7 @@
         for at in late {
             let (number, target) = (self.probes.open[at].number, self.probes.open[at].target);
             self.probes.open[at].helped = true;
-            for helper in self.draw(rng, HELPERS, &[target]) {
+            for helper in self.sample(rng, HELPERS, &[target]) {
                 change
                     .send
                     .push((helper, Body::ProbeFor { number, target }));
@@ -176,21 +176,21 @@
 
     fn suspect(&mut self, now: Time, probe: &Probe, change: &mut Change) {
         let known = self.get(probe.target).and_then(|it| it.update);
-        let probed = known.filter(|it| Some(it.life) == probe.life);
+        let probed = known.filter(|it| Some(it.incarnation) == probe.incarnation);
         if let Some(update) = probed.filter(|it| it.status < Status::Suspect) {
             let status = Status::Suspect;
-            self.set(now, Update { status, ..update }, change);
+            self.set(now, MemberUpdate { status, ..update }, change);
         }
     }
 
     fn end_suspicions(&mut self, now: Time, change: &mut Change) {
         let suspects = self.others.values().filter_map(|it| {
             let suspect = it.update.filter(|it| it.status == Status::Suspect);
-            suspect.filter(|_| now.since(it.since) >= SUSPICION)
+            suspect.filter(|_| now.since(it.since) >= SUSPICION_TIMEOUT)
         });
         for update in suspects.collect::<Vec<_>>() {
             let status = Status::Gone;
-            self.set(now, Update { status, ..update }, change);
+            self.set(now, MemberUpdate { status, ..update }, change);
             change.gone.push(update.address);
         }
     }
@@ -222,7 +222,7 @@
         self.probes.open.push(Probe {
             number: self.probes.numbers,
             target,
-            life: update.map(|it| it.life),
+            incarnation: update.map(|it| it.incarnation),
             sent: now,
             helped: false,
         });
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -13,7 +13,7 @@
 
 /// Instances that watch the store for all. Calls are paid for and limited, and do
 /// not become fewer when the fleet grows; two, so that one may fail unnoticed.
-pub const READERS: usize = 2;
+pub const WATCHERS: usize = 2;
 
 /// A reader to which the store has answered nothing for so long counts as cut off.
 /// A watch is answered after [`WATCH_WAIT`] at the latest, and others hear of it within
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -2,13 +2,13 @@
 
 use super::{Gateway, TickOutcome};
 use crate::gateway::ask::REPORT_AGAIN;
-use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, reader_rank};
+use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, watcher_rank};
 use crate::gateway::catch_up::{NotTold, Provider};
 use crate::gateway::cordons::{Cordon, CordonEffect};
 use crate::gateway::gossip::{Body, Datagram, FAN_OUT, GOSSIP_VERSION, Items};
 use crate::gateway::members::{Change, Member};
 use crate::gateway::rate_limits::LimitChange;
-use crate::gateway::reader::{READER_FRESH, READERS, Step};
+use crate::gateway::reader::{READER_FRESH, Step, WATCHERS};
 use crate::ids::EndpointKey;
 use crate::time::Time;
 use core::time::Duration;
@@ -144,13 +144,13 @@
                 news,
             } => {
                 self.hear_news(now, news, heard, change);
-                heard.send.extend(self.members.acknowledged(number));
+                heard.send.extend(self.members.on_ack(number));
                 if let Some(members) = members {
                     self.sync_with(now, from, members, heard);
                 }
             }
             Body::ProbeFor { number, target } => {
-                let probe = self.members.help(now, from, number, target);
+                let probe = self.members.probe_for(now, from, number, target);
                 heard.send.push((target, probe));
             }
             Body::News(news) => self.hear_news(now, news, heard, change),
@@ -160,13 +160,13 @@
             }
             Body::Members(list) => {
                 for update in list {
-                    self.members.hear_of(now, update, change);
+                    self.members.on_update(now, update, change);
                 }
             }
-            Body::Report(report) => {
+            Body::PlacementReport(report) => {
                 heard.decided = self.hear_report(now, datagram.from, report, &mut heard.send);
             }
-            Body::Answer(answer) => {
+            Body::PlacementAnswer(answer) => {
                 self.hear_answer(now, answer);
                 heard.decided = true;
             }
@@ -192,7 +192,7 @@
         change: &mut Change,
     ) {
         for update in news.members {
-            self.members.hear_of(now, update, change);
+            self.members.on_update(now, update, change);
         }
         for endpoint in news.leaving {
             if self.endpoints.leave(now, endpoint) {
@@ -227,7 +227,7 @@
         theirs: u64,
         heard: &mut DatagramOutcome,
     ) {
-        if self.members.asks_for_all(now, theirs) {
+        if self.members.should_sync(now, theirs) {
             heard.send.push((peer, Body::AskMembers));
         }
     }
@@ -306,7 +306,7 @@
         self.beacons_sent += 1;
         let own = Beacon {
             origin: self.cfg.address,
-            life: self.cfg.incarnation,
+            incarnation: self.cfg.incarnation,
             number: self.beacons_sent,
             store_age_ms: self.store_age_ms(now),
             revision: self.replica.revision(),
@@ -323,7 +323,7 @@
     fn speaks_of_store(&self, now: Time) -> bool {
         let watched = self.reader.watched();
         let is_answered = watched.is_some_and(|at| now.since(at) < READER_FRESH);
-        self.watches(now) && (is_answered || self.rank() < READERS)
+        self.watches(now) && (is_answered || self.rank() < WATCHERS)
     }
 
     fn tell_news(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) {
@@ -331,7 +331,7 @@
         if !announces && !self.outbox.has_new() {
             return;
         }
-        let peers = self.members.draw(&mut self.rng, FAN_OUT, &[]);
+        let peers = self.members.sample(&mut self.rng, FAN_OUT, &[]);
         if peers.is_empty() {
             // What is news now is told to whoever is found first.
             return;
@@ -386,8 +386,8 @@
     /// Returns whether this instance watches the store for all: it ranks among the first
     /// that the store answers, or those that it answers are too few.
     pub fn watches(&self, now: Time) -> bool {
-        let own = reader_rank(self.cfg.address);
-        let ahead = |address: SocketAddrV4| reader_rank(address) < own;
+        let own = watcher_rank(self.cfg.address);
+        let ahead = |address: SocketAddrV4| watcher_rank(address) < own;
         let steady = |address: SocketAddrV4| {
             let member = self.members.get(address);
             member.is_some_and(Member::is_steady)
@@ -396,7 +396,7 @@
         if self.stopping {
             return fresh.count() == 0;
         }
-        if fresh.filter(|&it| ahead(it)).count() >= READERS {
+        if fresh.filter(|&it| ahead(it)).count() >= WATCHERS {
             return false;
         }
         // Who is answered goes on, though the others hear from it now and would leave it alone.
@@ -409,10 +409,10 @@
 
     /// Returns how many others go before this instance in the order of those that watch.
     fn rank(&self) -> usize {
-        let own = reader_rank(self.cfg.address);
+        let own = watcher_rank(self.cfg.address);
         let steady = self.members.live().filter(|(_, it)| it.is_steady());
         steady
-            .filter(|(address, _)| reader_rank(*address) < own)
+            .filter(|(address, _)| watcher_rank(*address) < own)
             .count()
     }
 
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -6,8 +6,8 @@
 use crate::gateway::cold::{self, ColdLimits, OWN_PART};
 use crate::gateway::endpoints::Endpoint;
 use crate::gateway::gossip::Body;
-use crate::gateway::home::{Answer, Engines, REPORT_INTERVAL, Report};
-use crate::gateway::members::Update;
+use crate::gateway::home::{Engines, PlacementAnswer, PlacementReport, REPORT_INTERVAL};
+use crate::gateway::members::MemberUpdate;
 use crate::gateway::queue::service_hash;
 use crate::gateway::usage::{Others, Used};
 use crate::ids::{EndpointKey, address_hash};
@@ -262,18 +262,18 @@
     pub(super) fn hear_report(
         &mut self,
         now: Time,
-        from: Update,
-        report: Report,
+        from: MemberUpdate,
+        report: PlacementReport,
         send: &mut Vec<(SocketAddrV4, Body)>,
     ) -> bool {
         let service = report.service;
         let home = self.homes.entry(service).or_default();
-        home.hear(now, from.address, from.life, report);
+        home.on_report(now, from.address, from.incarnation, report);
         self.decide(now, service, send)
     }
 
     /// Takes in what a home answered.
-    pub(super) fn hear_answer(&mut self, now: Time, answer: Answer) {
+    pub(super) fn hear_answer(&mut self, now: Time, answer: PlacementAnswer) {
         for (id, decision) in answer.decisions {
             self.asks.hear(now, id, decision);
         }
@@ -332,7 +332,7 @@
             let endpoint = self.endpoints.get(*key);
             endpoint.is_some_and(|it| service_hash(&it.record.service) == service)
         };
-        let report = Report {
+        let report = PlacementReport {
             service,
             number: self.reports_sent + 1,
             data_centre: self.cfg.data_centre.clone(),
@@ -345,7 +345,7 @@
             failing: self.endpoints.failing().filter(of_service).collect(),
             passed_over: self.endpoints.passed_over(now).filter(of_service).collect(),
             known: u32::try_from(self.fleet.known()).unwrap_or(u32::MAX),
-            requests: self.asks.of(service).map(|it| it.to_tell(now)).collect(),
+            requests: self.asks.of(service).map(|it| it.to_message(now)).collect(),
         };
         self.reports_sent += 1;
         let empty = report.used.is_empty() && report.requests.is_empty();
@@ -359,15 +359,15 @@
             },
         );
         for to in ranks.into_iter().flatten() {
-            let report = Report {
+            let report = PlacementReport {
                 decides: acting == Some(to),
                 ..report.clone()
             };
             if to == self.cfg.address {
                 let home = self.homes.entry(service).or_default();
-                home.hear(now, to, self.cfg.incarnation, report);
+                home.on_report(now, to, self.cfg.incarnation, report);
             } else {
-                send.push((to, Body::Report(report)));
+                send.push((to, Body::PlacementReport(report)));
             }
         }
     }
@@ -375,7 +375,7 @@
     /// Decides as the home of a service; returns whether a request of this instance may have
     /// a decision.
     fn decide(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
-        let Some(home) = self.homes.get_mut(&service).filter(|it| it.is_asked()) else {
+        let Some(home) = self.homes.get_mut(&service).filter(|it| it.has_requests()) else {
             return false;
         };
         let Some(catalogue) = self.catalogue.clone() else {
@@ -403,7 +403,7 @@
                 decided = true;
                 self.hear_answer(now, answer);
             } else {
-                send.push((to, Body::Answer(answer)));
+                send.push((to, Body::PlacementAnswer(answer)));
             }
         }
         decided
--- a/crates/core/src/suspects.rs
+++ b/crates/core/src/suspects.rs
@@ -8,7 +8,7 @@
 //! | `ledger` | which requests ended which endpoints, and whether they may run |
 //! | `message` | what instances and homes tell each other |
 //! | `runs` | what this instance runs of suspects, and what it asks of their home |
-//! | `turns` | what the home of a suspect knows: who runs it now |
+//! | `run_leases` | what the home of a suspect knows: who runs it now |
 //!
 //! A request that ended one endpoint is a *suspect*: it runs at one endpoint at a time in the
 //! whole fleet, so that what it does there is known before it is sent to the next. One that
@@ -19,12 +19,12 @@
 
 mod ledger;
 mod message;
+mod run_leases;
 mod runs;
-mod turns;
 
 pub use ledger::{
     Blame, ENDED_AT_MOST, Ledger, MAX_SUSPECTS, RAN_WELL_AFTER, REFUSED_FOR, Standing,
 };
 pub use message::{TurnAnswer, TurnReport};
+pub use run_leases::{HOLD_FRESH, Turns};
 pub use runs::{Admission, Due, Runs, Turn};
-pub use turns::{HOLD_FRESH, Turns};
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -11,7 +11,7 @@
 use oriolemux_core::gateway::catalogue::EngineLimits;
 use oriolemux_core::gateway::choose::{CopyKind, NoPlace};
 use oriolemux_core::gateway::endpoints::EndpointTable;
-use oriolemux_core::gateway::home::{Answer, Engines, Home, REPORT_FRESH, Report};
+use oriolemux_core::gateway::home::{Engines, Home, PlacementAnswer, PlacementReport, REPORT_TTL};
 use oriolemux_core::gateway::queue::{Waiter, service_hash};
 use oriolemux_core::gateway::rate_limits::{RateLimits, ToldLimit};
 use oriolemux_core::gateway::usage::Used;
@@ -96,7 +96,7 @@
         requests: &[PlacementRequest],
     ) {
         self.reports += 1;
-        let report = Report {
+        let report = PlacementReport {
             service: service_hash(MODEL),
             number: self.reports,
             data_centre: "north".to_owned(),
@@ -105,13 +105,14 @@
             failing: Vec::new(),
             passed_over: self.passed_over.clone(),
             known: 1,
-            requests: requests.iter().map(|it| it.to_tell(self.now)).collect(),
+            requests: requests.iter().map(|it| it.to_message(self.now)).collect(),
         };
         let life = Incarnation(instance.into());
-        self.home.hear(self.now, address(instance), life, report);
+        self.home
+            .on_report(self.now, address(instance), life, report);
     }
 
-    fn decide(&mut self) -> Vec<(u16, Answer)> {
+    fn decide(&mut self) -> Vec<(u16, PlacementAnswer)> {
         let engines = Engines {
             service: MODEL,
             limits: ENGINE,
@@ -206,7 +207,7 @@
     scene.report(2, &[], std::slice::from_ref(&me));
     assert_eq!(scene.decision(2), Some(Decision::Waits(NoPlace::Full)));
 
-    scene.now += REPORT_FRESH;
+    scene.now += REPORT_TTL;
     scene.home.tick(scene.now);
     scene.report(9, &[(engine(0), used(16_000))], &[]);
     scene.report(2, &[], &[me]);
@@ -233,7 +234,7 @@
 fn a_report_that_was_overtaken_changes_nothing() {
     let mut scene = Scene::new(1);
     scene.report(1, &[(engine(0), used(3_000))], &[]);
-    let late = Report {
+    let late = PlacementReport {
         service: service_hash(MODEL),
         number: 0,
         data_centre: "north".to_owned(),
@@ -247,9 +248,9 @@
 
     scene
         .home
-        .hear(NOW, address(1), Incarnation(1), late.clone());
+        .on_report(NOW, address(1), Incarnation(1), late.clone());
     let of_this_life = scene.home.others(scene.now, None).of(engine(0));
-    scene.home.hear(NOW, address(1), Incarnation(2), late);
+    scene.home.on_report(NOW, address(1), Incarnation(2), late);
 
     assert_eq!(of_this_life, used(3_000));
     assert_eq!(
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -5,8 +5,8 @@
 
 use core::time::Duration;
 use instances::{address, alive, beacon, datagram, gateway, sign_of_life};
-use oriolemux_core::gateway::members::{Status, Update};
-use oriolemux_core::gateway::reader::{CallFailure, READER_FRESH, READERS, Step};
+use oriolemux_core::gateway::members::{MemberUpdate, Status};
+use oriolemux_core::gateway::reader::{CallFailure, READER_FRESH, Step, WATCHERS};
 use oriolemux_core::gateway::state::DropReason;
 use oriolemux_core::gateway::{Body, Datagram, EndpointRecord, Gateway};
 use oriolemux_core::{EndpointKey, Time};
@@ -42,8 +42,8 @@
 fn as_many_watch_as_are_meant_to() {
     let now = Time::from_secs(5);
 
-    assert_eq!(watching(&fleet(6, now, 0), now), READERS);
-    assert_eq!(watching(&fleet(195, now, 0), now), READERS);
+    assert_eq!(watching(&fleet(6, now, 0), now), WATCHERS);
+    assert_eq!(watching(&fleet(195, now, 0), now), WATCHERS);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let just_silent = watching(&fleet(390, now, silent + 100), now);
     let long_silent = watching(&fleet(390, now, silent + 10_000), now);
 
-    assert!((READERS..=8).contains(&just_silent), "{just_silent}");
+    assert!((WATCHERS..=8).contains(&just_silent), "{just_silent}");
     assert!((32..=64).contains(&long_silent), "{long_silent}");
 }
 
@@ -120,7 +120,7 @@
         .expect("two watch");
     fleet[index].stop();
     let number = u16::try_from(index + 1).expect("few");
-    let stopping = Update {
+    let stopping = MemberUpdate {
         status: Status::Stopping,
         ..alive(number)
     };
@@ -131,7 +131,7 @@
     }
 
     assert!(!fleet[index].watches(now));
-    assert_eq!(watching(&fleet, now), READERS);
+    assert_eq!(watching(&fleet, now), WATCHERS);
 }
 
 /// Bad input: what is of another deployment or version, or claims the own address, changes
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -79,7 +79,7 @@
 
 async fn take_in<W: Wire>(cx: &Cx<W>, socket: &UdpSocket, datagram: Datagram) {
     let now = cx.now();
-    let (from, life) = (datagram.from.address, datagram.from.life);
+    let (from, life) = (datagram.from.address, datagram.from.incarnation);
     let heard = cx.state().on_datagram(now, datagram);
     let heard = match heard {
         Ok(heard) => heard,
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -325,7 +325,7 @@
 fn peer_status(now: Time, address: SocketAddrV4, peer: &Member) -> PeerStatus {
     PeerStatus {
         address,
-        heard_ms_ago: peer.heard.map(|heard| millis(now.since(heard))),
+        heard_ms_ago: peer.last_datagram.map(|heard| millis(now.since(heard))),
         revision: peer.revision,
         stopping: peer.is_stopping(),
     }
