--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -14,7 +14,7 @@
 use super::rate_limits::LimitWord;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
-use crate::suspects::{Blame, TurnAnswer, TurnReport};
+use crate::suspects::{Blame, RunLeaseAnswer, RunLeaseReport};
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
 
 /// News, as it travels.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Items {
+pub struct GossipItems {
     /// What changed among the instances.
     pub members: Vec<MemberUpdate>,
     /// Endpoints that leave.
@@ -65,7 +65,7 @@
     pub limits: Vec<LimitWord>,
 }
 
-impl Items {
+impl GossipItems {
     /// Returns whether there is nothing.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
@@ -100,7 +100,7 @@
     /// Returns the revisions and digests of the store that it says somebody knows.
     pub fn claims(&self) -> impl Iterator<Item = (u64, u64)> {
         let news = match &self.body {
-            Body::Probe { news, .. } | Body::Ack { news, .. } | Body::News(news) => Some(news),
+            Body::Probe { news, .. } | Body::Ack { news, .. } | Body::Gossip(news) => Some(news),
             _ => None,
         };
         let beacons = news.into_iter().flat_map(|it| &it.beacons);
@@ -122,7 +122,7 @@
         /// [`Ledger::digest`](crate::suspects::Ledger::digest); set as it is sent.
         suspects: u64,
         /// News.
-        news: Items,
+        news: GossipItems,
     },
     /// Answers a probe.
     Ack {
@@ -132,27 +132,27 @@
         /// on for another instance.
         members: Option<u64>,
         /// News.
-        news: Items,
+        news: GossipItems,
     },
     /// Asks to probe another instance in the sender's place.
-    ProbeFor {
+    IndirectProbe {
         /// The sender's name of its probe.
         number: u64,
         /// Whom to probe.
         target: SocketAddrV4,
     },
     /// News.
-    News(Items),
+    Gossip(GossipItems),
     /// Asks for all instances.
-    AskMembers,
+    RequestMembers,
     /// Instances that take part.
     Members(Vec<MemberUpdate>),
     /// The suspects that ended the most endpoints, for an instance that knows others.
     Suspects(Vec<Blame>),
     /// What an instance tells the home of suspects.
-    Turns(TurnReport),
+    RunLeaseReport(RunLeaseReport),
     /// What that home answers.
-    TurnAnswer(TurnAnswer),
+    RunLeaseAnswer(RunLeaseAnswer),
     /// What an instance tells a home.
     PlacementReport(PlacementReport),
     /// What a home answers.
@@ -162,9 +162,9 @@
 impl Body {
     /// Returns a probe that tells what is `doubted` of its target.
     pub fn probe(number: u64, members: u64, doubted: Option<MemberUpdate>) -> Self {
-        let news = Items {
+        let news = GossipItems {
             members: doubted.into_iter().collect(),
-            ..Items::default()
+            ..GossipItems::default()
         };
         Body::Probe {
             number,
@@ -179,20 +179,20 @@
         Body::Ack {
             number,
             members: None,
-            news: Items::default(),
+            news: GossipItems::default(),
         }
     }
 
     /// Tells an instance what is believed of it, so that it can refute that.
-    pub fn accuse(believed: MemberUpdate) -> Self {
-        Body::News(Items {
+    pub fn suspicion(believed: MemberUpdate) -> Self {
+        Body::Gossip(GossipItems {
             members: vec![believed],
-            ..Items::default()
+            ..GossipItems::default()
         })
     }
 
     /// Returns the news that it carries along.
-    pub fn news_mut(&mut self) -> Option<&mut Items> {
+    pub fn gossip_mut(&mut self) -> Option<&mut GossipItems> {
         match self {
             Body::Probe { news, .. } | Body::Ack { news, .. } => Some(news),
             _ => None,
@@ -202,11 +202,11 @@
     /// Returns a word for its purpose, by which bytes are counted.
     pub const fn purpose(&self) -> &'static str {
         match self {
-            Body::Probe { .. } | Body::Ack { .. } | Body::ProbeFor { .. } => "probes",
-            Body::News(_) => "news",
-            Body::AskMembers | Body::Members(_) => "members",
+            Body::Probe { .. } | Body::Ack { .. } | Body::IndirectProbe { .. } => "probes",
+            Body::Gossip(_) => "news",
+            Body::RequestMembers | Body::Members(_) => "members",
             Body::Suspects(_) => "suspects",
-            Body::Turns(_) | Body::TurnAnswer(_) => "turns",
+            Body::RunLeaseReport(_) | Body::RunLeaseAnswer(_) => "turns",
             Body::PlacementReport(_) => "placement_reports",
             Body::PlacementAnswer(_) => "placement_answers",
         }
@@ -293,8 +293,8 @@
     }
 
     /// Returns what is told now to so many peers; the newest first.
-    pub fn take(&mut self, peers: u32) -> Items {
-        Items {
+    pub fn take(&mut self, peers: u32) -> GossipItems {
+        GossipItems {
             members: take(&mut self.members, peers),
             leaving: take(&mut self.leaving, peers),
             beacons: take(&mut self.beacons, peers),
--- a/crates/core/src/gateway/members.rs
+++ b/crates/core/src/gateway/members.rs
@@ -227,7 +227,7 @@
 
     /// Takes in what an instance says of itself in a datagram of its own. Returns whether it
     /// was not there before in this life.
-    pub fn hear(
+    pub fn on_datagram(
         &mut self,
         now: Time,
         said: MemberUpdate,
@@ -253,7 +253,7 @@
         } else if update.status >= Status::Suspect {
             // It is there, and must say so itself: only a higher number of refutations goes
             // before what others were told.
-            change.send.push((said.address, Body::accuse(update)));
+            change.send.push((said.address, Body::suspicion(update)));
             if was_gone {
                 known.update = Some(said);
                 known.since = now;
--- a/crates/core/src/gateway/members/probes.rs
+++ b/crates/core/src/gateway/members/probes.rs
@@ -169,7 +169,7 @@
             for helper in self.sample(rng, HELPERS, &[target]) {
                 change
                     .send
-                    .push((helper, Body::ProbeFor { number, target }));
+                    .push((helper, Body::IndirectProbe { number, target }));
             }
         }
     }
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -5,7 +5,7 @@
 use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, watcher_rank};
 use crate::gateway::catch_up::{NotTold, Provider};
 use crate::gateway::cordons::{Cordon, CordonEffect};
-use crate::gateway::gossip::{Body, Datagram, FAN_OUT, GOSSIP_VERSION, Items};
+use crate::gateway::gossip::{Body, Datagram, FAN_OUT, GOSSIP_VERSION, GossipItems};
 use crate::gateway::members::{Change, Member};
 use crate::gateway::rate_limits::LimitChange;
 use crate::gateway::reader::{READER_FRESH, Step, WATCHERS};
@@ -98,7 +98,9 @@
         let (revision, digest) = (datagram.revision, datagram.digest);
         let says_more = datagram.claims().any(|it| self.is_more(it.0, it.1));
         let said = datagram.from;
-        heard.is_new = self.members.hear(now, said, revision, digest, &mut change);
+        heard.is_new = self
+            .members
+            .on_datagram(now, said, revision, digest, &mut change);
         self.hear_body(now, datagram, &mut heard, &mut change);
         heard.send.append(&mut change.send);
         heard.gone.append(&mut change.gone);
@@ -133,7 +135,7 @@
                 let ack = Body::Ack {
                     number,
                     members: Some(self.members.digest()),
-                    news: Items::default(),
+                    news: GossipItems::default(),
                 };
                 heard.send.push((from, ack));
                 self.sync_with(now, from, members, heard);
@@ -149,12 +151,12 @@
                     self.sync_with(now, from, members, heard);
                 }
             }
-            Body::ProbeFor { number, target } => {
+            Body::IndirectProbe { number, target } => {
                 let probe = self.members.probe_for(now, from, number, target);
                 heard.send.push((target, probe));
             }
-            Body::News(news) => self.hear_news(now, news, heard, change),
-            Body::AskMembers => {
+            Body::Gossip(news) => self.hear_news(now, news, heard, change),
+            Body::RequestMembers => {
                 let lists = self.members.list().into_iter();
                 heard.send.extend(lists.map(|it| (from, Body::Members(it))));
             }
@@ -171,13 +173,13 @@
                 heard.decided = true;
             }
             Body::Suspects(blames) => self.hear_blames(now, &blames),
-            Body::Turns(report) => {
+            Body::RunLeaseReport(report) => {
                 let answer = self.hear_turns(now, from, &report);
                 if !report.asks.is_empty() {
-                    heard.send.push((from, Body::TurnAnswer(answer)));
+                    heard.send.push((from, Body::RunLeaseAnswer(answer)));
                 }
             }
-            Body::TurnAnswer(answer) => {
+            Body::RunLeaseAnswer(answer) => {
                 self.hear_turn_answer(now, &answer);
                 heard.decided = true;
             }
@@ -187,7 +189,7 @@
     fn hear_news(
         &mut self,
         now: Time,
-        news: Items,
+        news: GossipItems,
         heard: &mut DatagramOutcome,
         change: &mut Change,
     ) {
@@ -228,7 +230,7 @@
         heard: &mut DatagramOutcome,
     ) {
         if self.members.should_sync(now, theirs) {
-            heard.send.push((peer, Body::AskMembers));
+            heard.send.push((peer, Body::RequestMembers));
         }
     }
 
@@ -337,15 +339,15 @@
             return;
         }
         let items = self.take_news(now, FAN_OUT as u32);
-        send.extend(peers.iter().map(|&it| (it, Body::News(items.clone()))));
+        send.extend(peers.iter().map(|&it| (it, Body::Gossip(items.clone()))));
     }
 
-    fn take_news(&mut self, now: Time, peers: u32) -> Items {
+    fn take_news(&mut self, now: Time, peers: u32) -> GossipItems {
         let limits = self.outbox.take_limits(peers);
         let limits = limits
             .into_iter()
             .filter_map(|it| self.limits.word(now, it));
-        Items {
+        GossipItems {
             limits: limits.collect(),
             ..self.outbox.take(peers)
         }
@@ -353,7 +355,7 @@
 
     /// Returns a datagram for one peer, with news where it has room for it.
     pub fn datagram(&mut self, now: Time, mut body: Body) -> Datagram {
-        if let Some(news) = body.news_mut() {
+        if let Some(news) = body.gossip_mut() {
             let mut items = self.take_news(now, 1);
             news.members.append(&mut items.members);
             news.leaving.append(&mut items.leaving);
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -5,7 +5,7 @@
 use crate::gateway::gossip::Body;
 use crate::gateway::suspects::TELL_INTERVAL;
 use crate::ids::EndpointKey;
-use crate::suspects::{Admission, Blame, Standing, Turn, TurnAnswer, TurnReport};
+use crate::suspects::{Admission, Blame, RunLeaseAnswer, RunLeaseReport, Standing, Turn};
 use crate::time::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -140,7 +140,7 @@
         if self.suspects.is_quiet() {
             return false;
         }
-        let mut reports: BTreeMap<SocketAddrV4, TurnReport> = BTreeMap::new();
+        let mut reports: BTreeMap<SocketAddrV4, RunLeaseReport> = BTreeMap::new();
         for fingerprint in self.suspects.runs.fingerprints() {
             let standing = self.suspects.ledger.standing(now, fingerprint);
             let due = self.suspects.runs.due(now, fingerprint, standing);
@@ -171,7 +171,7 @@
                 self.hear_turn_answer(now, &answer);
                 decided = true;
             } else {
-                send.push((home, Body::Turns(report)));
+                send.push((home, Body::RunLeaseReport(report)));
             }
         }
         decided
@@ -182,18 +182,18 @@
         &mut self,
         now: Time,
         from: SocketAddrV4,
-        report: &TurnReport,
-    ) -> TurnAnswer {
+        report: &RunLeaseReport,
+    ) -> RunLeaseAnswer {
         self.hear_blames(now, &report.blames);
         let answer = self.suspects.turns.hear(now, from, report);
-        TurnAnswer {
+        RunLeaseAnswer {
             blames: self.suspects.ledger.told_of(now, &report.asks),
             ..answer
         }
     }
 
     /// Takes in what the home of suspects answered.
-    pub(super) fn hear_turn_answer(&mut self, now: Time, answer: &TurnAnswer) {
+    pub(super) fn hear_turn_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
         self.hear_blames(now, &answer.blames);
         self.suspects.runs.hear(now, answer);
     }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -374,8 +374,8 @@
             PeerMessage::Keys(message) => self.on_keys_message(from, message),
             PeerMessage::Cell(message) => self.on_cell_message(from, message),
             PeerMessage::Suspects(blames) => self.on_suspects(from, &blames),
-            PeerMessage::Turns(report) => self.on_turns(from, &report),
-            PeerMessage::TurnAnswer(answer) => self.on_turn_answer(from, &answer),
+            PeerMessage::RunLeaseReport(report) => self.on_turns(from, &report),
+            PeerMessage::RunLeaseAnswer(answer) => self.on_turn_answer(from, &answer),
         }
     }
 
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -15,7 +15,8 @@
 use crate::peer::PeerMessage;
 use crate::reason::Reason;
 use crate::suspects::{
-    Admission, Blame, Ledger, RAN_WELL_AFTER, Runs, Standing, Turn, TurnAnswer, TurnReport, Turns,
+    Admission, Blame, Ledger, RAN_WELL_AFTER, RunLeaseAnswer, RunLeaseReport, Runs, Standing, Turn,
+    Turns,
 };
 use crate::time::Time;
 use core::time::Duration;
@@ -242,7 +243,7 @@
         if self.suspects.ledger.is_empty() && self.suspects.runs.none_ended() {
             return;
         }
-        let mut reports: BTreeMap<InstanceKey, TurnReport> = BTreeMap::new();
+        let mut reports: BTreeMap<InstanceKey, RunLeaseReport> = BTreeMap::new();
         let mut any_runs = false;
         for fingerprint in self.suspects.runs.fingerprints() {
             let standing = self.suspects.ledger.standing(now, fingerprint);
@@ -250,7 +251,7 @@
             self.report_turns_of(fingerprint, standing, &mut reports);
         }
         for (home, report) in reports {
-            self.send(home, PeerMessage::Turns(report));
+            self.send(home, PeerMessage::RunLeaseReport(report));
         }
         if self.suspects.runs.any_asks() {
             self.timers.set(now + LOOK_ASKING, TimerKind::Turns);
@@ -264,7 +265,7 @@
         &mut self,
         fingerprint: Fingerprint,
         standing: Standing,
-        reports: &mut BTreeMap<InstanceKey, TurnReport>,
+        reports: &mut BTreeMap<InstanceKey, RunLeaseReport>,
     ) {
         let now = self.now;
         let due = self.suspects.runs.due(now, fingerprint, standing);
@@ -298,20 +299,20 @@
     }
 
     /// A peer told this node, as the home of suspects, what it runs and asks for.
-    pub(super) fn on_turns(&mut self, from: PeerId, report: &TurnReport) {
+    pub(super) fn on_turns(&mut self, from: PeerId, report: &RunLeaseReport) {
         self.hear_blames(from, &report.blames);
         let answer = self.suspects.turns.hear(self.now, from.instance, report);
         if !report.asks.is_empty() {
-            let answer = TurnAnswer {
+            let answer = RunLeaseAnswer {
                 blames: self.suspects.ledger.told_of(self.now, &report.asks),
                 ..answer
             };
-            self.send(from.instance, PeerMessage::TurnAnswer(answer));
+            self.send(from.instance, PeerMessage::RunLeaseAnswer(answer));
         }
     }
 
     /// The home of suspects answered.
-    pub(super) fn on_turn_answer(&mut self, from: PeerId, answer: &TurnAnswer) {
+    pub(super) fn on_turn_answer(&mut self, from: PeerId, answer: &RunLeaseAnswer) {
         self.hear_blames(from, &answer.blames);
         self.suspects.runs.hear(self.now, answer);
         self.look_at_waiting();
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -91,9 +91,9 @@
     /// Requests that end endpoints: what is known of them.
     Suspects(Vec<crate::suspects::Blame>),
     /// What is run and asked for of them.
-    Turns(crate::suspects::TurnReport),
+    RunLeaseReport(crate::suspects::RunLeaseReport),
     /// What their home answers.
-    TurnAnswer(crate::suspects::TurnAnswer),
+    RunLeaseAnswer(crate::suspects::RunLeaseAnswer),
 }
 
 impl PeerMessage {
@@ -106,7 +106,9 @@
             | PeerMessage::Limits(_)
             | PeerMessage::Cell(_)
             | PeerMessage::Keys(_) => 1,
-            PeerMessage::Suspects(_) | PeerMessage::Turns(_) | PeerMessage::TurnAnswer(_) => 2,
+            PeerMessage::Suspects(_)
+            | PeerMessage::RunLeaseReport(_)
+            | PeerMessage::RunLeaseAnswer(_) => 2,
         }
     }
 }
--- a/crates/core/src/suspects.rs
+++ b/crates/core/src/suspects.rs
@@ -25,6 +25,6 @@
 pub use ledger::{
     Blame, ENDED_AT_MOST, Ledger, MAX_SUSPECTS, RAN_WELL_AFTER, REFUSED_FOR, Standing,
 };
-pub use message::{TurnAnswer, TurnReport};
+pub use message::{RunLeaseAnswer, RunLeaseReport};
 pub use run_leases::{HOLD_FRESH, Turns};
 pub use runs::{Admission, Due, Runs, Turn};
--- a/crates/core/src/suspects/message.rs
+++ b/crates/core/src/suspects/message.rs
@@ -9,7 +9,7 @@
 
 /// What an instance tells the home of a suspect and the next in rank.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TurnReport {
+pub struct RunLeaseReport {
     /// Runs that ask the receiver for their turn.
     pub asks: Vec<Turn>,
     /// Runs that go on.
@@ -22,7 +22,7 @@
 
 /// What the home of a suspect answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TurnAnswer {
+pub struct RunLeaseAnswer {
     /// Runs that have the turn now.
     pub given: Vec<Turn>,
     /// Runs that have to wait, since another one has it.
--- a/crates/core/src/suspects/run_leases.rs
+++ b/crates/core/src/suspects/run_leases.rs
@@ -5,7 +5,7 @@
 //! followed by one that knows. One that has just begun to listen gives no turn until it must
 //! have heard of all who run.
 
-use super::{TurnAnswer, TurnReport};
+use super::{RunLeaseAnswer, RunLeaseReport};
 use crate::fingerprint::Fingerprint;
 use crate::time::Time;
 use core::time::Duration;
@@ -37,7 +37,7 @@
 
     /// Takes in what an instance runs and asks for. What is known of the suspects goes by the
     /// [`Ledger`](super::Ledger).
-    pub fn hear(&mut self, now: Time, from: I, report: &TurnReport) -> TurnAnswer {
+    pub fn hear(&mut self, now: Time, from: I, report: &RunLeaseReport) -> RunLeaseAnswer {
         for it in &report.ends {
             self.release(it.fingerprint, from, it.run);
         }
@@ -46,7 +46,7 @@
         }
         let asks = report.asks.iter().copied();
         let (given, waiting) = asks.partition(|it| self.ask(now, it.fingerprint, from, it.run));
-        TurnAnswer {
+        RunLeaseAnswer {
             given,
             waiting,
             blames: Vec::new(),
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -1,6 +1,6 @@
 //! What this instance runs, and what it asks of the homes of suspects.
 
-use super::{Standing, TurnAnswer};
+use super::{RunLeaseAnswer, Standing};
 use crate::fingerprint::Fingerprint;
 use crate::time::Time;
 use core::time::Duration;
@@ -159,7 +159,7 @@
     }
 
     /// Takes in what a home answered.
-    pub fn hear(&mut self, now: Time, answer: &TurnAnswer) {
+    pub fn hear(&mut self, now: Time, answer: &RunLeaseAnswer) {
         for &turn in &answer.given {
             self.answered(now, turn, true);
         }
--- a/crates/core/tests/gateway_catch_up.rs
+++ b/crates/core/tests/gateway_catch_up.rs
@@ -10,7 +10,7 @@
 use instances::{address, datagram};
 use oriolemux_core::Time;
 use oriolemux_core::gateway::catch_up::{MAX_LARGE_TOLD, NotTold, OWN_READ_AFTER};
-use oriolemux_core::gateway::gossip::Items;
+use oriolemux_core::gateway::gossip::GossipItems;
 use oriolemux_core::gateway::reader::Step;
 use oriolemux_core::gateway::{Body, Datagram, Gateway, Mark, Record, Replica};
 use rstest::rstest;
@@ -69,10 +69,10 @@
 fn told(number: u16, revision: u64, count: u64) -> Datagram {
     let digest = digest_at(revision);
     let news = match instances::beacon(number, count, 0).body {
-        Body::News(news) => news,
-        _ => Items::default(),
+        Body::Gossip(news) => news,
+        _ => GossipItems::default(),
     };
-    datagram(number, revision, digest, Body::News(news))
+    datagram(number, revision, digest, Body::Gossip(news))
 }
 
 fn hear(one: &mut Gateway, now: Time, said: Datagram) {
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -274,7 +274,7 @@
     };
     one.publish_endpoint(now, record.clone());
     let mut unsettled = beacon(3, 1, 0);
-    if let Body::News(news) = &mut unsettled.body {
+    if let Body::Gossip(news) = &mut unsettled.body {
         news.beacons[0].may_miss_records = true;
     }
 
@@ -313,7 +313,7 @@
     let mut behind: Vec<Gateway> = (5..=44).map(gateway).collect();
     for one in &mut behind {
         for peer in informed {
-            let told = datagram(peer, 9, 1, Body::AskMembers);
+            let told = datagram(peer, 9, 1, Body::RequestMembers);
             hear(one, now, told);
         }
     }
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -9,11 +9,11 @@
 use fleet::Fleet;
 use instances::{address, engine};
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
-use oriolemux_core::gateway::gossip::Items;
+use oriolemux_core::gateway::gossip::GossipItems;
 use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::gateway::{Body, EndpointRecord, Gateway};
 use oriolemux_core::suspects::{
-    Admission, Blame, MAX_SUSPECTS, REFUSED_FOR, Turn, TurnAnswer, TurnReport,
+    Admission, Blame, MAX_SUSPECTS, REFUSED_FOR, RunLeaseAnswer, RunLeaseReport, Turn,
 };
 use oriolemux_core::{EndpointKey, Time};
 use proptest::prelude::*;
@@ -497,20 +497,20 @@
     });
     (turns, blames, 0u8..4).prop_map(|(turns, blames, kind)| match kind {
         0 => Body::Suspects(blames),
-        1 => Body::Turns(TurnReport {
+        1 => Body::RunLeaseReport(RunLeaseReport {
             asks: turns.clone(),
             holds: turns.clone(),
             ends: turns,
             blames,
         }),
-        2 => Body::TurnAnswer(TurnAnswer {
+        2 => Body::RunLeaseAnswer(RunLeaseAnswer {
             given: turns.clone(),
             waiting: turns,
             blames,
         }),
-        _ => Body::News(Items {
+        _ => Body::Gossip(GossipItems {
             blames,
-            ..Items::default()
+            ..GossipItems::default()
         }),
     })
 }
@@ -529,7 +529,7 @@
             let heard = gateway.on_datagram(now, datagram).expect("it is of the fleet");
             let ticked = gateway.tick(now);
             for (_, body) in heard.send.into_iter().chain(ticked.send) {
-                if let Body::News(items) = &body {
+                if let Body::Gossip(items) = &body {
                     prop_assert!(items.blames.len() <= 8);
                 }
             }
--- a/crates/core/tests/suspects_ledger.rs
+++ b/crates/core/tests/suspects_ledger.rs
@@ -3,8 +3,8 @@
 use core::time::Duration;
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
 use oriolemux_core::suspects::{
-    Admission, Blame, HOLD_FRESH, Ledger, MAX_SUSPECTS, REFUSED_FOR, Runs, Standing, Turn,
-    TurnReport, Turns,
+    Admission, Blame, HOLD_FRESH, Ledger, MAX_SUSPECTS, REFUSED_FOR, RunLeaseReport, Runs,
+    Standing, Turn, Turns,
 };
 use oriolemux_core::{EndpointKey, Time};
 use proptest::prelude::*;
@@ -172,10 +172,10 @@
     }
 }
 
-fn asks(run: u64) -> TurnReport {
-    TurnReport {
+fn asks(run: u64) -> RunLeaseReport {
+    RunLeaseReport {
         asks: vec![turn(run)],
-        ..TurnReport::default()
+        ..RunLeaseReport::default()
     }
 }
 
@@ -189,9 +189,9 @@
     let mut home = home();
     assert_eq!(home.hear(NOW, 1, &asks(7)).given, [turn(7)]);
     assert_eq!(home.hear(NOW, 2, &asks(8)).waiting, [turn(8)]);
-    let ends = TurnReport {
+    let ends = RunLeaseReport {
         ends: vec![turn(7)],
-        ..TurnReport::default()
+        ..RunLeaseReport::default()
     };
     home.hear(NOW, 1, &ends);
 
@@ -214,9 +214,9 @@
 fn a_home_that_has_just_begun_gives_no_turn() {
     let mut home = Turns::new(NOW);
     assert_eq!(home.hear(NOW, 2, &asks(8)).waiting, [turn(8)]);
-    let holds = TurnReport {
+    let holds = RunLeaseReport {
         holds: vec![turn(7)],
-        ..TurnReport::default()
+        ..RunLeaseReport::default()
     };
     let later = NOW + HOLD_FRESH;
     home.hear(later, 1, &holds);
@@ -230,9 +230,9 @@
 fn two_that_ask_do_not_wait_for_each_other() {
     let mut home = home();
     for (by, run) in [(1, 7), (2, 8)] {
-        let holds = TurnReport {
+        let holds = RunLeaseReport {
             holds: vec![turn(run)],
-            ..TurnReport::default()
+            ..RunLeaseReport::default()
         };
         home.hear(NOW, by, &holds);
     }
