--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -58,5 +58,5 @@
 pub use cordons::{Cordon, CordonEffect};
 pub use endpoints::{Endpoint, EndpointRecord, EndpointState};
 pub use gossip::{Body, Datagram};
-pub use replica::{Applied, Mark, Record, Replica};
+pub use replica::{Applied, ContentHash, Record, Replica};
 pub use state::{Gateway, GatewayConfig};
--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -6,7 +6,7 @@
 //! order of their rank. What goes wrong if all of them do at once: 195 instances ask a store
 //! that is silent, and pay for each call.
 
-use super::reader::{READER_FRESH, WATCHERS};
+use super::reader::{WATCHER_TIMEOUT, WATCHERS};
 use crate::ids::{Incarnation, stable_hash};
 use crate::time::Time;
 use core::time::Duration;
@@ -64,7 +64,7 @@
 
 impl Beacons {
     /// Takes a beacon in; returns whether it was not heard before.
-    pub fn hear(&mut self, now: Time, beacon: Beacon) -> bool {
+    pub fn on_beacon(&mut self, now: Time, beacon: Beacon) -> bool {
         let known = self.heard.get(&beacon.origin).map(|it| it.beacon);
         let is_old = known
             .is_some_and(|it| it.incarnation == beacon.incarnation && it.number >= beacon.number);
@@ -84,7 +84,7 @@
     pub fn fresh(&self, now: Time) -> impl Iterator<Item = SocketAddrV4> {
         let heard = self.heard.values();
         heard
-            .filter(move |it| now.since(it.store_heard()) < READER_FRESH)
+            .filter(move |it| now.since(it.store_heard()) < WATCHER_TIMEOUT)
             .map(|it| it.beacon.origin)
     }
 
@@ -103,7 +103,7 @@
     pub fn may_watch(&self, now: Time, since: Time) -> usize {
         let last = self.heard.values().map(Heard::store_heard).max();
         let silent = now.since(last.unwrap_or(since).max(since));
-        let beyond = silent.saturating_sub(READER_FRESH);
+        let beyond = silent.saturating_sub(WATCHER_TIMEOUT);
         if beyond.is_zero() {
             return WATCHERS;
         }
--- a/crates/core/src/gateway/catch_up.rs
+++ b/crates/core/src/gateway/catch_up.rs
@@ -32,16 +32,16 @@
 /// An instance that is behind for so long reads the store itself, whatever its peers do.
 /// Small changes take some 10 ms from peer to peer. A quarter of the tightest bound
 /// within which a change must be in force.
-pub const OWN_READ_AFTER: Duration = Duration::from_millis(500);
+pub const DIRECT_READ_AFTER: Duration = Duration::from_millis(500);
 
 /// Records of more bytes than this are much to tell. A hundred peers can be told so much
 /// over the smallest links, of 10 Mbit/s, in 0.3 s.
-pub const LARGE_NEWS: usize = 4 * 1024;
+pub const LARGE_DELTA_BYTES: usize = 4 * 1024;
 
 /// Peers to which one instance tells a large change at once, until they have read it. With
 /// two, those that know it become three times as many with each round, and datagrams wait
 /// behind no more than the windows of two connections.
-pub const MAX_LARGE_TOLD: usize = 2;
+pub const MAX_LARGE_TRANSFERS: usize = 2;
 
 /// How long a peer that refused is not asked again, on average: some twice as long as a
 /// catalogue of 1,200 entries took to one peer (37 to 71 ms, first three of a day with 86
@@ -61,12 +61,12 @@
     /// What that comes to.
     pub digest: u64,
     /// Whether it said so itself to this instance, and not to all.
-    pub is_near: bool,
+    pub is_direct: bool,
 }
 
 /// Why a peer that knows more did not tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTold {
+pub enum FetchFailure {
     /// It tells others at the moment.
     Refused,
     /// Its answer did not arrive, or cannot be read.
@@ -100,14 +100,20 @@
     /// Returns whether peers had their time, and the store is to be read instead.
     pub fn reads_itself(&self, now: Time) -> bool {
         self.behind_since
-            .is_some_and(|since| now.since(since) >= OWN_READ_AFTER)
+            .is_some_and(|since| now.since(since) >= DIRECT_READ_AFTER)
     }
 
     /// Notes that a peer did not tell what it knows; `draw` is uniform below one.
-    pub fn not_told(&mut self, now: Time, peer: SocketAddrV4, why: NotTold, draw: f64) {
+    pub fn on_fetch_failure(
+        &mut self,
+        now: Time,
+        peer: SocketAddrV4,
+        why: FetchFailure,
+        draw: f64,
+    ) {
         let pause = match why {
-            NotTold::Refused => REFUSED_PAUSE,
-            NotTold::Failed => FAILED_PAUSE,
+            FetchFailure::Refused => REFUSED_PAUSE,
+            FetchFailure::Failed => FAILED_PAUSE,
         };
         self.passed_over
             .insert(peer, now + pause.mul_f64(0.5 + draw));
@@ -127,7 +133,7 @@
         let is_able = |it: &&Provider| {
             let until = self.passed_over.get(&it.address);
             let is_passed_over = until.is_some_and(|&until| now < until);
-            !is_passed_over && (it.is_near || behind_for >= NEAR_FIRST)
+            !is_passed_over && (it.is_direct || behind_for >= NEAR_FIRST)
         };
         let able = || better.iter().filter(is_able);
         let Some(best) = able().max_by_key(|it| it.revision) else {
--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -14,7 +14,7 @@
 use super::rate_limits::LimitWord;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
-use crate::suspects::{Blame, RunLeaseAnswer, RunLeaseReport};
+use crate::suspects::{CrashRecord, RunLeaseAnswer, RunLeaseReport};
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
     /// What those say that watch the store.
     pub beacons: Vec<Beacon>,
     /// Which requests ended which endpoints.
-    pub blames: Vec<Blame>,
+    pub blames: Vec<CrashRecord>,
     /// Which data centres are closed to new work, or open again.
     pub cordons: Vec<Cordon>,
     /// Which endpoints named a limit, or name none any more.
@@ -148,7 +148,7 @@
     /// Instances that take part.
     Members(Vec<MemberUpdate>),
     /// The suspects that ended the most endpoints, for an instance that knows others.
-    Suspects(Vec<Blame>),
+    Suspects(Vec<CrashRecord>),
     /// What an instance tells the home of suspects.
     RunLeaseReport(RunLeaseReport),
     /// What that home answers.
@@ -229,7 +229,7 @@
     beacons: BTreeMap<SocketAddrV4, Told<Beacon>>,
     cordons: BTreeMap<String, Told<Cordon>>,
     limits: BTreeMap<EndpointKey, Told<EndpointKey>>,
-    blames: BTreeMap<Fingerprint, Told<Blame>>,
+    blames: BTreeMap<Fingerprint, Told<CrashRecord>>,
     /// [`Outbox::blames`], the newest last.
     order: Vec<Fingerprint>,
     /// How many of [`Outbox::blames`] may be told now.
@@ -264,7 +264,7 @@
     }
 
     /// Takes in what is known of a suspect, among so many instances.
-    pub fn add_blame(&mut self, blame: Blame, instances: usize) {
+    pub fn add_blame(&mut self, blame: CrashRecord, instances: usize) {
         self.order.retain(|it| *it != blame.fingerprint);
         if self.order.len() >= MAX_BLAMES_WAITING {
             let oldest = self.order.remove(0);
@@ -321,7 +321,7 @@
     /// What goes wrong in any other order: when many endpoints end for a reason of their own, the
     /// one request that ends the next of them waits behind all that were there, and comes to
     /// other instances before its news does.
-    fn take_blames(&mut self, peers: u32) -> Vec<Blame> {
+    fn take_blames(&mut self, peers: u32) -> Vec<CrashRecord> {
         let newest = self.order.iter().rev();
         let mut keys: Vec<Fingerprint> = newest.copied().collect();
         let ended = |it: &Fingerprint| self.blames.get(it).map_or(0, |it| it.item.ended.len());
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -19,7 +19,7 @@
 /// A watch is answered after [`WATCH_WAIT`] at the latest, and others hear of it within
 /// [`BEACON_INTERVAL`](super::beacons::BEACON_INTERVAL); what is left of the two seconds
 /// within which changes must be in force suffices to read in its place.
-pub const READER_FRESH: Duration = Duration::from_millis(1_350);
+pub const WATCHER_TIMEOUT: Duration = Duration::from_millis(1_350);
 
 /// How long after a watch that told something the next one begins. The endpoints of a
 /// large fleet write a heartbeat every few milliseconds, and a watch that is begun at once
@@ -32,7 +32,7 @@
 const LISTEN_LOOK: Duration = Duration::from_millis(100);
 
 /// How much later than [`WATCH_WAIT`] an answer may begin before the call is given up.
-pub const ANSWER_SLACK: Duration = Duration::from_millis(700);
+pub const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
 /// The first pause after a failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
@@ -60,7 +60,7 @@
     /// Wait before the next call.
     Pause(Duration),
     /// Others watch; look again after this time.
-    Listen(Duration),
+    StandBy(Duration),
 }
 
 /// How a call failed.
@@ -109,7 +109,7 @@
         match (self.needs_read, watches) {
             (true, _) => Step::Read,
             (false, true) => Step::Watch,
-            (false, false) => Step::Listen(LISTEN_LOOK),
+            (false, false) => Step::StandBy(LISTEN_LOOK),
         }
     }
 
@@ -173,24 +173,24 @@
     }
 
     /// Returns when the store last answered.
-    pub fn heard(&self) -> Option<Time> {
+    pub fn last_answer(&self) -> Option<Time> {
         self.heard
     }
 
     /// Returns when the store last answered a watch.
-    pub fn watched(&self) -> Option<Time> {
+    pub fn last_watch_answer(&self) -> Option<Time> {
         self.watched
     }
 
     /// Returns whether the store is away.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.failures > 0
     }
 
     /// Returns whether entries that are missing may be back soon: the store is
     /// away for long, or was until a moment ago.
     pub fn may_miss_records(&self, now: Time) -> bool {
-        let is_away = self.is_away() && self.may_have_lapsed(now);
+        let is_away = self.is_unavailable() && self.may_have_lapsed(now);
         is_away || self.recovered.is_some_and(|at| now.since(at) < SETTLE)
     }
 
--- a/crates/core/src/gateway/replica.rs
+++ b/crates/core/src/gateway/replica.rs
@@ -40,15 +40,15 @@
 /// What a record means, as a hash: equal for two records of one key that differ in
 /// nothing but a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mark(u64);
+pub struct ContentHash(u64);
 
-impl Mark {
+impl ContentHash {
     /// The mark of a record that is removed, or that does not concern this product.
-    pub const NOTHING: Mark = Mark(0);
+    pub const NOTHING: ContentHash = ContentHash(0);
 
     /// Returns the mark of a record that means `parts`.
     pub fn of(key: &str, parts: &[&[u8]]) -> Self {
-        Mark(stable_hash(&[
+        ContentHash(stable_hash(&[
             key.as_bytes(),
             &stable_hash(parts).to_le_bytes(),
         ]))
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// Its key is known at this revision or a later one.
-    Old,
+    Stale,
     /// It means what is known already.
     Heartbeat,
     /// It means something else than what was known.
-    News,
+    Changed,
 }
 
 /// What one instance tells another of the store.
@@ -72,7 +72,7 @@
     /// The revision up to which the teller knows everything.
     pub revision: u64,
     /// Whether these are all records, so that a key that is missing is gone.
-    pub whole: bool,
+    pub is_full: bool,
     /// The records, removals included.
     pub records: Vec<Record>,
 }
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     record: Record,
-    mark: Mark,
+    mark: ContentHash,
     /// The revision at which its meaning changed last, as far as this replica saw.
     changed: u64,
 }
@@ -116,7 +116,7 @@
     }
 
     /// Returns whether everything was read once.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.complete_since > 0
     }
 
@@ -128,16 +128,16 @@
 
     /// Returns what a peer needs that knows everything up to `after`: the changes since,
     /// if this replica saw all of them, and else everything.
-    pub fn news_for(&self, after: u64) -> News {
+    pub fn delta_since(&self, after: u64) -> News {
         News {
             revision: self.revision,
-            whole: after < self.complete_since,
+            is_full: after < self.complete_since,
             records: self.changed_since(after).cloned().collect(),
         }
     }
 
     /// Returns about how many bytes [`Replica::news_for`] `after` holds.
-    pub fn news_size(&self, after: u64) -> usize {
+    pub fn delta_size(&self, after: u64) -> usize {
         self.changed_since(after).map(Record::size).sum()
     }
 
@@ -159,17 +159,17 @@
     }
 
     /// Takes a record in, which means `mark`.
-    pub fn apply(&mut self, record: Record, mark: Mark) -> Applied {
+    pub fn apply(&mut self, record: Record, mark: ContentHash) -> Applied {
         if !self.is_newer(&record) {
-            return Applied::Old;
+            return Applied::Stale;
         }
         let before = self.records.get(&record.key);
         let was_removed = before.is_none_or(|it| it.record.value.is_none());
-        let old_mark = before.map_or(Mark::NOTHING, |it| it.mark);
+        let old_mark = before.map_or(ContentHash::NOTHING, |it| it.mark);
         let is_heartbeat = match before {
             Some(it) => it.mark == mark && it.record.value.is_none() == record.value.is_none(),
             // It does not concern this product.
-            None => mark == Mark::NOTHING && record.value.is_some(),
+            None => mark == ContentHash::NOTHING && record.value.is_some(),
         };
         let changed = before.filter(|_| is_heartbeat).map(|it| it.changed);
         self.removed -= usize::from(before.is_some() && was_removed);
@@ -184,19 +184,19 @@
         self.forget_old_removals();
         match is_heartbeat {
             true => Applied::Heartbeat,
-            false => Applied::News,
+            false => Applied::Changed,
         }
     }
 
     /// Notes that everything up to `revision` is known.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
     /// Notes that everything was read, from revision `began` on.
-    pub fn read_whole(&mut self, began: u64) {
+    pub fn finish_full_read(&mut self, began: u64) {
         self.complete_since = self.complete_since.max(began);
-        self.reached(began);
+        self.advance_to(began);
     }
 
     /// Ends a read of everything, which began at revision `began`.
@@ -204,7 +204,7 @@
     /// Returns the removals that follow: keys that were written before `began` and that
     /// `seen` does not name are gone. A key written later may
     /// have missed the pages, so it stays; the watch tells what became of it.
-    pub fn missing_from(&self, seen: &BTreeMap<String, ()>, began: u64) -> Vec<Record> {
+    pub fn removals_after_read(&self, seen: &BTreeMap<String, ()>, began: u64) -> Vec<Record> {
         let known = self.records.values().map(|it| &it.record);
         known
             .filter(|it| it.value.is_some() && it.revision < began && !seen.contains_key(&it.key))
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -257,7 +257,7 @@
     /// What goes wrong otherwise: an instance that has read the first page sends callers to a data
     /// centre that the operator closed before it began.
     pub fn servable(&self) -> Option<&Arc<Catalogue>> {
-        let knows_cordons = self.knows_cordons || self.replica.is_whole();
+        let knows_cordons = self.knows_cordons || self.replica.is_complete();
         self.catalogue.as_ref().filter(|_| knows_cordons)
     }
 
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -3,12 +3,12 @@
 use super::{Gateway, TickOutcome};
 use crate::gateway::ask::REPORT_AGAIN;
 use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, watcher_rank};
-use crate::gateway::catch_up::{NotTold, Provider};
+use crate::gateway::catch_up::{FetchFailure, Provider};
 use crate::gateway::cordons::{Cordon, CordonEffect};
 use crate::gateway::gossip::{Body, Datagram, FAN_OUT, GOSSIP_VERSION, GossipItems};
 use crate::gateway::members::{Change, Member};
 use crate::gateway::rate_limits::LimitChange;
-use crate::gateway::reader::{READER_FRESH, Step, WATCHERS};
+use crate::gateway::reader::{Step, WATCHER_TIMEOUT, WATCHERS};
 use crate::ids::EndpointKey;
 use crate::time::Time;
 use core::time::Duration;
@@ -175,7 +175,7 @@
             Body::Suspects(blames) => self.hear_blames(now, &blames),
             Body::RunLeaseReport(report) => {
                 let answer = self.hear_turns(now, from, &report);
-                if !report.asks.is_empty() {
+                if !report.acquire.is_empty() {
                     heard.send.push((from, Body::RunLeaseAnswer(answer)));
                 }
             }
@@ -202,7 +202,7 @@
             }
         }
         for beacon in news.beacons {
-            if beacon.origin != self.cfg.address && self.beacons.hear(now, beacon) {
+            if beacon.origin != self.cfg.address && self.beacons.on_beacon(now, beacon) {
                 self.outbox.add_beacon(beacon);
             }
         }
@@ -260,7 +260,7 @@
 
     /// Returns the longest time until the next look at what is due.
     pub fn tick_interval(&self) -> Duration {
-        match self.asks.any_unanswered() || self.suspects.runs.any_asks() {
+        match self.asks.any_unanswered() || self.suspects.runs.any_waiting() {
             true => REPORT_AGAIN,
             false => TICK,
         }
@@ -315,7 +315,7 @@
             digest: self.replica.digest(),
             may_miss_records: self.reader.may_miss_records(now),
         };
-        self.beacons.hear(now, own);
+        self.beacons.on_beacon(now, own);
         self.outbox.add_beacon(own);
     }
 
@@ -323,8 +323,8 @@
     /// or it ranks among the first and says that the store is away. Of those that watch in
     /// vain many may do so, and each beacon goes to everybody.
     fn speaks_of_store(&self, now: Time) -> bool {
-        let watched = self.reader.watched();
-        let is_answered = watched.is_some_and(|at| now.since(at) < READER_FRESH);
+        let watched = self.reader.last_watch_answer();
+        let is_answered = watched.is_some_and(|at| now.since(at) < WATCHER_TIMEOUT);
         self.watches(now) && (is_answered || self.rank() < WATCHERS)
     }
 
@@ -379,7 +379,7 @@
     }
 
     fn store_age_ms(&self, now: Time) -> u32 {
-        let age = self.reader.heard().map(|heard| now.since(heard));
+        let age = self.reader.last_answer().map(|heard| now.since(heard));
         age.map_or(u32::MAX, |age| {
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
         })
@@ -404,8 +404,8 @@
         // Who is answered goes on, though the others hear from it now and would leave it alone.
         let is_answered = self
             .reader
-            .watched()
-            .is_some_and(|at| now.since(at) < READER_FRESH);
+            .last_watch_answer()
+            .is_some_and(|at| now.since(at) < WATCHER_TIMEOUT);
         is_answered || self.rank() < self.beacons.may_watch(now, self.started)
     }
 
@@ -431,7 +431,7 @@
             address,
             revision: it.revision,
             digest: it.digest,
-            is_near: true,
+            is_direct: true,
         });
         let beacons = self
             .beacons
@@ -441,7 +441,7 @@
             address: it.origin,
             revision: it.revision,
             digest: it.digest,
-            is_near: false,
+            is_direct: false,
         });
         let all = members.chain(beacons);
         all.filter(|it| self.is_more(it.revision, it.digest))
@@ -474,8 +474,8 @@
     }
 
     /// Notes that a peer did not tell what it knows.
-    pub fn on_fetch_failure(&mut self, now: Time, peer: SocketAddrV4, why: NotTold) {
+    pub fn on_fetch_failure(&mut self, now: Time, peer: SocketAddrV4, why: FetchFailure) {
         let draw = self.draw();
-        self.catch_up.not_told(now, peer, why, draw);
+        self.catch_up.on_fetch_failure(now, peer, why, draw);
     }
 }
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -5,15 +5,17 @@
 use crate::gateway::gossip::Body;
 use crate::gateway::suspects::TELL_INTERVAL;
 use crate::ids::EndpointKey;
-use crate::suspects::{Admission, Blame, RunLeaseAnswer, RunLeaseReport, Standing, Turn};
+use crate::suspects::{
+    Admission, CrashRecord, RunLeaseAnswer, RunLeaseReport, Standing, SuspectRun,
+};
 use crate::time::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
 impl Gateway {
     /// Takes in a request that is going to run; it is taken out by [`Gateway::end_run`].
-    pub fn begin_run(&mut self, fingerprint: Fingerprint) -> Turn {
-        let turn = Turn {
+    pub fn begin_run(&mut self, fingerprint: Fingerprint) -> SuspectRun {
+        let turn = SuspectRun {
             fingerprint,
             run: self.draw_id(),
         };
@@ -22,13 +24,13 @@
     }
 
     /// Takes a request out that runs no longer; returns whether its homes are to be told soon.
-    pub fn end_run(&mut self, turn: Turn) -> bool {
+    pub fn end_run(&mut self, turn: SuspectRun) -> bool {
         self.suspects.runs.end(turn)
     }
 
     /// Returns whether a request may be sent to an endpoint now. A suspect that has no turn asks
     /// for it.
-    pub fn admit_run(&mut self, now: Time, turn: Turn) -> Admission {
+    pub fn admit_run(&mut self, now: Time, turn: SuspectRun) -> Admission {
         let standing = self.suspects.ledger.standing(now, turn.fingerprint);
         self.suspects.runs.admit(now, turn, standing)
     }
@@ -50,7 +52,7 @@
 
     /// Returns how many endpoints a request is known to have ended.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
-        self.suspects.ledger.ended(fingerprint)
+        self.suspects.ledger.crash_count(fingerprint)
     }
 
     /// Notes that an endpoint ended together with its connection; returns whether that is
@@ -89,7 +91,10 @@
     }
 
     fn blame(&mut self, now: Time, fingerprint: Fingerprint, endpoint: EndpointKey) -> bool {
-        let is_news = self.suspects.ledger.blame(now, fingerprint, endpoint);
+        let is_news = self
+            .suspects
+            .ledger
+            .record_crash(now, fingerprint, endpoint);
         if is_news {
             self.tell_blame(now, fingerprint);
         }
@@ -98,14 +103,14 @@
 
     fn tell_blame(&mut self, now: Time, fingerprint: Fingerprint) {
         self.suspects.note_changed();
-        if let Some(blame) = self.suspects.ledger.told(now, fingerprint) {
+        if let Some(blame) = self.suspects.ledger.record(now, fingerprint) {
             let instances = self.instances();
             self.outbox.add_blame(blame, instances);
         }
     }
 
     /// Takes in what another instance knows of suspects.
-    pub(super) fn hear_blames(&mut self, now: Time, blames: &[Blame]) {
+    pub(super) fn hear_blames(&mut self, now: Time, blames: &[CrashRecord]) {
         for blame in blames {
             if self.suspects.ledger.hear(now, blame) {
                 self.tell_blame(now, blame.fingerprint);
@@ -153,15 +158,19 @@
             {
                 self.asks.pass_over(now, home);
             }
-            let known = self.suspects.ledger.told(now, fingerprint);
+            let known = self.suspects.ledger.record(now, fingerprint);
             for home in self.homes(key).into_iter().flatten() {
                 let report = reports.entry(home).or_default();
                 report.blames.extend(known.clone());
-                report.holds.extend(&due.holds);
-                report.ends.extend(&due.ends);
+                report.renew.extend(&due.renew);
+                report.release.extend(&due.release);
             }
             if let Some(home) = self.acting_home(now, key) {
-                reports.entry(home).or_default().asks.extend(&due.asks);
+                reports
+                    .entry(home)
+                    .or_default()
+                    .acquire
+                    .extend(&due.acquire);
             }
         }
         let mut decided = false;
@@ -187,7 +196,7 @@
         self.hear_blames(now, &report.blames);
         let answer = self.suspects.turns.hear(now, from, report);
         RunLeaseAnswer {
-            blames: self.suspects.ledger.told_of(now, &report.asks),
+            blames: self.suspects.ledger.records_of(now, &report.acquire),
             ..answer
         }
     }
--- a/crates/core/src/gateway/suspects.rs
+++ b/crates/core/src/gateway/suspects.rs
@@ -8,7 +8,7 @@
 use super::ask::HOME_PATIENCE;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
-use crate::suspects::{HOLD_FRESH, Ledger, Runs, Turns};
+use crate::suspects::{Ledger, RUN_LEASE_TTL, RunLeases, Runs};
 use crate::time::Time;
 use core::time::Duration;
 use std::net::SocketAddrV4;
@@ -40,7 +40,7 @@
     /// What this instance runs.
     pub(super) runs: Runs,
     /// What this instance knows as a home.
-    pub(super) turns: Turns<SocketAddrV4>,
+    pub(super) turns: RunLeases<SocketAddrV4>,
     /// Connections that ended, of which it is not known whether their endpoint did.
     undecided: Vec<Undecided>,
     /// When an instance was told at once of all suspects.
@@ -56,7 +56,7 @@
         Suspects {
             ledger: Ledger::default(),
             runs: Runs::new(HOME_PATIENCE),
-            turns: Turns::new(now),
+            turns: RunLeases::new(now),
             undecided: Vec::new(),
             told_all: None,
             changed: false,
@@ -107,8 +107,8 @@
 
     /// Lets time pass.
     pub(super) fn tick(&mut self, now: Time) {
-        if now.since(self.ticked) >= HOLD_FRESH {
-            self.turns.listen_anew(now);
+        if now.since(self.ticked) >= RUN_LEASE_TTL {
+            self.turns.restart_grace_period(now);
         }
         self.ticked = now;
         self.ledger.tick(now);
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -15,8 +15,8 @@
 use crate::peer::PeerMessage;
 use crate::reason::Reason;
 use crate::suspects::{
-    Admission, Blame, Ledger, RAN_WELL_AFTER, RunLeaseAnswer, RunLeaseReport, Runs, Standing, Turn,
-    Turns,
+    Admission, CrashRecord, Ledger, RunLeaseAnswer, RunLeaseReport, RunLeases, Runs, SUCCESS_AFTER,
+    Standing, SuspectRun,
 };
 use crate::time::Time;
 use core::time::Duration;
@@ -47,7 +47,7 @@
 pub(super) struct Suspects {
     ledger: Ledger,
     runs: Runs,
-    turns: Turns<InstanceKey>,
+    turns: RunLeases<InstanceKey>,
     /// Homes that did not answer, and until when they are passed over.
     silent: BTreeMap<InstanceKey, Time>,
     /// Suspects that are to be told of, and who told this node.
@@ -63,7 +63,7 @@
         Suspects {
             ledger: Ledger::default(),
             runs: Runs::new(HOME_PATIENCE),
-            turns: Turns::new(now),
+            turns: RunLeases::new(now),
             silent: BTreeMap::new(),
             untold: BTreeMap::new(),
             told: None,
@@ -72,8 +72,8 @@
     }
 }
 
-fn turn_of(request: &Request) -> Turn {
-    Turn {
+fn turn_of(request: &Request) -> SuspectRun {
+    SuspectRun {
         fingerprint: request.arrival.fingerprint,
         run: request.id().seq,
     }
@@ -82,7 +82,7 @@
 impl Node {
     /// Begins to listen to what others run, as the home of suspects.
     pub(super) fn start_suspects(&mut self) {
-        self.suspects.turns.listen_anew(self.now);
+        self.suspects.turns.restart_grace_period(self.now);
     }
 
     /// Takes in a request that is going to run.
@@ -157,14 +157,18 @@
         };
         let fingerprint = request.arrival.fingerprint;
         let begun = request.begun;
-        if begun.is_some_and(|at| self.now.since(at) >= RAN_WELL_AFTER) {
+        if begun.is_some_and(|at| self.now.since(at) >= SUCCESS_AFTER) {
             return self.ran_well(fingerprint);
         }
         if self.membership.endpoint_state(endpoint) == EndpointState::Leaving {
             // It ended as it said it would.
             return;
         }
-        if self.suspects.ledger.blame(self.now, fingerprint, endpoint) {
+        if self
+            .suspects
+            .ledger
+            .record_crash(self.now, fingerprint, endpoint)
+        {
             self.tell_soon(fingerprint, None);
         }
     }
@@ -190,12 +194,12 @@
         if told.is_some_and(|at| self.now.since(at) < TELL_INTERVAL) {
             return;
         }
-        let mut by_receiver: BTreeMap<InstanceKey, Vec<Blame>> = BTreeMap::new();
+        let mut by_receiver: BTreeMap<InstanceKey, Vec<CrashRecord>> = BTreeMap::new();
         for _ in 0..MOST_TOLD {
             let Some((fingerprint, source)) = self.suspects.untold.pop_first() else {
                 break;
             };
-            let Some(blame) = self.suspects.ledger.told(self.now, fingerprint) else {
+            let Some(blame) = self.suspects.ledger.record(self.now, fingerprint) else {
                 continue;
             };
             for to in self.membership.told_news(source, Vec::new()) {
@@ -221,12 +225,12 @@
     }
 
     /// A peer told of suspects.
-    pub(super) fn on_suspects(&mut self, from: PeerId, blames: &[Blame]) {
+    pub(super) fn on_suspects(&mut self, from: PeerId, blames: &[CrashRecord]) {
         self.hear_blames(from, blames);
         self.look_at_waiting();
     }
 
-    fn hear_blames(&mut self, from: PeerId, blames: &[Blame]) {
+    fn hear_blames(&mut self, from: PeerId, blames: &[CrashRecord]) {
         for blame in blames {
             if self.suspects.ledger.hear(self.now, blame) {
                 self.tell_soon(blame.fingerprint, Some(from));
@@ -253,7 +257,7 @@
         for (home, report) in reports {
             self.send(home, PeerMessage::RunLeaseReport(report));
         }
-        if self.suspects.runs.any_asks() {
+        if self.suspects.runs.any_waiting() {
             self.timers.set(now + LOOK_ASKING, TimerKind::Turns);
             self.look_at_waiting();
         } else if any_runs {
@@ -285,15 +289,19 @@
         {
             silent.insert(home, now + PASSED_OVER);
         }
-        let known = self.suspects.ledger.told(now, fingerprint);
+        let known = self.suspects.ledger.record(now, fingerprint);
         for &home in &ranked {
             let report = reports.entry(home).or_default();
             report.blames.extend(known.clone());
-            report.holds.extend(&due.holds);
-            report.ends.extend(&due.ends);
+            report.renew.extend(&due.renew);
+            report.release.extend(&due.release);
         }
         if let Some(home) = acting(silent) {
-            reports.entry(home).or_default().asks.extend(&due.asks);
+            reports
+                .entry(home)
+                .or_default()
+                .acquire
+                .extend(&due.acquire);
         }
         self.suspects.ranked = ranked;
     }
@@ -302,9 +310,9 @@
     pub(super) fn on_turns(&mut self, from: PeerId, report: &RunLeaseReport) {
         self.hear_blames(from, &report.blames);
         let answer = self.suspects.turns.hear(self.now, from.instance, report);
-        if !report.asks.is_empty() {
+        if !report.acquire.is_empty() {
             let answer = RunLeaseAnswer {
-                blames: self.suspects.ledger.told_of(self.now, &report.asks),
+                blames: self.suspects.ledger.records_of(self.now, &report.acquire),
                 ..answer
             };
             self.send(from.instance, PeerMessage::RunLeaseAnswer(answer));
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -89,7 +89,7 @@
     /// Who may run under a ticket or key.
     Keys(crate::keys::KeysMessage),
     /// Requests that end endpoints: what is known of them.
-    Suspects(Vec<crate::suspects::Blame>),
+    Suspects(Vec<crate::suspects::CrashRecord>),
     /// What is run and asked for of them.
     RunLeaseReport(crate::suspects::RunLeaseReport),
     /// What their home answers.
--- a/crates/core/src/suspects.rs
+++ b/crates/core/src/suspects.rs
@@ -23,8 +23,8 @@
 mod runs;
 
 pub use ledger::{
-    Blame, ENDED_AT_MOST, Ledger, MAX_SUSPECTS, RAN_WELL_AFTER, REFUSED_FOR, Standing,
+    CrashRecord, Ledger, MAX_CRASHES, MAX_SUSPECTS, REFUSAL_DURATION, SUCCESS_AFTER, Standing,
 };
 pub use message::{RunLeaseAnswer, RunLeaseReport};
-pub use run_leases::{HOLD_FRESH, Turns};
-pub use runs::{Admission, Due, Runs, Turn};
+pub use run_leases::{RUN_LEASE_TTL, RunLeases};
+pub use runs::{Admission, Due, Runs, SuspectRun};
--- a/crates/core/src/suspects/ledger.rs
+++ b/crates/core/src/suspects/ledger.rs
@@ -5,7 +5,7 @@
 //! nothing. A request that ran well begins a new round with an empty set, which goes before all
 //! sets of earlier rounds.
 
-use super::Turn;
+use super::SuspectRun;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointKey, stable_hash};
 use crate::time::Time;
@@ -15,11 +15,11 @@
 
 /// Endpoints that a request may end before it is refused. One end may be the endpoint's own and
 /// two may be bad luck.
-pub const ENDED_AT_MOST: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// How long a request is refused after the last endpoint that it ended. Then one attempt is let
 /// through, alone, since a later release of the endpoint may bear it.
-pub const REFUSED_FOR: Duration = Duration::from_secs(300);
+pub const REFUSAL_DURATION: Duration = Duration::from_secs(300);
 
 /// How long a suspect is remembered after the last endpoint that it ended.
 const REMEMBERED_FOR: Duration = Duration::from_secs(3_600);
@@ -37,7 +37,7 @@
 
 /// How long an answer must have been under way for its request to count as one that ran well,
 /// even if it broke off then. What ends its endpoint does so when it begins.
-pub const RAN_WELL_AFTER: Duration = Duration::from_secs(1);
+pub const SUCCESS_AFTER: Duration = Duration::from_secs(1);
 
 /// Suspects that one instance tells another one that knows others: one datagram.
 const WORST: usize = 24;
@@ -47,7 +47,7 @@
 
 /// What is told of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blame {
+pub struct CrashRecord {
     /// The request.
     pub fingerprint: Fingerprint,
     /// How often it ran well after it had been blamed.
@@ -113,8 +113,8 @@
         };
         match suspect.ended.len() {
             0 => Standing::Free,
-            ended if ended < ENDED_AT_MOST => Standing::Suspect,
-            _ if now.since(suspect.changed) < REFUSED_FOR => Standing::Refused,
+            ended if ended < MAX_CRASHES => Standing::Suspect,
+            _ if now.since(suspect.changed) < REFUSAL_DURATION => Standing::Refused,
             _ => Standing::Suspect,
         }
     }
@@ -125,7 +125,7 @@
     }
 
     /// Returns how many endpoints a request is known to have ended.
-    pub fn ended(&self, fingerprint: Fingerprint) -> usize {
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(0, |it| it.ended.len())
     }
@@ -155,7 +155,12 @@
     }
 
     /// Notes that a request ended an endpoint; returns whether that is news.
-    pub fn blame(&mut self, now: Time, fingerprint: Fingerprint, endpoint: EndpointKey) -> bool {
+    pub fn record_crash(
+        &mut self,
+        now: Time,
+        fingerprint: Fingerprint,
+        endpoint: EndpointKey,
+    ) -> bool {
         let round = self.suspects.get(&fingerprint).map_or(0, |it| it.round);
         self.merge(now, fingerprint, round, &[endpoint])
     }
@@ -170,7 +175,7 @@
     }
 
     /// Takes in what another instance knows; returns whether that is news.
-    pub fn hear(&mut self, now: Time, blame: &Blame) -> bool {
+    pub fn hear(&mut self, now: Time, blame: &CrashRecord) -> bool {
         let age = Duration::from_millis(blame.age_ms.into());
         let changed = now.before(age).unwrap_or(Time::ZERO);
         let kept = match blame.ended.is_empty() {
@@ -243,9 +248,9 @@
     }
 
     /// Returns what is to be told of a request.
-    pub fn told(&self, now: Time, fingerprint: Fingerprint) -> Option<Blame> {
+    pub fn record(&self, now: Time, fingerprint: Fingerprint) -> Option<CrashRecord> {
         let suspect = self.suspects.get(&fingerprint)?;
-        Some(Blame {
+        Some(CrashRecord {
             fingerprint,
             round: suspect.round,
             ended: suspect.ended.iter().copied().collect(),
@@ -254,20 +259,20 @@
     }
 
     /// Returns what is to be told of the requests of some runs.
-    pub fn told_of(&self, now: Time, turns: &[Turn]) -> Vec<Blame> {
+    pub fn records_of(&self, now: Time, turns: &[SuspectRun]) -> Vec<CrashRecord> {
         let mut all: Vec<Fingerprint> = turns.iter().map(|it| it.fingerprint).collect();
         all.sort();
         all.dedup();
         all.into_iter()
-            .filter_map(|it| self.told(now, it))
+            .filter_map(|it| self.record(now, it))
             .collect()
     }
 
     /// Returns what is to be told of the suspects that ended the most endpoints, as much as
     /// fits a datagram.
-    pub fn worst(&self, now: Time) -> Vec<Blame> {
+    pub fn worst(&self, now: Time) -> Vec<CrashRecord> {
         let worst = self.ranked().into_iter().take(WORST);
-        worst.filter_map(|(it, _)| self.told(now, *it)).collect()
+        worst.filter_map(|(it, _)| self.record(now, *it)).collect()
     }
 
     /// Returns all, those first that ended the most endpoints. Equals go by fingerprint, which
--- a/crates/core/src/suspects/message.rs
+++ b/crates/core/src/suspects/message.rs
@@ -4,29 +4,29 @@
 //! a run ends its endpoint and gives its turn back; the next one has the turn some milliseconds
 //! later, before it hears by the usual ways that this was the third.
 
-use super::{Blame, Turn};
+use super::{CrashRecord, SuspectRun};
 use serde::{Deserialize, Serialize};
 
 /// What an instance tells the home of a suspect and the next in rank.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLeaseReport {
     /// Runs that ask the receiver for their turn.
-    pub asks: Vec<Turn>,
+    pub acquire: Vec<SuspectRun>,
     /// Runs that go on.
-    pub holds: Vec<Turn>,
+    pub renew: Vec<SuspectRun>,
     /// Runs that ended.
-    pub ends: Vec<Turn>,
+    pub release: Vec<SuspectRun>,
     /// What the sender knows of these requests.
-    pub blames: Vec<Blame>,
+    pub blames: Vec<CrashRecord>,
 }
 
 /// What the home of a suspect answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLeaseAnswer {
     /// Runs that have the turn now.
-    pub given: Vec<Turn>,
+    pub granted: Vec<SuspectRun>,
     /// Runs that have to wait, since another one has it.
-    pub waiting: Vec<Turn>,
+    pub waiting: Vec<SuspectRun>,
     /// What the home knows of these requests.
-    pub blames: Vec<Blame>,
+    pub blames: Vec<CrashRecord>,
 }
--- a/crates/core/src/suspects/run_leases.rs
+++ b/crates/core/src/suspects/run_leases.rs
@@ -13,23 +13,23 @@
 
 /// How long the word of an instance that runs a suspect is believed: some four of its messages
 /// in a row may be lost.
-pub const HOLD_FRESH: Duration = Duration::from_millis(1_000);
+pub const RUN_LEASE_TTL: Duration = Duration::from_millis(1_000);
 
 /// Runs of one suspect: by whom, by its number there, and until when that is believed.
 type Holders<I> = BTreeMap<(I, u64), Time>;
 
 /// The runs of all suspects whose home this instance is, or may become.
 #[derive(Clone, Debug)]
-pub struct Turns<I> {
+pub struct RunLeases<I> {
     holders: BTreeMap<Fingerprint, Holders<I>>,
     /// Since when it has been listening without a pause.
     listens_since: Time,
 }
 
-impl<I: Ord + Copy> Turns<I> {
+impl<I: Ord + Copy> RunLeases<I> {
     /// Returns a home that listens from now on.
     pub fn new(now: Time) -> Self {
-        Turns {
+        RunLeases {
             holders: BTreeMap::new(),
             listens_since: now,
         }
@@ -38,25 +38,25 @@
     /// Takes in what an instance runs and asks for. What is known of the suspects goes by the
     /// [`Ledger`](super::Ledger).
     pub fn hear(&mut self, now: Time, from: I, report: &RunLeaseReport) -> RunLeaseAnswer {
-        for it in &report.ends {
+        for it in &report.release {
             self.release(it.fingerprint, from, it.run);
         }
-        for it in &report.holds {
-            self.hold(now, it.fingerprint, from, it.run);
+        for it in &report.renew {
+            self.renew(now, it.fingerprint, from, it.run);
         }
-        let asks = report.asks.iter().copied();
-        let (given, waiting) = asks.partition(|it| self.ask(now, it.fingerprint, from, it.run));
+        let asks = report.acquire.iter().copied();
+        let (given, waiting) = asks.partition(|it| self.acquire(now, it.fingerprint, from, it.run));
         RunLeaseAnswer {
-            given,
+            granted: given,
             waiting,
             blames: Vec::new(),
         }
     }
 
     /// Notes that an instance runs a suspect.
-    pub fn hold(&mut self, now: Time, fingerprint: Fingerprint, by: I, run: u64) {
+    pub fn renew(&mut self, now: Time, fingerprint: Fingerprint, by: I, run: u64) {
         let holders = self.holders.entry(fingerprint).or_default();
-        holders.insert((by, run), now + HOLD_FRESH);
+        holders.insert((by, run), now + RUN_LEASE_TTL);
     }
 
     /// Notes that a run ended.
@@ -67,8 +67,8 @@
     }
 
     /// Gives a suspect's turn to a run if nobody else has it; returns whether it did.
-    pub fn ask(&mut self, now: Time, fingerprint: Fingerprint, by: I, run: u64) -> bool {
-        if now.since(self.listens_since) < HOLD_FRESH {
+    pub fn acquire(&mut self, now: Time, fingerprint: Fingerprint, by: I, run: u64) -> bool {
+        if now.since(self.listens_since) < RUN_LEASE_TTL {
             return false;
         }
         let holders = self.holders.entry(fingerprint).or_default();
@@ -77,7 +77,7 @@
         holders.remove(&(by, run));
         let is_free = holders.is_empty();
         if is_free {
-            holders.insert((by, run), now + HOLD_FRESH);
+            holders.insert((by, run), now + RUN_LEASE_TTL);
         }
         is_free
     }
@@ -87,7 +87,7 @@
     /// What goes wrong otherwise with a home that was frozen: all it knows is over when it
     /// wakes, and what was said meanwhile may be lost, so that it gives the turn of a suspect
     /// that runs.
-    pub fn listen_anew(&mut self, now: Time) {
+    pub fn restart_grace_period(&mut self, now: Time) {
         self.listens_since = now;
     }
 
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -19,7 +19,7 @@
 
 /// A run of a suspect, as instances tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Turn {
+pub struct SuspectRun {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The number of the run at its instance.
@@ -67,11 +67,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Runs that ask the present home for the turn.
-    pub asks: Vec<Turn>,
+    pub acquire: Vec<SuspectRun>,
     /// Runs that go on.
-    pub holds: Vec<Turn>,
+    pub renew: Vec<SuspectRun>,
     /// Runs that ended.
-    pub ends: Vec<Turn>,
+    pub release: Vec<SuspectRun>,
     /// Whether the present home did not answer in time.
     pub is_unanswered: bool,
 }
@@ -79,7 +79,7 @@
 impl Due {
     /// Returns whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.asks.is_empty() && self.holds.is_empty() && self.ends.is_empty()
+        self.acquire.is_empty() && self.renew.is_empty() && self.release.is_empty()
     }
 }
 
@@ -90,7 +90,7 @@
     home_patience: Duration,
     runs: BTreeMap<Fingerprint, BTreeMap<u64, Run>>,
     /// Runs that ended and of which homes had been told.
-    ended: Vec<Turn>,
+    ended: Vec<SuspectRun>,
 }
 
 impl Runs {
@@ -104,7 +104,7 @@
     }
 
     /// Takes in a run that begins.
-    pub fn begin(&mut self, turn: Turn) {
+    pub fn begin(&mut self, turn: SuspectRun) {
         let run = Run {
             stage: Stage::Free,
             told: None,
@@ -115,7 +115,7 @@
 
     /// Returns whether a run may be sent to an endpoint now, and asks for its turn where it
     /// needs one.
-    pub fn admit(&mut self, now: Time, turn: Turn, standing: Standing) -> Admission {
+    pub fn admit(&mut self, now: Time, turn: SuspectRun, standing: Standing) -> Admission {
         let Some(run) = self.get(turn) else {
             return Admission::Refused;
         };
@@ -142,7 +142,7 @@
     }
 
     /// Takes a run out; returns whether homes are to be told.
-    pub fn end(&mut self, turn: Turn) -> bool {
+    pub fn end(&mut self, turn: SuspectRun) -> bool {
         let Some(runs) = self.runs.get_mut(&turn.fingerprint) else {
             return false;
         };
@@ -160,7 +160,7 @@
 
     /// Takes in what a home answered.
     pub fn hear(&mut self, now: Time, answer: &RunLeaseAnswer) {
-        for &turn in &answer.given {
+        for &turn in &answer.granted {
             self.answered(now, turn, true);
         }
         for &turn in &answer.waiting {
@@ -168,7 +168,7 @@
         }
     }
 
-    fn answered(&mut self, now: Time, turn: Turn, given: bool) {
+    fn answered(&mut self, now: Time, turn: SuspectRun, given: bool) {
         let Some(run) = self.get(turn) else { return };
         if let Stage::Asks { since, missed, .. } = &mut run.stage {
             *since = now;
@@ -185,7 +185,7 @@
     }
 
     /// Returns whether a run waits for a home.
-    pub fn any_asks(&self) -> bool {
+    pub fn any_waiting(&self) -> bool {
         let mut runs = self.runs.values().flat_map(BTreeMap::values);
         runs.any(|it| matches!(it.stage, Stage::Asks { .. }))
     }
@@ -202,15 +202,15 @@
     /// Returns what homes are to be told of a request now.
     pub fn due(&mut self, now: Time, fingerprint: Fingerprint, standing: Standing) -> Due {
         let mut due = Due::default();
-        let is_of = |it: &Turn| it.fingerprint == fingerprint;
-        due.ends.extend(self.ended.iter().copied().filter(is_of));
+        let is_of = |it: &SuspectRun| it.fingerprint == fingerprint;
+        due.release.extend(self.ended.iter().copied().filter(is_of));
         self.ended.retain(|it| !is_of(it));
         if standing == Standing::Free {
             return due;
         }
         let runs = self.runs.get_mut(&fingerprint).into_iter().flatten();
         for (&run, state) in runs {
-            let turn = Turn { fingerprint, run };
+            let turn = SuspectRun { fingerprint, run };
             match &mut state.stage {
                 Stage::Asks {
                     since,
@@ -224,13 +224,13 @@
                     }
                     if asked.is_none_or(|at| now.since(at) >= ASK_AGAIN) {
                         *asked = Some(now);
-                        due.asks.push(turn);
+                        due.acquire.push(turn);
                     }
                 }
                 Stage::Free | Stage::Given => {
                     if state.told.is_none_or(|at| now.since(at) >= HOLD_AGAIN) {
                         state.told = Some(now);
-                        due.holds.push(turn);
+                        due.renew.push(turn);
                     }
                 }
             }
@@ -238,7 +238,7 @@
         due
     }
 
-    fn get(&mut self, turn: Turn) -> Option<&mut Run> {
+    fn get(&mut self, turn: SuspectRun) -> Option<&mut Run> {
         self.runs.get_mut(&turn.fingerprint)?.get_mut(&turn.run)
     }
 }
--- a/crates/core/tests/gateway_catch_up.rs
+++ b/crates/core/tests/gateway_catch_up.rs
@@ -9,10 +9,10 @@
 use core::time::Duration;
 use instances::{address, datagram};
 use oriolemux_core::Time;
-use oriolemux_core::gateway::catch_up::{MAX_LARGE_TOLD, NotTold, OWN_READ_AFTER};
+use oriolemux_core::gateway::catch_up::{DIRECT_READ_AFTER, FetchFailure, MAX_LARGE_TRANSFERS};
 use oriolemux_core::gateway::gossip::GossipItems;
 use oriolemux_core::gateway::reader::Step;
-use oriolemux_core::gateway::{Body, Datagram, Gateway, Mark, Record, Replica};
+use oriolemux_core::gateway::{Body, ContentHash, Datagram, Gateway, Record, Replica};
 use rstest::rstest;
 use std::net::SocketAddrV4;
 
@@ -31,13 +31,13 @@
 const CHANGED: u64 = 9;
 
 /// The record that changes.
-fn change() -> (Record, Mark) {
+fn change() -> (Record, ContentHash) {
     let record = Record {
         key: "catalogue".to_owned(),
         revision: CHANGED,
         value: Some(b"new".to_vec()),
     };
-    let mark = Mark::of(&record.key, &[b"new"]);
+    let mark = ContentHash::of(&record.key, &[b"new"]);
     (record, mark)
 }
 
@@ -45,7 +45,7 @@
 fn learn(one: &mut Gateway) {
     let (record, mark) = change();
     one.replica.apply(record, mark);
-    one.replica.reached(CHANGED);
+    one.replica.advance_to(CHANGED);
 }
 
 /// What an instance knows at a revision, as a hash.
@@ -61,7 +61,7 @@
 fn gateway(number: u16) -> Gateway {
     let mut gateway = instances::gateway(number);
     gateway.reader.on_read(Time::ZERO);
-    gateway.replica.read_whole(1);
+    gateway.replica.finish_full_read(1);
     gateway
 }
 
@@ -176,8 +176,8 @@
             return;
         };
         let teller = Fleet::index(peer);
-        if self.told_by(teller) >= MAX_LARGE_TOLD {
-            self.instances[index].on_fetch_failure(now, peer, NotTold::Refused);
+        if self.told_by(teller) >= MAX_LARGE_TRANSFERS {
+            self.instances[index].on_fetch_failure(now, peer, FetchFailure::Refused);
             return;
         }
         self.fetches[index] = Fetch::FromPeer {
@@ -262,7 +262,7 @@
     let took = fleet.spread();
 
     assert!(took <= within, "{took:?}");
-    assert!(fleet.most_told_at_once <= MAX_LARGE_TOLD);
+    assert!(fleet.most_told_at_once <= MAX_LARGE_TRANSFERS);
 }
 
 /// The worst case: two of all instances hear from the store. Those that were told tell it
@@ -274,7 +274,7 @@
     let took = fleet.spread();
 
     assert!(took <= Duration::from_secs(8), "{took:?}");
-    assert!(fleet.most_told_at_once <= MAX_LARGE_TOLD);
+    assert!(fleet.most_told_at_once <= MAX_LARGE_TRANSFERS);
     assert_eq!(fleet.store_reads, 0);
 }
 
@@ -286,7 +286,7 @@
     let later = now + Duration::from_millis(200);
     assert_eq!(one.choose_provider(later), Some(address(2)));
 
-    one.on_fetch_failure(later, address(2), NotTold::Refused);
+    one.on_fetch_failure(later, address(2), FetchFailure::Refused);
 
     assert_eq!(one.choose_provider(later), None);
     let after = later + Duration::from_millis(300);
@@ -304,17 +304,17 @@
     for peer in (1..=9).filter(|&it| it != number) {
         hear(&mut one, now, told(peer, CHANGED, 1));
     }
-    assert!(matches!(one.next_step(now), Step::Listen(_)));
+    assert!(matches!(one.next_step(now), Step::StandBy(_)));
 
     for ask in 1..5 {
-        let at = now + OWN_READ_AFTER / 5 * ask;
+        let at = now + DIRECT_READ_AFTER / 5 * ask;
         if let Some(peer) = one.choose_provider(at) {
-            one.on_fetch_failure(at, peer, NotTold::Failed);
+            one.on_fetch_failure(at, peer, FetchFailure::Failed);
         }
         one.update_behind(at);
     }
 
-    assert_eq!(one.next_step(now + OWN_READ_AFTER), Step::Watch);
+    assert_eq!(one.next_step(now + DIRECT_READ_AFTER), Step::Watch);
 }
 
 #[test]
@@ -327,5 +327,5 @@
     one.update_behind(now + Duration::from_millis(20));
 
     assert!(!one.is_behind());
-    assert_eq!(one.choose_provider(now + OWN_READ_AFTER), None);
+    assert_eq!(one.choose_provider(now + DIRECT_READ_AFTER), None);
 }
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -350,5 +350,5 @@
     one.cordons_read();
 
     assert!(!before);
-    assert!(one.is_ready() && !one.replica.is_whole());
+    assert!(one.is_ready() && !one.replica.is_complete());
 }
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -6,7 +6,7 @@
 use core::time::Duration;
 use instances::{address, alive, beacon, datagram, gateway, sign_of_life};
 use oriolemux_core::gateway::members::{MemberUpdate, Status};
-use oriolemux_core::gateway::reader::{CallFailure, READER_FRESH, Step, WATCHERS};
+use oriolemux_core::gateway::reader::{CallFailure, Step, WATCHER_TIMEOUT, WATCHERS};
 use oriolemux_core::gateway::state::DropReason;
 use oriolemux_core::gateway::{Body, Datagram, EndpointRecord, Gateway};
 use oriolemux_core::{EndpointKey, Time};
@@ -56,7 +56,7 @@
 #[test]
 fn all_of_a_few_watch_if_the_watchers_are_not_answered() {
     let now = Time::from_secs(5);
-    let silent = u32::try_from(READER_FRESH.as_millis()).expect("small") + 500;
+    let silent = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small") + 500;
 
     assert_eq!(watching(&fleet(6, now, silent), now), 6);
 }
@@ -67,7 +67,7 @@
 #[test]
 fn a_part_of_many_watches_if_the_watchers_are_not_answered() {
     let now = Time::from_secs(30);
-    let silent = u32::try_from(READER_FRESH.as_millis()).expect("small");
+    let silent = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small");
 
     let just_silent = watching(&fleet(390, now, silent + 100), now);
     let long_silent = watching(&fleet(390, now, silent + 10_000), now);
@@ -82,7 +82,7 @@
 #[test]
 fn who_is_answered_goes_on_where_the_first_are_not() {
     let now = Time::from_secs(5);
-    let stale = u32::try_from(READER_FRESH.as_millis()).expect("small") + 500;
+    let stale = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small") + 500;
     let mut fleet = fleet(6, now, stale);
     let later = now + Duration::from_millis(100);
     let meant_to = self::fleet(6, now, 0);
@@ -106,7 +106,7 @@
 #[test]
 fn others_watch_if_the_watchers_are_gone() {
     let heard = Time::from_secs(5);
-    let now = heard + READER_FRESH + Duration::from_millis(300);
+    let now = heard + WATCHER_TIMEOUT + Duration::from_millis(300);
 
     assert_eq!(watching(&fleet(6, heard, 0), now), 6);
 }
--- a/crates/core/tests/gateway_replica.rs
+++ b/crates/core/tests/gateway_replica.rs
@@ -1,7 +1,7 @@
 //! What is known of the store never steps back, however records arrive.
 
 use core::time::Duration;
-use oriolemux_core::gateway::{Applied, EndpointRecord, Mark, Record, Replica};
+use oriolemux_core::gateway::{Applied, ContentHash, EndpointRecord, Record, Replica};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 /// Takes in a record that means what it holds, and returns whether it is news.
 fn apply(replica: &mut Replica, record: Record) -> bool {
     let mark = match &record.value {
-        Some(value) => Mark::of(&record.key, &[value]),
-        None => Mark::NOTHING,
+        Some(value) => ContentHash::of(&record.key, &[value]),
+        None => ContentHash::NOTHING,
     };
-    replica.apply(record, mark) == Applied::News
+    replica.apply(record, mark) == Applied::Changed
 }
 
 /// The entry of an endpoint at one of its heartbeats.
-fn heartbeat(revision: u64, leaving: bool) -> (Record, Mark) {
+fn heartbeat(revision: u64, leaving: bool) -> (Record, ContentHash) {
     let endpoint = EndpointRecord {
         name: "e-1".to_owned(),
         service: "model".to_owned(),
@@ -36,13 +36,13 @@
     };
     let written = format!("{revision} heartbeats, leaving: {leaving}");
     let record = record("e-1", revision, Some(&written));
-    let mark = Mark::of(&record.key, &[endpoint.meaning().as_bytes()]);
+    let mark = ContentHash::of(&record.key, &[endpoint.meaning().as_bytes()]);
     (record, mark)
 }
 
 /// Takes in what a peer told, as heartbeats of one endpoint.
 fn take(replica: &mut Replica, from: &Replica) {
-    let news = from.news_for(replica.revision());
+    let news = from.delta_since(replica.revision());
     for record in news.records {
         let leaving = record
             .value
@@ -51,11 +51,11 @@
         let (_, mark) = heartbeat(record.revision, leaving);
         replica.apply(record, mark);
     }
-    replica.reached(news.revision);
+    replica.advance_to(news.revision);
 }
 
 fn known(replica: &Replica) -> BTreeMap<String, (u64, Option<Vec<u8>>)> {
-    let news = replica.news_for(0);
+    let news = replica.delta_since(0);
     let records = news.records.into_iter();
     records
         .map(|it| (it.key, (it.revision, it.value)))
@@ -86,7 +86,7 @@
     apply(&mut replica, record("a", 5, Some("old")));
     apply(&mut replica, record("b", 12, Some("came during the read")));
 
-    let missing = replica.missing_from(&BTreeMap::new(), 10);
+    let missing = replica.removals_after_read(&BTreeMap::new(), 10);
 
     assert_eq!(missing, [record("a", 10, None)]);
 }
@@ -95,16 +95,16 @@
 fn a_peer_is_told_changes_only_if_all_of_them_were_seen() {
     let mut replica = Replica::default();
     apply(&mut replica, record("a", 5, Some("1")));
-    replica.read_whole(10);
+    replica.finish_full_read(10);
     apply(&mut replica, record("b", 12, Some("2")));
-    replica.reached(12);
+    replica.advance_to(12);
 
-    let seen_all = replica.news_for(10);
-    let too_old = replica.news_for(7);
+    let seen_all = replica.delta_since(10);
+    let too_old = replica.delta_since(7);
 
-    assert!(!seen_all.whole);
+    assert!(!seen_all.is_full);
     assert_eq!(seen_all.records, [record("b", 12, Some("2"))]);
-    assert!(too_old.whole);
+    assert!(too_old.is_full);
     assert_eq!(too_old.records.len(), 2);
 }
 
@@ -116,19 +116,19 @@
     let mut watcher = Replica::default();
     let mut follower = Replica::default();
     let (record, mark) = heartbeat(1, false);
-    assert_eq!(watcher.apply(record, mark), Applied::News);
-    watcher.read_whole(1);
+    assert_eq!(watcher.apply(record, mark), Applied::Changed);
+    watcher.finish_full_read(1);
     take(&mut follower, &watcher);
 
     for revision in 2..100 {
         let (record, mark) = heartbeat(revision, false);
         assert_eq!(watcher.apply(record, mark), Applied::Heartbeat);
-        watcher.reached(revision);
+        watcher.advance_to(revision);
     }
 
     assert!(watcher.revision() > follower.revision());
     assert_eq!(watcher.digest(), follower.digest());
-    assert_eq!(watcher.news_for(follower.revision()).records, []);
+    assert_eq!(watcher.delta_since(follower.revision()).records, []);
 }
 
 #[test]
@@ -139,13 +139,13 @@
     for (record, mark) in writes {
         let revision = record.revision;
         watcher.apply(record, mark);
-        watcher.read_whole(1);
-        watcher.reached(revision);
+        watcher.finish_full_read(1);
+        watcher.advance_to(revision);
         if revision == 3 {
             take(&mut follower, &watcher);
         }
     }
-    let told = watcher.news_for(follower.revision());
+    let told = watcher.delta_since(follower.revision());
 
     take(&mut follower, &watcher);
 
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -13,7 +13,8 @@
 use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::gateway::{Body, EndpointRecord, Gateway};
 use oriolemux_core::suspects::{
-    Admission, Blame, MAX_SUSPECTS, REFUSED_FOR, RunLeaseAnswer, RunLeaseReport, Turn,
+    Admission, CrashRecord, MAX_SUSPECTS, REFUSAL_DURATION, RunLeaseAnswer, RunLeaseReport,
+    SuspectRun,
 };
 use oriolemux_core::{EndpointKey, Time};
 use proptest::prelude::*;
@@ -48,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     instance: usize,
-    turn: Turn,
+    turn: SuspectRun,
     came: Time,
     /// Where it runs, since when.
     runs: Option<(EndpointKey, Time)>,
@@ -314,7 +315,7 @@
     assert_eq!(scene.ended.len(), 3);
     scene.attempts.clear();
     scene.most = 0;
-    scene.fleet.run(REFUSED_FOR);
+    scene.fleet.run(REFUSAL_DURATION);
 
     scene.play(Duration::from_secs(6), 200);
 
@@ -479,7 +480,7 @@
 fn told() -> impl Strategy<Value = Body> {
     let turns = proptest::collection::vec((0u8..4, any::<u64>()), 0..300);
     let turns = turns.prop_map(|turns| {
-        let turn = |(body, run): (u8, u64)| Turn {
+        let turn = |(body, run): (u8, u64)| SuspectRun {
             fingerprint: fingerprint(&body.to_string()),
             run,
         };
@@ -487,7 +488,7 @@
     });
     let blame = (any::<u16>(), any::<u32>(), 0u64..20, any::<u32>());
     let blames = proptest::collection::vec(blame, 0..300).prop_map(|blames| {
-        let blame = |(body, round, ended, age_ms): (u16, u32, u64, u32)| Blame {
+        let blame = |(body, round, ended, age_ms): (u16, u32, u64, u32)| CrashRecord {
             fingerprint: fingerprint(&body.to_string()),
             round,
             ended: (0..ended).map(EndpointKey).collect(),
@@ -498,13 +499,13 @@
     (turns, blames, 0u8..4).prop_map(|(turns, blames, kind)| match kind {
         0 => Body::Suspects(blames),
         1 => Body::RunLeaseReport(RunLeaseReport {
-            asks: turns.clone(),
-            holds: turns.clone(),
-            ends: turns,
+            acquire: turns.clone(),
+            renew: turns.clone(),
+            release: turns,
             blames,
         }),
         2 => Body::RunLeaseAnswer(RunLeaseAnswer {
-            given: turns.clone(),
+            granted: turns.clone(),
             waiting: turns,
             blames,
         }),
--- a/crates/core/tests/suspects_ledger.rs
+++ b/crates/core/tests/suspects_ledger.rs
@@ -3,8 +3,8 @@
 use core::time::Duration;
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
 use oriolemux_core::suspects::{
-    Admission, Blame, HOLD_FRESH, Ledger, MAX_SUSPECTS, REFUSED_FOR, RunLeaseReport, Runs,
-    Standing, Turn, Turns,
+    Admission, CrashRecord, Ledger, MAX_SUSPECTS, REFUSAL_DURATION, RUN_LEASE_TTL, RunLeaseReport,
+    RunLeases, Runs, Standing, SuspectRun,
 };
 use oriolemux_core::{EndpointKey, Time};
 use proptest::prelude::*;
@@ -31,7 +31,7 @@
 fn ended(request: Fingerprint, engines: u8) -> Ledger {
     let mut ledger = Ledger::default();
     for number in 0..engines {
-        assert!(ledger.blame(NOW, request, engine(number)));
+        assert!(ledger.record_crash(NOW, request, engine(number)));
     }
     ledger
 }
@@ -56,17 +56,17 @@
 fn an_end_that_two_saw_counts_once() {
     let mut ledger = ended(request(1), 2);
 
-    assert!(!ledger.blame(NOW, request(1), engine(1)));
+    assert!(!ledger.record_crash(NOW, request(1), engine(1)));
     assert_eq!(ledger.standing(NOW, request(1)), Standing::Suspect);
 }
 
 #[test]
 fn a_refused_request_is_tried_again_after_a_while_and_refused_at_its_next_end() {
     let mut ledger = ended(request(1), 3);
-    let later = NOW + REFUSED_FOR;
+    let later = NOW + REFUSAL_DURATION;
     assert_eq!(ledger.standing(later, request(1)), Standing::Suspect);
 
-    ledger.blame(later, request(1), engine(9));
+    ledger.record_crash(later, request(1), engine(9));
 
     assert_eq!(ledger.standing(later, request(1)), Standing::Refused);
 }
@@ -76,7 +76,7 @@
 #[test]
 fn late_news_does_not_undo_that_a_request_ran_well() {
     let mut ledger = ended(request(1), 3);
-    let late = ledger.told(NOW, request(1)).expect("it is known");
+    let late = ledger.record(NOW, request(1)).expect("it is known");
     assert!(ledger.clear(NOW, request(1)));
 
     assert!(!ledger.hear(NOW, &late));
@@ -90,7 +90,7 @@
 fn what_is_heard_is_as_old_as_its_teller_says() {
     let mut teller = ended(request(1), 3);
     let later = NOW + Duration::from_secs(3_599);
-    let told = teller.told(later, request(1)).expect("it is known");
+    let told = teller.record(later, request(1)).expect("it is known");
     let mut hearer = Ledger::default();
     assert!(hearer.hear(later, &told));
     let after = later + Duration::from_secs(2);
@@ -109,7 +109,7 @@
     let mut ledger = ended(request(0), 3);
 
     for number in 1..(MAX_SUSPECTS as u32 * 2) {
-        ledger.blame(NOW, request(number), engine(1));
+        ledger.record_crash(NOW, request(number), engine(1));
     }
 
     assert_eq!(ledger.count(NOW), (MAX_SUSPECTS, 1));
@@ -119,7 +119,7 @@
 #[test]
 fn endpoints_beyond_the_bound_are_not_kept() {
     let mut ledger = Ledger::default();
-    let blame = Blame {
+    let blame = CrashRecord {
         fingerprint: request(1),
         round: 0,
         ended: (0..200).map(engine).collect(),
@@ -128,7 +128,7 @@
 
     ledger.hear(NOW, &blame);
 
-    assert_eq!(ledger.ended(request(1)), 8);
+    assert_eq!(ledger.crash_count(request(1)), 8);
 }
 
 proptest! {
@@ -138,9 +138,9 @@
         told in proptest::collection::vec((0u32..4, 0u32..3, 0u8..8), 1..40),
         seed in any::<prop::sample::Index>(),
     ) {
-        let blames: Vec<Blame> = told
+        let blames: Vec<CrashRecord> = told
             .iter()
-            .map(|&(number, round, endpoint)| Blame {
+            .map(|&(number, round, endpoint)| CrashRecord {
                 fingerprint: request(number),
                 round,
                 ended: vec![engine(endpoint)],
@@ -160,13 +160,13 @@
 
         prop_assert_eq!(first.digest(), second.digest());
         for number in 0..4 {
-            prop_assert_eq!(first.ended(request(number)), second.ended(request(number)));
+            prop_assert_eq!(first.crash_count(request(number)), second.crash_count(request(number)));
         }
     }
 }
 
-fn turn(run: u64) -> Turn {
-    Turn {
+fn turn(run: u64) -> SuspectRun {
+    SuspectRun {
         fingerprint: request(1),
         run,
     }
@@ -174,28 +174,28 @@
 
 fn asks(run: u64) -> RunLeaseReport {
     RunLeaseReport {
-        asks: vec![turn(run)],
+        acquire: vec![turn(run)],
         ..RunLeaseReport::default()
     }
 }
 
 /// A home that has listened long enough.
-fn home() -> Turns<u16> {
-    Turns::new(Time::ZERO)
+fn home() -> RunLeases<u16> {
+    RunLeases::new(Time::ZERO)
 }
 
 #[test]
 fn one_run_has_the_turn_until_it_ends() {
     let mut home = home();
-    assert_eq!(home.hear(NOW, 1, &asks(7)).given, [turn(7)]);
+    assert_eq!(home.hear(NOW, 1, &asks(7)).granted, [turn(7)]);
     assert_eq!(home.hear(NOW, 2, &asks(8)).waiting, [turn(8)]);
     let ends = RunLeaseReport {
-        ends: vec![turn(7)],
+        release: vec![turn(7)],
         ..RunLeaseReport::default()
     };
     home.hear(NOW, 1, &ends);
 
-    assert_eq!(home.hear(NOW, 2, &asks(8)).given, [turn(8)]);
+    assert_eq!(home.hear(NOW, 2, &asks(8)).granted, [turn(8)]);
 }
 
 #[test]
@@ -203,22 +203,22 @@
     let mut home = home();
     home.hear(NOW, 1, &asks(7));
 
-    let later = NOW + HOLD_FRESH;
+    let later = NOW + RUN_LEASE_TTL;
 
-    assert_eq!(home.hear(later, 2, &asks(8)).given, [turn(8)]);
+    assert_eq!(home.hear(later, 2, &asks(8)).granted, [turn(8)]);
 }
 
 /// Symptom: two copies run at once. Sequence: a home starts anew while a suspect runs, and is asked
 /// before it hears of that. Cause: it took what it had not heard for what is not there.
 #[test]
 fn a_home_that_has_just_begun_gives_no_turn() {
-    let mut home = Turns::new(NOW);
+    let mut home = RunLeases::new(NOW);
     assert_eq!(home.hear(NOW, 2, &asks(8)).waiting, [turn(8)]);
     let holds = RunLeaseReport {
-        holds: vec![turn(7)],
+        renew: vec![turn(7)],
         ..RunLeaseReport::default()
     };
-    let later = NOW + HOLD_FRESH;
+    let later = NOW + RUN_LEASE_TTL;
     home.hear(later, 1, &holds);
 
     assert_eq!(home.hear(later, 2, &asks(8)).waiting, [turn(8)]);
@@ -231,14 +231,14 @@
     let mut home = home();
     for (by, run) in [(1, 7), (2, 8)] {
         let holds = RunLeaseReport {
-            holds: vec![turn(run)],
+            renew: vec![turn(run)],
             ..RunLeaseReport::default()
         };
         home.hear(NOW, by, &holds);
     }
     assert_eq!(home.hear(NOW, 1, &asks(7)).waiting, [turn(7)]);
 
-    assert_eq!(home.hear(NOW, 2, &asks(8)).given, [turn(8)]);
+    assert_eq!(home.hear(NOW, 2, &asks(8)).granted, [turn(8)]);
 }
 
 #[test]
--- a/crates/gateway/src/broken.rs
+++ b/crates/gateway/src/broken.rs
@@ -10,7 +10,7 @@
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::state::Placement;
-use oriolemux_core::suspects::RAN_WELL_AFTER;
+use oriolemux_core::suspects::SUCCESS_AFTER;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -61,7 +61,7 @@
     /// had begun at `begun` if it had.
     pub async fn note_broken(&self, place: &Placement, begun: Option<Instant>) {
         let begun = begun.map(|at| at.elapsed());
-        if begun.is_some_and(|it| it >= RAN_WELL_AFTER) {
+        if begun.is_some_and(|it| it >= SUCCESS_AFTER) {
             return self.ran_well();
         }
         let found = look(place.address.into()).await;
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -18,7 +18,7 @@
 use crate::store::{Source, apply, read_whole};
 use core::time::Duration;
 use format::FormatError;
-use oriolemux_core::gateway::catch_up::{LARGE_NEWS, MAX_LARGE_TOLD, NotTold};
+use oriolemux_core::gateway::catch_up::{FetchFailure, LARGE_DELTA_BYTES, MAX_LARGE_TRANSFERS};
 use oriolemux_core::gateway::replica::News;
 use std::collections::BTreeMap;
 use std::io;
@@ -65,10 +65,10 @@
         }
     }
 
-    const fn not_told(&self) -> NotTold {
+    const fn not_told(&self) -> FetchFailure {
         match self {
-            FetchError::Refused => NotTold::Refused,
-            _ => NotTold::Failed,
+            FetchError::Refused => FetchFailure::Refused,
+            _ => FetchFailure::Failed,
         }
     }
 }
@@ -97,7 +97,7 @@
     match fetched {
         Ok(news) => {
             ByReason::PeerAnswers.add("told");
-            note!(ToldByPeer, peer:% = peer, revision = news.revision, whole = news.whole,
+            note!(ToldByPeer, peer:% = peer, revision = news.revision, whole = news.is_full,
                 records = news.records.len(), ms = ms);
             take_news(cx, news);
         }
@@ -121,15 +121,15 @@
 }
 
 fn take_news<W: Wire>(cx: &Cx<W>, news: News) {
-    let seen: BTreeMap<String, ()> = match news.whole {
+    let seen: BTreeMap<String, ()> = match news.is_full {
         true => news.records.iter().map(|it| (it.key.clone(), ())).collect(),
         false => BTreeMap::new(),
     };
     let has_news = apply(cx, Source::Peer, news.records);
-    if news.whole {
+    if news.is_full {
         read_whole(cx, Source::Peer, &seen, news.revision);
     } else {
-        cx.state().replica.reached(news.revision);
+        cx.state().replica.advance_to(news.revision);
     }
     if has_news {
         // Who was told can tell it on, and the others must hear so at once.
@@ -211,15 +211,15 @@
 /// Tells all that the peer has not, unless that is much and others are being told.
 async fn tell_all<W: Wire>(cx: &Arc<Cx<W>>, mut stream: TcpStream) -> io::Result<Told> {
     let after = stream.read_u64().await?;
-    let size = cx.state().replica.news_size(after);
-    if size <= LARGE_NEWS {
+    let size = cx.state().replica.delta_size(after);
+    if size <= LARGE_DELTA_BYTES {
         let bytes = encode(cx, after)?;
         stream.write_all(&bytes).await?;
         stream.shutdown().await?;
         cx.note_sent(STORE_NEWS, bytes.len());
         return Ok(Told::Little);
     }
-    let Some(_telling) = cx.begin_large_telling(MAX_LARGE_TOLD) else {
+    let Some(_telling) = cx.begin_large_telling(MAX_LARGE_TRANSFERS) else {
         return Ok(Told::Little);
     };
     let bytes = encode(cx, after)?;
@@ -232,6 +232,6 @@
 }
 
 fn encode<W: Wire>(cx: &Cx<W>, after: u64) -> io::Result<Vec<u8>> {
-    let news = cx.state().replica.news_for(after);
+    let news = cx.state().replica.delta_since(after);
     format::encode(&news).map_err(io::Error::other)
 }
--- a/crates/gateway/src/catch_up/format.rs
+++ b/crates/gateway/src/catch_up/format.rs
@@ -6,7 +6,7 @@
 //! instances are small, and a peer is told a tenth as long.
 
 use bincode::config::{Configuration, Limit, LittleEndian, Varint, standard};
-use oriolemux_core::gateway::catch_up::LARGE_NEWS;
+use oriolemux_core::gateway::catch_up::LARGE_DELTA_BYTES;
 use oriolemux_core::gateway::replica::News;
 
 /// The largest answer of a peer, before it is compressed: a store of the size that is
@@ -47,7 +47,7 @@
 pub fn encode(news: &News) -> Result<Vec<u8>, bincode::error::EncodeError> {
     let mut plain = vec![PLAIN];
     bincode::serde::encode_into_std_write(news, &mut plain, config())?;
-    if plain.len() <= LARGE_NEWS {
+    if plain.len() <= LARGE_DELTA_BYTES {
         return Ok(plain);
     }
     let mut compressed = vec![COMPRESSED];
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -48,7 +48,7 @@
         changed.as_mut().enable();
         let (catalogue, store_is_away) = {
             let state = cx.state();
-            (state.servable().cloned(), state.reader.is_away())
+            (state.servable().cloned(), state.reader.is_unavailable())
         };
         if catalogue.is_some() {
             return catalogue;
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -12,7 +12,7 @@
 use oriolemux_core::gateway::rate_limits::ToldLimit;
 use oriolemux_core::gateway::reader::CallFailure;
 use oriolemux_core::gateway::usage::ToldLoad;
-use oriolemux_core::gateway::{CatalogueSource, Cordon, Mark, Record};
+use oriolemux_core::gateway::{CatalogueSource, ContentHash, Cordon, Record};
 use std::net::SocketAddrV4;
 
 /// What the headers of a caller's request say.
@@ -150,22 +150,22 @@
 
 impl Published {
     /// Returns the mark of `record`, which means this.
-    pub fn mark(&self, record: &Record) -> Mark {
+    pub fn mark(&self, record: &Record) -> ContentHash {
         match self {
             Published::Endpoint(endpoint) => {
-                Mark::of(&record.key, &[endpoint.meaning().as_bytes()])
+                ContentHash::of(&record.key, &[endpoint.meaning().as_bytes()])
             }
             Published::Cordon { cordon, .. } if cordon.is_closed => {
-                Mark::of(&record.key, &[b"closed"])
+                ContentHash::of(&record.key, &[b"closed"])
             }
             Published::EndpointGone(_) | Published::Cordon { .. } | Published::Other => {
-                Mark::NOTHING
+                ContentHash::NOTHING
             }
             Published::Catalogue(_)
             | Published::EndpointUnreadable { .. }
             | Published::Unreadable(_) => {
                 let value = record.value.as_deref().unwrap_or_default();
-                Mark::of(&record.key, &[value])
+                ContentHash::of(&record.key, &[value])
             }
         }
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -38,7 +38,7 @@
     Delivery, GoOnFrom, Relocation, Step, View, silence_limit,
 };
 use oriolemux_core::gateway::state::Placement;
-use oriolemux_core::suspects::RAN_WELL_AFTER;
+use oriolemux_core::suspects::SUCCESS_AFTER;
 use pace::Pace;
 use std::sync::Arc;
 use std::time::Instant;
@@ -271,7 +271,7 @@
     /// Returns why it may not: it ended its engines, or runs elsewhere too.
     async fn may_go_on(&self) -> Result<(), Reason> {
         let ran_for = self.begun.map(|at| at.elapsed());
-        if ran_for.is_some_and(|it| it >= RAN_WELL_AFTER) {
+        if ran_for.is_some_and(|it| it >= SUCCESS_AFTER) {
             self.job.ran_well();
         }
         self.job.admitted_to_go_on().await
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -214,7 +214,10 @@
             catalogue_version: state.catalogue().map(|it| it.version()),
             store: StoreStatus {
                 revision: state.replica.revision(),
-                answered_ms_ago: state.reader.heard().map(|heard| millis(now.since(heard))),
+                answered_ms_ago: state
+                    .reader
+                    .last_answer()
+                    .map(|heard| millis(now.since(heard))),
                 watches: state.watches(now),
                 unsettled: state.may_miss_records(now),
             },
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -10,7 +10,9 @@
 use crate::note;
 use crate::ports::{Published, Store, Wire};
 use core::time::Duration;
-use oriolemux_core::gateway::reader::{ANSWER_SLACK, CallFailure, Step, StoreReader, WATCH_WAIT};
+use oriolemux_core::gateway::reader::{
+    CallFailure, Step, StoreReader, WATCH_TIMEOUT_MARGIN, WATCH_WAIT,
+};
 use oriolemux_core::gateway::replica::{Applied, Record};
 use oriolemux_core::gateway::{CatalogueSource, Cordon, CordonEffect};
 use oriolemux_core::time::Time;
@@ -28,7 +30,7 @@
         let step = cx.state().next_step(cx.now());
         match step {
             Step::Pause(pause) => sleep(pause).await,
-            Step::Listen(pause) => {
+            Step::StandBy(pause) => {
                 cx.state().reader.stand_by();
                 sleep(pause).await;
             }
@@ -73,9 +75,9 @@
 
 /// Ends a read of everything as of revision `began`: what `seen` does not name is gone.
 pub fn read_whole<W: Wire>(cx: &Cx<W>, from: Source, seen: &BTreeMap<String, ()>, began: u64) {
-    let missing = cx.state().replica.missing_from(seen, began);
+    let missing = cx.state().replica.removals_after_read(seen, began);
     apply(cx, from, missing);
-    cx.state().replica.read_whole(began);
+    cx.state().replica.finish_full_read(began);
     lift_missing_cordons(cx, from, began);
     cx.changed.notify_waiters();
 }
@@ -111,7 +113,7 @@
 async fn watch<W: Wire, S: Store>(cx: &Cx<W>, store: &S) {
     let after = cx.state().replica.revision();
     let answer = store
-        .watch(after, WATCH_WAIT, WATCH_WAIT + ANSWER_SLACK)
+        .watch(after, WATCH_WAIT, WATCH_WAIT + WATCH_TIMEOUT_MARGIN)
         .await;
     let mut answered: fn(&mut StoreReader, Time) -> bool = StoreReader::on_answer;
     let result = answer.map(|changes| {
@@ -121,7 +123,7 @@
         let has_news = apply(cx, Source::Store, changes.records);
         let now = cx.now();
         let mut state = cx.state();
-        state.replica.reached(changes.revision);
+        state.replica.advance_to(changes.revision);
         state.update_behind(now);
         if has_news {
             state.announce();
@@ -194,7 +196,7 @@
         }
         let published = cx.wire.decode(&record);
         let mark = published.mark(&record);
-        if cx.state().replica.apply(record.clone(), mark) != Applied::News {
+        if cx.state().replica.apply(record.clone(), mark) != Applied::Changed {
             continue;
         }
         has_news = true;
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -12,7 +12,7 @@
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::fingerprint::Fingerprint;
-use oriolemux_core::suspects::{Admission, Turn};
+use oriolemux_core::suspects::{Admission, SuspectRun};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::time::timeout;
@@ -27,7 +27,7 @@
 /// A request that counts as running until it is dropped.
 pub struct Run<W: Wire> {
     cx: Arc<Cx<W>>,
-    turn: Turn,
+    turn: SuspectRun,
 }
 
 impl<W: Wire> Run<W> {
--- a/crates/gateway/tests/catch_up_format.rs
+++ b/crates/gateway/tests/catch_up_format.rs
@@ -8,7 +8,7 @@
 fn news(records: Vec<Record>) -> News {
     News {
         revision: 70,
-        whole: false,
+        is_full: false,
         records,
     }
 }
