--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -58,7 +58,7 @@
     /// What those say that watch the store.
     pub beacons: Vec<Beacon>,
     /// Which requests ended which endpoints.
-    pub blames: Vec<CrashRecord>,
+    pub crash_records: Vec<CrashRecord>,
     /// Which data centres are closed to new work, or open again.
     pub cordons: Vec<Cordon>,
     /// Which endpoints named a limit, or name none any more.
@@ -71,7 +71,7 @@
         self.members.is_empty()
             && self.leaving.is_empty()
             && self.beacons.is_empty()
-            && self.blames.is_empty()
+            && self.crash_records.is_empty()
             && self.cordons.is_empty()
             && self.limits.is_empty()
     }
@@ -100,7 +100,9 @@
     /// Returns the revisions and digests of the store that it says somebody knows.
     pub fn claims(&self) -> impl Iterator<Item = (u64, u64)> {
         let news = match &self.body {
-            Body::Probe { news, .. } | Body::Ack { news, .. } | Body::Gossip(news) => Some(news),
+            Body::Probe { gossip: news, .. }
+            | Body::Ack { gossip: news, .. }
+            | Body::Gossip(news) => Some(news),
             _ => None,
         };
         let beacons = news.into_iter().flat_map(|it| &it.beacons);
@@ -122,7 +124,7 @@
         /// [`Ledger::digest`](crate::suspects::Ledger::digest); set as it is sent.
         suspects: u64,
         /// News.
-        news: GossipItems,
+        gossip: GossipItems,
     },
     /// Answers a probe.
     Ack {
@@ -132,7 +134,7 @@
         /// on for another instance.
         members: Option<u64>,
         /// News.
-        news: GossipItems,
+        gossip: GossipItems,
     },
     /// Asks to probe another instance in the sender's place.
     IndirectProbe {
@@ -170,7 +172,7 @@
             number,
             members,
             suspects: 0,
-            news,
+            gossip: news,
         }
     }
 
@@ -179,7 +181,7 @@
         Body::Ack {
             number,
             members: None,
-            news: GossipItems::default(),
+            gossip: GossipItems::default(),
         }
     }
 
@@ -194,7 +196,7 @@
     /// Returns the news that it carries along.
     pub fn gossip_mut(&mut self) -> Option<&mut GossipItems> {
         match self {
-            Body::Probe { news, .. } | Body::Ack { news, .. } => Some(news),
+            Body::Probe { gossip: news, .. } | Body::Ack { gossip: news, .. } => Some(news),
             _ => None,
         }
     }
@@ -229,7 +231,7 @@
     beacons: BTreeMap<SocketAddrV4, Told<Beacon>>,
     cordons: BTreeMap<String, Told<Cordon>>,
     limits: BTreeMap<EndpointKey, Told<EndpointKey>>,
-    blames: BTreeMap<Fingerprint, Told<CrashRecord>>,
+    crash_records: BTreeMap<Fingerprint, Told<CrashRecord>>,
     /// [`Outbox::blames`], the newest last.
     order: Vec<Fingerprint>,
     /// How many of [`Outbox::blames`] may be told now.
@@ -268,11 +270,11 @@
         self.order.retain(|it| *it != blame.fingerprint);
         if self.order.len() >= MAX_BLAMES_WAITING {
             let oldest = self.order.remove(0);
-            self.blames.remove(&oldest);
+            self.crash_records.remove(&oldest);
         }
         self.order.push(blame.fingerprint);
         let told = Told::new(blame.clone(), tells(instances));
-        self.blames.insert(blame.fingerprint, told);
+        self.crash_records.insert(blame.fingerprint, told);
     }
 
     /// Lets time pass for what may be told.
@@ -289,7 +291,7 @@
             || any_new(&self.beacons)
             || any_new(&self.cordons)
             || any_new(&self.limits)
-            || (self.allowance >= 1.0 && any_new(&self.blames))
+            || (self.allowance >= 1.0 && any_new(&self.crash_records))
     }
 
     /// Returns what is told now to so many peers; the newest first.
@@ -298,7 +300,7 @@
             members: take(&mut self.members, peers),
             leaving: take(&mut self.leaving, peers),
             beacons: take(&mut self.beacons, peers),
-            blames: self.take_blames(peers),
+            crash_records: self.take_blames(peers),
             cordons: take(&mut self.cordons, peers),
             // The words are written as they are sent, since each carries its age.
             limits: Vec::new(),
@@ -324,12 +326,16 @@
     fn take_blames(&mut self, peers: u32) -> Vec<CrashRecord> {
         let newest = self.order.iter().rev();
         let mut keys: Vec<Fingerprint> = newest.copied().collect();
-        let ended = |it: &Fingerprint| self.blames.get(it).map_or(0, |it| it.item.ended.len());
+        let ended = |it: &Fingerprint| {
+            self.crash_records
+                .get(it)
+                .map_or(0, |it| it.item.crashed.len())
+        };
         keys.sort_by_key(|it| core::cmp::Reverse(ended(it)));
         keys.truncate(self.allowance as usize);
         self.allowance -= keys.len() as f64;
-        let blames = tell(&mut self.blames, &keys, peers);
-        let left = &self.blames;
+        let blames = tell(&mut self.crash_records, &keys, peers);
+        let left = &self.crash_records;
         self.order.retain(|it| left.contains_key(it));
         blames
     }
--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -22,7 +22,7 @@
 use crate::ids::{EndpointKey, Incarnation};
 use crate::time::Time;
 use core::time::Duration;
-use ejections::Doubts;
+use ejections::Ejections;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -41,19 +41,19 @@
 struct Reporter {
     incarnation: Incarnation,
     number: u64,
-    heard: Time,
+    received_at: Time,
     data_centre: String,
     used: Vec<(EndpointKey, Used)>,
     failing: Vec<EndpointKey>,
-    passed_over: Vec<EndpointKey>,
+    ejected: Vec<EndpointKey>,
     /// How many instances it knows, those that were lost included.
     known: u32,
     requests: Vec<PlacementRequest>,
     /// Whether this instance is to decide about the placement requests.
     decides: bool,
     /// Whether an answer is due even if nothing was decided anew.
-    owed: bool,
-    viewed: Option<Time>,
+    owes_answer: bool,
+    view_sent_at: Option<Time>,
     /// What was granted and is not in a report yet.
     reserved: BTreeMap<u64, (EndpointKey, Used)>,
 }
@@ -63,7 +63,7 @@
 pub struct Home {
     reporters: BTreeMap<SocketAddrV4, Reporter>,
     /// Engines that instances could not use lately.
-    doubts: Doubts,
+    ejections: Ejections,
     /// Requests that were granted at engines that bear few.
     bounded_granted: SlidingCount,
 }
@@ -96,7 +96,7 @@
         cold::rate_bound(now, engine, self.endpoints, self.cold.as_ref(), self.named)
     }
 
-    fn bounded(&self, now: Time) -> Vec<EndpointKey> {
+    fn rate_limited(&self, now: Time) -> Vec<EndpointKey> {
         if self.cold.is_none() && self.named.is_empty() {
             return Vec::new();
         }
@@ -121,31 +121,31 @@
             .filter(|it| it.incarnation == life);
         let (viewed, mut reserved) = match known {
             Some(known) if known.number >= report.number => return,
-            Some(known) => (known.viewed, core::mem::take(&mut known.reserved)),
+            Some(known) => (known.view_sent_at, core::mem::take(&mut known.reserved)),
             None => (None, BTreeMap::new()),
         };
         let requests = report.requests.into_iter().take(MAX_WAITING);
-        let requests: Vec<PlacementRequest> = requests.map(|it| it.at(now)).collect();
+        let requests: Vec<PlacementRequest> = requests.map(|it| it.into_request(now)).collect();
         reserved.retain(|id, _| requests.iter().any(|it| it.waiter.id == *id));
-        for &engine in &report.passed_over {
+        for &engine in &report.ejected {
             let known = self.reporters.get(&from);
-            if !known.is_some_and(|it| it.passed_over.contains(&engine)) {
-                self.doubts.note(now, engine, from);
+            if !known.is_some_and(|it| it.ejected.contains(&engine)) {
+                self.ejections.record(now, engine, from);
             }
         }
         let reporter = Reporter {
             incarnation: life,
             number: report.number,
-            heard: now,
+            received_at: now,
             data_centre: report.data_centre,
             used: report.used,
             failing: report.failing,
-            passed_over: report.passed_over,
+            ejected: report.ejected,
             known: report.known,
             decides: report.decides,
-            owed: report.decides && !requests.is_empty(),
+            owes_answer: report.decides && !requests.is_empty(),
             requests,
-            viewed,
+            view_sent_at: viewed,
             reserved,
         };
         self.reporters.insert(from, reporter);
@@ -154,8 +154,8 @@
     /// Forgets instances that fell silent.
     pub fn tick(&mut self, now: Time) {
         self.reporters
-            .retain(|_, it| now.since(it.heard) < REPORT_TTL);
-        self.doubts.tick(now);
+            .retain(|_, it| now.since(it.received_at) < REPORT_TTL);
+        self.ejections.tick(now);
         self.bounded_granted.tick(now);
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Returns how many requests wait for a place that this instance is to give.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         let asking = self.reporters.values().filter(|it| it.decides);
         let requests = asking.flat_map(|it| &it.requests);
         requests.filter(|it| it.want == Want::Place).count()
@@ -181,7 +181,7 @@
     /// Returns what all instances but `except` run.
     pub fn others(&self, now: Time, except: Option<SocketAddrV4>) -> Others {
         let mut others = Others::default();
-        others.passed_over.extend(self.doubts.passed_over(now));
+        others.passed_over.extend(self.ejections.ejected(now));
         let counted = self.reporters.iter().filter(|it| Some(*it.0) != except);
         for (_, reporter) in counted {
             for &(key, used) in reporter.used.iter().chain(reporter.reserved.values()) {
@@ -208,10 +208,10 @@
         for (from, reporter) in &mut self.reporters {
             let told = decided.remove(from).unwrap_or_default();
             let has_grant = told.iter().any(|(_, it)| !matches!(it, Decision::Waits(_)));
-            if told.is_empty() || !(has_grant || reporter.owed) {
+            if told.is_empty() || !(has_grant || reporter.owes_answer) {
                 continue;
             }
-            reporter.owed = false;
+            reporter.owes_answer = false;
             reporter.requests.retain(|request| {
                 let is_denied = |&(id, it): &(u64, Decision)| {
                     id == request.waiter.id && matches!(it, Decision::Denied(_))
@@ -258,12 +258,12 @@
     fn view_for(&mut self, now: Time, from: SocketAddrV4) -> Option<Others> {
         let reporter = self.reporters.get_mut(&from)?;
         let is_due = reporter
-            .viewed
+            .view_sent_at
             .is_none_or(|at| now.since(at) >= VIEW_INTERVAL);
         if !is_due {
             return None;
         }
-        reporter.viewed = Some(now);
+        reporter.view_sent_at = Some(now);
         Some(self.others(now, Some(from)))
     }
 
@@ -303,7 +303,7 @@
                         Err(why) => Decision::Denied(why),
                     };
                     if let (Ok(key), None) = (place, granted) {
-                        let used = request.reserves();
+                        let used = request.reserved_usage();
                         others.add(key, used);
                         reporter.reserved.insert(id, (key, used));
                     }
@@ -337,7 +337,7 @@
                         let told = (request.waiter.id, Decision::Granted(*key));
                         decided.entry(*from).or_default().push(told);
                     }
-                    None => waiting.push((*from, reporter.asking(request))),
+                    None => waiting.push((*from, reporter.queued(request))),
                 }
             }
         }
@@ -364,7 +364,7 @@
                 }
                 reporter
                     .reserved
-                    .insert(id, (key, asking.request.reserves()));
+                    .insert(id, (key, asking.request.reserved_usage()));
             }
             decided.entry(*from).or_default().push((id, decision));
         }
@@ -372,11 +372,11 @@
 }
 
 impl Reporter {
-    fn asking(&self, request: &PlacementRequest) -> Asking {
+    fn queued(&self, request: &PlacementRequest) -> Asking {
         Asking {
             request: request.clone(),
             data_centre: self.data_centre.clone(),
-            avoids: self.passed_over.clone(),
+            avoids: self.ejected.clone(),
         }
     }
 
@@ -394,7 +394,7 @@
 ) -> Result<EndpointKey, NoPlace> {
     // What bears few requests gets them in their turn only, within its bound.
     let mut exclude = request.exclude.clone();
-    exclude.extend(engines.bounded(world.now));
+    exclude.extend(engines.rate_limited(world.now));
     let demand = Demand {
         service: engines.service,
         engine: Some(engines.limits),
--- a/crates/core/src/gateway/home/ejections.rs
+++ b/crates/core/src/gateway/home/ejections.rs
@@ -27,7 +27,7 @@
 
 /// An engine that instances could not use.
 #[derive(Clone, Debug, Default)]
-struct Doubted {
+struct Ejection {
     /// Who could not use it.
     by: BTreeSet<SocketAddrV4>,
     /// How often that was.
@@ -40,14 +40,14 @@
 
 /// All such engines of a service.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Doubts {
-    doubted: BTreeMap<EndpointKey, Doubted>,
+pub(super) struct Ejections {
+    by_engine: BTreeMap<EndpointKey, Ejection>,
 }
 
-impl Doubts {
+impl Ejections {
     /// Notes that an instance could not use an engine.
-    pub(super) fn note(&mut self, now: Time, engine: EndpointKey, by: SocketAddrV4) {
-        let doubted = self.doubted.entry(engine).or_default();
+    pub(super) fn record(&mut self, now: Time, engine: EndpointKey, by: SocketAddrV4) {
+        let doubted = self.by_engine.entry(engine).or_default();
         doubted.by.insert(by);
         doubted.last = now;
         if doubted.by.len() >= DOUBTERS {
@@ -59,13 +59,13 @@
 
     /// Forgets what is long ago.
     pub(super) fn tick(&mut self, now: Time) {
-        self.doubted
+        self.by_engine
             .retain(|_, it| now.since(it.last) < DOUBT_FORGOTTEN);
     }
 
     /// Returns the engines that are passed over now.
-    pub(super) fn passed_over(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
-        let doubted = self.doubted.iter().filter(move |(_, it)| now < it.until);
+    pub(super) fn ejected(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
+        let doubted = self.by_engine.iter().filter(move |(_, it)| now < it.until);
         doubted.map(|(engine, _)| *engine)
     }
 }
--- a/crates/core/src/gateway/home/message.rs
+++ b/crates/core/src/gateway/home/message.rs
@@ -35,7 +35,7 @@
     /// Engines of which the last that the instance saw was a failure.
     pub failing: Vec<EndpointKey>,
     /// Engines that it cannot use at the moment.
-    pub passed_over: Vec<EndpointKey>,
+    pub ejected: Vec<EndpointKey>,
     /// How many instances it knows, those that it lost included.
     pub known: u32,
     /// What it waits for.
@@ -75,7 +75,7 @@
     }
 
     /// Returns what is kept for it until its instance counts it.
-    pub(super) fn reserves(&self) -> Used {
+    pub(super) fn reserved_usage(&self) -> Used {
         let Waiter { tokens, prompt, .. } = self.waiter;
         match self.want {
             Want::Place | Want::Aside => Used {
@@ -93,7 +93,7 @@
 }
 
 impl PlacementMessage {
-    pub(super) fn at(self, now: Time) -> PlacementRequest {
+    pub(super) fn into_request(self, now: Time) -> PlacementRequest {
         PlacementRequest {
             waiter: Waiter::told(now, &self.waiting),
             want: self.want,
--- a/crates/core/src/gateway/replica.rs
+++ b/crates/core/src/gateway/replica.rs
@@ -68,7 +68,7 @@
 
 /// What one instance tells another of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct StoreDelta {
     /// The revision up to which the teller knows everything.
     pub revision: u64,
     /// Whether these are all records, so that a key that is missing is gone.
@@ -128,8 +128,8 @@
 
     /// Returns what a peer needs that knows everything up to `after`: the changes since,
     /// if this replica saw all of them, and else everything.
-    pub fn delta_since(&self, after: u64) -> News {
-        News {
+    pub fn delta_since(&self, after: u64) -> StoreDelta {
+        StoreDelta {
             revision: self.revision,
             is_full: after < self.complete_since,
             records: self.changed_since(after).cloned().collect(),
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -94,16 +94,16 @@
     /// What those say that watch the store.
     beacons: Beacons,
     beacons_sent: u64,
-    beaconed: Option<Time>,
+    last_beacon: Option<Time>,
     /// News that is still told.
     outbox: Outbox,
     /// Whether peers are to hear soon that this instance knows more of the store.
-    announces: bool,
+    announce_soon: bool,
     /// What is known as the home of a service's engines, by the hash of its name.
     homes: BTreeMap<u64, Home>,
     /// Places that this instance asks for.
-    asks: AskTable,
-    ask_changes: u64,
+    placements: AskTable,
+    placement_changes: u64,
     reported: BTreeMap<u64, Reported>,
     reports_sent: u64,
     /// How many instances there are, lost ones included.
@@ -143,12 +143,12 @@
             members,
             beacons: Beacons::default(),
             beacons_sent: 0,
-            beaconed: None,
+            last_beacon: None,
             outbox: Outbox::default(),
-            announces: false,
+            announce_soon: false,
             homes: BTreeMap::new(),
-            asks: AskTable::default(),
-            ask_changes: 0,
+            placements: AskTable::default(),
+            placement_changes: 0,
             reported: BTreeMap::new(),
             reports_sent: 0,
             fleet,
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -128,14 +128,14 @@
                 number,
                 members,
                 suspects,
-                news,
+                gossip,
             } => {
-                self.hear_news(now, news, heard, change);
+                self.hear_news(now, gossip, heard, change);
                 self.tell_suspects(now, from, suspects, &mut heard.send);
                 let ack = Body::Ack {
                     number,
                     members: Some(self.members.digest()),
-                    news: GossipItems::default(),
+                    gossip: GossipItems::default(),
                 };
                 heard.send.push((from, ack));
                 self.sync_with(now, from, members, heard);
@@ -143,9 +143,9 @@
             Body::Ack {
                 number,
                 members,
-                news,
+                gossip,
             } => {
-                self.hear_news(now, news, heard, change);
+                self.hear_news(now, gossip, heard, change);
                 heard.send.extend(self.members.on_ack(number));
                 if let Some(members) = members {
                     self.sync_with(now, from, members, heard);
@@ -219,7 +219,7 @@
                 heard.cordons.push((cordon, told));
             }
         }
-        self.hear_blames(now, &news.blames);
+        self.hear_blames(now, &news.crash_records);
     }
 
     fn sync_with(
@@ -255,12 +255,12 @@
 
     /// Tells a few peers soon that this instance knows more of the store than before.
     pub fn announce(&mut self) {
-        self.announces = true;
+        self.announce_soon = true;
     }
 
     /// Returns the longest time until the next look at what is due.
     pub fn tick_interval(&self) -> Duration {
-        match self.asks.any_unanswered() || self.suspects.runs.any_waiting() {
+        match self.placements.any_unanswered() || self.suspects.runs.any_waiting() {
             true => REPORT_AGAIN,
             false => TICK,
         }
@@ -299,12 +299,12 @@
 
     fn beacon(&mut self, now: Time) {
         let is_due = self
-            .beaconed
+            .last_beacon
             .is_none_or(|at| now.since(at) >= BEACON_INTERVAL);
         if !is_due || !self.speaks_of_store(now) {
             return;
         }
-        self.beaconed = Some(now);
+        self.last_beacon = Some(now);
         self.beacons_sent += 1;
         let own = Beacon {
             origin: self.cfg.address,
@@ -329,7 +329,7 @@
     }
 
     fn tell_news(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) {
-        let announces = core::mem::take(&mut self.announces);
+        let announces = core::mem::take(&mut self.announce_soon);
         if !announces && !self.outbox.has_new() {
             return;
         }
@@ -360,7 +360,7 @@
             news.members.append(&mut items.members);
             news.leaving.append(&mut items.leaving);
             news.beacons.append(&mut items.beacons);
-            news.blames.append(&mut items.blames);
+            news.crash_records.append(&mut items.crash_records);
             news.cordons.append(&mut items.cordons);
             news.limits.append(&mut items.limits);
         }
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -175,41 +175,41 @@
 
     /// Asks for a place.
     pub fn request_placement(&mut self, now: Time, request: PlacementRequest) {
-        self.asks.enter(now, request);
-        self.ask_changes += 1;
+        self.placements.enter(now, request);
+        self.placement_changes += 1;
     }
 
     /// Asks no longer, because the request has its place or gave up.
     pub fn withdraw_placement(&mut self, id: u64) {
-        self.asks.leave(id);
-        self.ask_changes += 1;
+        self.placements.leave(id);
+        self.placement_changes += 1;
     }
 
     /// Returns what a request that asked for a place goes by.
     pub fn verdict(&self, now: Time, id: u64) -> Verdict {
-        self.asks.verdict(now, id)
+        self.placements.verdict(now, id)
     }
 
     /// Notes that no home answered a request for a place of `service`: the next in rank is
     /// asked.
     pub fn on_home_timeout(&mut self, now: Time, service: u64, id: u64) {
         if let Some(home) = self.acting_home(now, service) {
-            self.asks.pass_over(now, home);
+            self.placements.pass_over(now, home);
         }
         self.retry_placement(now, id);
     }
 
     /// Asks anew, because what was granted cannot be taken.
     pub fn retry_placement(&mut self, now: Time, id: u64) {
-        self.asks.ask_again(now, id);
-        self.ask_changes += 1;
+        self.placements.ask_again(now, id);
+        self.placement_changes += 1;
     }
 
     /// Returns what runs at an endpoint, as far as this instance knows.
     pub fn used(&self, key: EndpointKey) -> Used {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
-        let others = service.and_then(|it| self.asks.view(it));
+        let others = service.and_then(|it| self.placements.view(it));
         let others = others.map(|it| it.of(key)).unwrap_or_default();
         self.usage.own(key).and(others)
     }
@@ -219,7 +219,7 @@
     pub fn has_no_pending_prefill(&self, now: Time, key: EndpointKey) -> bool {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
-        let others = service.and_then(|it| self.asks.fresh_view(now, it, UNREAD_FRESH));
+        let others = service.and_then(|it| self.placements.fresh_view(now, it, UNREAD_FRESH));
         let others = others.map_or(0, |it| it.of(key).unread);
         self.usage.own(key).unread + others == 0
     }
@@ -248,13 +248,13 @@
     /// Returns the home that is asked about a service now.
     pub fn acting_home(&self, now: Time, service: u64) -> Option<SocketAddrV4> {
         let [first, second] = self.homes(service);
-        let answers = |it: &SocketAddrV4| !self.asks.is_passed_over(now, *it);
+        let answers = |it: &SocketAddrV4| !self.placements.is_passed_over(now, *it);
         first.filter(answers).or(second.filter(answers)).or(first)
     }
 
     /// Returns how many requests wait for a decision of this instance as the home of a service.
-    pub fn waiting_here(&self, service: u64) -> usize {
-        self.homes.get(&service).map_or(0, |it| it.waiting())
+    pub fn queued_at_home(&self, service: u64) -> usize {
+        self.homes.get(&service).map_or(0, |it| it.queued_count())
     }
 
     /// Takes a report in and decides what follows from it; returns whether a request of this
@@ -275,10 +275,10 @@
     /// Takes in what a home answered.
     pub(super) fn hear_answer(&mut self, now: Time, answer: PlacementAnswer) {
         for (id, decision) in answer.decisions {
-            self.asks.hear(now, id, decision);
+            self.placements.hear(now, id, decision);
         }
         if let Some(view) = answer.view {
-            self.asks.set_view(now, answer.service, view);
+            self.placements.set_view(now, answer.service, view);
         }
     }
 
@@ -310,13 +310,15 @@
         let used = endpoints.map(|it| service_hash(&it.record.service));
         let spoken = self.reported.iter().filter(|(_, it)| !it.empty);
         let spoken = spoken.map(|(service, _)| *service);
-        used.chain(spoken).chain(self.asks.services()).collect()
+        used.chain(spoken)
+            .chain(self.placements.services())
+            .collect()
     }
 
     fn report_about(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) {
-        let changes = self.usage.changes() + self.ask_changes;
+        let changes = self.usage.changes() + self.placement_changes;
         let ranks = self.homes(service);
-        let interval = match self.asks.is_unanswered(service) {
+        let interval = match self.placements.is_unanswered(service) {
             Some(true) => REPORT_AGAIN,
             Some(false) => REPORT_WAITING,
             None => REPORT_INTERVAL,
@@ -343,9 +345,13 @@
                 .filter(|(key, _)| of_service(key))
                 .collect(),
             failing: self.endpoints.failing().filter(of_service).collect(),
-            passed_over: self.endpoints.passed_over(now).filter(of_service).collect(),
+            ejected: self.endpoints.passed_over(now).filter(of_service).collect(),
             known: u32::try_from(self.fleet.known()).unwrap_or(u32::MAX),
-            requests: self.asks.of(service).map(|it| it.to_message(now)).collect(),
+            requests: self
+                .placements
+                .of(service)
+                .map(|it| it.to_message(now))
+                .collect(),
         };
         self.reports_sent += 1;
         let empty = report.used.is_empty() && report.requests.is_empty();
@@ -417,7 +423,7 @@
     /// Returns the tables that a choice for `service` looks at.
     fn world(&self, now: Time, service: &str) -> World<'_> {
         static NOTHING: Others = Others::nothing();
-        let others = self.asks.view(service_hash(service));
+        let others = self.placements.view(service_hash(service));
         World {
             now,
             endpoints: &self.endpoints,
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -156,7 +156,7 @@
             if due.is_unanswered
                 && let Some(home) = self.acting_home(now, key)
             {
-                self.asks.pass_over(now, home);
+                self.placements.pass_over(now, home);
             }
             let known = self.suspects.ledger.record(now, fingerprint);
             for home in self.homes(key).into_iter().flatten() {
@@ -194,7 +194,7 @@
         report: &RunLeaseReport,
     ) -> RunLeaseAnswer {
         self.hear_blames(now, &report.blames);
-        let answer = self.suspects.turns.hear(now, from, report);
+        let answer = self.suspects.turns.on_report(now, from, report);
         RunLeaseAnswer {
             blames: self.suspects.ledger.records_of(now, &report.acquire),
             ..answer
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -309,7 +309,10 @@
     /// A peer told this node, as the home of suspects, what it runs and asks for.
     pub(super) fn on_turns(&mut self, from: PeerId, report: &RunLeaseReport) {
         self.hear_blames(from, &report.blames);
-        let answer = self.suspects.turns.hear(self.now, from.instance, report);
+        let answer = self
+            .suspects
+            .turns
+            .on_report(self.now, from.instance, report);
         if !report.acquire.is_empty() {
             let answer = RunLeaseAnswer {
                 blames: self.suspects.ledger.records_of(self.now, &report.acquire),
--- a/crates/core/src/suspects/ledger.rs
+++ b/crates/core/src/suspects/ledger.rs
@@ -53,7 +53,7 @@
     /// How often it ran well after it had been blamed.
     pub round: u32,
     /// The endpoints that it ended since then.
-    pub ended: Vec<EndpointKey>,
+    pub crashed: Vec<EndpointKey>,
     /// Milliseconds since the last change of this, as the sender knows it.
     pub age_ms: u32,
 }
@@ -72,14 +72,14 @@
 #[derive(Clone, Debug)]
 struct Suspect {
     round: u32,
-    ended: BTreeSet<EndpointKey>,
+    crashed: BTreeSet<EndpointKey>,
     /// When the last change happened.
     changed: Time,
 }
 
 impl Suspect {
     fn hash(&self, fingerprint: Fingerprint) -> u64 {
-        let ended = self.ended.iter().fold(0, |sum, it| sum ^ it.0);
+        let ended = self.crashed.iter().fold(0, |sum, it| sum ^ it.0);
         let round = self.round.to_le_bytes();
         stable_hash(&[
             &fingerprint.rank_key().to_le_bytes(),
@@ -89,7 +89,7 @@
     }
 
     fn kept_for(&self) -> Duration {
-        match self.ended.is_empty() {
+        match self.crashed.is_empty() {
             true => CLEARED_FOR,
             false => REMEMBERED_FOR,
         }
@@ -111,7 +111,7 @@
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return Standing::Free;
         };
-        match suspect.ended.len() {
+        match suspect.crashed.len() {
             0 => Standing::Free,
             ended if ended < MAX_CRASHES => Standing::Suspect,
             _ if now.since(suspect.changed) < REFUSAL_DURATION => Standing::Refused,
@@ -127,7 +127,7 @@
     /// Returns how many endpoints a request is known to have ended.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.map_or(0, |it| it.ended.len())
+        suspect.map_or(0, |it| it.crashed.len())
     }
 
     /// Returns how many suspects there are, and how many of them are refused.
@@ -168,7 +168,7 @@
     /// Notes that a request ran well; returns whether that is news.
     pub fn clear(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let known = self.suspects.get(&fingerprint);
-        let Some(round) = known.filter(|it| !it.ended.is_empty()).map(|it| it.round) else {
+        let Some(round) = known.filter(|it| !it.crashed.is_empty()).map(|it| it.round) else {
             return false;
         };
         self.merge(now, fingerprint, round.saturating_add(1), &[])
@@ -178,11 +178,11 @@
     pub fn hear(&mut self, now: Time, blame: &CrashRecord) -> bool {
         let age = Duration::from_millis(blame.age_ms.into());
         let changed = now.before(age).unwrap_or(Time::ZERO);
-        let kept = match blame.ended.is_empty() {
+        let kept = match blame.crashed.is_empty() {
             true => CLEARED_FOR,
             false => REMEMBERED_FOR,
         };
-        age < kept && self.merge(changed, blame.fingerprint, blame.round, &blame.ended)
+        age < kept && self.merge(changed, blame.fingerprint, blame.round, &blame.crashed)
     }
 
     fn merge(
@@ -197,17 +197,17 @@
             Some(known) if known.round == round => known.clone(),
             _ => Suspect {
                 round,
-                ended: BTreeSet::new(),
+                crashed: BTreeSet::new(),
                 changed,
             },
         };
         let before = self.suspects.get(&fingerprint);
-        let before = before.map(|it| (it.round, it.ended.len()));
-        let room = MAX_ENDED.saturating_sub(suspect.ended.len());
-        let known = suspect.ended.clone();
+        let before = before.map(|it| (it.round, it.crashed.len()));
+        let room = MAX_ENDED.saturating_sub(suspect.crashed.len());
+        let known = suspect.crashed.clone();
         let new = ended.iter().filter(|it| !known.contains(it));
-        suspect.ended.extend(new.take(room));
-        if before == Some((suspect.round, suspect.ended.len())) {
+        suspect.crashed.extend(new.take(room));
+        if before == Some((suspect.round, suspect.crashed.len())) {
             return false;
         }
         suspect.changed = suspect.changed.max(changed);
@@ -226,7 +226,7 @@
 
     /// Removes the suspect that ended the fewest endpoints, and of these the oldest.
     fn remove_least(&mut self) {
-        let rank = |it: &Suspect| (it.ended.len(), it.changed);
+        let rank = |it: &Suspect| (it.crashed.len(), it.changed);
         let least = self.suspects.iter().min_by_key(|(_, it)| rank(it));
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
             self.remove(fingerprint);
@@ -253,7 +253,7 @@
         Some(CrashRecord {
             fingerprint,
             round: suspect.round,
-            ended: suspect.ended.iter().copied().collect(),
+            crashed: suspect.crashed.iter().copied().collect(),
             age_ms: u32::try_from(now.since(suspect.changed).as_millis()).unwrap_or(u32::MAX),
         })
     }
@@ -279,7 +279,7 @@
     /// is the same at all instances, and not by age, which is not.
     fn ranked(&self) -> Vec<(&Fingerprint, &Suspect)> {
         let mut all: Vec<_> = self.suspects.iter().collect();
-        all.sort_by_key(|(_, it)| core::cmp::Reverse(it.ended.len()));
+        all.sort_by_key(|(_, it)| core::cmp::Reverse(it.crashed.len()));
         all
     }
 }
--- a/crates/core/src/suspects/run_leases.rs
+++ b/crates/core/src/suspects/run_leases.rs
@@ -37,7 +37,7 @@
 
     /// Takes in what an instance runs and asks for. What is known of the suspects goes by the
     /// [`Ledger`](super::Ledger).
-    pub fn hear(&mut self, now: Time, from: I, report: &RunLeaseReport) -> RunLeaseAnswer {
+    pub fn on_report(&mut self, now: Time, from: I, report: &RunLeaseReport) -> RunLeaseAnswer {
         for it in &report.release {
             self.release(it.fingerprint, from, it.run);
         }
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -103,7 +103,7 @@
             decides: true,
             used: used.to_vec(),
             failing: Vec::new(),
-            passed_over: self.passed_over.clone(),
+            ejected: self.passed_over.clone(),
             known: 1,
             requests: requests.iter().map(|it| it.to_message(self.now)).collect(),
         };
@@ -241,7 +241,7 @@
         decides: true,
         used: Vec::new(),
         failing: Vec::new(),
-        passed_over: Vec::new(),
+        ejected: Vec::new(),
         known: 1,
         requests: Vec::new(),
     };
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -491,7 +491,7 @@
         let blame = |(body, round, ended, age_ms): (u16, u32, u64, u32)| CrashRecord {
             fingerprint: fingerprint(&body.to_string()),
             round,
-            ended: (0..ended).map(EndpointKey).collect(),
+            crashed: (0..ended).map(EndpointKey).collect(),
             age_ms,
         };
         blames.into_iter().map(blame).collect::<Vec<_>>()
@@ -510,7 +510,7 @@
             blames,
         }),
         _ => Body::Gossip(GossipItems {
-            blames,
+            crash_records: blames,
             ..GossipItems::default()
         }),
     })
@@ -531,7 +531,7 @@
             let ticked = gateway.tick(now);
             for (_, body) in heard.send.into_iter().chain(ticked.send) {
                 if let Body::Gossip(items) = &body {
-                    prop_assert!(items.blames.len() <= 8);
+                    prop_assert!(items.crash_records.len() <= 8);
                 }
             }
         }
--- a/crates/core/tests/suspects_ledger.rs
+++ b/crates/core/tests/suspects_ledger.rs
@@ -122,7 +122,7 @@
     let blame = CrashRecord {
         fingerprint: request(1),
         round: 0,
-        ended: (0..200).map(engine).collect(),
+        crashed: (0..200).map(engine).collect(),
         age_ms: 0,
     };
 
@@ -143,7 +143,7 @@
             .map(|&(number, round, endpoint)| CrashRecord {
                 fingerprint: request(number),
                 round,
-                ended: vec![engine(endpoint)],
+                crashed: vec![engine(endpoint)],
                 age_ms: 0,
             })
             .collect();
@@ -187,25 +187,25 @@
 #[test]
 fn one_run_has_the_turn_until_it_ends() {
     let mut home = home();
-    assert_eq!(home.hear(NOW, 1, &asks(7)).granted, [turn(7)]);
-    assert_eq!(home.hear(NOW, 2, &asks(8)).waiting, [turn(8)]);
+    assert_eq!(home.on_report(NOW, 1, &asks(7)).granted, [turn(7)]);
+    assert_eq!(home.on_report(NOW, 2, &asks(8)).waiting, [turn(8)]);
     let ends = RunLeaseReport {
         release: vec![turn(7)],
         ..RunLeaseReport::default()
     };
-    home.hear(NOW, 1, &ends);
+    home.on_report(NOW, 1, &ends);
 
-    assert_eq!(home.hear(NOW, 2, &asks(8)).granted, [turn(8)]);
+    assert_eq!(home.on_report(NOW, 2, &asks(8)).granted, [turn(8)]);
 }
 
 #[test]
 fn an_instance_that_falls_silent_loses_its_turn() {
     let mut home = home();
-    home.hear(NOW, 1, &asks(7));
+    home.on_report(NOW, 1, &asks(7));
 
     let later = NOW + RUN_LEASE_TTL;
 
-    assert_eq!(home.hear(later, 2, &asks(8)).granted, [turn(8)]);
+    assert_eq!(home.on_report(later, 2, &asks(8)).granted, [turn(8)]);
 }
 
 /// Symptom: two copies run at once. Sequence: a home starts anew while a suspect runs, and is asked
@@ -213,15 +213,15 @@
 #[test]
 fn a_home_that_has_just_begun_gives_no_turn() {
     let mut home = RunLeases::new(NOW);
-    assert_eq!(home.hear(NOW, 2, &asks(8)).waiting, [turn(8)]);
+    assert_eq!(home.on_report(NOW, 2, &asks(8)).waiting, [turn(8)]);
     let holds = RunLeaseReport {
         renew: vec![turn(7)],
         ..RunLeaseReport::default()
     };
     let later = NOW + RUN_LEASE_TTL;
-    home.hear(later, 1, &holds);
+    home.on_report(later, 1, &holds);
 
-    assert_eq!(home.hear(later, 2, &asks(8)).waiting, [turn(8)]);
+    assert_eq!(home.on_report(later, 2, &asks(8)).waiting, [turn(8)]);
 }
 
 /// Symptom: two copies wait for ever. Sequence: both ran when the request became a suspect, and
@@ -234,11 +234,11 @@
             renew: vec![turn(run)],
             ..RunLeaseReport::default()
         };
-        home.hear(NOW, by, &holds);
+        home.on_report(NOW, by, &holds);
     }
-    assert_eq!(home.hear(NOW, 1, &asks(7)).waiting, [turn(7)]);
+    assert_eq!(home.on_report(NOW, 1, &asks(7)).waiting, [turn(7)]);
 
-    assert_eq!(home.hear(NOW, 2, &asks(8)).granted, [turn(8)]);
+    assert_eq!(home.on_report(NOW, 2, &asks(8)).granted, [turn(8)]);
 }
 
 #[test]
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -19,7 +19,7 @@
 use core::time::Duration;
 use format::FormatError;
 use oriolemux_core::gateway::catch_up::{FetchFailure, LARGE_DELTA_BYTES, MAX_LARGE_TRANSFERS};
-use oriolemux_core::gateway::replica::News;
+use oriolemux_core::gateway::replica::StoreDelta;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -120,7 +120,7 @@
     }
 }
 
-fn take_news<W: Wire>(cx: &Cx<W>, news: News) {
+fn take_news<W: Wire>(cx: &Cx<W>, news: StoreDelta) {
     let seen: BTreeMap<String, ()> = match news.is_full {
         true => news.records.iter().map(|it| (it.key.clone(), ())).collect(),
         false => BTreeMap::new(),
@@ -144,7 +144,7 @@
 ///
 /// Fails if the peer cannot be reached, falls silent or refuses, or if its answer cannot
 /// be read. How long an answer takes as long as it comes is the caller's to bound.
-pub async fn fetch(peer: SocketAddrV4, after: u64) -> Result<News, FetchError> {
+pub async fn fetch(peer: SocketAddrV4, after: u64) -> Result<StoreDelta, FetchError> {
     let silent = |_| FetchError::Silent(SILENCE_LIMIT);
     let mut stream = timeout(SILENCE_LIMIT, connect_socket(peer))
         .await
--- a/crates/gateway/src/catch_up/format.rs
+++ b/crates/gateway/src/catch_up/format.rs
@@ -7,7 +7,7 @@
 
 use bincode::config::{Configuration, Limit, LittleEndian, Varint, standard};
 use oriolemux_core::gateway::catch_up::LARGE_DELTA_BYTES;
-use oriolemux_core::gateway::replica::News;
+use oriolemux_core::gateway::replica::StoreDelta;
 
 /// The largest answer of a peer, before it is compressed: a store of the size that is
 /// designed for, twice.
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// Fails if the news is larger than [`MAX_NEWS`].
-pub fn encode(news: &News) -> Result<Vec<u8>, bincode::error::EncodeError> {
+pub fn encode(news: &StoreDelta) -> Result<Vec<u8>, bincode::error::EncodeError> {
     let mut plain = vec![PLAIN];
     bincode::serde::encode_into_std_write(news, &mut plain, config())?;
     if plain.len() <= LARGE_DELTA_BYTES {
@@ -61,7 +61,7 @@
 ///
 /// Says what is wrong with the bytes. A length above [`MAX_NEWS`] is refused before any
 /// memory is taken for it.
-pub fn decode(bytes: &[u8]) -> Result<News, FormatError> {
+pub fn decode(bytes: &[u8]) -> Result<StoreDelta, FormatError> {
     match bytes.split_first() {
         Some((&PLAIN, rest)) => records(rest),
         Some((&COMPRESSED, rest)) => {
@@ -76,7 +76,7 @@
     }
 }
 
-fn records(bytes: &[u8]) -> Result<News, FormatError> {
+fn records(bytes: &[u8]) -> Result<StoreDelta, FormatError> {
     let (news, _) = bincode::serde::decode_from_slice(bytes, config())?;
     Ok(news)
 }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -269,11 +269,11 @@
 
 fn suspect_status(state: &Gateway, now: Time) -> Vec<SuspectStatus> {
     let worst = state.suspects.ledger.worst(now).into_iter();
-    let worst = worst.filter(|it| !it.ended.is_empty());
+    let worst = worst.filter(|it| !it.crashed.is_empty());
     worst
         .map(|it| SuspectStatus {
             request: it.fingerprint.to_string(),
-            ended: it.ended.len(),
+            ended: it.crashed.len(),
             refused: state.is_refused(now, it.fingerprint),
             ended_ms_ago: it.age_ms,
         })
@@ -292,7 +292,7 @@
                 home,
                 next,
                 passed_over: state.acting_home(now, service) != home,
-                waiting_here: state.waiting_here(service),
+                waiting_here: state.queued_at_home(service),
             }
         })
         .collect();
--- a/crates/gateway/tests/catch_up_format.rs
+++ b/crates/gateway/tests/catch_up_format.rs
@@ -1,12 +1,12 @@
 //! The bytes in which instances tell each other what was published.
 
 use oriolemux_core::gateway::Record;
-use oriolemux_core::gateway::replica::News;
+use oriolemux_core::gateway::replica::StoreDelta;
 use oriolemux_gateway::catch_up::format::{FormatError, MAX_NEWS, decode, encode};
 use proptest::prelude::*;
 
-fn news(records: Vec<Record>) -> News {
-    News {
+fn news(records: Vec<Record>) -> StoreDelta {
+    StoreDelta {
         revision: 70,
         is_full: false,
         records,
