--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ReceivedBeacon {
     beacon: Beacon,
     at: Time,
 }
@@ -59,49 +59,54 @@
 /// The last beacon of each instance that watches or did so lately.
 #[derive(Clone, Debug, Default)]
 pub struct Beacons {
-    heard: BTreeMap<SocketAddrV4, Heard>,
+    received: BTreeMap<SocketAddrV4, ReceivedBeacon>,
 }
 
 impl Beacons {
     /// Takes a beacon in; returns whether it was not heard before.
     pub fn on_beacon(&mut self, now: Time, beacon: Beacon) -> bool {
-        let known = self.heard.get(&beacon.origin).map(|it| it.beacon);
+        let known = self.received.get(&beacon.origin).map(|it| it.beacon);
         let is_old = known
             .is_some_and(|it| it.incarnation == beacon.incarnation && it.number >= beacon.number);
         if is_old {
             return false;
         }
-        self.heard.insert(beacon.origin, Heard { beacon, at: now });
+        self.received
+            .insert(beacon.origin, ReceivedBeacon { beacon, at: now });
         true
     }
 
     /// Forgets beacons that say nothing any more.
     pub fn tick(&mut self, now: Time) {
-        self.heard.retain(|_, it| now.since(it.at) < FORGET);
+        self.received.retain(|_, it| now.since(it.at) < FORGET);
     }
 
     /// Returns the instances that the store answered lately.
-    pub fn fresh(&self, now: Time) -> impl Iterator<Item = SocketAddrV4> {
-        let heard = self.heard.values();
+    pub fn recently_answered(&self, now: Time) -> impl Iterator<Item = SocketAddrV4> {
+        let heard = self.received.values();
         heard
-            .filter(move |it| now.since(it.store_heard()) < WATCHER_TIMEOUT)
+            .filter(move |it| now.since(it.store_answered_at()) < WATCHER_TIMEOUT)
             .map(|it| it.beacon.origin)
     }
 
     /// Returns whether entries may be missing from the store, as one that watches says.
     pub fn any_may_miss_records(&self, now: Time) -> bool {
-        let mut heard = self.heard.values();
+        let mut heard = self.received.values();
         heard.any(|it| it.beacon.may_miss_records && now.since(it.at) < UNSETTLED_FRESH)
     }
 
     /// Returns the last beacons.
     pub fn all(&self) -> impl Iterator<Item = &Beacon> {
-        self.heard.values().map(|it| &it.beacon)
+        self.received.values().map(|it| &it.beacon)
     }
 
     /// Returns how many instances may watch, by rank. `since` is when this instance began.
     pub fn may_watch(&self, now: Time, since: Time) -> usize {
-        let last = self.heard.values().map(Heard::store_heard).max();
+        let last = self
+            .received
+            .values()
+            .map(ReceivedBeacon::store_answered_at)
+            .max();
         let silent = now.since(last.unwrap_or(since).max(since));
         let beyond = silent.saturating_sub(WATCHER_TIMEOUT);
         if beyond.is_zero() {
@@ -115,8 +120,8 @@
     }
 }
 
-impl Heard {
-    fn store_heard(&self) -> Time {
+impl ReceivedBeacon {
+    fn store_answered_at(&self) -> Time {
         let age = Duration::from_millis(self.beacon.store_age_ms.into());
         self.at.before(age).unwrap_or(Time::ZERO)
     }
--- a/crates/core/src/gateway/catch_up.rs
+++ b/crates/core/src/gateway/catch_up.rs
@@ -83,7 +83,7 @@
 
 impl CatchUp {
     /// Notes whether some peer knows more of the store than this instance.
-    pub fn note(&mut self, now: Time, behind: bool) {
+    pub fn set_behind(&mut self, now: Time, behind: bool) {
         if !behind {
             self.behind_since = None;
             self.passed_over.clear();
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether peers had their time, and the store is to be read instead.
-    pub fn reads_itself(&self, now: Time) -> bool {
+    pub fn needs_direct_read(&self, now: Time) -> bool {
         self.behind_since
             .is_some_and(|since| now.since(since) >= DIRECT_READ_AFTER)
     }
@@ -122,7 +122,7 @@
     /// Returns the peers that may be asked: of those that are not passed over, the ones
     /// that know what the best of them knows. An instance that watches the store gives it
     /// some time first.
-    pub fn may_be_asked(&self, now: Time, better: &[Provider], watches: bool) -> Vec<SocketAddrV4> {
+    pub fn candidates(&self, now: Time, better: &[Provider], watches: bool) -> Vec<SocketAddrV4> {
         let Some(since) = self.behind_since else {
             return Vec::new();
         };
--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -217,38 +217,38 @@
 
 /// An item, and how often it is still told.
 #[derive(Clone, Debug)]
-struct Told<T> {
+struct QueuedItem<T> {
     item: T,
-    left: u32,
+    sends_left: u32,
     is_new: bool,
 }
 
 /// News that this instance still tells.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
-    members: BTreeMap<SocketAddrV4, Told<MemberUpdate>>,
-    leaving: BTreeMap<EndpointKey, Told<EndpointKey>>,
-    beacons: BTreeMap<SocketAddrV4, Told<Beacon>>,
-    cordons: BTreeMap<String, Told<Cordon>>,
-    limits: BTreeMap<EndpointKey, Told<EndpointKey>>,
-    crash_records: BTreeMap<Fingerprint, Told<CrashRecord>>,
+    members: BTreeMap<SocketAddrV4, QueuedItem<MemberUpdate>>,
+    leaving: BTreeMap<EndpointKey, QueuedItem<EndpointKey>>,
+    beacons: BTreeMap<SocketAddrV4, QueuedItem<Beacon>>,
+    cordons: BTreeMap<String, QueuedItem<Cordon>>,
+    limits: BTreeMap<EndpointKey, QueuedItem<EndpointKey>>,
+    crash_records: BTreeMap<Fingerprint, QueuedItem<CrashRecord>>,
     /// [`Outbox::blames`], the newest last.
-    order: Vec<Fingerprint>,
+    crash_record_order: Vec<Fingerprint>,
     /// How many of [`Outbox::blames`] may be told now.
-    allowance: f64,
+    crash_record_tokens: f64,
     refilled: Time,
 }
 
 impl Outbox {
     /// Takes in what changed about an instance, among so many.
     pub fn add_member(&mut self, update: MemberUpdate, instances: usize) {
-        let told = Told::new(update, tells(instances));
+        let told = QueuedItem::new(update, tells(instances));
         self.members.insert(update.address, told);
     }
 
     /// Takes in that an endpoint leaves, among so many instances.
     pub fn add_leaving(&mut self, endpoint: EndpointKey, instances: usize) {
-        let told = Told::new(endpoint, tells(instances));
+        let told = QueuedItem::new(endpoint, tells(instances));
         self.leaving.insert(endpoint, told);
     }
 
@@ -256,31 +256,32 @@
     pub fn add_cordon(&mut self, cordon: Cordon, instances: usize) {
         let name = cordon.data_centre.clone();
         self.cordons
-            .insert(name, Told::new(cordon, tells(instances)));
+            .insert(name, QueuedItem::new(cordon, tells(instances)));
     }
 
     /// Takes in what an instance says that watches the store.
     pub fn add_beacon(&mut self, beacon: Beacon) {
-        let told = Told::new(beacon, BEACON_TELLS);
+        let told = QueuedItem::new(beacon, BEACON_TELLS);
         self.beacons.insert(beacon.origin, told);
     }
 
     /// Takes in what is known of a suspect, among so many instances.
-    pub fn add_blame(&mut self, blame: CrashRecord, instances: usize) {
-        self.order.retain(|it| *it != blame.fingerprint);
-        if self.order.len() >= MAX_BLAMES_WAITING {
-            let oldest = self.order.remove(0);
+    pub fn add_crash_record(&mut self, blame: CrashRecord, instances: usize) {
+        self.crash_record_order
+            .retain(|it| *it != blame.fingerprint);
+        if self.crash_record_order.len() >= MAX_BLAMES_WAITING {
+            let oldest = self.crash_record_order.remove(0);
             self.crash_records.remove(&oldest);
         }
-        self.order.push(blame.fingerprint);
-        let told = Told::new(blame.clone(), tells(instances));
+        self.crash_record_order.push(blame.fingerprint);
+        let told = QueuedItem::new(blame.clone(), tells(instances));
         self.crash_records.insert(blame.fingerprint, told);
     }
 
     /// Lets time pass for what may be told.
     pub fn tick(&mut self, now: Time) {
         let earned = now.since(self.refilled).as_secs_f64() * BLAMES_A_SECOND;
-        self.allowance = (self.allowance + earned).min(MAX_BLAMES as f64);
+        self.crash_record_tokens = (self.crash_record_tokens + earned).min(MAX_BLAMES as f64);
         self.refilled = now;
     }
 
@@ -291,7 +292,7 @@
             || any_new(&self.beacons)
             || any_new(&self.cordons)
             || any_new(&self.limits)
-            || (self.allowance >= 1.0 && any_new(&self.crash_records))
+            || (self.crash_record_tokens >= 1.0 && any_new(&self.crash_records))
     }
 
     /// Returns what is told now to so many peers; the newest first.
@@ -309,7 +310,7 @@
 
     /// Takes in that an endpoint's limit changed, among so many instances.
     pub fn add_limit(&mut self, endpoint: EndpointKey, instances: usize) {
-        let told = Told::new(endpoint, tells(instances));
+        let told = QueuedItem::new(endpoint, tells(instances));
         self.limits.insert(endpoint, told);
     }
 
@@ -324,7 +325,7 @@
     /// one request that ends the next of them waits behind all that were there, and comes to
     /// other instances before its news does.
     fn take_blames(&mut self, peers: u32) -> Vec<CrashRecord> {
-        let newest = self.order.iter().rev();
+        let newest = self.crash_record_order.iter().rev();
         let mut keys: Vec<Fingerprint> = newest.copied().collect();
         let ended = |it: &Fingerprint| {
             self.crash_records
@@ -332,20 +333,20 @@
                 .map_or(0, |it| it.item.crashed.len())
         };
         keys.sort_by_key(|it| core::cmp::Reverse(ended(it)));
-        keys.truncate(self.allowance as usize);
-        self.allowance -= keys.len() as f64;
+        keys.truncate(self.crash_record_tokens as usize);
+        self.crash_record_tokens -= keys.len() as f64;
         let blames = tell(&mut self.crash_records, &keys, peers);
         let left = &self.crash_records;
-        self.order.retain(|it| left.contains_key(it));
+        self.crash_record_order.retain(|it| left.contains_key(it));
         blames
     }
 }
 
-impl<T> Told<T> {
+impl<T> QueuedItem<T> {
     fn new(item: T, left: u32) -> Self {
-        Told {
+        QueuedItem {
             item,
-            left,
+            sends_left: left,
             is_new: true,
         }
     }
@@ -356,14 +357,14 @@
     TELLS + instances.max(1).ilog2()
 }
 
-fn any_new<K, T>(told: &BTreeMap<K, Told<T>>) -> bool {
+fn any_new<K, T>(told: &BTreeMap<K, QueuedItem<T>>) -> bool {
     told.values().any(|it| it.is_new)
 }
 
-fn take<K: Ord + Clone, T: Clone>(told: &mut BTreeMap<K, Told<T>>, peers: u32) -> Vec<T> {
+fn take<K: Ord + Clone, T: Clone>(told: &mut BTreeMap<K, QueuedItem<T>>, peers: u32) -> Vec<T> {
     let mut keys: Vec<(u32, K)> = told
         .iter()
-        .map(|(key, it)| (it.left, key.clone()))
+        .map(|(key, it)| (it.sends_left, key.clone()))
         .collect();
     keys.sort_by_key(|(left, _)| core::cmp::Reverse(*left));
     keys.truncate(MAX_ITEMS);
@@ -372,14 +373,14 @@
 }
 
 /// Tells items to so many peers.
-fn tell<K: Ord, T: Clone>(told: &mut BTreeMap<K, Told<T>>, keys: &[K], peers: u32) -> Vec<T> {
+fn tell<K: Ord, T: Clone>(told: &mut BTreeMap<K, QueuedItem<T>>, keys: &[K], peers: u32) -> Vec<T> {
     let mut items = Vec::with_capacity(keys.len());
     for key in keys {
         if let Some(it) = told.get_mut(key) {
             it.is_new = false;
-            it.left = it.left.saturating_sub(peers);
+            it.sends_left = it.sends_left.saturating_sub(peers);
             items.push(it.item.clone());
-            if it.left == 0 {
+            if it.sends_left == 0 {
                 told.remove(key);
             }
         }
--- a/crates/core/src/gateway/members.rs
+++ b/crates/core/src/gateway/members.rs
@@ -116,7 +116,7 @@
     /// Whom to probe next, from the end.
     ring: Vec<SocketAddrV4>,
     probes: Probes,
-    synced: Option<Time>,
+    last_sync: Option<Time>,
 }
 
 impl Members {
@@ -140,7 +140,7 @@
             others: BTreeMap::new(),
             ring: Vec::new(),
             probes: Probes::new(now),
-            synced: None,
+            last_sync: None,
         };
         members.set_seeds(now, seeds);
         members
@@ -194,7 +194,7 @@
 
     /// Returns whether anybody ever answered.
     pub fn has_joined(&self) -> bool {
-        self.synced.is_some() || self.seeds.is_empty()
+        self.last_sync.is_some() || self.seeds.is_empty()
     }
 
     /// Returns a hash of who takes part, equal where two instances believe the same.
@@ -317,11 +317,13 @@
 
     /// Returns whether to ask `peer`, which believes in other instances, for all of them.
     pub fn should_sync(&mut self, now: Time, theirs: u64) -> bool {
-        let is_due = self.synced.is_none_or(|at| now.since(at) >= SYNC_INTERVAL);
-        if !is_due || (theirs == self.digest() && self.synced.is_some()) {
+        let is_due = self
+            .last_sync
+            .is_none_or(|at| now.since(at) >= SYNC_INTERVAL);
+        if !is_due || (theirs == self.digest() && self.last_sync.is_some()) {
             return false;
         }
-        self.synced = Some(now);
+        self.last_sync = Some(now);
         true
     }
 
--- a/crates/core/src/gateway/members/probes.rs
+++ b/crates/core/src/gateway/members/probes.rs
@@ -53,15 +53,15 @@
     /// The life that is probed, if it is known.
     incarnation: Option<Incarnation>,
     sent: Time,
-    helped: bool,
+    is_indirect: bool,
 }
 
 /// A probe made in the place of another instance.
 #[derive(Clone, Copy, Debug)]
-struct Help {
+struct PeerProbe {
     number: u64,
-    asker: SocketAddrV4,
-    askers_number: u64,
+    requester: SocketAddrV4,
+    requester_number: u64,
     sent: Time,
 }
 
@@ -69,20 +69,20 @@
 #[derive(Clone, Debug)]
 pub(super) struct Probes {
     open: Vec<Probe>,
-    helps: Vec<Help>,
-    numbers: u64,
-    next: Time,
-    ticked: Time,
+    for_peers: Vec<PeerProbe>,
+    last_number: u64,
+    next_probe: Time,
+    last_tick: Time,
 }
 
 impl Probes {
     pub(super) fn new(now: Time) -> Self {
         Probes {
             open: Vec::new(),
-            helps: Vec::new(),
-            numbers: 0,
-            next: now,
-            ticked: now,
+            for_peers: Vec::new(),
+            last_number: 0,
+            next_probe: now,
+            last_tick: now,
         }
     }
 }
@@ -94,11 +94,11 @@
         self.probes.open.retain(|it| it.number != number);
         let at = self
             .probes
-            .helps
+            .for_peers
             .iter()
             .position(|it| it.number == number)?;
-        let help = self.probes.helps.swap_remove(at);
-        Some((help.asker, Body::relayed_ack(help.askers_number)))
+        let help = self.probes.for_peers.swap_remove(at);
+        Some((help.requester, Body::relayed_ack(help.requester_number)))
     }
 
     /// Probes `target` in the place of `asker`.
@@ -109,34 +109,34 @@
         askers_number: u64,
         target: SocketAddrV4,
     ) -> Body {
-        self.probes.numbers += 1;
-        self.probes.helps.push(Help {
-            number: self.probes.numbers,
-            asker,
-            askers_number,
+        self.probes.last_number += 1;
+        self.probes.for_peers.push(PeerProbe {
+            number: self.probes.last_number,
+            requester: asker,
+            requester_number: askers_number,
             sent: now,
         });
-        self.probe_body(self.probes.numbers, target)
+        self.probe_body(self.probes.last_number, target)
     }
 
     /// Does what is due by time alone.
     pub fn tick(&mut self, now: Time, rng: &mut SmallRng) -> Change {
         let mut change = Change::default();
-        if now.since(self.probes.ticked) >= OWN_PAUSE {
+        if now.since(self.probes.last_tick) >= OWN_PAUSE {
             self.probes.open.clear();
             self.restart_suspicions(now);
         }
-        self.probes.ticked = now;
+        self.probes.last_tick = now;
         self.judge_probes(now, rng, &mut change);
         self.end_suspicions(now, &mut change);
         self.probes
-            .helps
+            .for_peers
             .retain(|it| now.since(it.sent) < PROBE_LIMIT);
         let seeds = &self.seeds;
         self.others.retain(|address, it| {
             it.is_live() || seeds.contains(address) || now.since(it.since) < REMEMBER_GONE
         });
-        if now >= self.probes.next {
+        if now >= self.probes.next_probe {
             self.probe(now, rng, &mut change);
         }
         change
@@ -160,12 +160,13 @@
         }
         let late: Vec<usize> = (0..self.probes.open.len())
             .filter(|&at| {
-                !self.probes.open[at].helped && now.since(self.probes.open[at].sent) >= ACK_LIMIT
+                !self.probes.open[at].is_indirect
+                    && now.since(self.probes.open[at].sent) >= ACK_LIMIT
             })
             .collect();
         for at in late {
             let (number, target) = (self.probes.open[at].number, self.probes.open[at].target);
-            self.probes.open[at].helped = true;
+            self.probes.open[at].is_indirect = true;
             for helper in self.sample(rng, HELPERS, &[target]) {
                 change
                     .send
@@ -197,17 +198,17 @@
 
     fn probe(&mut self, now: Time, rng: &mut SmallRng, change: &mut Change) {
         if self.live().next().is_none() {
-            self.probes.next = now + JOIN_INTERVAL;
+            self.probes.next_probe = now + JOIN_INTERVAL;
             let anybody = self.others.keys().copied();
             for target in anybody.choose_multiple(rng, JOIN_TRIES) {
                 self.probe_one(now, target, change);
             }
             return;
         }
-        self.probes.next = now + PROBE_INTERVAL;
+        self.probes.next_probe = now + PROBE_INTERVAL;
         let lost = self
             .probes
-            .numbers
+            .last_number
             .is_multiple_of(LOST_EVERY)
             .then(|| self.lost(rng));
         let target = lost.flatten().or_else(|| self.next_in_ring(rng));
@@ -217,18 +218,18 @@
     }
 
     fn probe_one(&mut self, now: Time, target: SocketAddrV4, change: &mut Change) {
-        self.probes.numbers += 1;
+        self.probes.last_number += 1;
         let update = self.others.get(&target).and_then(|it| it.update);
         self.probes.open.push(Probe {
-            number: self.probes.numbers,
+            number: self.probes.last_number,
             target,
             incarnation: update.map(|it| it.incarnation),
             sent: now,
-            helped: false,
+            is_indirect: false,
         });
         change
             .send
-            .push((target, self.probe_body(self.probes.numbers, target)));
+            .push((target, self.probe_body(self.probes.last_number, target)));
     }
 
     /// Returns a probe, which tells its target what is believed of it, so that it can refute
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -82,7 +82,7 @@
     needs_read: bool,
     failures: u32,
     pause_until: Time,
-    recovered: Option<Time>,
+    recovered_at: Option<Time>,
     heard: Option<Time>,
     /// When a watch was answered last.
     watched: Option<Time>,
@@ -95,7 +95,7 @@
             needs_read: true,
             failures: 0,
             pause_until: Time::ZERO,
-            recovered: None,
+            recovered_at: None,
             heard: None,
             watched: None,
         }
@@ -143,7 +143,7 @@
     fn answered(&mut self, now: Time) -> bool {
         let was_away = self.failures > 0;
         if was_away && self.may_have_lapsed(now) {
-            self.recovered = Some(now);
+            self.recovered_at = Some(now);
         }
         self.failures = 0;
         self.heard = Some(now);
@@ -191,7 +191,7 @@
     /// away for long, or was until a moment ago.
     pub fn may_miss_records(&self, now: Time) -> bool {
         let is_away = self.is_unavailable() && self.may_have_lapsed(now);
-        is_away || self.recovered.is_some_and(|at| now.since(at) < SETTLE)
+        is_away || self.recovered_at.is_some_and(|at| now.since(at) < SETTLE)
     }
 
     fn may_have_lapsed(&self, now: Time) -> bool {
--- a/crates/core/src/gateway/replica.rs
+++ b/crates/core/src/gateway/replica.rs
@@ -79,17 +79,17 @@
 
 /// A record as it was written last.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownRecord {
     record: Record,
-    mark: ContentHash,
+    hash: ContentHash,
     /// The revision at which its meaning changed last, as far as this replica saw.
-    changed: u64,
+    changed_at: u64,
 }
 
 /// All records known.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
-    records: BTreeMap<String, Known>,
+    records: BTreeMap<String, KnownRecord>,
     /// The marks of all records together.
     digest: u64,
     removed: usize,
@@ -148,7 +148,7 @@
         let floor = if whole { 0 } else { after };
         let known = self.records.values();
         known
-            .filter(move |it| it.changed > floor)
+            .filter(move |it| it.changed_at > floor)
             .map(|it| &it.record)
     }
 
@@ -165,19 +165,19 @@
         }
         let before = self.records.get(&record.key);
         let was_removed = before.is_none_or(|it| it.record.value.is_none());
-        let old_mark = before.map_or(ContentHash::NOTHING, |it| it.mark);
+        let old_mark = before.map_or(ContentHash::NOTHING, |it| it.hash);
         let is_heartbeat = match before {
-            Some(it) => it.mark == mark && it.record.value.is_none() == record.value.is_none(),
+            Some(it) => it.hash == mark && it.record.value.is_none() == record.value.is_none(),
             // It does not concern this product.
             None => mark == ContentHash::NOTHING && record.value.is_some(),
         };
-        let changed = before.filter(|_| is_heartbeat).map(|it| it.changed);
+        let changed = before.filter(|_| is_heartbeat).map(|it| it.changed_at);
         self.removed -= usize::from(before.is_some() && was_removed);
         self.removed += usize::from(record.value.is_none());
         self.digest ^= old_mark.0 ^ mark.0;
-        let known = Known {
-            mark,
-            changed: changed.unwrap_or(record.revision),
+        let known = KnownRecord {
+            hash: mark,
+            changed_at: changed.unwrap_or(record.revision),
             record,
         };
         self.records.insert(known.record.key.clone(), known);
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -108,7 +108,7 @@
         // All others are looked at with each tick only: a datagram must not cost more where
         // there are more instances.
         if says_more {
-            self.catch_up.note(now, true);
+            self.catch_up.set_behind(now, true);
         }
         heard.suspects_changed = self.suspects.take_changed();
         heard.gossip_soon = self.outbox.has_new();
@@ -394,7 +394,7 @@
             let member = self.members.get(address);
             member.is_some_and(Member::is_steady)
         };
-        let fresh = self.beacons.fresh(now).filter(|&it| steady(it));
+        let fresh = self.beacons.recently_answered(now).filter(|&it| steady(it));
         if self.stopping {
             return fresh.count() == 0;
         }
@@ -421,7 +421,7 @@
     /// Returns what to do about the store now.
     pub fn next_step(&self, now: Time) -> Step {
         let knows_others = self.members.has_joined() || now.since(self.started) >= JOIN_PATIENCE;
-        let reads = (knows_others && self.watches(now)) || self.catch_up.reads_itself(now);
+        let reads = (knows_others && self.watches(now)) || self.catch_up.needs_direct_read(now);
         self.reader.next(now, reads)
     }
 
@@ -452,14 +452,14 @@
     pub fn choose_provider(&mut self, now: Time) -> Option<SocketAddrV4> {
         let watches = self.watches(now);
         let better: Vec<Provider> = self.better().collect();
-        let able = self.catch_up.may_be_asked(now, &better, watches);
+        let able = self.catch_up.candidates(now, &better, watches);
         able.choose(&mut self.rng).copied()
     }
 
     /// Notes whether a peer knows more of the store than this instance.
     pub fn update_behind(&mut self, now: Time) {
         let behind = self.better().next().is_some();
-        self.catch_up.note(now, behind);
+        self.catch_up.set_behind(now, behind);
     }
 
     /// Returns whether that is more of the store than this instance knows. Revisions alone
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -3,7 +3,7 @@
 use super::{Gateway, Placement};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::gossip::Body;
-use crate::gateway::suspects::TELL_INTERVAL;
+use crate::gateway::suspects::SEND_ALL_INTERVAL;
 use crate::ids::EndpointKey;
 use crate::suspects::{
     Admission, CrashRecord, RunLeaseAnswer, RunLeaseReport, Standing, SuspectRun,
@@ -76,7 +76,8 @@
     /// whether the endpoint did.
     pub fn on_connection_lost(&mut self, now: Time, fingerprint: Fingerprint, place: &Placement) {
         if self.leaving_since(place.key).is_none() {
-            self.suspects.keep_undecided(now, fingerprint, place.key);
+            self.suspects
+                .record_lost_connection(now, fingerprint, place.key);
         }
     }
 
@@ -84,7 +85,7 @@
     /// certain.
     pub fn on_endpoints_lost(&mut self, now: Time, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
-            for fingerprint in self.suspects.take_undecided(endpoint) {
+            for fingerprint in self.suspects.take_lost_connections(endpoint) {
                 self.blame(now, fingerprint, endpoint);
             }
         }
@@ -105,14 +106,14 @@
         self.suspects.note_changed();
         if let Some(blame) = self.suspects.ledger.record(now, fingerprint) {
             let instances = self.instances();
-            self.outbox.add_blame(blame, instances);
+            self.outbox.add_crash_record(blame, instances);
         }
     }
 
     /// Takes in what another instance knows of suspects.
     pub(super) fn hear_blames(&mut self, now: Time, blames: &[CrashRecord]) {
         for blame in blames {
-            if self.suspects.ledger.hear(now, blame) {
+            if self.suspects.ledger.on_record(now, blame) {
                 self.tell_blame(now, blame.fingerprint);
             }
         }
@@ -127,14 +128,14 @@
         theirs: u64,
         send: &mut Vec<(SocketAddrV4, Body)>,
     ) {
-        let told_all = self.suspects.told_all;
-        let is_due = told_all.is_none_or(|at| now.since(at) >= TELL_INTERVAL);
+        let told_all = self.suspects.all_sent_at;
+        let is_due = told_all.is_none_or(|at| now.since(at) >= SEND_ALL_INTERVAL);
         if !is_due || self.suspects.ledger.digest() == theirs {
             return;
         }
         let worst = self.suspects.ledger.worst(now);
         if !worst.is_empty() {
-            self.suspects.told_all = Some(now);
+            self.suspects.all_sent_at = Some(now);
             send.push((peer, Body::Suspects(worst)));
         }
     }
@@ -142,7 +143,7 @@
     /// Tells the homes of suspects what this instance runs and asks for; returns whether a
     /// request of this instance may have its turn.
     pub(super) fn report_turns(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
-        if self.suspects.is_quiet() {
+        if self.suspects.has_nothing_to_report() {
             return false;
         }
         let mut reports: BTreeMap<SocketAddrV4, RunLeaseReport> = BTreeMap::new();
@@ -161,7 +162,7 @@
             let known = self.suspects.ledger.record(now, fingerprint);
             for home in self.homes(key).into_iter().flatten() {
                 let report = reports.entry(home).or_default();
-                report.blames.extend(known.clone());
+                report.records.extend(known.clone());
                 report.renew.extend(&due.renew);
                 report.release.extend(&due.release);
             }
@@ -193,17 +194,17 @@
         from: SocketAddrV4,
         report: &RunLeaseReport,
     ) -> RunLeaseAnswer {
-        self.hear_blames(now, &report.blames);
-        let answer = self.suspects.turns.on_report(now, from, report);
+        self.hear_blames(now, &report.records);
+        let answer = self.suspects.run_leases.on_report(now, from, report);
         RunLeaseAnswer {
-            blames: self.suspects.ledger.records_of(now, &report.acquire),
+            records: self.suspects.ledger.records_of(now, &report.acquire),
             ..answer
         }
     }
 
     /// Takes in what the home of suspects answered.
     pub(super) fn hear_turn_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
-        self.hear_blames(now, &answer.blames);
+        self.hear_blames(now, &answer.records);
         self.suspects.runs.hear(now, answer);
     }
 }
--- a/crates/core/src/gateway/suspects.rs
+++ b/crates/core/src/gateway/suspects.rs
@@ -22,7 +22,7 @@
 
 /// How often an instance that knows other suspects is told at once of those that ended the
 /// most endpoints.
-pub(super) const TELL_INTERVAL: Duration = Duration::from_secs(1);
+pub(super) const SEND_ALL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A request whose connection ended, with its endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -40,11 +40,11 @@
     /// What this instance runs.
     pub(super) runs: Runs,
     /// What this instance knows as a home.
-    pub(super) turns: RunLeases<SocketAddrV4>,
+    pub(super) run_leases: RunLeases<SocketAddrV4>,
     /// Connections that ended, of which it is not known whether their endpoint did.
     undecided: Vec<Undecided>,
     /// When an instance was told at once of all suspects.
-    pub(super) told_all: Option<Time>,
+    pub(super) all_sent_at: Option<Time>,
     /// Whether the ledger has changed since those who wait were told.
     changed: bool,
     ticked: Time,
@@ -56,16 +56,16 @@
         Suspects {
             ledger: Ledger::default(),
             runs: Runs::new(HOME_PATIENCE),
-            turns: RunLeases::new(now),
+            run_leases: RunLeases::new(now),
             undecided: Vec::new(),
-            told_all: None,
+            all_sent_at: None,
             changed: false,
             ticked: now,
         }
     }
 
     /// Keeps in mind that a connection ended.
-    pub(super) fn keep_undecided(
+    pub(super) fn record_lost_connection(
         &mut self,
         now: Time,
         fingerprint: Fingerprint,
@@ -82,7 +82,7 @@
 
     /// Returns the requests whose connection to `endpoint` ended, now that it is known to have
     /// ended itself.
-    pub(super) fn take_undecided(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
+    pub(super) fn take_lost_connections(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
         let (of, rest): (Vec<Undecided>, Vec<Undecided>) = core::mem::take(&mut self.undecided)
             .into_iter()
             .partition(|it| it.endpoint == endpoint);
@@ -101,18 +101,18 @@
     }
 
     /// Returns whether homes have nothing to hear: nobody is suspected.
-    pub(super) fn is_quiet(&self) -> bool {
-        self.ledger.is_empty() && self.runs.none_ended()
+    pub(super) fn has_nothing_to_report(&self) -> bool {
+        self.ledger.is_empty() && self.runs.no_run_ended()
     }
 
     /// Lets time pass.
     pub(super) fn tick(&mut self, now: Time) {
         if now.since(self.ticked) >= RUN_LEASE_TTL {
-            self.turns.restart_grace_period(now);
+            self.run_leases.restart_grace_period(now);
         }
         self.ticked = now;
         self.ledger.tick(now);
-        self.turns.tick(now);
+        self.run_leases.tick(now);
         self.undecided.retain(|it| now.since(it.at) < UNDECIDED_FOR);
     }
 }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -232,7 +232,7 @@
 
     fn hear_blames(&mut self, from: PeerId, blames: &[CrashRecord]) {
         for blame in blames {
-            if self.suspects.ledger.hear(self.now, blame) {
+            if self.suspects.ledger.on_record(self.now, blame) {
                 self.tell_soon(blame.fingerprint, Some(from));
             }
         }
@@ -244,7 +244,7 @@
         self.suspects.ledger.tick(now);
         self.suspects.turns.tick(now);
         self.suspects.silent.retain(|_, until| now < *until);
-        if self.suspects.ledger.is_empty() && self.suspects.runs.none_ended() {
+        if self.suspects.ledger.is_empty() && self.suspects.runs.no_run_ended() {
             return;
         }
         let mut reports: BTreeMap<InstanceKey, RunLeaseReport> = BTreeMap::new();
@@ -292,7 +292,7 @@
         let known = self.suspects.ledger.record(now, fingerprint);
         for &home in &ranked {
             let report = reports.entry(home).or_default();
-            report.blames.extend(known.clone());
+            report.records.extend(known.clone());
             report.renew.extend(&due.renew);
             report.release.extend(&due.release);
         }
@@ -308,14 +308,14 @@
 
     /// A peer told this node, as the home of suspects, what it runs and asks for.
     pub(super) fn on_turns(&mut self, from: PeerId, report: &RunLeaseReport) {
-        self.hear_blames(from, &report.blames);
+        self.hear_blames(from, &report.records);
         let answer = self
             .suspects
             .turns
             .on_report(self.now, from.instance, report);
         if !report.acquire.is_empty() {
             let answer = RunLeaseAnswer {
-                blames: self.suspects.ledger.records_of(self.now, &report.acquire),
+                records: self.suspects.ledger.records_of(self.now, &report.acquire),
                 ..answer
             };
             self.send(from.instance, PeerMessage::RunLeaseAnswer(answer));
@@ -324,7 +324,7 @@
 
     /// The home of suspects answered.
     pub(super) fn on_turn_answer(&mut self, from: PeerId, answer: &RunLeaseAnswer) {
-        self.hear_blames(from, &answer.blames);
+        self.hear_blames(from, &answer.records);
         self.suspects.runs.hear(self.now, answer);
         self.look_at_waiting();
     }
--- a/crates/core/src/suspects/ledger.rs
+++ b/crates/core/src/suspects/ledger.rs
@@ -175,7 +175,7 @@
     }
 
     /// Takes in what another instance knows; returns whether that is news.
-    pub fn hear(&mut self, now: Time, blame: &CrashRecord) -> bool {
+    pub fn on_record(&mut self, now: Time, blame: &CrashRecord) -> bool {
         let age = Duration::from_millis(blame.age_ms.into());
         let changed = now.before(age).unwrap_or(Time::ZERO);
         let kept = match blame.crashed.is_empty() {
--- a/crates/core/src/suspects/message.rs
+++ b/crates/core/src/suspects/message.rs
@@ -17,7 +17,7 @@
     /// Runs that ended.
     pub release: Vec<SuspectRun>,
     /// What the sender knows of these requests.
-    pub blames: Vec<CrashRecord>,
+    pub records: Vec<CrashRecord>,
 }
 
 /// What the home of a suspect answers.
@@ -28,5 +28,5 @@
     /// Runs that have to wait, since another one has it.
     pub waiting: Vec<SuspectRun>,
     /// What the home knows of these requests.
-    pub blames: Vec<CrashRecord>,
+    pub records: Vec<CrashRecord>,
 }
--- a/crates/core/src/suspects/run_leases.rs
+++ b/crates/core/src/suspects/run_leases.rs
@@ -49,7 +49,7 @@
         RunLeaseAnswer {
             granted: given,
             waiting,
-            blames: Vec::new(),
+            records: Vec::new(),
         }
     }
 
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -44,23 +44,23 @@
     /// It runs without a turn: it was no suspect when it began.
     Free,
     /// It asks for a turn.
-    Asks {
+    Requesting {
         /// Since when the present home may answer.
         since: Time,
         /// When a home was asked last.
-        asked: Option<Time>,
+        requested_at: Option<Time>,
         /// Homes that did not answer since one did.
-        missed: u32,
+        timeouts: u32,
     },
     /// It has the turn.
-    Given,
+    Granted,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
     stage: Stage,
     /// When homes were told last that it runs.
-    told: Option<Time>,
+    reported_at: Option<Time>,
 }
 
 /// What homes are to be told of one request.
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug)]
 pub struct Runs {
     /// How long a home may take to answer before the next in rank is asked.
-    home_patience: Duration,
+    home_timeout: Duration,
     runs: BTreeMap<Fingerprint, BTreeMap<u64, Run>>,
     /// Runs that ended and of which homes had been told.
     ended: Vec<SuspectRun>,
@@ -97,7 +97,7 @@
     /// Returns an instance that runs nothing, whose homes may take so long to answer.
     pub fn new(home_patience: Duration) -> Self {
         Runs {
-            home_patience,
+            home_timeout: home_patience,
             runs: BTreeMap::new(),
             ended: Vec::new(),
         }
@@ -107,7 +107,7 @@
     pub fn begin(&mut self, turn: SuspectRun) {
         let run = Run {
             stage: Stage::Free,
-            told: None,
+            reported_at: None,
         };
         let runs = self.runs.entry(turn.fingerprint).or_default();
         runs.insert(turn.run, run);
@@ -125,16 +125,19 @@
                 run.stage = Stage::Free;
                 Admission::Go
             }
-            (Standing::Suspect, Stage::Given) => Admission::Go,
-            (Standing::Suspect, Stage::Asks { missed, .. }) if missed >= HOMES_ASKED => {
-                Admission::NoHome
-            }
-            (Standing::Suspect, Stage::Asks { .. }) => Admission::Wait,
+            (Standing::Suspect, Stage::Granted) => Admission::Go,
+            (
+                Standing::Suspect,
+                Stage::Requesting {
+                    timeouts: missed, ..
+                },
+            ) if missed >= HOMES_ASKED => Admission::NoHome,
+            (Standing::Suspect, Stage::Requesting { .. }) => Admission::Wait,
             (Standing::Suspect, Stage::Free) => {
-                run.stage = Stage::Asks {
+                run.stage = Stage::Requesting {
                     since: now,
-                    asked: None,
-                    missed: 0,
+                    requested_at: None,
+                    timeouts: 0,
                 };
                 Admission::Wait
             }
@@ -151,7 +154,7 @@
             self.runs.remove(&turn.fingerprint);
         }
         let homes_know =
-            run.is_some_and(|it| it.told.is_some() || !matches!(it.stage, Stage::Free));
+            run.is_some_and(|it| it.reported_at.is_some() || !matches!(it.stage, Stage::Free));
         if homes_know {
             self.ended.push(turn);
         }
@@ -170,24 +173,29 @@
 
     fn answered(&mut self, now: Time, turn: SuspectRun, given: bool) {
         let Some(run) = self.get(turn) else { return };
-        if let Stage::Asks { since, missed, .. } = &mut run.stage {
+        if let Stage::Requesting {
+            since,
+            timeouts: missed,
+            ..
+        } = &mut run.stage
+        {
             *since = now;
             *missed = 0;
             if given {
-                run.stage = Stage::Given;
+                run.stage = Stage::Granted;
             }
         }
     }
 
     /// Returns whether no home is to be told of the end of a run.
-    pub fn none_ended(&self) -> bool {
+    pub fn no_run_ended(&self) -> bool {
         self.ended.is_empty()
     }
 
     /// Returns whether a run waits for a home.
     pub fn any_waiting(&self) -> bool {
         let mut runs = self.runs.values().flat_map(BTreeMap::values);
-        runs.any(|it| matches!(it.stage, Stage::Asks { .. }))
+        runs.any(|it| matches!(it.stage, Stage::Requesting { .. }))
     }
 
     /// Returns the requests of which homes may have to be told.
@@ -212,12 +220,12 @@
         for (&run, state) in runs {
             let turn = SuspectRun { fingerprint, run };
             match &mut state.stage {
-                Stage::Asks {
+                Stage::Requesting {
                     since,
-                    asked,
-                    missed,
+                    requested_at: asked,
+                    timeouts: missed,
                 } => {
-                    if now.since(*since) >= self.home_patience {
+                    if now.since(*since) >= self.home_timeout {
                         due.is_unanswered = true;
                         *missed += 1;
                         *since = now;
@@ -227,9 +235,12 @@
                         due.acquire.push(turn);
                     }
                 }
-                Stage::Free | Stage::Given => {
-                    if state.told.is_none_or(|at| now.since(at) >= HOLD_AGAIN) {
-                        state.told = Some(now);
+                Stage::Free | Stage::Granted => {
+                    if state
+                        .reported_at
+                        .is_none_or(|at| now.since(at) >= HOLD_AGAIN)
+                    {
+                        state.reported_at = Some(now);
                         due.renew.push(turn);
                     }
                 }
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -502,12 +502,12 @@
             acquire: turns.clone(),
             renew: turns.clone(),
             release: turns,
-            blames,
+            records: blames,
         }),
         2 => Body::RunLeaseAnswer(RunLeaseAnswer {
             granted: turns.clone(),
             waiting: turns,
-            blames,
+            records: blames,
         }),
         _ => Body::Gossip(GossipItems {
             crash_records: blames,
--- a/crates/core/tests/suspects_ledger.rs
+++ b/crates/core/tests/suspects_ledger.rs
@@ -79,7 +79,7 @@
     let late = ledger.record(NOW, request(1)).expect("it is known");
     assert!(ledger.clear(NOW, request(1)));
 
-    assert!(!ledger.hear(NOW, &late));
+    assert!(!ledger.on_record(NOW, &late));
 
     assert_eq!(ledger.standing(NOW, request(1)), Standing::Free);
 }
@@ -92,7 +92,7 @@
     let later = NOW + Duration::from_secs(3_599);
     let told = teller.record(later, request(1)).expect("it is known");
     let mut hearer = Ledger::default();
-    assert!(hearer.hear(later, &told));
+    assert!(hearer.on_record(later, &told));
     let after = later + Duration::from_secs(2);
 
     teller.tick(after);
@@ -126,7 +126,7 @@
         age_ms: 0,
     };
 
-    ledger.hear(NOW, &blame);
+    ledger.on_record(NOW, &blame);
 
     assert_eq!(ledger.crash_count(request(1)), 8);
 }
@@ -152,10 +152,10 @@
         let turned = seed.index(blames.len());
 
         for blame in &blames {
-            first.hear(NOW, blame);
+            first.on_record(NOW, blame);
         }
         for blame in blames[turned..].iter().chain(&blames).rev() {
-            second.hear(NOW, blame);
+            second.on_record(NOW, blame);
         }
 
         prop_assert_eq!(first.digest(), second.digest());
