--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -83,9 +83,9 @@
     failures: u32,
     pause_until: Time,
     recovered_at: Option<Time>,
-    heard: Option<Time>,
+    last_answer: Option<Time>,
     /// When a watch was answered last.
-    watched: Option<Time>,
+    last_watch_answer: Option<Time>,
 }
 
 impl StoreReader {
@@ -96,8 +96,8 @@
             failures: 0,
             pause_until: Time::ZERO,
             recovered_at: None,
-            heard: None,
-            watched: None,
+            last_answer: None,
+            last_watch_answer: None,
         }
     }
 
@@ -136,7 +136,7 @@
 
     /// Notes that a watch was answered; returns whether the store was away before.
     pub fn on_answer(&mut self, now: Time) -> bool {
-        self.watched = Some(now);
+        self.last_watch_answer = Some(now);
         self.answered(now)
     }
 
@@ -146,7 +146,7 @@
             self.recovered_at = Some(now);
         }
         self.failures = 0;
-        self.heard = Some(now);
+        self.last_answer = Some(now);
         was_away
     }
 
@@ -174,12 +174,12 @@
 
     /// Returns when the store last answered.
     pub fn last_answer(&self) -> Option<Time> {
-        self.heard
+        self.last_answer
     }
 
     /// Returns when the store last answered a watch.
     pub fn last_watch_answer(&self) -> Option<Time> {
-        self.watched
+        self.last_watch_answer
     }
 
     /// Returns whether the store is away.
@@ -195,7 +195,7 @@
     }
 
     fn may_have_lapsed(&self, now: Time) -> bool {
-        let heard = self.heard;
+        let heard = self.last_answer;
         heard.is_some_and(|heard| now.since(heard) >= LAPSING_OUTAGE)
     }
 }
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -205,6 +205,6 @@
     /// Takes in what the home of suspects answered.
     pub(super) fn hear_turn_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
         self.hear_blames(now, &answer.records);
-        self.suspects.runs.hear(now, answer);
+        self.suspects.runs.on_answer(now, answer);
     }
 }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -325,7 +325,7 @@
     /// The home of suspects answered.
     pub(super) fn on_turn_answer(&mut self, from: PeerId, answer: &RunLeaseAnswer) {
         self.hear_blames(from, &answer.records);
-        self.suspects.runs.hear(self.now, answer);
+        self.suspects.runs.on_answer(self.now, answer);
         self.look_at_waiting();
     }
 }
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -162,7 +162,7 @@
     }
 
     /// Takes in what a home answered.
-    pub fn hear(&mut self, now: Time, answer: &RunLeaseAnswer) {
+    pub fn on_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
         for &turn in &answer.granted {
             self.answered(now, turn, true);
         }
