--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -1,6 +1,6 @@
 //! What those say that watch the store, and who watches.
 //!
-//! Two instances watch for all ([`READERS`]). A few times a second each of them says when
+//! Two instances watch for all ([`WATCHERS`]). A few times a second each of them says when
 //! the store last answered it and what it knows, in a beacon that [`gossip`](super::gossip)
 //! takes to everybody. Where the store answers neither, more and more others watch, in the
 //! order of their rank. What goes wrong if all of them do at once: 195 instances ask a store
--- a/crates/core/src/gateway/catch_up.rs
+++ b/crates/core/src/gateway/catch_up.rs
@@ -10,9 +10,9 @@
 //! Three rules prevent it, and each holds alone:
 //!
 //! * each instance draws whom to ask, and passes over who refused or failed;
-//! * a peer tells a large change to few at once ([`MAX_LARGE_TOLD`]) and refuses the
+//! * a peer tells a large change to few at once ([`MAX_LARGE_TRANSFERS`]) and refuses the
 //!   others at once; those that were told can tell it on;
-//! * who is still behind after [`OWN_READ_AFTER`] reads the store itself.
+//! * who is still behind after [`DIRECT_READ_AFTER`] reads the store itself.
 //!
 //! `docs/design/platform.md` has the figures.
 
--- a/crates/core/src/gateway/endpoints.rs
+++ b/crates/core/src/gateway/endpoints.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns what the record means to this product, as the parts of a
-    /// [`Mark`](super::replica::Mark). The time that is left until it is warm falls with
+    /// [`ContentHash`](super::replica::ContentHash). The time that is left until it is warm falls with
     /// each heartbeat, so that only whether there is any counts.
     pub fn meaning(&self) -> String {
         let EndpointRecord {
--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The version of these messages and of [`News`](super::replica::News). Messages of another
+/// The version of these messages and of [`StoreDelta`](super::replica::StoreDelta). Messages of another
 /// one are dropped and counted: while a fleet is updated, instances of both versions serve
 /// side by side, each with the peers of its own.
 pub const GOSSIP_VERSION: u8 = 9;
@@ -232,9 +232,9 @@
     cordons: BTreeMap<String, QueuedItem<Cordon>>,
     limits: BTreeMap<EndpointKey, QueuedItem<EndpointKey>>,
     crash_records: BTreeMap<Fingerprint, QueuedItem<CrashRecord>>,
-    /// [`Outbox::blames`], the newest last.
+    /// [`Outbox::crash_records`], the newest last.
     crash_record_order: Vec<Fingerprint>,
-    /// How many of [`Outbox::blames`] may be told now.
+    /// How many of [`Outbox::crash_records`] may be told now.
     crash_record_tokens: f64,
     refilled: Time,
 }
--- a/crates/core/src/gateway/replica.rs
+++ b/crates/core/src/gateway/replica.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns about how many bytes [`Replica::news_for`] `after` holds.
+    /// Returns about how many bytes [`Replica::delta_since`] `after` holds.
     pub fn delta_size(&self, after: u64) -> usize {
         self.changed_since(after).map(Record::size).sum()
     }
--- a/crates/core/src/suspects.rs
+++ b/crates/core/src/suspects.rs
@@ -12,7 +12,7 @@
 //!
 //! A request that ended one endpoint is a *suspect*: it runs at one endpoint at a time in the
 //! whole fleet, so that what it does there is known before it is sent to the next. One that
-//! ended [`ENDED_AT_MOST`] of them is refused. One that ran well is no suspect any more.
+//! ended [`MAX_CRASHES`] of them is refused. One that ran well is no suspect any more.
 //!
 //! Nothing here knows how messages travel; `docs/design/suspects.md` weighs the design and
 //! says how likely it is that an innocent request is refused.
