--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -9,18 +9,18 @@
 use super::beacons::Beacon;
 use super::cordons::Cordon;
 use super::fleet_size::FleetSizeReport;
-use super::home::{Answer, Report};
-use super::members::Update;
+use super::home::{PlacementAnswer, PlacementReport};
+use super::members::MemberUpdate;
 use super::rate_limits::LimitReport;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
-use crate::suspects::{Blame, TurnAnswer, TurnReport};
+use crate::suspects::{CrashRecord, RunLeaseAnswer, RunLeaseReport};
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The version of these messages and of [`News`](super::replica::News). Messages of another
+/// The version of these messages and of [`StoreDelta`](super::replica::StoreDelta). Messages of another
 /// one are dropped and counted: while a fleet is updated, instances of both versions serve
 /// side by side, each with the peers of its own.
 pub const GOSSIP_VERSION: u8 = 9;
@@ -50,28 +50,28 @@
 
 /// News, as it travels.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Items {
+pub struct GossipItems {
     /// What changed among the instances.
-    pub members: Vec<Update>,
+    pub members: Vec<MemberUpdate>,
     /// Endpoints that leave.
     pub leaving: Vec<EndpointKey>,
     /// What those say that watch the store.
     pub beacons: Vec<Beacon>,
     /// Which requests ended which endpoints.
-    pub blames: Vec<Blame>,
+    pub crash_records: Vec<CrashRecord>,
     /// Which data centres are closed to new work, or open again.
     pub cordons: Vec<Cordon>,
     /// Which endpoints named a limit, or name none any more.
     pub limits: Vec<LimitReport>,
 }
 
-impl Items {
+impl GossipItems {
     /// Returns whether there is nothing.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
             && self.leaving.is_empty()
             && self.beacons.is_empty()
-            && self.blames.is_empty()
+            && self.crash_records.is_empty()
             && self.cordons.is_empty()
             && self.limits.is_empty()
     }
@@ -85,7 +85,7 @@
     /// Tells deployments apart that share a network.
     pub deployment: u64,
     /// What the sender says of itself.
-    pub from: Update,
+    pub from: MemberUpdate,
     /// The store's revision up to which the sender knows everything.
     pub revision: u64,
     /// What that comes to, see [`Replica::digest`](super::replica::Replica::digest).
@@ -100,7 +100,9 @@
     /// Returns the revisions and digests of the store that it says somebody knows.
     pub fn claims(&self) -> impl Iterator<Item = (u64, u64)> {
         let news = match &self.body {
-            Body::Probe { news, .. } | Body::Ack { news, .. } | Body::News(news) => Some(news),
+            Body::Probe { gossip: news, .. }
+            | Body::Ack { gossip: news, .. }
+            | Body::Gossip(news) => Some(news),
             _ => None,
         };
         let beacons = news.into_iter().flat_map(|it| &it.beacons);
@@ -122,7 +124,7 @@
         /// [`Ledger::digest`](crate::suspects::Ledger::digest); set as it is sent.
         suspects: u64,
         /// News.
-        news: Items,
+        gossip: GossipItems,
     },
     /// Answers a probe.
     Ack {
@@ -132,45 +134,45 @@
         /// on for another instance.
         members: Option<u64>,
         /// News.
-        news: Items,
+        gossip: GossipItems,
     },
     /// Asks to probe another instance in the sender's place.
-    ProbeFor {
+    IndirectProbe {
         /// The sender's name of its probe.
         number: u64,
         /// Whom to probe.
         target: SocketAddrV4,
     },
     /// News.
-    News(Items),
+    Gossip(GossipItems),
     /// Asks for all instances.
-    AskMembers,
+    RequestMembers,
     /// Instances that take part.
-    Members(Vec<Update>),
+    Members(Vec<MemberUpdate>),
     /// The suspects that ended the most endpoints, for an instance that knows others.
-    Suspects(Vec<Blame>),
+    Suspects(Vec<CrashRecord>),
     /// What an instance tells the home of suspects.
-    Turns(TurnReport),
+    RunLeaseReport(RunLeaseReport),
     /// What that home answers.
-    TurnAnswer(TurnAnswer),
+    RunLeaseAnswer(RunLeaseAnswer),
     /// What an instance tells a home.
-    Report(Report),
+    PlacementReport(PlacementReport),
     /// What a home answers.
-    Answer(Answer),
+    PlacementAnswer(PlacementAnswer),
 }
 
 impl Body {
     /// Returns a probe that tells what is `doubted` of its target.
-    pub fn probe(number: u64, members: u64, doubted: Option<Update>) -> Self {
-        let news = Items {
+    pub fn probe(number: u64, members: u64, doubted: Option<MemberUpdate>) -> Self {
+        let news = GossipItems {
             members: doubted.into_iter().collect(),
-            ..Items::default()
+            ..GossipItems::default()
         };
         Body::Probe {
             number,
             members,
             suspects: 0,
-            news,
+            gossip: news,
         }
     }
 
@@ -179,22 +181,22 @@
         Body::Ack {
             number,
             members: None,
-            news: Items::default(),
+            gossip: GossipItems::default(),
         }
     }
 
     /// Tells an instance what is believed of it, so that it can refute that.
-    pub fn accuse(believed: Update) -> Self {
-        Body::News(Items {
+    pub fn suspicion(believed: MemberUpdate) -> Self {
+        Body::Gossip(GossipItems {
             members: vec![believed],
-            ..Items::default()
+            ..GossipItems::default()
         })
     }
 
     /// Returns the news that it carries along.
-    pub fn news_mut(&mut self) -> Option<&mut Items> {
+    pub fn gossip_mut(&mut self) -> Option<&mut GossipItems> {
         match self {
-            Body::Probe { news, .. } | Body::Ack { news, .. } => Some(news),
+            Body::Probe { gossip: news, .. } | Body::Ack { gossip: news, .. } => Some(news),
             _ => None,
         }
     }
@@ -202,51 +204,51 @@
     /// Returns a word for its purpose, by which bytes are counted.
     pub const fn purpose(&self) -> &'static str {
         match self {
-            Body::Probe { .. } | Body::Ack { .. } | Body::ProbeFor { .. } => "probes",
-            Body::News(_) => "news",
-            Body::AskMembers | Body::Members(_) => "members",
+            Body::Probe { .. } | Body::Ack { .. } | Body::IndirectProbe { .. } => "probes",
+            Body::Gossip(_) => "news",
+            Body::RequestMembers | Body::Members(_) => "members",
             Body::Suspects(_) => "suspects",
-            Body::Turns(_) | Body::TurnAnswer(_) => "turns",
-            Body::Report(_) => "placement_reports",
-            Body::Answer(_) => "placement_answers",
+            Body::RunLeaseReport(_) | Body::RunLeaseAnswer(_) => "turns",
+            Body::PlacementReport(_) => "placement_reports",
+            Body::PlacementAnswer(_) => "placement_answers",
         }
     }
 }
 
 /// An item, and how often it is still told.
 #[derive(Clone, Debug)]
-struct Told<T> {
+struct QueuedItem<T> {
     item: T,
-    left: u32,
+    sends_left: u32,
     is_new: bool,
 }
 
 /// News that this instance still tells.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
-    members: BTreeMap<SocketAddrV4, Told<Update>>,
-    leaving: BTreeMap<EndpointKey, Told<EndpointKey>>,
-    beacons: BTreeMap<SocketAddrV4, Told<Beacon>>,
-    cordons: BTreeMap<String, Told<Cordon>>,
-    limits: BTreeMap<EndpointKey, Told<EndpointKey>>,
-    blames: BTreeMap<Fingerprint, Told<Blame>>,
-    /// [`Outbox::blames`], the newest last.
-    order: Vec<Fingerprint>,
-    /// How many of [`Outbox::blames`] may be told now.
-    allowance: f64,
+    members: BTreeMap<SocketAddrV4, QueuedItem<MemberUpdate>>,
+    leaving: BTreeMap<EndpointKey, QueuedItem<EndpointKey>>,
+    beacons: BTreeMap<SocketAddrV4, QueuedItem<Beacon>>,
+    cordons: BTreeMap<String, QueuedItem<Cordon>>,
+    limits: BTreeMap<EndpointKey, QueuedItem<EndpointKey>>,
+    crash_records: BTreeMap<Fingerprint, QueuedItem<CrashRecord>>,
+    /// [`Outbox::crash_records`], the newest last.
+    crash_record_order: Vec<Fingerprint>,
+    /// How many of [`Outbox::crash_records`] may be told now.
+    crash_record_tokens: f64,
     refilled: Time,
 }
 
 impl Outbox {
     /// Takes in what changed about an instance, among so many.
-    pub fn add_member(&mut self, update: Update, instances: usize) {
-        let told = Told::new(update, tells(instances));
+    pub fn add_member(&mut self, update: MemberUpdate, instances: usize) {
+        let told = QueuedItem::new(update, tells(instances));
         self.members.insert(update.address, told);
     }
 
     /// Takes in that an endpoint leaves, among so many instances.
     pub fn add_leaving(&mut self, endpoint: EndpointKey, instances: usize) {
-        let told = Told::new(endpoint, tells(instances));
+        let told = QueuedItem::new(endpoint, tells(instances));
         self.leaving.insert(endpoint, told);
     }
 
@@ -254,31 +256,32 @@
     pub fn add_cordon(&mut self, cordon: Cordon, instances: usize) {
         let name = cordon.data_centre.clone();
         self.cordons
-            .insert(name, Told::new(cordon, tells(instances)));
+            .insert(name, QueuedItem::new(cordon, tells(instances)));
     }
 
     /// Takes in what an instance says that watches the store.
     pub fn add_beacon(&mut self, beacon: Beacon) {
-        let told = Told::new(beacon, BEACON_TELLS);
+        let told = QueuedItem::new(beacon, BEACON_TELLS);
         self.beacons.insert(beacon.origin, told);
     }
 
     /// Takes in what is known of a suspect, among so many instances.
-    pub fn add_blame(&mut self, blame: Blame, instances: usize) {
-        self.order.retain(|it| *it != blame.fingerprint);
-        if self.order.len() >= MAX_BLAMES_WAITING {
-            let oldest = self.order.remove(0);
-            self.blames.remove(&oldest);
+    pub fn add_crash_record(&mut self, blame: CrashRecord, instances: usize) {
+        self.crash_record_order
+            .retain(|it| *it != blame.fingerprint);
+        if self.crash_record_order.len() >= MAX_BLAMES_WAITING {
+            let oldest = self.crash_record_order.remove(0);
+            self.crash_records.remove(&oldest);
         }
-        self.order.push(blame.fingerprint);
-        let told = Told::new(blame.clone(), tells(instances));
-        self.blames.insert(blame.fingerprint, told);
+        self.crash_record_order.push(blame.fingerprint);
+        let told = QueuedItem::new(blame.clone(), tells(instances));
+        self.crash_records.insert(blame.fingerprint, told);
     }
 
     /// Lets time pass for what may be told.
     pub fn tick(&mut self, now: Time) {
         let earned = now.since(self.refilled).as_secs_f64() * BLAMES_A_SECOND;
-        self.allowance = (self.allowance + earned).min(MAX_BLAMES as f64);
+        self.crash_record_tokens = (self.crash_record_tokens + earned).min(MAX_BLAMES as f64);
         self.refilled = now;
     }
 
@@ -289,16 +292,16 @@
             || any_new(&self.beacons)
             || any_new(&self.cordons)
             || any_new(&self.limits)
-            || (self.allowance >= 1.0 && any_new(&self.blames))
+            || (self.crash_record_tokens >= 1.0 && any_new(&self.crash_records))
     }
 
     /// Returns what is told now to so many peers; the newest first.
-    pub fn take(&mut self, peers: u32) -> Items {
-        Items {
+    pub fn take(&mut self, peers: u32) -> GossipItems {
+        GossipItems {
             members: take(&mut self.members, peers),
             leaving: take(&mut self.leaving, peers),
             beacons: take(&mut self.beacons, peers),
-            blames: self.take_blames(peers),
+            crash_records: self.take_blames(peers),
             cordons: take(&mut self.cordons, peers),
             // The words are written as they are sent, since each carries its age.
             limits: Vec::new(),
@@ -307,7 +310,7 @@
 
     /// Takes in that an endpoint's limit changed, among so many instances.
     pub fn add_limit(&mut self, endpoint: EndpointKey, instances: usize) {
-        let told = Told::new(endpoint, tells(instances));
+        let told = QueuedItem::new(endpoint, tells(instances));
         self.limits.insert(endpoint, told);
     }
 
@@ -321,25 +324,29 @@
     /// What goes wrong in any other order: when many endpoints end for a reason of their own, the
     /// one request that ends the next of them waits behind all that were there, and comes to
     /// other instances before its news does.
-    fn take_blames(&mut self, peers: u32) -> Vec<Blame> {
-        let newest = self.order.iter().rev();
+    fn take_blames(&mut self, peers: u32) -> Vec<CrashRecord> {
+        let newest = self.crash_record_order.iter().rev();
         let mut keys: Vec<Fingerprint> = newest.copied().collect();
-        let ended = |it: &Fingerprint| self.blames.get(it).map_or(0, |it| it.item.ended.len());
+        let ended = |it: &Fingerprint| {
+            self.crash_records
+                .get(it)
+                .map_or(0, |it| it.item.crashed.len())
+        };
         keys.sort_by_key(|it| core::cmp::Reverse(ended(it)));
-        keys.truncate(self.allowance as usize);
-        self.allowance -= keys.len() as f64;
-        let blames = tell(&mut self.blames, &keys, peers);
-        let left = &self.blames;
-        self.order.retain(|it| left.contains_key(it));
+        keys.truncate(self.crash_record_tokens as usize);
+        self.crash_record_tokens -= keys.len() as f64;
+        let blames = tell(&mut self.crash_records, &keys, peers);
+        let left = &self.crash_records;
+        self.crash_record_order.retain(|it| left.contains_key(it));
         blames
     }
 }
 
-impl<T> Told<T> {
+impl<T> QueuedItem<T> {
     fn new(item: T, left: u32) -> Self {
-        Told {
+        QueuedItem {
             item,
-            left,
+            sends_left: left,
             is_new: true,
         }
     }
@@ -350,14 +357,14 @@
     TELLS + instances.max(1).ilog2()
 }
 
-fn any_new<K, T>(told: &BTreeMap<K, Told<T>>) -> bool {
+fn any_new<K, T>(told: &BTreeMap<K, QueuedItem<T>>) -> bool {
     told.values().any(|it| it.is_new)
 }
 
-fn take<K: Ord + Clone, T: Clone>(told: &mut BTreeMap<K, Told<T>>, peers: u32) -> Vec<T> {
+fn take<K: Ord + Clone, T: Clone>(told: &mut BTreeMap<K, QueuedItem<T>>, peers: u32) -> Vec<T> {
     let mut keys: Vec<(u32, K)> = told
         .iter()
-        .map(|(key, it)| (it.left, key.clone()))
+        .map(|(key, it)| (it.sends_left, key.clone()))
         .collect();
     keys.sort_by_key(|(left, _)| core::cmp::Reverse(*left));
     keys.truncate(MAX_ITEMS);
@@ -366,14 +373,14 @@
 }
 
 /// Tells items to so many peers.
-fn tell<K: Ord, T: Clone>(told: &mut BTreeMap<K, Told<T>>, keys: &[K], peers: u32) -> Vec<T> {
+fn tell<K: Ord, T: Clone>(told: &mut BTreeMap<K, QueuedItem<T>>, keys: &[K], peers: u32) -> Vec<T> {
     let mut items = Vec::with_capacity(keys.len());
     for key in keys {
         if let Some(it) = told.get_mut(key) {
             it.is_new = false;
-            it.left = it.left.saturating_sub(peers);
+            it.sends_left = it.sends_left.saturating_sub(peers);
             items.push(it.item.clone());
-            if it.left == 0 {
+            if it.sends_left == 0 {
                 told.remove(key);
             }
         }
--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -6,10 +6,10 @@
 //! after a second, with its use, its placement requests and its reservations: a frozen instance
 //! must hold nobody up for longer.
 
-mod doubt;
+mod ejections;
 mod message;
 
-pub use message::{Answer, PlacementMessage, Report};
+pub use message::{PlacementAnswer, PlacementMessage, PlacementReport};
 
 use super::catalogue::EngineLimits;
 use super::choose::{Demand, PlacementContext, PlacementError, choose, choose_copy_target};
@@ -22,7 +22,7 @@
 use crate::ids::{EndpointKey, Incarnation};
 use crate::time::Time;
 use core::time::Duration;
-use doubt::Doubts;
+use ejections::Ejections;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -31,7 +31,7 @@
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long the word of an instance is believed: two reports in a row may be lost.
-pub const REPORT_FRESH: Duration = Duration::from_millis(1_000);
+pub const REPORT_TTL: Duration = Duration::from_millis(1_000);
 
 /// How often one instance is told what others run. It goes by that only where no home answers.
 const VIEW_INTERVAL: Duration = Duration::from_millis(250);
@@ -39,21 +39,21 @@
 /// What is known of one instance.
 #[derive(Clone, Debug)]
 struct Reporter {
-    life: Incarnation,
+    incarnation: Incarnation,
     number: u64,
-    heard: Time,
+    received_at: Time,
     data_centre: String,
     used: Vec<(EndpointKey, Usage)>,
     failing: Vec<EndpointKey>,
-    passed_over: Vec<EndpointKey>,
+    ejected: Vec<EndpointKey>,
     /// How many instances it knows, those that were lost included.
     known: u32,
     requests: Vec<PlacementRequest>,
     /// Whether this instance is to decide about the placement requests.
     decides: bool,
     /// Whether an answer is due even if nothing was decided anew.
-    owed: bool,
-    viewed: Option<Time>,
+    owes_answer: bool,
+    view_sent_at: Option<Time>,
     /// What was granted and is not in a report yet.
     reserved: BTreeMap<u64, (EndpointKey, Usage)>,
 }
@@ -63,7 +63,7 @@
 pub struct Home {
     reporters: BTreeMap<SocketAddrV4, Reporter>,
     /// Engines that instances could not use lately.
-    doubts: Doubts,
+    ejections: Ejections,
     /// Requests that were granted at engines that bear few.
     bounded_granted: SlidingWindowCounter,
 }
@@ -96,7 +96,7 @@
         cold::rate_limit(now, engine, self.endpoints, self.cold.as_ref(), self.named)
     }
 
-    fn bounded(&self, now: Time) -> Vec<EndpointKey> {
+    fn rate_limited(&self, now: Time) -> Vec<EndpointKey> {
         if self.cold.is_none() && self.named.is_empty() {
             return Vec::new();
         }
@@ -108,35 +108,44 @@
 
 impl Home {
     /// Takes a report in. One that is older than the last one changes nothing.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, life: Incarnation, report: Report) {
-        let known = self.reporters.get_mut(&from).filter(|it| it.life == life);
+    pub fn on_report(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        life: Incarnation,
+        report: PlacementReport,
+    ) {
+        let known = self
+            .reporters
+            .get_mut(&from)
+            .filter(|it| it.incarnation == life);
         let (viewed, mut reserved) = match known {
             Some(known) if known.number >= report.number => return,
-            Some(known) => (known.viewed, core::mem::take(&mut known.reserved)),
+            Some(known) => (known.view_sent_at, core::mem::take(&mut known.reserved)),
             None => (None, BTreeMap::new()),
         };
         let requests = report.requests.into_iter().take(MAX_QUEUED_PER_INSTANCE);
-        let requests: Vec<PlacementRequest> = requests.map(|it| it.at(now)).collect();
+        let requests: Vec<PlacementRequest> = requests.map(|it| it.into_request(now)).collect();
         reserved.retain(|id, _| requests.iter().any(|it| it.queued.id == *id));
-        for &engine in &report.passed_over {
+        for &engine in &report.ejected {
             let known = self.reporters.get(&from);
-            if !known.is_some_and(|it| it.passed_over.contains(&engine)) {
-                self.doubts.note(now, engine, from);
+            if !known.is_some_and(|it| it.ejected.contains(&engine)) {
+                self.ejections.record(now, engine, from);
             }
         }
         let reporter = Reporter {
-            life,
+            incarnation: life,
             number: report.number,
-            heard: now,
+            received_at: now,
             data_centre: report.data_centre,
             used: report.used,
             failing: report.failing,
-            passed_over: report.passed_over,
+            ejected: report.ejected,
             known: report.known,
             decides: report.decides,
-            owed: report.decides && !requests.is_empty(),
+            owes_answer: report.decides && !requests.is_empty(),
             requests,
-            viewed,
+            view_sent_at: viewed,
             reserved,
         };
         self.reporters.insert(from, reporter);
@@ -145,8 +154,8 @@
     /// Forgets instances that fell silent.
     pub fn tick(&mut self, now: Time) {
         self.reporters
-            .retain(|_, it| now.since(it.heard) < REPORT_FRESH);
-        self.doubts.tick(now);
+            .retain(|_, it| now.since(it.received_at) < REPORT_TTL);
+        self.ejections.tick(now);
         self.bounded_granted.tick(now);
     }
 
@@ -156,14 +165,14 @@
     }
 
     /// Returns whether somebody waits for a decision of this instance.
-    pub fn is_asked(&self) -> bool {
+    pub fn has_requests(&self) -> bool {
         self.reporters
             .values()
             .any(|it| it.decides && !it.requests.is_empty())
     }
 
     /// Returns how many requests wait for a place that this instance is to give.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         let asking = self.reporters.values().filter(|it| it.decides);
         let requests = asking.flat_map(|it| &it.requests);
         requests
@@ -174,7 +183,7 @@
     /// Returns what all instances but `except` run.
     pub fn others(&self, now: Time, except: Option<SocketAddrV4>) -> PeerUsage {
         let mut others = PeerUsage::default();
-        others.ejected.extend(self.doubts.passed_over(now));
+        others.ejected.extend(self.ejections.ejected(now));
         let counted = self.reporters.iter().filter(|it| Some(*it.0) != except);
         for (_, reporter) in counted {
             for &(key, used) in reporter.used.iter().chain(reporter.reserved.values()) {
@@ -186,7 +195,11 @@
     }
 
     /// Decides about all placement requests, and returns what instances are to be told.
-    pub fn decide(&mut self, now: Time, engines: Engines<'_>) -> Vec<(SocketAddrV4, Answer)> {
+    pub fn decide(
+        &mut self,
+        now: Time,
+        engines: Engines<'_>,
+    ) -> Vec<(SocketAddrV4, PlacementAnswer)> {
         let service = service_hash(engines.service);
         self.release_unusable(engines.endpoints);
         let mut others = self.others(now, None);
@@ -199,10 +212,10 @@
             let has_grant = told
                 .iter()
                 .any(|(_, it)| !matches!(it, PlacementDecision::Queued(_)));
-            if told.is_empty() || !(has_grant || reporter.owed) {
+            if told.is_empty() || !(has_grant || reporter.owes_answer) {
                 continue;
             }
-            reporter.owed = false;
+            reporter.owes_answer = false;
             reporter.requests.retain(|request| {
                 let is_denied = |&(id, it): &(u64, PlacementDecision)| {
                     id == request.queued.id && matches!(it, PlacementDecision::Denied(_))
@@ -216,7 +229,7 @@
             let view = self.view_for(now, from);
             send.push((
                 from,
-                Answer {
+                PlacementAnswer {
                     service,
                     decisions,
                     view,
@@ -249,12 +262,12 @@
     fn view_for(&mut self, now: Time, from: SocketAddrV4) -> Option<PeerUsage> {
         let reporter = self.reporters.get_mut(&from)?;
         let is_due = reporter
-            .viewed
+            .view_sent_at
             .is_none_or(|at| now.since(at) >= VIEW_INTERVAL);
         if !is_due {
             return None;
         }
-        reporter.viewed = Some(now);
+        reporter.view_sent_at = Some(now);
         Some(self.others(now, Some(from)))
     }
 
@@ -296,7 +309,7 @@
                         Err(why) => PlacementDecision::Denied(why),
                     };
                     if let (Ok(key), None) = (place, granted) {
-                        let used = request.reserves();
+                        let used = request.reserved_usage();
                         others.add(key, used);
                         reporter.reserved.insert(id, (key, used));
                     }
@@ -334,7 +347,7 @@
                         let told = (request.queued.id, PlacementDecision::Granted(*key));
                         decided.entry(*from).or_default().push(told);
                     }
-                    None => waiting.push((*from, reporter.asking(request))),
+                    None => waiting.push((*from, reporter.queued(request))),
                 }
             }
         }
@@ -361,7 +374,7 @@
                 }
                 reporter
                     .reserved
-                    .insert(id, (key, asking.request.reserves()));
+                    .insert(id, (key, asking.request.reserved_usage()));
             }
             decided.entry(*from).or_default().push((id, decision));
         }
@@ -369,11 +382,11 @@
 }
 
 impl Reporter {
-    fn asking(&self, request: &PlacementRequest) -> QueuedPlacement {
+    fn queued(&self, request: &PlacementRequest) -> QueuedPlacement {
         QueuedPlacement {
             request: request.clone(),
             data_centre: self.data_centre.clone(),
-            avoid: self.passed_over.clone(),
+            avoid: self.ejected.clone(),
         }
     }
 
@@ -393,7 +406,7 @@
 ) -> Result<EndpointKey, PlacementError> {
     // What bears few requests gets them in their turn only, within its bound.
     let mut exclude = request.exclude.clone();
-    exclude.extend(engines.bounded(world.now));
+    exclude.extend(engines.rate_limited(world.now));
     let demand = Demand {
         service: engines.service,
         engine: Some(engines.limits),
--- a/crates/core/src/gateway/home/message.rs
+++ b/crates/core/src/gateway/home/message.rs
@@ -21,7 +21,7 @@
 
 /// What an instance tells the home of a service and the next in rank.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct PlacementReport {
     /// The hash of the service's name.
     pub service: u64,
     /// Counts the reports of the instance's life.
@@ -35,7 +35,7 @@
     /// Engines of which the last that the instance saw was a failure.
     pub failing: Vec<EndpointKey>,
     /// Engines that it cannot use at the moment.
-    pub passed_over: Vec<EndpointKey>,
+    pub ejected: Vec<EndpointKey>,
     /// How many instances it knows, those that it lost included.
     pub known: u32,
     /// What it waits for.
@@ -44,7 +44,7 @@
 
 /// What a home answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct PlacementAnswer {
     /// The hash of the service's name.
     pub service: u64,
     /// What it decided.
@@ -55,7 +55,7 @@
 
 impl PlacementRequest {
     /// Returns the placement request as it travels.
-    pub fn to_tell(&self, now: Time) -> PlacementMessage {
+    pub fn to_message(&self, now: Time) -> PlacementMessage {
         PlacementMessage {
             waiting: self.queued.to_report(now),
             want: self.kind,
@@ -75,7 +75,7 @@
     }
 
     /// Returns what is kept for it until its instance counts it.
-    pub(super) fn reserves(&self) -> Usage {
+    pub(super) fn reserved_usage(&self) -> Usage {
         let QueuedRequest { tokens, prompt, .. } = self.queued;
         match self.kind {
             PlacementKind::Queued | PlacementKind::Immediate => Usage {
@@ -93,7 +93,7 @@
 }
 
 impl PlacementMessage {
-    pub(super) fn at(self, now: Time) -> PlacementRequest {
+    pub(super) fn into_request(self, now: Time) -> PlacementRequest {
         PlacementRequest {
             queued: QueuedRequest::from_report(now, &self.waiting),
             kind: self.want,
--- a/crates/core/src/gateway/members/probes.rs
+++ b/crates/core/src/gateway/members/probes.rs
@@ -1,6 +1,6 @@
 //! Who is probed when, and what follows from silence.
 
-use super::{Change, Members, Status, Update};
+use super::{Change, MemberUpdate, Members, Status};
 use crate::gateway::gossip::Body;
 use crate::ids::Incarnation;
 use crate::time::Time;
@@ -26,7 +26,7 @@
 
 /// How long a suspected instance has to refute it: news takes some 50 ms to it and as long
 /// back, and an instance that gets an eighth of a processor may pause for 100 ms.
-pub const SUSPICION: Duration = Duration::from_millis(1_200);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The time between two attempts to find anybody, while nobody is known.
 const JOIN_INTERVAL: Duration = Duration::from_millis(100);
@@ -51,17 +51,17 @@
     number: u64,
     target: SocketAddrV4,
     /// The life that is probed, if it is known.
-    life: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
     sent: Time,
-    helped: bool,
+    is_indirect: bool,
 }
 
 /// A probe made in the place of another instance.
 #[derive(Clone, Copy, Debug)]
-struct Help {
+struct PeerProbe {
     number: u64,
-    asker: SocketAddrV4,
-    askers_number: u64,
+    requester: SocketAddrV4,
+    requester_number: u64,
     sent: Time,
 }
 
@@ -69,20 +69,20 @@
 #[derive(Clone, Debug)]
 pub(super) struct Probes {
     open: Vec<Probe>,
-    helps: Vec<Help>,
-    numbers: u64,
-    next: Time,
-    ticked: Time,
+    for_peers: Vec<PeerProbe>,
+    last_number: u64,
+    next_probe: Time,
+    last_tick: Time,
 }
 
 impl Probes {
     pub(super) fn new(now: Time) -> Self {
         Probes {
             open: Vec::new(),
-            helps: Vec::new(),
-            numbers: 0,
-            next: now,
-            ticked: now,
+            for_peers: Vec::new(),
+            last_number: 0,
+            next_probe: now,
+            last_tick: now,
         }
     }
 }
@@ -90,53 +90,53 @@
 impl Members {
     /// Takes in the answer to a probe; returns to whom it is passed on, for whom this
     /// instance had probed.
-    pub fn acknowledged(&mut self, number: u64) -> Option<(SocketAddrV4, Body)> {
+    pub fn on_ack(&mut self, number: u64) -> Option<(SocketAddrV4, Body)> {
         self.probes.open.retain(|it| it.number != number);
         let at = self
             .probes
-            .helps
+            .for_peers
             .iter()
             .position(|it| it.number == number)?;
-        let help = self.probes.helps.swap_remove(at);
-        Some((help.asker, Body::relayed_ack(help.askers_number)))
+        let help = self.probes.for_peers.swap_remove(at);
+        Some((help.requester, Body::relayed_ack(help.requester_number)))
     }
 
     /// Probes `target` in the place of `asker`.
-    pub fn help(
+    pub fn probe_for(
         &mut self,
         now: Time,
         asker: SocketAddrV4,
         askers_number: u64,
         target: SocketAddrV4,
     ) -> Body {
-        self.probes.numbers += 1;
-        self.probes.helps.push(Help {
-            number: self.probes.numbers,
-            asker,
-            askers_number,
+        self.probes.last_number += 1;
+        self.probes.for_peers.push(PeerProbe {
+            number: self.probes.last_number,
+            requester: asker,
+            requester_number: askers_number,
             sent: now,
         });
-        self.probe_body(self.probes.numbers, target)
+        self.probe_body(self.probes.last_number, target)
     }
 
     /// Does what is due by time alone.
     pub fn tick(&mut self, now: Time, rng: &mut SmallRng) -> Change {
         let mut change = Change::default();
-        if now.since(self.probes.ticked) >= OWN_PAUSE {
+        if now.since(self.probes.last_tick) >= OWN_PAUSE {
             self.probes.open.clear();
             self.restart_suspicions(now);
         }
-        self.probes.ticked = now;
+        self.probes.last_tick = now;
         self.judge_probes(now, rng, &mut change);
         self.end_suspicions(now, &mut change);
         self.probes
-            .helps
+            .for_peers
             .retain(|it| now.since(it.sent) < PROBE_LIMIT);
         let seeds = &self.seeds;
         self.others.retain(|address, it| {
             it.is_live() || seeds.contains(address) || now.since(it.since) < REMEMBER_GONE
         });
-        if now >= self.probes.next {
+        if now >= self.probes.next_probe {
             self.probe(now, rng, &mut change);
         }
         change
@@ -160,54 +160,55 @@
         }
         let late: Vec<usize> = (0..self.probes.open.len())
             .filter(|&at| {
-                !self.probes.open[at].helped && now.since(self.probes.open[at].sent) >= ACK_LIMIT
+                !self.probes.open[at].is_indirect
+                    && now.since(self.probes.open[at].sent) >= ACK_LIMIT
             })
             .collect();
         for at in late {
             let (number, target) = (self.probes.open[at].number, self.probes.open[at].target);
-            self.probes.open[at].helped = true;
-            for helper in self.draw(rng, HELPERS, &[target]) {
+            self.probes.open[at].is_indirect = true;
+            for helper in self.sample(rng, HELPERS, &[target]) {
                 change
                     .send
-                    .push((helper, Body::ProbeFor { number, target }));
+                    .push((helper, Body::IndirectProbe { number, target }));
             }
         }
     }
 
     fn suspect(&mut self, now: Time, probe: &Probe, change: &mut Change) {
         let known = self.get(probe.target).and_then(|it| it.update);
-        let probed = known.filter(|it| Some(it.life) == probe.life);
+        let probed = known.filter(|it| Some(it.incarnation) == probe.incarnation);
         if let Some(update) = probed.filter(|it| it.status < Status::Suspect) {
             let status = Status::Suspect;
-            self.set(now, Update { status, ..update }, change);
+            self.set(now, MemberUpdate { status, ..update }, change);
         }
     }
 
     fn end_suspicions(&mut self, now: Time, change: &mut Change) {
         let suspects = self.others.values().filter_map(|it| {
             let suspect = it.update.filter(|it| it.status == Status::Suspect);
-            suspect.filter(|_| now.since(it.since) >= SUSPICION)
+            suspect.filter(|_| now.since(it.since) >= SUSPICION_TIMEOUT)
         });
         for update in suspects.collect::<Vec<_>>() {
             let status = Status::Gone;
-            self.set(now, Update { status, ..update }, change);
+            self.set(now, MemberUpdate { status, ..update }, change);
             change.gone.push(update.address);
         }
     }
 
     fn probe(&mut self, now: Time, rng: &mut SmallRng, change: &mut Change) {
         if self.live().next().is_none() {
-            self.probes.next = now + JOIN_INTERVAL;
+            self.probes.next_probe = now + JOIN_INTERVAL;
             let anybody = self.others.keys().copied();
             for target in anybody.choose_multiple(rng, JOIN_TRIES) {
                 self.probe_one(now, target, change);
             }
             return;
         }
-        self.probes.next = now + PROBE_INTERVAL;
+        self.probes.next_probe = now + PROBE_INTERVAL;
         let lost = self
             .probes
-            .numbers
+            .last_number
             .is_multiple_of(LOST_EVERY)
             .then(|| self.lost(rng));
         let target = lost.flatten().or_else(|| self.next_in_ring(rng));
@@ -217,18 +218,18 @@
     }
 
     fn probe_one(&mut self, now: Time, target: SocketAddrV4, change: &mut Change) {
-        self.probes.numbers += 1;
+        self.probes.last_number += 1;
         let update = self.others.get(&target).and_then(|it| it.update);
         self.probes.open.push(Probe {
-            number: self.probes.numbers,
+            number: self.probes.last_number,
             target,
-            life: update.map(|it| it.life),
+            incarnation: update.map(|it| it.incarnation),
             sent: now,
-            helped: false,
+            is_indirect: false,
         });
         change
             .send
-            .push((target, self.probe_body(self.probes.numbers, target)));
+            .push((target, self.probe_body(self.probes.last_number, target)));
     }
 
     /// Returns a probe, which tells its target what is believed of it, so that it can refute
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -13,13 +13,13 @@
 
 /// Instances that watch the store for all. Calls are paid for and limited, and do
 /// not become fewer when the fleet grows; two, so that one may fail unnoticed.
-pub const READERS: usize = 2;
+pub const WATCHERS: usize = 2;
 
 /// A reader to which the store has answered nothing for so long counts as cut off.
 /// A watch is answered after [`WATCH_WAIT`] at the latest, and others hear of it within
 /// [`BEACON_INTERVAL`](super::beacons::BEACON_INTERVAL); what is left of the two seconds
 /// within which changes must be in force suffices to read in its place.
-pub const READER_FRESH: Duration = Duration::from_millis(1_350);
+pub const WATCHER_TIMEOUT: Duration = Duration::from_millis(1_350);
 
 /// How long after a watch that told something the next one begins. The endpoints of a
 /// large fleet write a heartbeat every few milliseconds, and a watch that is begun at once
@@ -32,7 +32,7 @@
 const LISTEN_LOOK: Duration = Duration::from_millis(100);
 
 /// How much later than [`WATCH_WAIT`] an answer may begin before the call is given up.
-pub const ANSWER_SLACK: Duration = Duration::from_millis(700);
+pub const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
 /// The first pause after a failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
@@ -60,7 +60,7 @@
     /// Wait before the next call.
     Pause(Duration),
     /// Others watch; look again after this time.
-    Listen(Duration),
+    StandBy(Duration),
 }
 
 /// How a call failed.
@@ -82,10 +82,10 @@
     needs_read: bool,
     failures: u32,
     pause_until: Time,
-    recovered: Option<Time>,
-    heard: Option<Time>,
+    recovered_at: Option<Time>,
+    last_answer: Option<Time>,
     /// When a watch was answered last.
-    watched: Option<Time>,
+    last_watch_answer: Option<Time>,
 }
 
 impl StoreReader {
@@ -95,9 +95,9 @@
             needs_read: true,
             failures: 0,
             pause_until: Time::ZERO,
-            recovered: None,
-            heard: None,
-            watched: None,
+            recovered_at: None,
+            last_answer: None,
+            last_watch_answer: None,
         }
     }
 
@@ -109,7 +109,7 @@
         match (self.needs_read, watches) {
             (true, _) => Step::Read,
             (false, true) => Step::Watch,
-            (false, false) => Step::Listen(LISTEN_LOOK),
+            (false, false) => Step::StandBy(LISTEN_LOOK),
         }
     }
 
@@ -136,17 +136,17 @@
 
     /// Notes that a watch was answered; returns whether the store was away before.
     pub fn on_answer(&mut self, now: Time) -> bool {
-        self.watched = Some(now);
+        self.last_watch_answer = Some(now);
         self.answered(now)
     }
 
     fn answered(&mut self, now: Time) -> bool {
         let was_away = self.failures > 0;
         if was_away && self.may_have_lapsed(now) {
-            self.recovered = Some(now);
+            self.recovered_at = Some(now);
         }
         self.failures = 0;
-        self.heard = Some(now);
+        self.last_answer = Some(now);
         was_away
     }
 
@@ -173,29 +173,29 @@
     }
 
     /// Returns when the store last answered.
-    pub fn heard(&self) -> Option<Time> {
-        self.heard
+    pub fn last_answer(&self) -> Option<Time> {
+        self.last_answer
     }
 
     /// Returns when the store last answered a watch.
-    pub fn watched(&self) -> Option<Time> {
-        self.watched
+    pub fn last_watch_answer(&self) -> Option<Time> {
+        self.last_watch_answer
     }
 
     /// Returns whether the store is away.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.failures > 0
     }
 
     /// Returns whether entries that are missing may be back soon: the store is
     /// away for long, or was until a moment ago.
-    pub fn is_unsettled(&self, now: Time) -> bool {
-        let is_away = self.is_away() && self.may_have_lapsed(now);
-        is_away || self.recovered.is_some_and(|at| now.since(at) < SETTLE)
+    pub fn may_miss_records(&self, now: Time) -> bool {
+        let is_away = self.is_unavailable() && self.may_have_lapsed(now);
+        is_away || self.recovered_at.is_some_and(|at| now.since(at) < SETTLE)
     }
 
     fn may_have_lapsed(&self, now: Time) -> bool {
-        let heard = self.heard;
+        let heard = self.last_answer;
         heard.is_some_and(|heard| now.since(heard) >= LAPSING_OUTAGE)
     }
 }
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -1,14 +1,14 @@
 //! What an instance sends its peers and does about what they send.
 
-use super::{Gateway, Ticked};
-use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, reader_rank};
-use crate::gateway::catch_up::{NotTold, Provider};
+use super::{Gateway, TickOutcome};
+use crate::gateway::beacons::{BEACON_INTERVAL, Beacon, watcher_rank};
+use crate::gateway::catch_up::{FetchFailure, Provider};
 use crate::gateway::cordons::{Cordon, CordonEffect};
-use crate::gateway::gossip::{Body, Datagram, FAN_OUT, GOSSIP_VERSION, Items};
+use crate::gateway::gossip::{Body, Datagram, FAN_OUT, GOSSIP_VERSION, GossipItems};
 use crate::gateway::members::{Change, Member};
 use crate::gateway::placement::UNANSWERED_REPORT_INTERVAL;
 use crate::gateway::rate_limits::LimitChange;
-use crate::gateway::reader::{READER_FRESH, READERS, Step};
+use crate::gateway::reader::{Step, WATCHER_TIMEOUT, WATCHERS};
 use crate::ids::EndpointKey;
 use crate::time::Time;
 use core::time::Duration;
@@ -16,7 +16,7 @@
 use std::net::SocketAddrV4;
 
 /// Changes within this time go into one datagram.
-pub const TELL_DELAY: Duration = Duration::from_millis(2);
+pub const GOSSIP_DELAY: Duration = Duration::from_millis(2);
 
 /// The longest time between two looks at what is due.
 pub const TICK: Duration = Duration::from_millis(50);
@@ -27,7 +27,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ignored {
+pub enum DropReason {
     /// It is of another version.
     Version,
     /// It is of another deployment.
@@ -36,20 +36,20 @@
     Own,
 }
 
-impl Ignored {
+impl DropReason {
     /// Returns a word for it, which counters carry.
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
-            Ignored::Version => "version",
-            Ignored::Deployment => "deployment",
-            Ignored::Own => "own_address",
+            DropReason::Version => "version",
+            DropReason::Deployment => "deployment",
+            DropReason::Own => "own_address",
         }
     }
 }
 
 /// What a datagram brought.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct DatagramOutcome {
     /// Endpoints that began to leave.
     pub leaving: Vec<EndpointKey>,
     /// Words of the operator about data centres that were not known, and what they are to this
@@ -62,11 +62,11 @@
     /// Instances that count as gone now.
     pub gone: Vec<SocketAddrV4>,
     /// Whether something is to be told on soon.
-    pub tell_soon: bool,
+    pub gossip_soon: bool,
     /// Whether a request that waits for a place or its turn may have a decision.
     pub decided: bool,
     /// Whether there is news of suspects.
-    pub suspected: bool,
+    pub suspects_changed: bool,
     /// What is to be sent at once.
     pub send: Vec<(SocketAddrV4, Body)>,
 }
@@ -77,24 +77,30 @@
     /// # Errors
     ///
     /// Returns why it does not concern this instance; then nothing has changed.
-    pub fn hear(&mut self, now: Time, datagram: Datagram) -> Result<Heard, Ignored> {
+    pub fn on_datagram(
+        &mut self,
+        now: Time,
+        datagram: Datagram,
+    ) -> Result<DatagramOutcome, DropReason> {
         if datagram.version != GOSSIP_VERSION {
-            return Err(Ignored::Version);
+            return Err(DropReason::Version);
         }
         if datagram.deployment != self.cfg.deployment {
-            return Err(Ignored::Deployment);
+            return Err(DropReason::Deployment);
         }
         let from = datagram.from.address;
         if from == self.cfg.address {
-            return Err(Ignored::Own);
+            return Err(DropReason::Own);
         }
         self.fleet.on_report(now, datagram.fleet);
-        let mut heard = Heard::default();
+        let mut heard = DatagramOutcome::default();
         let mut change = Change::default();
         let (revision, digest) = (datagram.revision, datagram.digest);
         let says_more = datagram.claims().any(|it| self.is_more(it.0, it.1));
         let said = datagram.from;
-        heard.is_new = self.members.hear(now, said, revision, digest, &mut change);
+        heard.is_new = self
+            .members
+            .on_datagram(now, said, revision, digest, &mut change);
         self.hear_body(now, datagram, &mut heard, &mut change);
         heard.send.append(&mut change.send);
         heard.gone.append(&mut change.gone);
@@ -102,28 +108,34 @@
         // All others are looked at with each tick only: a datagram must not cost more where
         // there are more instances.
         if says_more {
-            self.catch_up.note(now, true);
+            self.catch_up.set_behind(now, true);
         }
-        heard.suspected = self.suspects.take_changed();
-        heard.tell_soon = self.outbox.has_new();
+        heard.suspects_changed = self.suspects.take_changed();
+        heard.gossip_soon = self.outbox.has_new();
         Ok(heard)
     }
 
-    fn hear_body(&mut self, now: Time, datagram: Datagram, heard: &mut Heard, change: &mut Change) {
+    fn hear_body(
+        &mut self,
+        now: Time,
+        datagram: Datagram,
+        heard: &mut DatagramOutcome,
+        change: &mut Change,
+    ) {
         let from = datagram.from.address;
         match datagram.body {
             Body::Probe {
                 number,
                 members,
                 suspects,
-                news,
+                gossip,
             } => {
-                self.hear_news(now, news, heard, change);
+                self.hear_news(now, gossip, heard, change);
                 self.tell_suspects(now, from, suspects, &mut heard.send);
                 let ack = Body::Ack {
                     number,
                     members: Some(self.members.digest()),
-                    news: Items::default(),
+                    gossip: GossipItems::default(),
                 };
                 heard.send.push((from, ack));
                 self.sync_with(now, from, members, heard);
@@ -131,52 +143,58 @@
             Body::Ack {
                 number,
                 members,
-                news,
+                gossip,
             } => {
-                self.hear_news(now, news, heard, change);
-                heard.send.extend(self.members.acknowledged(number));
+                self.hear_news(now, gossip, heard, change);
+                heard.send.extend(self.members.on_ack(number));
                 if let Some(members) = members {
                     self.sync_with(now, from, members, heard);
                 }
             }
-            Body::ProbeFor { number, target } => {
-                let probe = self.members.help(now, from, number, target);
+            Body::IndirectProbe { number, target } => {
+                let probe = self.members.probe_for(now, from, number, target);
                 heard.send.push((target, probe));
             }
-            Body::News(news) => self.hear_news(now, news, heard, change),
-            Body::AskMembers => {
+            Body::Gossip(news) => self.hear_news(now, news, heard, change),
+            Body::RequestMembers => {
                 let lists = self.members.list().into_iter();
                 heard.send.extend(lists.map(|it| (from, Body::Members(it))));
             }
             Body::Members(list) => {
                 for update in list {
-                    self.members.hear_of(now, update, change);
+                    self.members.on_update(now, update, change);
                 }
             }
-            Body::Report(report) => {
+            Body::PlacementReport(report) => {
                 heard.decided = self.hear_report(now, datagram.from, report, &mut heard.send);
             }
-            Body::Answer(answer) => {
+            Body::PlacementAnswer(answer) => {
                 self.hear_answer(now, answer);
                 heard.decided = true;
             }
             Body::Suspects(blames) => self.hear_blames(now, &blames),
-            Body::Turns(report) => {
+            Body::RunLeaseReport(report) => {
                 let answer = self.hear_turns(now, from, &report);
-                if !report.asks.is_empty() {
-                    heard.send.push((from, Body::TurnAnswer(answer)));
+                if !report.acquire.is_empty() {
+                    heard.send.push((from, Body::RunLeaseAnswer(answer)));
                 }
             }
-            Body::TurnAnswer(answer) => {
+            Body::RunLeaseAnswer(answer) => {
                 self.hear_turn_answer(now, &answer);
                 heard.decided = true;
             }
         }
     }
 
-    fn hear_news(&mut self, now: Time, news: Items, heard: &mut Heard, change: &mut Change) {
+    fn hear_news(
+        &mut self,
+        now: Time,
+        news: GossipItems,
+        heard: &mut DatagramOutcome,
+        change: &mut Change,
+    ) {
         for update in news.members {
-            self.members.hear_of(now, update, change);
+            self.members.on_update(now, update, change);
         }
         for endpoint in news.leaving {
             if self.endpoints.mark_leaving(now, endpoint) {
@@ -184,7 +202,7 @@
             }
         }
         for beacon in news.beacons {
-            if beacon.origin != self.cfg.address && self.beacons.hear(now, beacon) {
+            if beacon.origin != self.cfg.address && self.beacons.on_beacon(now, beacon) {
                 self.outbox.add_beacon(beacon);
             }
         }
@@ -201,12 +219,18 @@
                 heard.cordons.push((cordon, told));
             }
         }
-        self.hear_blames(now, &news.blames);
+        self.hear_blames(now, &news.crash_records);
     }
 
-    fn sync_with(&mut self, now: Time, peer: SocketAddrV4, theirs: u64, heard: &mut Heard) {
-        if self.members.asks_for_all(now, theirs) {
-            heard.send.push((peer, Body::AskMembers));
+    fn sync_with(
+        &mut self,
+        now: Time,
+        peer: SocketAddrV4,
+        theirs: u64,
+        heard: &mut DatagramOutcome,
+    ) {
+        if self.members.should_sync(now, theirs) {
+            heard.send.push((peer, Body::RequestMembers));
         }
     }
 
@@ -222,7 +246,7 @@
     }
 
     /// Tells peers soon that endpoints leave.
-    pub fn tell_leaving(&mut self, endpoints: &[EndpointKey]) {
+    pub fn gossip_leaving(&mut self, endpoints: &[EndpointKey]) {
         let instances = self.instances();
         for &endpoint in endpoints {
             self.outbox.add_leaving(endpoint, instances);
@@ -231,32 +255,32 @@
 
     /// Tells a few peers soon that this instance knows more of the store than before.
     pub fn announce(&mut self) {
-        self.announces = true;
+        self.announce_soon = true;
     }
 
     /// Returns the longest time until the next look at what is due.
     pub fn tick_interval(&self) -> Duration {
-        match self.asks.any_unanswered() || self.suspects.runs.any_asks() {
+        match self.placements.any_unanswered() || self.suspects.runs.any_waiting() {
             true => UNANSWERED_REPORT_INTERVAL,
             false => TICK,
         }
     }
 
     /// Does what is due by time alone, and returns what changed and what is to be sent.
-    pub fn tick(&mut self, now: Time) -> Ticked {
+    pub fn tick(&mut self, now: Time) -> TickOutcome {
         let mut change = self.members.tick(now, &mut self.rng);
-        let mut ticked = Ticked {
+        let mut ticked = TickOutcome {
             silent: core::mem::take(&mut change.gone),
             send: core::mem::take(&mut change.send),
-            ..Ticked::default()
+            ..TickOutcome::default()
         };
         self.tell_updates(change);
         self.beacons.tick(now);
         self.beacon(now);
-        let unsettled = self.is_unsettled(now);
+        let unsettled = self.may_miss_records(now);
         ticked.leaving = self.endpoints.tick(now, unsettled);
-        self.endpoints_ended(now, &ticked.leaving);
-        ticked.suspected = self.suspects.take_changed();
+        self.on_endpoints_lost(now, &ticked.leaving);
+        ticked.suspects_changed = self.suspects.take_changed();
         self.suspects.tick(now);
         let live = self.members.live().map(|(address, _)| address);
         let heard_most_seeds = self.members.has_heard_most_seeds();
@@ -266,7 +290,7 @@
         let endpoints = &self.endpoints;
         self.limits.tick(now, |it| endpoints.get(it).is_some());
         self.outbox.tick(now);
-        self.note_behind(now);
+        self.update_behind(now);
         self.tell_news(now, &mut ticked.send);
         ticked.decided = self.report(now, &mut ticked.send);
         ticked.decided |= self.report_turns(now, &mut ticked.send);
@@ -275,23 +299,23 @@
 
     fn beacon(&mut self, now: Time) {
         let is_due = self
-            .beaconed
+            .last_beacon
             .is_none_or(|at| now.since(at) >= BEACON_INTERVAL);
         if !is_due || !self.speaks_of_store(now) {
             return;
         }
-        self.beaconed = Some(now);
+        self.last_beacon = Some(now);
         self.beacons_sent += 1;
         let own = Beacon {
             origin: self.cfg.address,
-            life: self.cfg.incarnation,
+            incarnation: self.cfg.incarnation,
             number: self.beacons_sent,
             store_age_ms: self.store_age_ms(now),
             revision: self.replica.revision(),
             digest: self.replica.digest(),
-            unsettled: self.reader.is_unsettled(now),
+            may_miss_records: self.reader.may_miss_records(now),
         };
-        self.beacons.hear(now, own);
+        self.beacons.on_beacon(now, own);
         self.outbox.add_beacon(own);
     }
 
@@ -299,31 +323,31 @@
     /// or it ranks among the first and says that the store is away. Of those that watch in
     /// vain many may do so, and each beacon goes to everybody.
     fn speaks_of_store(&self, now: Time) -> bool {
-        let watched = self.reader.watched();
-        let is_answered = watched.is_some_and(|at| now.since(at) < READER_FRESH);
-        self.watches(now) && (is_answered || self.rank() < READERS)
+        let watched = self.reader.last_watch_answer();
+        let is_answered = watched.is_some_and(|at| now.since(at) < WATCHER_TIMEOUT);
+        self.watches(now) && (is_answered || self.rank() < WATCHERS)
     }
 
     fn tell_news(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) {
-        let announces = core::mem::take(&mut self.announces);
+        let announces = core::mem::take(&mut self.announce_soon);
         if !announces && !self.outbox.has_new() {
             return;
         }
-        let peers = self.members.draw(&mut self.rng, FAN_OUT, &[]);
+        let peers = self.members.sample(&mut self.rng, FAN_OUT, &[]);
         if peers.is_empty() {
             // What is news now is told to whoever is found first.
             return;
         }
         let items = self.take_news(now, FAN_OUT as u32);
-        send.extend(peers.iter().map(|&it| (it, Body::News(items.clone()))));
+        send.extend(peers.iter().map(|&it| (it, Body::Gossip(items.clone()))));
     }
 
-    fn take_news(&mut self, now: Time, peers: u32) -> Items {
+    fn take_news(&mut self, now: Time, peers: u32) -> GossipItems {
         let limits = self.outbox.take_limits(peers);
         let limits = limits
             .into_iter()
             .filter_map(|it| self.limits.report(now, it));
-        Items {
+        GossipItems {
             limits: limits.collect(),
             ..self.outbox.take(peers)
         }
@@ -331,12 +355,12 @@
 
     /// Returns a datagram for one peer, with news where it has room for it.
     pub fn datagram(&mut self, now: Time, mut body: Body) -> Datagram {
-        if let Some(news) = body.news_mut() {
+        if let Some(news) = body.gossip_mut() {
             let mut items = self.take_news(now, 1);
             news.members.append(&mut items.members);
             news.leaving.append(&mut items.leaving);
             news.beacons.append(&mut items.beacons);
-            news.blames.append(&mut items.blames);
+            news.crash_records.append(&mut items.crash_records);
             news.cordons.append(&mut items.cordons);
             news.limits.append(&mut items.limits);
         }
@@ -355,7 +379,7 @@
     }
 
     fn store_age_ms(&self, now: Time) -> u32 {
-        let age = self.reader.heard().map(|heard| now.since(heard));
+        let age = self.reader.last_answer().map(|heard| now.since(heard));
         age.map_or(u32::MAX, |age| {
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
         })
@@ -364,40 +388,40 @@
     /// Returns whether this instance watches the store for all: it ranks among the first
     /// that the store answers, or those that it answers are too few.
     pub fn watches(&self, now: Time) -> bool {
-        let own = reader_rank(self.cfg.address);
-        let ahead = |address: SocketAddrV4| reader_rank(address) < own;
+        let own = watcher_rank(self.cfg.address);
+        let ahead = |address: SocketAddrV4| watcher_rank(address) < own;
         let steady = |address: SocketAddrV4| {
             let member = self.members.get(address);
             member.is_some_and(Member::is_steady)
         };
-        let fresh = self.beacons.fresh(now).filter(|&it| steady(it));
+        let fresh = self.beacons.recently_answered(now).filter(|&it| steady(it));
         if self.stopping {
             return fresh.count() == 0;
         }
-        if fresh.filter(|&it| ahead(it)).count() >= READERS {
+        if fresh.filter(|&it| ahead(it)).count() >= WATCHERS {
             return false;
         }
         // Who is answered goes on, though the others hear from it now and would leave it alone.
         let is_answered = self
             .reader
-            .watched()
-            .is_some_and(|at| now.since(at) < READER_FRESH);
+            .last_watch_answer()
+            .is_some_and(|at| now.since(at) < WATCHER_TIMEOUT);
         is_answered || self.rank() < self.beacons.may_watch(now, self.started)
     }
 
     /// Returns how many others go before this instance in the order of those that watch.
     fn rank(&self) -> usize {
-        let own = reader_rank(self.cfg.address);
+        let own = watcher_rank(self.cfg.address);
         let steady = self.members.live().filter(|(_, it)| it.is_steady());
         steady
-            .filter(|(address, _)| reader_rank(*address) < own)
+            .filter(|(address, _)| watcher_rank(*address) < own)
             .count()
     }
 
     /// Returns what to do about the store now.
     pub fn next_step(&self, now: Time) -> Step {
         let knows_others = self.members.has_joined() || now.since(self.started) >= JOIN_PATIENCE;
-        let reads = (knows_others && self.watches(now)) || self.catch_up.reads_itself(now);
+        let reads = (knows_others && self.watches(now)) || self.catch_up.needs_direct_read(now);
         self.reader.next(now, reads)
     }
 
@@ -407,7 +431,7 @@
             address,
             revision: it.revision,
             digest: it.digest,
-            is_near: true,
+            is_direct: true,
         });
         let beacons = self
             .beacons
@@ -417,7 +441,7 @@
             address: it.origin,
             revision: it.revision,
             digest: it.digest,
-            is_near: false,
+            is_direct: false,
         });
         let all = members.chain(beacons);
         all.filter(|it| self.is_more(it.revision, it.digest))
@@ -425,17 +449,17 @@
 
     /// Returns a peer that knows more of the store than this instance and may be asked
     /// now, drawn among those that know most.
-    pub fn better_informed(&mut self, now: Time) -> Option<SocketAddrV4> {
+    pub fn choose_provider(&mut self, now: Time) -> Option<SocketAddrV4> {
         let watches = self.watches(now);
         let better: Vec<Provider> = self.better().collect();
-        let able = self.catch_up.may_be_asked(now, &better, watches);
+        let able = self.catch_up.candidates(now, &better, watches);
         able.choose(&mut self.rng).copied()
     }
 
     /// Notes whether a peer knows more of the store than this instance.
-    pub fn note_behind(&mut self, now: Time) {
+    pub fn update_behind(&mut self, now: Time) {
         let behind = self.better().next().is_some();
-        self.catch_up.note(now, behind);
+        self.catch_up.set_behind(now, behind);
     }
 
     /// Returns whether that is more of the store than this instance knows. Revisions alone
@@ -450,8 +474,8 @@
     }
 
     /// Notes that a peer did not tell what it knows.
-    pub fn not_told(&mut self, now: Time, peer: SocketAddrV4, why: NotTold) {
+    pub fn on_fetch_failure(&mut self, now: Time, peer: SocketAddrV4, why: FetchFailure) {
         let draw = self.draw();
-        self.catch_up.not_told(now, peer, why, draw);
+        self.catch_up.on_fetch_failure(now, peer, why, draw);
     }
 }
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -1,12 +1,12 @@
 //! Where requests go: what this instance asks of homes, and what it decides as one.
 
-use super::{Gateway, Place};
+use super::{Gateway, Placement};
 use crate::gateway::choose::{self, Demand, PlacementContext, PlacementError};
 use crate::gateway::cold::{self, ColdLimits, LOCAL_SHARE};
 use crate::gateway::endpoints::Endpoint;
 use crate::gateway::gossip::Body;
-use crate::gateway::home::{Answer, Engines, REPORT_INTERVAL, Report};
-use crate::gateway::members::Update;
+use crate::gateway::home::{Engines, PlacementAnswer, PlacementReport, REPORT_INTERVAL};
+use crate::gateway::members::MemberUpdate;
 use crate::gateway::placement::{
     PlacementKind, PlacementRequest, PlacementStatus, QUEUED_REPORT_INTERVAL,
     UNANSWERED_REPORT_INTERVAL,
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Place, PlacementError> {
+    pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Placement, PlacementError> {
         let barred = self.barred(now, demand);
         let both;
         let exclude = match barred.is_empty() {
@@ -135,7 +135,7 @@
 
     /// Returns whether a generation may go on at an engine, as far as that bears few requests, and
     /// counts it there.
-    pub fn admit_to_go_on(&mut self, now: Time, key: EndpointKey) -> bool {
+    pub fn admit_resumed(&mut self, now: Time, key: EndpointKey) -> bool {
         let Some(bound) = self.rate_bound(now, key) else {
             return true;
         };
@@ -151,12 +151,12 @@
     /// # Errors
     ///
     /// Returns why there is no place.
-    pub fn place_alone(
+    pub fn place_without_home(
         &mut self,
         now: Time,
         demand: &Demand<'_>,
         want: PlacementKind,
-    ) -> Result<Place, PlacementError> {
+    ) -> Result<Placement, PlacementError> {
         let PlacementKind::Copy { source, kind } = want else {
             return self.place(now, demand);
         };
@@ -178,57 +178,57 @@
     }
 
     /// Returns an endpoint to which new work may be sent as a place.
-    pub fn place_at(&self, key: EndpointKey) -> Option<Place> {
-        self.endpoints.usable(key).map(Place::of)
+    pub fn place_at(&self, key: EndpointKey) -> Option<Placement> {
+        self.endpoints.usable(key).map(Placement::of)
     }
 
     /// Asks for a place.
-    pub fn ask(&mut self, now: Time, request: PlacementRequest) {
-        self.asks.insert(now, request);
-        self.ask_changes += 1;
+    pub fn request_placement(&mut self, now: Time, request: PlacementRequest) {
+        self.placements.insert(now, request);
+        self.placement_changes += 1;
     }
 
     /// Asks no longer, because the request has its place or gave up.
-    pub fn ask_no_longer(&mut self, id: u64) {
-        self.asks.remove(id);
-        self.ask_changes += 1;
+    pub fn withdraw_placement(&mut self, id: u64) {
+        self.placements.remove(id);
+        self.placement_changes += 1;
     }
 
     /// Returns what a request that asked for a place goes by.
     pub fn verdict(&self, now: Time, id: u64) -> PlacementStatus {
-        self.asks.status(now, id)
+        self.placements.status(now, id)
     }
 
     /// Notes that no home answered a request for a place of `service`: the next in rank is
     /// asked.
-    pub fn home_unanswered(&mut self, now: Time, service: u64, id: u64) {
+    pub fn on_home_timeout(&mut self, now: Time, service: u64, id: u64) {
         if let Some(home) = self.acting_home(now, service) {
-            self.asks.mark_unresponsive(now, home);
+            self.placements.mark_unresponsive(now, home);
         }
-        self.ask_again(now, id);
+        self.retry_placement(now, id);
     }
 
     /// Asks anew, because what was granted cannot be taken.
-    pub fn ask_again(&mut self, now: Time, id: u64) {
-        self.asks.reset(now, id);
-        self.ask_changes += 1;
+    pub fn retry_placement(&mut self, now: Time, id: u64) {
+        self.placements.reset(now, id);
+        self.placement_changes += 1;
     }
 
     /// Returns what runs at an endpoint, as far as this instance knows.
     pub fn used(&self, key: EndpointKey) -> Usage {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
-        let others = service.and_then(|it| self.asks.view(it));
+        let others = service.and_then(|it| self.placements.view(it));
         let others = others.map(|it| it.of(key)).unwrap_or_default();
         self.usage.own(key).plus(others)
     }
 
     /// Returns whether no prompt waits at an engine, as far as is known. A generation
     /// that goes on there would wait behind it.
-    pub fn is_quiet(&self, now: Time, key: EndpointKey) -> bool {
+    pub fn has_no_pending_prefill(&self, now: Time, key: EndpointKey) -> bool {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
-        let others = service.and_then(|it| self.asks.fresh_view(now, it, UNREAD_FRESH));
+        let others = service.and_then(|it| self.placements.fresh_view(now, it, UNREAD_FRESH));
         let others = others.map_or(0, |it| it.of(key).pending_prefill);
         self.usage.own(key).pending_prefill + others == 0
     }
@@ -257,13 +257,13 @@
     /// Returns the home that is asked about a service now.
     pub fn acting_home(&self, now: Time, service: u64) -> Option<SocketAddrV4> {
         let [first, second] = self.homes(service);
-        let answers = |it: &SocketAddrV4| !self.asks.is_unresponsive(now, *it);
+        let answers = |it: &SocketAddrV4| !self.placements.is_unresponsive(now, *it);
         first.filter(answers).or(second.filter(answers)).or(first)
     }
 
     /// Returns how many requests wait for a decision of this instance as the home of a service.
-    pub fn waiting_here(&self, service: u64) -> usize {
-        self.homes.get(&service).map_or(0, |it| it.waiting())
+    pub fn queued_at_home(&self, service: u64) -> usize {
+        self.homes.get(&service).map_or(0, |it| it.queued_count())
     }
 
     /// Takes a report in and decides what follows from it; returns whether a request of this
@@ -271,23 +271,23 @@
     pub(super) fn hear_report(
         &mut self,
         now: Time,
-        from: Update,
-        report: Report,
+        from: MemberUpdate,
+        report: PlacementReport,
         send: &mut Vec<(SocketAddrV4, Body)>,
     ) -> bool {
         let service = report.service;
         let home = self.homes.entry(service).or_default();
-        home.hear(now, from.address, from.life, report);
+        home.on_report(now, from.address, from.incarnation, report);
         self.decide(now, service, send)
     }
 
     /// Takes in what a home answered.
-    pub(super) fn hear_answer(&mut self, now: Time, answer: Answer) {
+    pub(super) fn hear_answer(&mut self, now: Time, answer: PlacementAnswer) {
         for (id, decision) in answer.decisions {
-            self.asks.on_decision(now, id, decision);
+            self.placements.on_decision(now, id, decision);
         }
         if let Some(view) = answer.view {
-            self.asks.set_view(now, answer.service, view);
+            self.placements.set_view(now, answer.service, view);
         }
     }
 
@@ -319,13 +319,15 @@
         let used = endpoints.map(|it| service_hash(&it.record.service));
         let spoken = self.reported.iter().filter(|(_, it)| !it.empty);
         let spoken = spoken.map(|(service, _)| *service);
-        used.chain(spoken).chain(self.asks.services()).collect()
+        used.chain(spoken)
+            .chain(self.placements.services())
+            .collect()
     }
 
     fn report_about(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) {
-        let changes = self.usage.changes() + self.ask_changes;
+        let changes = self.usage.changes() + self.placement_changes;
         let ranks = self.homes(service);
-        let interval = match self.asks.is_unanswered(service) {
+        let interval = match self.placements.is_unanswered(service) {
             Some(true) => UNANSWERED_REPORT_INTERVAL,
             Some(false) => QUEUED_REPORT_INTERVAL,
             None => REPORT_INTERVAL,
@@ -341,7 +343,7 @@
             let endpoint = self.endpoints.get(*key);
             endpoint.is_some_and(|it| service_hash(&it.record.service) == service)
         };
-        let report = Report {
+        let report = PlacementReport {
             service,
             number: self.reports_sent + 1,
             data_centre: self.cfg.data_centre.clone(),
@@ -352,9 +354,13 @@
                 .filter(|(key, _)| of_service(key))
                 .collect(),
             failing: self.endpoints.failing().filter(of_service).collect(),
-            passed_over: self.endpoints.ejected(now).filter(of_service).collect(),
+            ejected: self.endpoints.ejected(now).filter(of_service).collect(),
             known: u32::try_from(self.fleet.count()).unwrap_or(u32::MAX),
-            requests: self.asks.of(service).map(|it| it.to_tell(now)).collect(),
+            requests: self
+                .placements
+                .of(service)
+                .map(|it| it.to_message(now))
+                .collect(),
         };
         self.reports_sent += 1;
         let empty = report.used.is_empty() && report.requests.is_empty();
@@ -368,15 +374,15 @@
             },
         );
         for to in ranks.into_iter().flatten() {
-            let report = Report {
+            let report = PlacementReport {
                 decides: acting == Some(to),
                 ..report.clone()
             };
             if to == self.cfg.address {
                 let home = self.homes.entry(service).or_default();
-                home.hear(now, to, self.cfg.incarnation, report);
+                home.on_report(now, to, self.cfg.incarnation, report);
             } else {
-                send.push((to, Body::Report(report)));
+                send.push((to, Body::PlacementReport(report)));
             }
         }
     }
@@ -384,7 +390,7 @@
     /// Decides as the home of a service; returns whether a request of this instance may have
     /// a decision.
     fn decide(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
-        let Some(home) = self.homes.get_mut(&service).filter(|it| it.is_asked()) else {
+        let Some(home) = self.homes.get_mut(&service).filter(|it| it.has_requests()) else {
             return false;
         };
         let Some(catalogue) = self.catalogue.clone() else {
@@ -412,7 +418,7 @@
                 decided = true;
                 self.hear_answer(now, answer);
             } else {
-                send.push((to, Body::Answer(answer)));
+                send.push((to, Body::PlacementAnswer(answer)));
             }
         }
         decided
@@ -426,7 +432,7 @@
     /// Returns the tables that a choice for `service` looks at.
     fn world(&self, now: Time, service: &str) -> PlacementContext<'_> {
         static NOTHING: PeerUsage = PeerUsage::empty();
-        let others = self.asks.view(service_hash(service));
+        let others = self.placements.view(service_hash(service));
         PlacementContext {
             now,
             endpoints: &self.endpoints,
@@ -437,9 +443,9 @@
     }
 }
 
-impl Place {
+impl Placement {
     fn of(endpoint: &Endpoint) -> Self {
-        Place {
+        Placement {
             key: endpoint.key,
             name: endpoint.record.name.clone(),
             address: endpoint.record.address,
--- a/crates/core/src/gateway/state/repeats.rs
+++ b/crates/core/src/gateway/state/repeats.rs
@@ -7,7 +7,7 @@
 impl Gateway {
     /// Asks to send a request of `service` to one endpoint more, and spends a repeat if it may.
     /// Everything that sends what was sent before asks this.
-    pub fn spend_repeat(&mut self, now: Time, service: &str, kind: RetryKind) -> RetryDecision {
+    pub fn try_spend_retry(&mut self, now: Time, service: &str, kind: RetryKind) -> RetryDecision {
         let has_moves = self.has_engines(service);
         let is_allowed = self.budget.try_spend(now, service, kind, has_moves);
         RetryDecision {
@@ -20,7 +20,7 @@
     }
 
     /// Returns whether a generation of `service` may go on at another engine now.
-    pub fn may_move(&mut self, now: Time, service: &str) -> bool {
+    pub fn may_relocate(&mut self, now: Time, service: &str) -> bool {
         self.budget.remaining(now, service) >= 1.0
     }
 
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -1,19 +1,21 @@
 //! What this instance believes of suspects, and what follows for its requests.
 
-use super::{Gateway, Place};
+use super::{Gateway, Placement};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::gossip::Body;
-use crate::gateway::suspects::TELL_INTERVAL;
+use crate::gateway::suspects::SEND_ALL_INTERVAL;
 use crate::ids::EndpointKey;
-use crate::suspects::{Admission, Blame, Standing, Turn, TurnAnswer, TurnReport};
+use crate::suspects::{
+    Admission, CrashRecord, RunLeaseAnswer, RunLeaseReport, Standing, SuspectRun,
+};
 use crate::time::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
 impl Gateway {
     /// Takes in a request that is going to run; it is taken out by [`Gateway::end_run`].
-    pub fn begin_run(&mut self, fingerprint: Fingerprint) -> Turn {
-        let turn = Turn {
+    pub fn begin_run(&mut self, fingerprint: Fingerprint) -> SuspectRun {
+        let turn = SuspectRun {
             fingerprint,
             run: self.draw_id(),
         };
@@ -22,13 +24,13 @@
     }
 
     /// Takes a request out that runs no longer; returns whether its homes are to be told soon.
-    pub fn end_run(&mut self, turn: Turn) -> bool {
+    pub fn end_run(&mut self, turn: SuspectRun) -> bool {
         self.suspects.runs.end(turn)
     }
 
     /// Returns whether a request may be sent to an endpoint now. A suspect that has no turn asks
     /// for it.
-    pub fn admit_run(&mut self, now: Time, turn: Turn) -> Admission {
+    pub fn admit_run(&mut self, now: Time, turn: SuspectRun) -> Admission {
         let standing = self.suspects.ledger.standing(now, turn.fingerprint);
         self.suspects.runs.admit(now, turn, standing)
     }
@@ -42,49 +44,58 @@
     ///
     /// What goes wrong otherwise: a request that was at three engines when they lost their
     /// power is refused, though it is none that ends engines.
-    pub fn ran_well(&mut self, now: Time, fingerprint: Fingerprint) {
+    pub fn on_run_succeeded(&mut self, now: Time, fingerprint: Fingerprint) {
         if self.suspects.ledger.clear(now, fingerprint) {
             self.tell_blame(now, fingerprint);
         }
     }
 
     /// Returns how many endpoints a request is known to have ended.
-    pub fn ended_by(&self, fingerprint: Fingerprint) -> usize {
-        self.suspects.ledger.ended(fingerprint)
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
+        self.suspects.ledger.crash_count(fingerprint)
     }
 
     /// Notes that an endpoint ended together with its connection; returns whether that is
     /// news of the request.
     ///
     /// An endpoint that was known to leave ended as it said it would, and nobody is to blame.
-    pub fn ended_with(&mut self, now: Time, fingerprint: Fingerprint, place: &Place) -> bool {
+    pub fn on_endpoint_crash(
+        &mut self,
+        now: Time,
+        fingerprint: Fingerprint,
+        place: &Placement,
+    ) -> bool {
         if self.leaving_since(place.key).is_some() {
             return false;
         }
-        self.endpoints_ended(now, &[place.key]);
+        self.on_endpoints_lost(now, &[place.key]);
         self.blame(now, fingerprint, place.key)
     }
 
     /// Keeps in mind that the connection to an endpoint ended, and that it cannot be told yet
     /// whether the endpoint did.
-    pub fn may_have_ended_with(&mut self, now: Time, fingerprint: Fingerprint, place: &Place) {
+    pub fn on_connection_lost(&mut self, now: Time, fingerprint: Fingerprint, place: &Placement) {
         if self.leaving_since(place.key).is_none() {
-            self.suspects.keep_undecided(now, fingerprint, place.key);
+            self.suspects
+                .record_lost_connection(now, fingerprint, place.key);
         }
     }
 
     /// Notes that endpoints ended, or left without a word; what was kept in mind of them is now
     /// certain.
-    pub fn endpoints_ended(&mut self, now: Time, endpoints: &[EndpointKey]) {
+    pub fn on_endpoints_lost(&mut self, now: Time, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
-            for fingerprint in self.suspects.take_undecided(endpoint) {
+            for fingerprint in self.suspects.take_lost_connections(endpoint) {
                 self.blame(now, fingerprint, endpoint);
             }
         }
     }
 
     fn blame(&mut self, now: Time, fingerprint: Fingerprint, endpoint: EndpointKey) -> bool {
-        let is_news = self.suspects.ledger.blame(now, fingerprint, endpoint);
+        let is_news = self
+            .suspects
+            .ledger
+            .record_crash(now, fingerprint, endpoint);
         if is_news {
             self.tell_blame(now, fingerprint);
         }
@@ -93,16 +104,16 @@
 
     fn tell_blame(&mut self, now: Time, fingerprint: Fingerprint) {
         self.suspects.note_changed();
-        if let Some(blame) = self.suspects.ledger.told(now, fingerprint) {
+        if let Some(blame) = self.suspects.ledger.record(now, fingerprint) {
             let instances = self.instances();
-            self.outbox.add_blame(blame, instances);
+            self.outbox.add_crash_record(blame, instances);
         }
     }
 
     /// Takes in what another instance knows of suspects.
-    pub(super) fn hear_blames(&mut self, now: Time, blames: &[Blame]) {
+    pub(super) fn hear_blames(&mut self, now: Time, blames: &[CrashRecord]) {
         for blame in blames {
-            if self.suspects.ledger.hear(now, blame) {
+            if self.suspects.ledger.on_record(now, blame) {
                 self.tell_blame(now, blame.fingerprint);
             }
         }
@@ -117,14 +128,14 @@
         theirs: u64,
         send: &mut Vec<(SocketAddrV4, Body)>,
     ) {
-        let told_all = self.suspects.told_all;
-        let is_due = told_all.is_none_or(|at| now.since(at) >= TELL_INTERVAL);
+        let told_all = self.suspects.all_sent_at;
+        let is_due = told_all.is_none_or(|at| now.since(at) >= SEND_ALL_INTERVAL);
         if !is_due || self.suspects.ledger.digest() == theirs {
             return;
         }
         let worst = self.suspects.ledger.worst(now);
         if !worst.is_empty() {
-            self.suspects.told_all = Some(now);
+            self.suspects.all_sent_at = Some(now);
             send.push((peer, Body::Suspects(worst)));
         }
     }
@@ -132,10 +143,10 @@
     /// Tells the homes of suspects what this instance runs and asks for; returns whether a
     /// request of this instance may have its turn.
     pub(super) fn report_turns(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
-        if self.suspects.is_quiet() {
+        if self.suspects.has_nothing_to_report() {
             return false;
         }
-        let mut reports: BTreeMap<SocketAddrV4, TurnReport> = BTreeMap::new();
+        let mut reports: BTreeMap<SocketAddrV4, RunLeaseReport> = BTreeMap::new();
         for fingerprint in self.suspects.runs.fingerprints() {
             let standing = self.suspects.ledger.standing(now, fingerprint);
             let due = self.suspects.runs.due(now, fingerprint, standing);
@@ -146,17 +157,21 @@
             if due.is_unanswered
                 && let Some(home) = self.acting_home(now, key)
             {
-                self.asks.mark_unresponsive(now, home);
+                self.placements.mark_unresponsive(now, home);
             }
-            let known = self.suspects.ledger.told(now, fingerprint);
+            let known = self.suspects.ledger.record(now, fingerprint);
             for home in self.homes(key).into_iter().flatten() {
                 let report = reports.entry(home).or_default();
-                report.blames.extend(known.clone());
-                report.holds.extend(&due.holds);
-                report.ends.extend(&due.ends);
+                report.records.extend(known.clone());
+                report.renew.extend(&due.renew);
+                report.release.extend(&due.release);
             }
             if let Some(home) = self.acting_home(now, key) {
-                reports.entry(home).or_default().asks.extend(&due.asks);
+                reports
+                    .entry(home)
+                    .or_default()
+                    .acquire
+                    .extend(&due.acquire);
             }
         }
         let mut decided = false;
@@ -166,7 +181,7 @@
                 self.hear_turn_answer(now, &answer);
                 decided = true;
             } else {
-                send.push((home, Body::Turns(report)));
+                send.push((home, Body::RunLeaseReport(report)));
             }
         }
         decided
@@ -177,19 +192,19 @@
         &mut self,
         now: Time,
         from: SocketAddrV4,
-        report: &TurnReport,
-    ) -> TurnAnswer {
-        self.hear_blames(now, &report.blames);
-        let answer = self.suspects.turns.hear(now, from, report);
-        TurnAnswer {
-            blames: self.suspects.ledger.told_of(now, &report.asks),
+        report: &RunLeaseReport,
+    ) -> RunLeaseAnswer {
+        self.hear_blames(now, &report.records);
+        let answer = self.suspects.run_leases.on_report(now, from, report);
+        RunLeaseAnswer {
+            records: self.suspects.ledger.records_of(now, &report.acquire),
             ..answer
         }
     }
 
     /// Takes in what the home of suspects answered.
-    pub(super) fn hear_turn_answer(&mut self, now: Time, answer: &TurnAnswer) {
-        self.hear_blames(now, &answer.blames);
-        self.suspects.runs.hear(now, answer);
+    pub(super) fn hear_turn_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
+        self.hear_blames(now, &answer.records);
+        self.suspects.runs.on_answer(now, answer);
     }
 }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -15,7 +15,8 @@
 use crate::peer::PeerMessage;
 use crate::reason::Reason;
 use crate::suspects::{
-    Admission, Blame, Ledger, RAN_WELL_AFTER, Runs, Standing, Turn, TurnAnswer, TurnReport, Turns,
+    Admission, CrashRecord, Ledger, RunLeaseAnswer, RunLeaseReport, RunLeases, Runs, SUCCESS_AFTER,
+    Standing, SuspectRun,
 };
 use crate::time::Time;
 use core::time::Duration;
@@ -46,7 +47,7 @@
 pub(super) struct Suspects {
     ledger: Ledger,
     runs: Runs,
-    turns: Turns<InstanceKey>,
+    turns: RunLeases<InstanceKey>,
     /// Homes that did not answer, and until when they are passed over.
     silent: BTreeMap<InstanceKey, Time>,
     /// Suspects that are to be told of, and who told this node.
@@ -62,7 +63,7 @@
         Suspects {
             ledger: Ledger::default(),
             runs: Runs::new(HOME_PATIENCE),
-            turns: Turns::new(now),
+            turns: RunLeases::new(now),
             silent: BTreeMap::new(),
             untold: BTreeMap::new(),
             told: None,
@@ -71,8 +72,8 @@
     }
 }
 
-fn turn_of(request: &Request) -> Turn {
-    Turn {
+fn turn_of(request: &Request) -> SuspectRun {
+    SuspectRun {
         fingerprint: request.arrival.fingerprint,
         run: request.id().seq,
     }
@@ -81,7 +82,7 @@
 impl Node {
     /// Begins to listen to what others run, as the home of suspects.
     pub(super) fn start_suspects(&mut self) {
-        self.suspects.turns.listen_anew(self.now);
+        self.suspects.turns.restart_grace_period(self.now);
     }
 
     /// Takes in a request that is going to run.
@@ -156,14 +157,18 @@
         };
         let fingerprint = request.arrival.fingerprint;
         let begun = request.begun;
-        if begun.is_some_and(|at| self.now.since(at) >= RAN_WELL_AFTER) {
+        if begun.is_some_and(|at| self.now.since(at) >= SUCCESS_AFTER) {
             return self.ran_well(fingerprint);
         }
         if self.membership.endpoint_state(endpoint) == EndpointState::Leaving {
             // It ended as it said it would.
             return;
         }
-        if self.suspects.ledger.blame(self.now, fingerprint, endpoint) {
+        if self
+            .suspects
+            .ledger
+            .record_crash(self.now, fingerprint, endpoint)
+        {
             self.tell_soon(fingerprint, None);
         }
     }
@@ -189,12 +194,12 @@
         if told.is_some_and(|at| self.now.since(at) < TELL_INTERVAL) {
             return;
         }
-        let mut by_receiver: BTreeMap<InstanceKey, Vec<Blame>> = BTreeMap::new();
+        let mut by_receiver: BTreeMap<InstanceKey, Vec<CrashRecord>> = BTreeMap::new();
         for _ in 0..MOST_TOLD {
             let Some((fingerprint, source)) = self.suspects.untold.pop_first() else {
                 break;
             };
-            let Some(blame) = self.suspects.ledger.told(self.now, fingerprint) else {
+            let Some(blame) = self.suspects.ledger.record(self.now, fingerprint) else {
                 continue;
             };
             for to in self.membership.told_news(source, Vec::new()) {
@@ -220,14 +225,14 @@
     }
 
     /// A peer told of suspects.
-    pub(super) fn on_suspects(&mut self, from: PeerId, blames: &[Blame]) {
+    pub(super) fn on_suspects(&mut self, from: PeerId, blames: &[CrashRecord]) {
         self.hear_blames(from, blames);
         self.look_at_waiting();
     }
 
-    fn hear_blames(&mut self, from: PeerId, blames: &[Blame]) {
+    fn hear_blames(&mut self, from: PeerId, blames: &[CrashRecord]) {
         for blame in blames {
-            if self.suspects.ledger.hear(self.now, blame) {
+            if self.suspects.ledger.on_record(self.now, blame) {
                 self.tell_soon(blame.fingerprint, Some(from));
             }
         }
@@ -239,10 +244,10 @@
         self.suspects.ledger.tick(now);
         self.suspects.turns.tick(now);
         self.suspects.silent.retain(|_, until| now < *until);
-        if self.suspects.ledger.is_empty() && self.suspects.runs.none_ended() {
+        if self.suspects.ledger.is_empty() && self.suspects.runs.no_run_ended() {
             return;
         }
-        let mut reports: BTreeMap<InstanceKey, TurnReport> = BTreeMap::new();
+        let mut reports: BTreeMap<InstanceKey, RunLeaseReport> = BTreeMap::new();
         let mut any_runs = false;
         for fingerprint in self.suspects.runs.fingerprints() {
             let standing = self.suspects.ledger.standing(now, fingerprint);
@@ -250,9 +255,9 @@
             self.report_turns_of(fingerprint, standing, &mut reports);
         }
         for (home, report) in reports {
-            self.send(home, PeerMessage::Turns(report));
+            self.send(home, PeerMessage::RunLeaseReport(report));
         }
-        if self.suspects.runs.any_asks() {
+        if self.suspects.runs.any_waiting() {
             self.timers.set(now + LOOK_ASKING, TimerKind::Turns);
             self.look_at_waiting();
         } else if any_runs {
@@ -264,7 +269,7 @@
         &mut self,
         fingerprint: Fingerprint,
         standing: Standing,
-        reports: &mut BTreeMap<InstanceKey, TurnReport>,
+        reports: &mut BTreeMap<InstanceKey, RunLeaseReport>,
     ) {
         let now = self.now;
         let due = self.suspects.runs.due(now, fingerprint, standing);
@@ -284,36 +289,43 @@
         {
             silent.insert(home, now + PASSED_OVER);
         }
-        let known = self.suspects.ledger.told(now, fingerprint);
+        let known = self.suspects.ledger.record(now, fingerprint);
         for &home in &ranked {
             let report = reports.entry(home).or_default();
-            report.blames.extend(known.clone());
-            report.holds.extend(&due.holds);
-            report.ends.extend(&due.ends);
+            report.records.extend(known.clone());
+            report.renew.extend(&due.renew);
+            report.release.extend(&due.release);
         }
         if let Some(home) = acting(silent) {
-            reports.entry(home).or_default().asks.extend(&due.asks);
+            reports
+                .entry(home)
+                .or_default()
+                .acquire
+                .extend(&due.acquire);
         }
         self.suspects.ranked = ranked;
     }
 
     /// A peer told this node, as the home of suspects, what it runs and asks for.
-    pub(super) fn on_turns(&mut self, from: PeerId, report: &TurnReport) {
-        self.hear_blames(from, &report.blames);
-        let answer = self.suspects.turns.hear(self.now, from.instance, report);
-        if !report.asks.is_empty() {
-            let answer = TurnAnswer {
-                blames: self.suspects.ledger.told_of(self.now, &report.asks),
+    pub(super) fn on_turns(&mut self, from: PeerId, report: &RunLeaseReport) {
+        self.hear_blames(from, &report.records);
+        let answer = self
+            .suspects
+            .turns
+            .on_report(self.now, from.instance, report);
+        if !report.acquire.is_empty() {
+            let answer = RunLeaseAnswer {
+                records: self.suspects.ledger.records_of(self.now, &report.acquire),
                 ..answer
             };
-            self.send(from.instance, PeerMessage::TurnAnswer(answer));
+            self.send(from.instance, PeerMessage::RunLeaseAnswer(answer));
         }
     }
 
     /// The home of suspects answered.
-    pub(super) fn on_turn_answer(&mut self, from: PeerId, answer: &TurnAnswer) {
-        self.hear_blames(from, &answer.blames);
-        self.suspects.runs.hear(self.now, answer);
+    pub(super) fn on_turn_answer(&mut self, from: PeerId, answer: &RunLeaseAnswer) {
+        self.hear_blames(from, &answer.records);
+        self.suspects.runs.on_answer(self.now, answer);
         self.look_at_waiting();
     }
 }
--- a/crates/core/src/suspects/ledger.rs
+++ b/crates/core/src/suspects/ledger.rs
@@ -5,7 +5,7 @@
 //! nothing. A request that ran well begins a new round with an empty set, which goes before all
 //! sets of earlier rounds.
 
-use super::Turn;
+use super::SuspectRun;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointKey, stable_hash};
 use crate::time::Time;
@@ -15,11 +15,11 @@
 
 /// Endpoints that a request may end before it is refused. One end may be the endpoint's own and
 /// two may be bad luck.
-pub const ENDED_AT_MOST: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// How long a request is refused after the last endpoint that it ended. Then one attempt is let
 /// through, alone, since a later release of the endpoint may bear it.
-pub const REFUSED_FOR: Duration = Duration::from_secs(300);
+pub const REFUSAL_DURATION: Duration = Duration::from_secs(300);
 
 /// How long a suspect is remembered after the last endpoint that it ended.
 const REMEMBERED_FOR: Duration = Duration::from_secs(3_600);
@@ -37,7 +37,7 @@
 
 /// How long an answer must have been under way for its request to count as one that ran well,
 /// even if it broke off then. What ends its endpoint does so when it begins.
-pub const RAN_WELL_AFTER: Duration = Duration::from_secs(1);
+pub const SUCCESS_AFTER: Duration = Duration::from_secs(1);
 
 /// Suspects that one instance tells another one that knows others: one datagram.
 const WORST: usize = 24;
@@ -47,13 +47,13 @@
 
 /// What is told of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blame {
+pub struct CrashRecord {
     /// The request.
     pub fingerprint: Fingerprint,
     /// How often it ran well after it had been blamed.
     pub round: u32,
     /// The endpoints that it ended since then.
-    pub ended: Vec<EndpointKey>,
+    pub crashed: Vec<EndpointKey>,
     /// Milliseconds since the last change of this, as the sender knows it.
     pub age_ms: u32,
 }
@@ -72,14 +72,14 @@
 #[derive(Clone, Debug)]
 struct Suspect {
     round: u32,
-    ended: BTreeSet<EndpointKey>,
+    crashed: BTreeSet<EndpointKey>,
     /// When the last change happened.
     changed: Time,
 }
 
 impl Suspect {
     fn hash(&self, fingerprint: Fingerprint) -> u64 {
-        let ended = self.ended.iter().fold(0, |sum, it| sum ^ it.0);
+        let ended = self.crashed.iter().fold(0, |sum, it| sum ^ it.0);
         let round = self.round.to_le_bytes();
         stable_hash(&[
             &fingerprint.rank_key().to_le_bytes(),
@@ -89,7 +89,7 @@
     }
 
     fn kept_for(&self) -> Duration {
-        match self.ended.is_empty() {
+        match self.crashed.is_empty() {
             true => CLEARED_FOR,
             false => REMEMBERED_FOR,
         }
@@ -111,10 +111,10 @@
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return Standing::Free;
         };
-        match suspect.ended.len() {
+        match suspect.crashed.len() {
             0 => Standing::Free,
-            ended if ended < ENDED_AT_MOST => Standing::Suspect,
-            _ if now.since(suspect.changed) < REFUSED_FOR => Standing::Refused,
+            ended if ended < MAX_CRASHES => Standing::Suspect,
+            _ if now.since(suspect.changed) < REFUSAL_DURATION => Standing::Refused,
             _ => Standing::Suspect,
         }
     }
@@ -125,9 +125,9 @@
     }
 
     /// Returns how many endpoints a request is known to have ended.
-    pub fn ended(&self, fingerprint: Fingerprint) -> usize {
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.map_or(0, |it| it.ended.len())
+        suspect.map_or(0, |it| it.crashed.len())
     }
 
     /// Returns how many suspects there are, and how many of them are refused.
@@ -155,7 +155,12 @@
     }
 
     /// Notes that a request ended an endpoint; returns whether that is news.
-    pub fn blame(&mut self, now: Time, fingerprint: Fingerprint, endpoint: EndpointKey) -> bool {
+    pub fn record_crash(
+        &mut self,
+        now: Time,
+        fingerprint: Fingerprint,
+        endpoint: EndpointKey,
+    ) -> bool {
         let round = self.suspects.get(&fingerprint).map_or(0, |it| it.round);
         self.merge(now, fingerprint, round, &[endpoint])
     }
@@ -163,21 +168,21 @@
     /// Notes that a request ran well; returns whether that is news.
     pub fn clear(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let known = self.suspects.get(&fingerprint);
-        let Some(round) = known.filter(|it| !it.ended.is_empty()).map(|it| it.round) else {
+        let Some(round) = known.filter(|it| !it.crashed.is_empty()).map(|it| it.round) else {
             return false;
         };
         self.merge(now, fingerprint, round.saturating_add(1), &[])
     }
 
     /// Takes in what another instance knows; returns whether that is news.
-    pub fn hear(&mut self, now: Time, blame: &Blame) -> bool {
+    pub fn on_record(&mut self, now: Time, blame: &CrashRecord) -> bool {
         let age = Duration::from_millis(blame.age_ms.into());
         let changed = now.before(age).unwrap_or(Time::ZERO);
-        let kept = match blame.ended.is_empty() {
+        let kept = match blame.crashed.is_empty() {
             true => CLEARED_FOR,
             false => REMEMBERED_FOR,
         };
-        age < kept && self.merge(changed, blame.fingerprint, blame.round, &blame.ended)
+        age < kept && self.merge(changed, blame.fingerprint, blame.round, &blame.crashed)
     }
 
     fn merge(
@@ -192,17 +197,17 @@
             Some(known) if known.round == round => known.clone(),
             _ => Suspect {
                 round,
-                ended: BTreeSet::new(),
+                crashed: BTreeSet::new(),
                 changed,
             },
         };
         let before = self.suspects.get(&fingerprint);
-        let before = before.map(|it| (it.round, it.ended.len()));
-        let room = MAX_ENDED.saturating_sub(suspect.ended.len());
-        let known = suspect.ended.clone();
+        let before = before.map(|it| (it.round, it.crashed.len()));
+        let room = MAX_ENDED.saturating_sub(suspect.crashed.len());
+        let known = suspect.crashed.clone();
         let new = ended.iter().filter(|it| !known.contains(it));
-        suspect.ended.extend(new.take(room));
-        if before == Some((suspect.round, suspect.ended.len())) {
+        suspect.crashed.extend(new.take(room));
+        if before == Some((suspect.round, suspect.crashed.len())) {
             return false;
         }
         suspect.changed = suspect.changed.max(changed);
@@ -221,7 +226,7 @@
 
     /// Removes the suspect that ended the fewest endpoints, and of these the oldest.
     fn remove_least(&mut self) {
-        let rank = |it: &Suspect| (it.ended.len(), it.changed);
+        let rank = |it: &Suspect| (it.crashed.len(), it.changed);
         let least = self.suspects.iter().min_by_key(|(_, it)| rank(it));
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
             self.remove(fingerprint);
@@ -243,38 +248,38 @@
     }
 
     /// Returns what is to be told of a request.
-    pub fn told(&self, now: Time, fingerprint: Fingerprint) -> Option<Blame> {
+    pub fn record(&self, now: Time, fingerprint: Fingerprint) -> Option<CrashRecord> {
         let suspect = self.suspects.get(&fingerprint)?;
-        Some(Blame {
+        Some(CrashRecord {
             fingerprint,
             round: suspect.round,
-            ended: suspect.ended.iter().copied().collect(),
+            crashed: suspect.crashed.iter().copied().collect(),
             age_ms: u32::try_from(now.since(suspect.changed).as_millis()).unwrap_or(u32::MAX),
         })
     }
 
     /// Returns what is to be told of the requests of some runs.
-    pub fn told_of(&self, now: Time, turns: &[Turn]) -> Vec<Blame> {
+    pub fn records_of(&self, now: Time, turns: &[SuspectRun]) -> Vec<CrashRecord> {
         let mut all: Vec<Fingerprint> = turns.iter().map(|it| it.fingerprint).collect();
         all.sort();
         all.dedup();
         all.into_iter()
-            .filter_map(|it| self.told(now, it))
+            .filter_map(|it| self.record(now, it))
             .collect()
     }
 
     /// Returns what is to be told of the suspects that ended the most endpoints, as much as
     /// fits a datagram.
-    pub fn worst(&self, now: Time) -> Vec<Blame> {
+    pub fn worst(&self, now: Time) -> Vec<CrashRecord> {
         let worst = self.ranked().into_iter().take(WORST);
-        worst.filter_map(|(it, _)| self.told(now, *it)).collect()
+        worst.filter_map(|(it, _)| self.record(now, *it)).collect()
     }
 
     /// Returns all, those first that ended the most endpoints. Equals go by fingerprint, which
     /// is the same at all instances, and not by age, which is not.
     fn ranked(&self) -> Vec<(&Fingerprint, &Suspect)> {
         let mut all: Vec<_> = self.suspects.iter().collect();
-        all.sort_by_key(|(_, it)| core::cmp::Reverse(it.ended.len()));
+        all.sort_by_key(|(_, it)| core::cmp::Reverse(it.crashed.len()));
         all
     }
 }
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -1,6 +1,6 @@
 //! What this instance runs, and what it asks of the homes of suspects.
 
-use super::{Standing, TurnAnswer};
+use super::{RunLeaseAnswer, Standing};
 use crate::fingerprint::Fingerprint;
 use crate::time::Time;
 use core::time::Duration;
@@ -19,7 +19,7 @@
 
 /// A run of a suspect, as instances tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Turn {
+pub struct SuspectRun {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The number of the run at its instance.
@@ -44,34 +44,34 @@
     /// It runs without a turn: it was no suspect when it began.
     Free,
     /// It asks for a turn.
-    Asks {
+    Requesting {
         /// Since when the present home may answer.
         since: Time,
         /// When a home was asked last.
-        asked: Option<Time>,
+        requested_at: Option<Time>,
         /// Homes that did not answer since one did.
-        missed: u32,
+        timeouts: u32,
     },
     /// It has the turn.
-    Given,
+    Granted,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
     stage: Stage,
     /// When homes were told last that it runs.
-    told: Option<Time>,
+    reported_at: Option<Time>,
 }
 
 /// What homes are to be told of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Runs that ask the present home for the turn.
-    pub asks: Vec<Turn>,
+    pub acquire: Vec<SuspectRun>,
     /// Runs that go on.
-    pub holds: Vec<Turn>,
+    pub renew: Vec<SuspectRun>,
     /// Runs that ended.
-    pub ends: Vec<Turn>,
+    pub release: Vec<SuspectRun>,
     /// Whether the present home did not answer in time.
     pub is_unanswered: bool,
 }
@@ -79,7 +79,7 @@
 impl Due {
     /// Returns whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.asks.is_empty() && self.holds.is_empty() && self.ends.is_empty()
+        self.acquire.is_empty() && self.renew.is_empty() && self.release.is_empty()
     }
 }
 
@@ -87,27 +87,27 @@
 #[derive(Clone, Debug)]
 pub struct Runs {
     /// How long a home may take to answer before the next in rank is asked.
-    home_patience: Duration,
+    home_timeout: Duration,
     runs: BTreeMap<Fingerprint, BTreeMap<u64, Run>>,
     /// Runs that ended and of which homes had been told.
-    ended: Vec<Turn>,
+    ended: Vec<SuspectRun>,
 }
 
 impl Runs {
     /// Returns an instance that runs nothing, whose homes may take so long to answer.
     pub fn new(home_patience: Duration) -> Self {
         Runs {
-            home_patience,
+            home_timeout: home_patience,
             runs: BTreeMap::new(),
             ended: Vec::new(),
         }
     }
 
     /// Takes in a run that begins.
-    pub fn begin(&mut self, turn: Turn) {
+    pub fn begin(&mut self, turn: SuspectRun) {
         let run = Run {
             stage: Stage::Free,
-            told: None,
+            reported_at: None,
         };
         let runs = self.runs.entry(turn.fingerprint).or_default();
         runs.insert(turn.run, run);
@@ -115,7 +115,7 @@
 
     /// Returns whether a run may be sent to an endpoint now, and asks for its turn where it
     /// needs one.
-    pub fn admit(&mut self, now: Time, turn: Turn, standing: Standing) -> Admission {
+    pub fn admit(&mut self, now: Time, turn: SuspectRun, standing: Standing) -> Admission {
         let Some(run) = self.get(turn) else {
             return Admission::Refused;
         };
@@ -125,16 +125,19 @@
                 run.stage = Stage::Free;
                 Admission::Go
             }
-            (Standing::Suspect, Stage::Given) => Admission::Go,
-            (Standing::Suspect, Stage::Asks { missed, .. }) if missed >= HOMES_ASKED => {
-                Admission::NoHome
-            }
-            (Standing::Suspect, Stage::Asks { .. }) => Admission::Wait,
+            (Standing::Suspect, Stage::Granted) => Admission::Go,
+            (
+                Standing::Suspect,
+                Stage::Requesting {
+                    timeouts: missed, ..
+                },
+            ) if missed >= HOMES_ASKED => Admission::NoHome,
+            (Standing::Suspect, Stage::Requesting { .. }) => Admission::Wait,
             (Standing::Suspect, Stage::Free) => {
-                run.stage = Stage::Asks {
+                run.stage = Stage::Requesting {
                     since: now,
-                    asked: None,
-                    missed: 0,
+                    requested_at: None,
+                    timeouts: 0,
                 };
                 Admission::Wait
             }
@@ -142,7 +145,7 @@
     }
 
     /// Takes a run out; returns whether homes are to be told.
-    pub fn end(&mut self, turn: Turn) -> bool {
+    pub fn end(&mut self, turn: SuspectRun) -> bool {
         let Some(runs) = self.runs.get_mut(&turn.fingerprint) else {
             return false;
         };
@@ -151,7 +154,7 @@
             self.runs.remove(&turn.fingerprint);
         }
         let homes_know =
-            run.is_some_and(|it| it.told.is_some() || !matches!(it.stage, Stage::Free));
+            run.is_some_and(|it| it.reported_at.is_some() || !matches!(it.stage, Stage::Free));
         if homes_know {
             self.ended.push(turn);
         }
@@ -159,8 +162,8 @@
     }
 
     /// Takes in what a home answered.
-    pub fn hear(&mut self, now: Time, answer: &TurnAnswer) {
-        for &turn in &answer.given {
+    pub fn on_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
+        for &turn in &answer.granted {
             self.answered(now, turn, true);
         }
         for &turn in &answer.waiting {
@@ -168,26 +171,31 @@
         }
     }
 
-    fn answered(&mut self, now: Time, turn: Turn, given: bool) {
+    fn answered(&mut self, now: Time, turn: SuspectRun, given: bool) {
         let Some(run) = self.get(turn) else { return };
-        if let Stage::Asks { since, missed, .. } = &mut run.stage {
+        if let Stage::Requesting {
+            since,
+            timeouts: missed,
+            ..
+        } = &mut run.stage
+        {
             *since = now;
             *missed = 0;
             if given {
-                run.stage = Stage::Given;
+                run.stage = Stage::Granted;
             }
         }
     }
 
     /// Returns whether no home is to be told of the end of a run.
-    pub fn none_ended(&self) -> bool {
+    pub fn no_run_ended(&self) -> bool {
         self.ended.is_empty()
     }
 
     /// Returns whether a run waits for a home.
-    pub fn any_asks(&self) -> bool {
+    pub fn any_waiting(&self) -> bool {
         let mut runs = self.runs.values().flat_map(BTreeMap::values);
-        runs.any(|it| matches!(it.stage, Stage::Asks { .. }))
+        runs.any(|it| matches!(it.stage, Stage::Requesting { .. }))
     }
 
     /// Returns the requests of which homes may have to be told.
@@ -202,35 +210,38 @@
     /// Returns what homes are to be told of a request now.
     pub fn due(&mut self, now: Time, fingerprint: Fingerprint, standing: Standing) -> Due {
         let mut due = Due::default();
-        let is_of = |it: &Turn| it.fingerprint == fingerprint;
-        due.ends.extend(self.ended.iter().copied().filter(is_of));
+        let is_of = |it: &SuspectRun| it.fingerprint == fingerprint;
+        due.release.extend(self.ended.iter().copied().filter(is_of));
         self.ended.retain(|it| !is_of(it));
         if standing == Standing::Free {
             return due;
         }
         let runs = self.runs.get_mut(&fingerprint).into_iter().flatten();
         for (&run, state) in runs {
-            let turn = Turn { fingerprint, run };
+            let turn = SuspectRun { fingerprint, run };
             match &mut state.stage {
-                Stage::Asks {
+                Stage::Requesting {
                     since,
-                    asked,
-                    missed,
+                    requested_at: asked,
+                    timeouts: missed,
                 } => {
-                    if now.since(*since) >= self.home_patience {
+                    if now.since(*since) >= self.home_timeout {
                         due.is_unanswered = true;
                         *missed += 1;
                         *since = now;
                     }
                     if asked.is_none_or(|at| now.since(at) >= ASK_AGAIN) {
                         *asked = Some(now);
-                        due.asks.push(turn);
+                        due.acquire.push(turn);
                     }
                 }
-                Stage::Free | Stage::Given => {
-                    if state.told.is_none_or(|at| now.since(at) >= HOLD_AGAIN) {
-                        state.told = Some(now);
-                        due.holds.push(turn);
+                Stage::Free | Stage::Granted => {
+                    if state
+                        .reported_at
+                        .is_none_or(|at| now.since(at) >= HOLD_AGAIN)
+                    {
+                        state.reported_at = Some(now);
+                        due.renew.push(turn);
                     }
                 }
             }
@@ -238,7 +249,7 @@
         due
     }
 
-    fn get(&mut self, turn: Turn) -> Option<&mut Run> {
+    fn get(&mut self, turn: SuspectRun) -> Option<&mut Run> {
         self.runs.get_mut(&turn.fingerprint)?.get_mut(&turn.run)
     }
 }
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -165,7 +165,7 @@
             kind: PlacementKind::Queued,
             exclude: Vec::new(),
         };
-        self.core(index).ask(now, request);
+        self.core(index).request_placement(now, request);
         self.fleet.hurry(index);
         self.waiting.push((index, id));
     }
@@ -186,8 +186,8 @@
             let place = match core.verdict(now, id) {
                 PlacementStatus::Decided(PlacementDecision::Granted(key)) => Some(key),
                 PlacementStatus::TimedOut => {
-                    core.home_unanswered(now, service_hash("model"), id);
-                    let alone = core.place_alone(now, &demand, PlacementKind::Queued);
+                    core.on_home_timeout(now, service_hash("model"), id);
+                    let alone = core.place_without_home(now, &demand, PlacementKind::Queued);
                     alone.ok().map(|it| it.key)
                 }
                 _ => None,
@@ -195,7 +195,7 @@
             match place {
                 Some(key) => {
                     core.usage.begin(key, 10, 0);
-                    core.ask_no_longer(id);
+                    core.withdraw_placement(id);
                     self.sent.push((now, key));
                     self.fleet.hurry(index);
                 }
@@ -394,7 +394,7 @@
     };
     let source = EndpointKey::of("e-source");
 
-    let place = one.place_alone(now, &demand, PlacementKind::Copy { source, kind });
+    let place = one.place_without_home(now, &demand, PlacementKind::Copy { source, kind });
 
     assert_eq!(place, Err(PlacementError::Full));
 }
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -247,10 +247,10 @@
 
 /// Asks for a place at an instance that is its own home.
 fn granted(one: &mut Gateway, now: Time, want: PlacementKind) -> PlacementStatus {
-    one.ask(now, request(1, want));
+    one.request_placement(now, request(1, want));
     one.tick(now);
     let verdict = one.verdict(now, 1);
-    one.ask_no_longer(1);
+    one.withdraw_placement(1);
     one.tick(now);
     verdict
 }
@@ -269,7 +269,7 @@
             assert!(!closed.contains(&place.key), "{}", place.name);
         }
         for want in all_wants() {
-            let alone = one.place_alone(now, &demand("model"), want);
+            let alone = one.place_without_home(now, &demand("model"), want);
             assert!(alone.is_err() || alone.is_ok_and(|it| !closed.contains(&it.key)));
             let verdict = granted(&mut one, now, want);
             let is_closed = |it: &EndpointKey| closed.contains(it);
@@ -289,7 +289,7 @@
 fn a_place_that_was_granted_before_is_not_taken() {
     let mut one = two_places();
     let now = Time::from_secs(1);
-    one.ask(now, request(1, PlacementKind::Queued));
+    one.request_placement(now, request(1, PlacementKind::Queued));
     one.tick(now);
     let PlacementStatus::Decided(PlacementDecision::Granted(key)) = one.verdict(now, 1) else {
         panic!("an empty engine is given");
@@ -304,7 +304,7 @@
 
     one.publish_cordon(now, cordon(&place, 5, true));
     let taken = one.place_at(key);
-    one.ask_again(now, 1);
+    one.retry_placement(now, 1);
     one.tick(now);
 
     assert_eq!(taken, None);
@@ -361,5 +361,5 @@
     one.cordons_read();
 
     assert!(!before);
-    assert!(one.is_ready() && !one.replica.is_whole());
+    assert!(one.is_ready() && !one.replica.is_complete());
 }
--- a/crates/core/tests/gateway_places.rs
+++ b/crates/core/tests/gateway_places.rs
@@ -130,7 +130,7 @@
             kind: PlacementKind::Queued,
             exclude: Vec::new(),
         };
-        self.core(instance).ask(now, request);
+        self.core(instance).request_placement(now, request);
         self.fleet.hurry(instance);
         self.asking.push(Asking {
             instance,
@@ -167,14 +167,16 @@
         let place = match core.verdict(now, asking.id) {
             PlacementStatus::Decided(PlacementDecision::Granted(key)) => Some(key),
             PlacementStatus::TimedOut => {
-                core.home_unanswered(now, service_hash("model"), asking.id);
+                core.on_home_timeout(now, service_hash("model"), asking.id);
                 let demand = Demand {
                     service: "model",
                     engine: Some(ENGINE),
                     tokens: TOKENS,
                     exclude: &[],
                 };
-                let place = core.place_alone(now, &demand, PlacementKind::Queued).ok();
+                let place = core
+                    .place_without_home(now, &demand, PlacementKind::Queued)
+                    .ok();
                 self.alone += usize::from(place.is_some());
                 place.map(|it| it.key)
             }
@@ -184,7 +186,7 @@
             return Some(asking);
         };
         core.usage.begin(at, TOKENS, 0);
-        core.ask_no_longer(asking.id);
+        core.withdraw_placement(asking.id);
         self.fleet.hurry(asking.instance);
         self.longest = self.longest.max(now.since(asking.since));
         self.running.push(Running {
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -16,7 +16,7 @@
 use http_body_util::{BodyExt, Limited};
 use oriolemux_core::gateway::budget::RetryKind;
 use oriolemux_core::gateway::choose::PlacementError;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::time::Instant;
 
 /// The largest answer of a plain service that is held.
@@ -125,7 +125,7 @@
 }
 
 impl<W: Wire> CallAttempts<'_, W> {
-    async fn attempt(&self, place: &Place) -> AttemptOutcome {
+    async fn attempt(&self, place: &Placement) -> AttemptOutcome {
         let limit = self.attempt_timeout();
         tokio::select! {
             attempt = self.exchange(place) => attempt,
@@ -144,7 +144,7 @@
         entry.target.mul_f64(FIRST_ATTEMPT_TARGET_FACTOR).min(left)
     }
 
-    async fn exchange(&self, place: &Place) -> AttemptOutcome {
+    async fn exchange(&self, place: &Placement) -> AttemptOutcome {
         let job = self.job;
         let send = ForwardHead {
             timeout: job.remaining(),
@@ -188,7 +188,7 @@
         }
     }
 
-    async fn record(&mut self, place: &Place, attempt: &AttemptOutcome) {
+    async fn record(&mut self, place: &Placement, attempt: &AttemptOutcome) {
         match attempt {
             AttemptOutcome::Answer(answer) => {
                 self.job.cx.state().endpoints.on_success(place.key);
@@ -261,7 +261,7 @@
         self.job.refuse(reason)
     }
 
-    fn finish(&self, attempt: AttemptOutcome, place: &Place) -> Response<ResponseBody> {
+    fn finish(&self, attempt: AttemptOutcome, place: &Placement) -> Response<ResponseBody> {
         let reason = match attempt {
             AttemptOutcome::Answer(mut answer) => {
                 Histogram::Call.record(self.job.arrived.elapsed());
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -18,8 +18,8 @@
 use crate::store::{Source, apply, finish_full_read};
 use core::time::Duration;
 use format::FormatError;
-use oriolemux_core::gateway::catch_up::{LARGE_NEWS, MAX_LARGE_TOLD, NotTold};
-use oriolemux_core::gateway::replica::News;
+use oriolemux_core::gateway::catch_up::{FetchFailure, LARGE_DELTA_BYTES, MAX_LARGE_TRANSFERS};
+use oriolemux_core::gateway::replica::StoreDelta;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -65,10 +65,10 @@
         }
     }
 
-    const fn fetch_failure(&self) -> NotTold {
+    const fn fetch_failure(&self) -> FetchFailure {
         match self {
-            FetchError::Refused => NotTold::Refused,
-            _ => NotTold::Failed,
+            FetchError::Refused => FetchFailure::Refused,
+            _ => FetchFailure::Failed,
         }
     }
 }
@@ -77,7 +77,7 @@
 pub async fn catch_up<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         cx.catch_up_due.notified().await;
-        let peer = cx.state().better_informed(cx.now());
+        let peer = cx.state().choose_provider(cx.now());
         if let Some(peer) = peer {
             fetch_from(&cx, peer).await;
         }
@@ -97,17 +97,18 @@
     match fetched {
         Ok(news) => {
             ByReason::PeerAnswers.add("told");
-            log_event!(DeltaReceived, peer:% = peer, revision = news.revision, whole = news.whole,
+            log_event!(DeltaReceived, peer:% = peer, revision = news.revision, whole = news.is_full,
                 records = news.records.len(), ms = ms);
             apply_delta(cx, news);
         }
         Err(error) => {
             ByReason::PeerAnswers.add(error.label());
-            cx.state().not_told(now, peer, error.fetch_failure());
+            cx.state()
+                .on_fetch_failure(now, peer, error.fetch_failure());
             log_event!(DeltaFetchFailed, peer:% = peer, why = error.label(), revision = after, ms = ms);
         }
     }
-    cx.state().note_behind(cx.now());
+    cx.state().update_behind(cx.now());
 }
 
 async fn no_longer_behind<W: Wire>(cx: &Cx<W>) {
@@ -120,16 +121,16 @@
     }
 }
 
-fn apply_delta<W: Wire>(cx: &Cx<W>, news: News) {
-    let seen: BTreeMap<String, ()> = match news.whole {
+fn apply_delta<W: Wire>(cx: &Cx<W>, news: StoreDelta) {
+    let seen: BTreeMap<String, ()> = match news.is_full {
         true => news.records.iter().map(|it| (it.key.clone(), ())).collect(),
         false => BTreeMap::new(),
     };
     let has_news = apply(cx, Source::Peer, news.records);
-    if news.whole {
+    if news.is_full {
         finish_full_read(cx, Source::Peer, &seen, news.revision);
     } else {
-        cx.state().replica.reached(news.revision);
+        cx.state().replica.advance_to(news.revision);
     }
     if has_news {
         // Who was told can tell it on, and the others must hear so at once.
@@ -144,7 +145,7 @@
 ///
 /// Fails if the peer cannot be reached, falls silent or refuses, or if its answer cannot
 /// be read. How long an answer takes as long as it comes is the caller's to bound.
-pub async fn fetch(peer: SocketAddrV4, after: u64) -> Result<News, FetchError> {
+pub async fn fetch(peer: SocketAddrV4, after: u64) -> Result<StoreDelta, FetchError> {
     let silent = |_| FetchError::Silent(SILENCE_TIMEOUT);
     let mut stream = timeout(SILENCE_TIMEOUT, connect_socket(peer))
         .await
@@ -211,15 +212,15 @@
 /// Tells all that the peer has not, unless that is much and others are being told.
 async fn send_delta<W: Wire>(cx: &Arc<Cx<W>>, mut stream: TcpStream) -> io::Result<DeltaTransfer> {
     let after = stream.read_u64().await?;
-    let size = cx.state().replica.news_size(after);
-    if size <= LARGE_NEWS {
+    let size = cx.state().replica.delta_size(after);
+    if size <= LARGE_DELTA_BYTES {
         let bytes = encode(cx, after)?;
         stream.write_all(&bytes).await?;
         stream.shutdown().await?;
         cx.record_sent(STORE_DELTA_PURPOSE, bytes.len());
         return Ok(DeltaTransfer::Small);
     }
-    let Some(_telling) = cx.begin_large_transfer(MAX_LARGE_TOLD) else {
+    let Some(_telling) = cx.begin_large_transfer(MAX_LARGE_TRANSFERS) else {
         return Ok(DeltaTransfer::Small);
     };
     let bytes = encode(cx, after)?;
@@ -232,6 +233,6 @@
 }
 
 fn encode<W: Wire>(cx: &Cx<W>, after: u64) -> io::Result<Vec<u8>> {
-    let news = cx.state().replica.news_for(after);
+    let news = cx.state().replica.delta_since(after);
     format::encode(&news).map_err(io::Error::other)
 }
--- a/crates/gateway/src/cx.rs
+++ b/crates/gateway/src/cx.rs
@@ -272,7 +272,7 @@
             log_event!(EndpointLeaving, endpoint = name.as_str());
         }
         if !endpoints.is_empty() {
-            self.state().tell_leaving(endpoints);
+            self.state().gossip_leaving(endpoints);
             self.replica_changed.notify_waiters();
             self.departures.notify_waiters();
             self.gossip_due.notify_one();
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -22,7 +22,7 @@
 use oriolemux_core::gateway::placement::{HOME_TIMEOUT, PlacementKind};
 use oriolemux_core::gateway::queue::{QueuedRequest, service_hash};
 use oriolemux_core::gateway::rate_limits::ResponseLimit;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::gateway::usage::Usage;
 use oriolemux_core::gateway::{Demand, EntryId, Gateway, RequestKind};
 use oriolemux_core::ids::EndpointKey;
@@ -110,7 +110,7 @@
     pub fn try_spend_retry(&self, kind: RetryKind) -> bool {
         let service = &self.service().name;
         let now = self.cx.now();
-        let spent = self.cx.state().spend_repeat(now, service, kind);
+        let spent = self.cx.state().try_spend_retry(now, service, kind);
         match spent.is_allowed {
             true => log_event!(
                 RetryGranted,
@@ -139,23 +139,23 @@
     /// Returns whether the fleet's budget has a repeat for a generation that goes on.
     pub fn may_resume(&self) -> bool {
         let now = self.cx.now();
-        self.cx.state().may_move(now, &self.service().name)
+        self.cx.state().may_relocate(now, &self.service().name)
     }
 
     /// Takes in what the head of an endpoint's answer says about the endpoint.
-    pub fn observe_response_head(&self, place: &Place, head: &ResponseHead, sent: Instant) {
+    pub fn observe_response_head(&self, place: &Placement, head: &ResponseHead, sent: Instant) {
         let now = self.cx.now();
         let sent = now.before(sent.elapsed()).unwrap_or(Time::ZERO);
         let mut state = self.cx.state();
         if let Some(load) = head.load {
-            state.told(now, place.key, load);
+            state.observe_load(now, place.key, load);
         }
         if let Some(left) = head.cold_for {
             state.endpoints.observe_cold(now, place.key, left);
         }
         let limit = match head.wrong_endpoint {
             true => None,
-            false => state.told_limit(now, place.key, sent, head.limit),
+            false => state.observe_limit(now, place.key, sent, head.limit),
         };
         drop(state);
         if head.limit == ResponseLimit::Unreadable {
@@ -170,21 +170,21 @@
     }
 
     /// Notes that a request failed at an endpoint.
-    pub fn record_failure(&self, place: &Place) {
+    pub fn record_failure(&self, place: &Placement) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_failure(now, place.key);
         log_ejection(place, passed_over);
     }
 
     /// Notes that no connection to an endpoint could be made.
-    pub fn record_unreachable(&self, place: &Place) {
+    pub fn record_unreachable(&self, place: &Placement) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_unreachable(now, place.key);
         log_ejection(place, passed_over);
     }
 
     /// Notes that another process answers at the address of an endpoint.
-    pub fn record_replaced(&self, place: &Place) {
+    pub fn record_replaced(&self, place: &Placement) {
         let now = self.cx.now();
         if self.cx.state().endpoints.mark_leaving(now, place.key) {
             self.cx.announce_leaving(&[place.key]);
@@ -203,7 +203,10 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Place, UsageGuard<W>), PlacementError> {
+    pub fn place(
+        &self,
+        exclude: &[EndpointKey],
+    ) -> Result<(Placement, UsageGuard<W>), PlacementError> {
         let now = self.cx.now();
         let mut state = self.cx.state();
         let place = state.place(now, &self.demand(0, exclude))?;
@@ -222,8 +225,9 @@
         &self,
         asked: PlacementParams<'_>,
         until: Instant,
-    ) -> Result<(Place, UsageGuard<W>), PlacementError> {
-        let begin = |state: &mut Gateway, place: &Place| self.begin_use(state, place, asked.tokens);
+    ) -> Result<(Placement, UsageGuard<W>), PlacementError> {
+        let begin =
+            |state: &mut Gateway, place: &Placement| self.begin_use(state, place, asked.tokens);
         let (place, begun) = request_placement(self, asked, until, begin).await?;
         self.cx.gossip_due.notify_one();
         Ok(self.placed(place, asked.tokens, begun))
@@ -235,13 +239,13 @@
         source: EndpointKey,
         kind: CopyKind,
         tokens: u32,
-    ) -> Option<(Place, CopyUsageGuard<W>)> {
+    ) -> Option<(Placement, CopyUsageGuard<W>)> {
         let asked = PlacementParams {
             kind: PlacementKind::Copy { source, kind },
             tokens,
             exclude: &[],
         };
-        let begin = |state: &mut Gateway, place: &Place| {
+        let begin = |state: &mut Gateway, place: &Placement| {
             state.usage.begin_copy(place.key, tokens);
             CopyUsageGuard {
                 cx: Arc::clone(&self.cx),
@@ -256,7 +260,12 @@
     }
 
     /// Counts a request at an endpoint; returns what was known to run there.
-    fn begin_use(&self, state: &mut Gateway, place: &Place, tokens: u32) -> (Usage, UsageGuard<W>) {
+    fn begin_use(
+        &self,
+        state: &mut Gateway,
+        place: &Placement,
+        tokens: u32,
+    ) -> (Usage, UsageGuard<W>) {
         let used = state.used(place.key);
         let unread = match tokens {
             0 => 0,
@@ -274,10 +283,10 @@
 
     fn placed(
         &self,
-        place: Place,
+        place: Placement,
         tokens: u32,
         (used, in_use): (Usage, UsageGuard<W>),
-    ) -> (Place, UsageGuard<W>) {
+    ) -> (Placement, UsageGuard<W>) {
         log_event!(
             Placed,
             attempt = self.name(),
@@ -331,7 +340,7 @@
     /// Returns how the connection failed.
     pub async fn send(
         &self,
-        place: &Place,
+        place: &Placement,
         send: &ForwardHead<'_>,
     ) -> Result<(Link, Response<Incoming>), LinkError> {
         let chosen = self.cx.now();
@@ -342,7 +351,7 @@
             let mut state = self.cx.state();
             match send.resume {
                 Some(_) => {
-                    state.endpoints.is_cordoned(place.key) || !state.admit_to_go_on(now, place.key)
+                    state.endpoints.is_cordoned(place.key) || !state.admit_resumed(now, place.key)
                 }
                 None => {
                     !state.is_usable(place.key) || !state.admit_to_limit(now, place.key, chosen)
@@ -357,7 +366,7 @@
     }
 }
 
-fn log_ejection(place: &Place, passed_over: bool) {
+fn log_ejection(place: &Placement, passed_over: bool) {
     if passed_over {
         log_event!(EndpointEjected, endpoint = place.name.as_str());
     }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -16,7 +16,7 @@
 use oriolemux_core::gateway::placement::{
     PlacementDecision, PlacementKind, PlacementRequest, PlacementStatus,
 };
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::ids::EndpointKey;
 use std::sync::Arc;
 use std::time::Instant;
@@ -36,7 +36,7 @@
 
 impl<W: Wire> Drop for PlacementGuard<W> {
     fn drop(&mut self) {
-        self.cx.state().ask_no_longer(self.id);
+        self.cx.state().withdraw_placement(self.id);
         self.cx.gossip_due.notify_one();
     }
 }
@@ -62,8 +62,8 @@
     job: &Job<W>,
     asked: PlacementParams<'_>,
     until: Instant,
-    take: impl Fn(&mut Gateway, &Place) -> T,
-) -> Result<(Place, T), PlacementError> {
+    take: impl Fn(&mut Gateway, &Placement) -> T,
+) -> Result<(Placement, T), PlacementError> {
     let cx = &job.cx;
     let waiter = job.queued_request(asked.tokens);
     let (id, service) = (waiter.id, waiter.service);
@@ -72,7 +72,7 @@
         kind: asked.kind,
         exclude: asked.exclude.to_vec(),
     };
-    cx.state().ask(cx.now(), request);
+    cx.state().request_placement(cx.now(), request);
     cx.gossip_due.notify_one();
     let _open = PlacementGuard {
         cx: Arc::clone(cx),
@@ -97,12 +97,12 @@
                 PlacementStatus::Decided(PlacementDecision::Granted(key)) => {
                     if let Some(place) = state.place_at(key) {
                         let taken = take(&mut state, &place);
-                        state.ask_no_longer(id);
+                        state.withdraw_placement(id);
                         ByReason::Places.add("home");
                         return Ok((place, taken));
                     }
                     // It began to leave while the answer was under way.
-                    state.ask_again(now, id);
+                    state.retry_placement(now, id);
                     PlacementError::NoEndpoint
                 }
                 PlacementStatus::Decided(PlacementDecision::Denied(why)) => return Err(why),
@@ -112,12 +112,12 @@
                 }
                 PlacementStatus::Pending => PlacementError::Full,
                 PlacementStatus::TimedOut => {
-                    state.home_unanswered(now, service, id);
+                    state.on_home_timeout(now, service, id);
                     let demand = job.demand(asked.tokens, asked.exclude);
-                    match state.place_alone(now, &demand, asked.kind) {
+                    match state.place_without_home(now, &demand, asked.kind) {
                         Ok(place) => {
                             let taken = take(&mut state, &place);
-                            state.ask_no_longer(id);
+                            state.withdraw_placement(id);
                             drop(state);
                             log_placed_without_home(job, &place);
                             return Ok((place, taken));
@@ -136,7 +136,7 @@
     }
 }
 
-fn log_placed_without_home<W: Wire>(job: &Job<W>, place: &Place) {
+fn log_placed_without_home<W: Wire>(job: &Job<W>, place: &Placement) {
     ByReason::Places.add("alone");
     log_event!(
         PlacedWithoutHome,
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -9,8 +9,8 @@
 use crate::log_event;
 use crate::ports::Wire;
 use core::time::Duration;
-use oriolemux_core::gateway::state::Place;
-use oriolemux_core::suspects::RAN_WELL_AFTER;
+use oriolemux_core::gateway::state::Placement;
+use oriolemux_core::suspects::SUCCESS_AFTER;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -59,9 +59,9 @@
 impl<W: Wire> Job<W> {
     /// Finds out what became of the endpoint whose connection ended before its answer, which
     /// had begun at `begun` if it had.
-    pub async fn on_connection_broken(&self, place: &Place, begun: Option<Instant>) {
+    pub async fn on_connection_broken(&self, place: &Placement, begun: Option<Instant>) {
         let begun = begun.map(|at| at.elapsed());
-        if begun.is_some_and(|it| it >= RAN_WELL_AFTER) {
+        if begun.is_some_and(|it| it >= SUCCESS_AFTER) {
             return self.on_run_succeeded();
         }
         let found = probe(place.address.into()).await;
@@ -74,19 +74,22 @@
             ProbeResult::Unknown => {
                 let now = self.cx.now();
                 let mut state = self.cx.state();
-                state.may_have_ended_with(now, self.fingerprint, place);
+                state.on_connection_lost(now, self.fingerprint, place);
             }
             ProbeResult::Accepted => {}
         }
     }
 
     /// Notes that an endpoint ended with the request.
-    fn on_endpoint_crash(&self, place: &Place) {
+    fn on_endpoint_crash(&self, place: &Placement) {
         let now = self.cx.now();
-        let is_news = self.cx.state().ended_with(now, self.fingerprint, place);
+        let is_news = self
+            .cx
+            .state()
+            .on_endpoint_crash(now, self.fingerprint, place);
         self.record_unreachable(place);
         if is_news {
-            let ended = self.cx.state().ended_by(self.fingerprint);
+            let ended = self.cx.state().crash_count(self.fingerprint);
             log_event!(EndpointCrashed, attempt = self.name(), request:% = self.fingerprint,
                 entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
                 ended = ended);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -36,8 +36,8 @@
 use oriolemux_core::gateway::relocation::{
     EngineView, EventDelivery, Relocation, ResumeFrom, Step, silence_timeout,
 };
-use oriolemux_core::gateway::state::Place;
-use oriolemux_core::suspects::RAN_WELL_AFTER;
+use oriolemux_core::gateway::state::Placement;
+use oriolemux_core::suspects::SUCCESS_AFTER;
 use pace::Pace;
 use pre_copy::{PreCopy, StandbyCopy};
 use std::sync::Arc;
@@ -89,7 +89,7 @@
     engine_calls: E,
     /// Where the request was before the present engine.
     attempts: Attempts,
-    engine: Place,
+    engine: Placement,
     usage: UsageGuard<W>,
     length: LengthEstimate,
     /// The memory that the generation is counted with.
@@ -110,7 +110,7 @@
         job: Job<W>,
         engines: E,
         attempts: Attempts,
-        chosen: (Place, UsageGuard<W>),
+        chosen: (Placement, UsageGuard<W>),
         length: LengthEstimate,
         tx: mpsc::Sender<Chunk>,
     ) -> Self {
@@ -273,7 +273,7 @@
     /// Returns why it may not: it ended its engines, or runs elsewhere too.
     async fn wait_until_admitted(&self) -> Result<(), Reason> {
         let ran_for = self.response_started.map(|at| at.elapsed());
-        if ran_for.is_some_and(|it| it >= RAN_WELL_AFTER) {
+        if ran_for.is_some_and(|it| it >= SUCCESS_AFTER) {
             self.job.on_run_succeeded();
         }
         self.job.wait_until_admitted_to_resume().await
@@ -371,9 +371,10 @@
         let view = EngineView {
             leaving_for: leaving.map(|since| now.since(since)),
             standby_is_usable: standing_takes_work,
-            target_is_quiet: target.is_some_and(|key| state.is_quiet(now, key)),
+            target_is_quiet: target.is_some_and(|key| state.has_no_pending_prefill(now, key)),
             may_recompute: self.may_run_again(),
-            is_budget_spent: leaving.is_some() && !state.may_move(now, &self.job.service().name),
+            is_budget_spent: leaving.is_some()
+                && !state.may_relocate(now, &self.job.service().name),
         };
         self.state.next(now, &view)
     }
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -15,7 +15,7 @@
 use oriolemux_core::gateway::budget::RetryKind;
 use oriolemux_core::gateway::placement::PlacementKind;
 use oriolemux_core::gateway::relocation::reassign_after;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
@@ -31,7 +31,7 @@
     /// It was refused while it was there, because it ended too many engines.
     Refused,
     /// It made the request wait, and another engine has room.
-    Reassign(Place, UsageGuard<W>),
+    Reassign(Placement, UsageGuard<W>),
 }
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
@@ -109,7 +109,7 @@
     }
 
     /// Returns an engine with room that was not tried, if the fleet's repeats allow it.
-    pub(super) async fn engine_with_room(&self) -> Option<(Place, UsageGuard<W>)> {
+    pub(super) async fn engine_with_room(&self) -> Option<(Placement, UsageGuard<W>)> {
         let mut tried = self.attempts.tried().to_vec();
         tried.push(self.engine.key);
         let asked = PlacementParams {
@@ -124,7 +124,7 @@
             .then_some(chosen)
     }
 
-    async fn reassign(&mut self, place: Place, in_use: UsageGuard<W>) {
+    async fn reassign(&mut self, place: Placement, in_use: UsageGuard<W>) {
         log_event!(
             Reassigned,
             attempt = self.job.name(),
@@ -136,7 +136,7 @@
     }
 
     /// Makes `place` the present engine; the generation may have run at the one before.
-    pub(super) async fn switch_to(&mut self, place: Place, in_use: UsageGuard<W>) {
+    pub(super) async fn switch_to(&mut self, place: Placement, in_use: UsageGuard<W>) {
         self.attempts.record_run(self.engine.key);
         self.usage = in_use;
         self.engine = place;
--- a/crates/gateway/src/relay/resume.rs
+++ b/crates/gateway/src/relay/resume.rs
@@ -13,7 +13,7 @@
 use oriolemux_core::gateway::budget::RetryKind;
 use oriolemux_core::gateway::choose::CopyKind;
 use oriolemux_core::gateway::relocation::STANDBY_MIN_TOKENS;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use std::net::SocketAddrV4;
 use std::time::Instant;
 use tokio::time::sleep;
@@ -164,7 +164,7 @@
     /// Asks `target` to go on with the generation whose memory `keeper` holds.
     async fn resume_at(
         &mut self,
-        target: Place,
+        target: Placement,
         keeper: SocketAddrV4,
         handle: &str,
     ) -> AttemptStart {
@@ -198,7 +198,7 @@
     /// Goes on at `place`, which reads prompt and events anew.
     pub(super) async fn recompute_at(
         &mut self,
-        place: Place,
+        place: Placement,
         in_use: UsageGuard<W>,
     ) -> AttemptStart {
         ByReason::Relocations.add("anew");
@@ -290,7 +290,7 @@
     }
 
     /// Returns another engine with room for a copy.
-    async fn request_copy_target(&self, kind: CopyKind) -> Option<(Place, CopyUsageGuard<W>)> {
+    async fn request_copy_target(&self, kind: CopyKind) -> Option<(Placement, CopyUsageGuard<W>)> {
         let place = self
             .job
             .request_copy_placement(self.engine.key, kind, self.reserved_tokens)
--- a/crates/gateway/src/run_lease.rs
+++ b/crates/gateway/src/run_lease.rs
@@ -12,7 +12,7 @@
 use crate::response::Reason;
 use core::time::Duration;
 use oriolemux_core::fingerprint::Fingerprint;
-use oriolemux_core::suspects::{Admission, Turn};
+use oriolemux_core::suspects::{Admission, SuspectRun};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::time::timeout;
@@ -27,7 +27,7 @@
 /// A request that counts as running until it is dropped.
 pub struct RunGuard<W: Wire> {
     cx: Arc<Cx<W>>,
-    run: Turn,
+    run: SuspectRun,
 }
 
 impl<W: Wire> RunGuard<W> {
@@ -123,12 +123,12 @@
     /// Notes that the request ran well.
     pub fn on_run_succeeded(&self) {
         let now = self.cx.now();
-        self.cx.state().ran_well(now, self.fingerprint);
+        self.cx.state().on_run_succeeded(now, self.fingerprint);
     }
 
     /// Notes that the request is refused; returns the reason.
     pub fn log_refusal(&self) -> Reason {
-        let ended = self.cx.state().ended_by(self.fingerprint);
+        let ended = self.cx.state().crash_count(self.fingerprint);
         log_event!(SuspectRefused, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), ended = ended);
         Reason::EndsEndpoints
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -214,9 +214,12 @@
             catalogue_version: state.catalogue().map(|it| it.version()),
             store: StoreStatus {
                 revision: state.replica.revision(),
-                answered_ms_ago: state.reader.heard().map(|heard| millis(now.since(heard))),
+                answered_ms_ago: state
+                    .reader
+                    .last_answer()
+                    .map(|heard| millis(now.since(heard))),
                 watches: state.watches(now),
-                unsettled: state.is_unsettled(now),
+                unsettled: state.may_miss_records(now),
             },
             connections: cx.open_count(OpenKind::Connection),
             generations: cx.open_count(OpenKind::Generation),
@@ -266,11 +269,11 @@
 
 fn suspect_status(state: &Gateway, now: Time) -> Vec<SuspectStatus> {
     let worst = state.suspects.ledger.worst(now).into_iter();
-    let worst = worst.filter(|it| !it.ended.is_empty());
+    let worst = worst.filter(|it| !it.crashed.is_empty());
     worst
         .map(|it| SuspectStatus {
             request: it.fingerprint.to_string(),
-            ended: it.ended.len(),
+            ended: it.crashed.len(),
             refused: state.is_refused(now, it.fingerprint),
             ended_ms_ago: it.age_ms,
         })
@@ -289,7 +292,7 @@
                 home,
                 next,
                 passed_over: state.acting_home(now, service) != home,
-                waiting_here: state.waiting_here(service),
+                waiting_here: state.queued_at_home(service),
             }
         })
         .collect();
@@ -325,7 +328,7 @@
 fn peer_status(now: Time, address: SocketAddrV4, peer: &Member) -> PeerStatus {
     PeerStatus {
         address,
-        heard_ms_ago: peer.heard.map(|heard| millis(now.since(heard))),
+        heard_ms_ago: peer.last_datagram.map(|heard| millis(now.since(heard))),
         revision: peer.revision,
         stopping: peer.is_stopping(),
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -21,7 +21,7 @@
 use oriolemux_core::gateway::budget::RetryKind;
 use oriolemux_core::gateway::lengths::LengthEstimate;
 use oriolemux_core::gateway::placement::PlacementKind;
-use oriolemux_core::gateway::state::Place;
+use oriolemux_core::gateway::state::Placement;
 use oriolemux_core::ids::EndpointKey;
 use tokio::sync::mpsc;
 
@@ -124,7 +124,7 @@
     job: Job<W>,
     engines: E,
     attempts: Attempts,
-    chosen: (Place, UsageGuard<W>),
+    chosen: (Placement, UsageGuard<W>),
     length: LengthEstimate,
 ) -> GenerationStart<W> {
     let (tx, rx) = mpsc::channel(STREAM_BUFFER_CHUNKS);
@@ -174,7 +174,7 @@
     job: &Job<W>,
     tokens: u32,
     tried: &[EndpointKey],
-) -> Result<(Place, UsageGuard<W>), Reason> {
+) -> Result<(Placement, UsageGuard<W>), Reason> {
     let limit = job.entry().target.mul_f64(WAIT_TARGET_FACTOR);
     let until = (job.arrived + limit).min(job.deadline);
     let asked = PlacementParams {
