--- a/crates/bench/src/slopes/subject.rs
+++ b/crates/bench/src/slopes/subject.rs
@@ -12,7 +12,7 @@
 };
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
 use oriolemux_core::ids::{Incarnation, InstanceKey, RequestId};
-use oriolemux_core::limits::{LEASE_TIME, LimitAsk, LimitLease, LimitsMessage};
+use oriolemux_core::limits::{LEASE_TTL, LeaseRequest, LimitLease, LimitsMessage};
 use oriolemux_core::node::{Node, NodeConfig};
 use oriolemux_core::peer::{PeerEnvelope, PeerMessage};
 use oriolemux_core::{Event, Reason, Time};
@@ -23,7 +23,7 @@
 /// A node that wants to be woken at once so often would keep a process busy.
 const MOST_IDLE_WAKES: u32 = 1_000;
 /// How long a limit is leased, in milliseconds.
-const LEASE_MS: u32 = LEASE_TIME.as_millis() as u32;
+const LEASE_MS: u32 = LEASE_TTL.as_millis() as u32;
 /// KV tokens of every engine.
 const KV_TOKENS: u64 = 48_000;
 
@@ -271,7 +271,7 @@
                 PeerMessage::Catalogue(asked) => {
                     self.catalogue_answer(asked).map(PeerMessage::Catalogue)
                 }
-                PeerMessage::Limits(LimitsMessage::Ask(ask)) => Some(lease_of(&ask)),
+                PeerMessage::Limits(LimitsMessage::Request(ask)) => Some(lease_of(&ask)),
                 _ => None,
             };
             if let Some(answer) = answer {
@@ -305,16 +305,16 @@
 }
 
 /// Leases whatever is wanted.
-fn lease_of(ask: &LimitAsk) -> PeerMessage {
+fn lease_of(ask: &LeaseRequest) -> PeerMessage {
     let lease = LimitLease {
         key: ask.key,
         seq: ask.seq,
-        slots: ask.holds + ask.wants,
+        slots: ask.held_slots + ask.wanted_slots,
         tokens: ask.tokens_wanted,
         ttl_ms: LEASE_MS,
         tokens_wait_ms: 0,
-        unasked: false,
-        again_ms: 0,
+        is_revocation: false,
+        retry_after_ms: 0,
     };
     PeerMessage::Limits(LimitsMessage::Lease(lease))
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -26,7 +26,7 @@
 pub use fair::FairLevel;
 pub use home::LimitHome;
 pub use leases::{LeaseCounts, Leases};
-pub use message::{LimitAsk, LimitLease, LimitsMessage};
+pub use message::{LeaseRequest, LimitLease, LimitsMessage};
 
 use crate::ids::{EntryKey, InstanceKey, WorkspaceKey, stable_hash};
 use crate::membership::Membership;
@@ -36,7 +36,7 @@
 
 /// How long a lease lasts. Long enough that renewals cost little at the size to
 /// design for, short enough that what a dead instance held comes back soon.
-pub const LEASE_TIME: Duration = Duration::from_secs(20);
+pub const LEASE_TTL: Duration = Duration::from_secs(20);
 
 /// What a limit is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/core/src/limits/claim.rs
+++ b/crates/core/src/limits/claim.rs
@@ -13,17 +13,17 @@
     /// Its workspace.
     pub workspace: WorkspaceKey,
     /// The workspace's limits.
-    pub workspace_allows: Allowance,
+    pub workspace_allowance: Allowance,
     /// Its entry.
     pub entry: EntryKey,
     /// The entry's limits.
-    pub entry_allows: Allowance,
+    pub entry_allowance: Allowance,
     /// Requests that may wait for the entry, over all instances.
     pub queue: u32,
     /// Tokens of the prompt; `None` if limits of tokens do not apply.
     pub tokens: Option<u32>,
     /// The request is refused if it holds no place by then.
-    pub until: Time,
+    pub deadline: Time,
 }
 
 impl Claim {
--- a/crates/core/src/limits/fair.rs
+++ b/crates/core/src/limits/fair.rs
@@ -9,7 +9,7 @@
     /// The most that anybody gets.
     pub level: u32,
     /// What is not shared because it does not divide evenly.
-    pub rest: u32,
+    pub remainder: u32,
 }
 
 impl FairLevel {
@@ -24,7 +24,7 @@
             if want > even {
                 return FairLevel {
                     level: even,
-                    rest: rest - even * takers,
+                    remainder: rest - even * takers,
                 };
             }
             rest -= want;
@@ -32,7 +32,7 @@
         }
         FairLevel {
             level: u32::MAX,
-            rest,
+            remainder: rest,
         }
     }
 
--- a/crates/core/src/limits/home.rs
+++ b/crates/core/src/limits/home.rs
@@ -2,8 +2,8 @@
 
 use super::bucket::TokenBucket;
 use super::fair::FairLevel;
-use super::message::{LimitAsk, LimitLease, LimitsMessage};
-use super::{Allowance, LEASE_TIME, LimitKey, LimitsAction};
+use super::message::{LeaseRequest, LimitLease, LimitsMessage};
+use super::{Allowance, LEASE_TTL, LimitKey, LimitsAction};
 use crate::ids::InstanceKey;
 use crate::time::Time;
 use crate::value::PeerId;
@@ -65,7 +65,7 @@
     /// Usable and listed instances; see [`LimitHome::set_fleet`].
     fleet: (u32, u32),
     /// When homes moved last. Leases of earlier homes have ended
-    /// [`LEASE_TIME`] later.
+    /// [`LEASE_TTL`] later.
     moved: Option<Time>,
 }
 
@@ -98,10 +98,16 @@
     }
 
     /// Answers an instance that asks for a lease.
-    pub fn ask(&mut self, now: Time, from: PeerId, ask: &LimitAsk, out: &mut Vec<LimitsAction>) {
+    pub fn on_request(
+        &mut self,
+        now: Time,
+        from: PeerId,
+        ask: &LeaseRequest,
+        out: &mut Vec<LimitsAction>,
+    ) {
         let fleet = self.fleet;
         let account = self.accounts.entry(ask.key);
-        let others_may_hold = self.moved.is_some_and(|it| now < it + LEASE_TIME);
+        let others_may_hold = self.moved.is_some_and(|it| now < it + LEASE_TTL);
         let account = account.or_insert_with(|| Account::new(now, ask.allowance, others_may_hold));
         account.learn(now, ask.allowance);
         account.expire(now);
@@ -118,7 +124,7 @@
     ///
     /// Only for a life that was replaced: one that cannot be reached may be
     /// running its requests on the other side of a partition.
-    pub fn life_over(&mut self, peer: PeerId) {
+    pub fn incarnation_ended(&mut self, peer: PeerId) {
         for account in self.accounts.values_mut() {
             account.holdings.remove(&peer);
         }
@@ -188,7 +194,7 @@
     }
 
     /// Returns whether a later ask of the same life was answered before.
-    fn is_overtaken(&self, from: PeerId, ask: &LimitAsk) -> bool {
+    fn is_overtaken(&self, from: PeerId, ask: &LeaseRequest) -> bool {
         let holding = self.holdings.get(&from);
         holding.is_some_and(|it| it.seq >= ask.seq)
     }
@@ -211,27 +217,33 @@
         let above: u32 = others
             .map(|(_, it)| it.slots.saturating_sub(fair.share(it.wants)))
             .sum();
-        fair.rest.saturating_sub(above)
+        fair.remainder.saturating_sub(above)
     }
 
-    fn lease(&mut self, now: Time, from: PeerId, ask: &LimitAsk, fleet: (u32, u32)) -> LimitLease {
+    fn lease(
+        &mut self,
+        now: Time,
+        from: PeerId,
+        ask: &LeaseRequest,
+        fleet: (u32, u32),
+    ) -> LimitLease {
         let total = part(self.allowance.concurrent, fleet);
         let free = total.saturating_sub(self.slots_of_others(from));
-        let fair = self.fair_level(total, from, ask.wants);
-        let share = fair.share(ask.wants) + self.rest_left(from, fair);
+        let fair = self.fair_level(total, from, ask.wanted_slots);
+        let share = fair.share(ask.wanted_slots) + self.rest_left(from, fair);
         let slots = share
             .min(free)
-            .min(ask.wants)
+            .min(ask.wanted_slots)
             .min(self.most_at_first(now, total, fleet));
-        if ask.wants == 0 && ask.holds == 0 {
+        if ask.wanted_slots == 0 && ask.held_slots == 0 {
             self.holdings.remove(&from);
         } else {
             // What the asker regards as its own counts until it asks again: the
             // answer that takes some of it back may be lost.
             let holding = Holding {
-                slots: slots.max(ask.holds),
-                wants: ask.wants.max(ask.holds),
-                expires: now + LEASE_TIME,
+                slots: slots.max(ask.held_slots),
+                wants: ask.wanted_slots.max(ask.held_slots),
+                expires: now + LEASE_TTL,
                 seq: ask.seq,
                 told: None,
             };
@@ -243,10 +255,10 @@
             seq: ask.seq,
             slots,
             tokens,
-            ttl_ms: u32::try_from(LEASE_TIME.as_millis()).unwrap_or(u32::MAX),
+            ttl_ms: u32::try_from(LEASE_TTL.as_millis()).unwrap_or(u32::MAX),
             tokens_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
-            again_ms: self.again_ms(),
-            unasked: false,
+            retry_after_ms: self.again_ms(),
+            is_revocation: false,
         }
     }
 
@@ -265,7 +277,12 @@
 
     /// Leases tokens: half of what is there at most, so that a holder that
     /// wants many leaves some to the next one.
-    fn lease_tokens(&mut self, now: Time, ask: &LimitAsk, fleet: (u32, u32)) -> (u64, Duration) {
+    fn lease_tokens(
+        &mut self,
+        now: Time,
+        ask: &LeaseRequest,
+        fleet: (u32, u32),
+    ) -> (u64, Duration) {
         if self.allowance.tokens_per_minute == 0 {
             return (0, Duration::ZERO);
         }
@@ -299,13 +316,13 @@
         &mut self,
         now: Time,
         from: PeerId,
-        ask: &LimitAsk,
+        ask: &LeaseRequest,
         fleet: (u32, u32),
         out: &mut Vec<LimitsAction>,
     ) {
         let total = part(self.allowance.concurrent, fleet);
-        let fair = self.fair_level(total, from, ask.wants);
-        let due = fair.share(ask.wants);
+        let fair = self.fair_level(total, from, ask.wanted_slots);
+        let due = fair.share(ask.wanted_slots);
         let has = self.holdings.get(&from).map_or(0, |it| it.slots);
         if has >= due || now < self.took_back + TAKE_BACK_EVERY {
             return;
@@ -324,8 +341,8 @@
                     tokens: 0,
                     ttl_ms: 0,
                     tokens_wait_ms: 0,
-                    again_ms: 0,
-                    unasked: true,
+                    retry_after_ms: 0,
+                    is_revocation: true,
                 };
                 out.push(send_lease(peer.instance, lease));
             }
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -35,7 +35,7 @@
     /// Limits that are known here.
     pub limits: usize,
     /// Limits that are kept without a home.
-    pub alone: usize,
+    pub without_home: usize,
     /// Requests that hold a place.
     pub admitted: usize,
     /// Requests that wait for one.
@@ -79,7 +79,7 @@
     pub fn counts(&self) -> LeaseCounts {
         LeaseCounts {
             limits: self.shares.len(),
-            alone: self.shares.values().filter(|it| it.is_alone()).count(),
+            without_home: self.shares.values().filter(|it| it.is_alone()).count(),
             admitted: self.admitted.len(),
             waiting: self.parked.len(),
         }
@@ -93,7 +93,7 @@
     /// Takes a request in: it is admitted, refused, or waits for either.
     ///
     /// `request` must be new to this process.
-    pub fn take(
+    pub fn submit(
         &mut self,
         now: Time,
         request: u64,
@@ -123,7 +123,7 @@
     }
 
     /// A request is over, whatever became of it.
-    pub fn end(
+    pub fn finish(
         &mut self,
         now: Time,
         request: u64,
@@ -169,7 +169,7 @@
     }
 
     /// The home of a limit leased something, or takes some back.
-    pub fn lease(
+    pub fn on_lease(
         &mut self,
         now: Time,
         lease: &LimitLease,
@@ -225,8 +225,8 @@
     fn meet(&mut self, now: Time, claim: &Claim) {
         let [workspace, entry] = claim.keys();
         for (key, allowance) in [
-            (workspace, claim.workspace_allows),
-            (entry, claim.entry_allows),
+            (workspace, claim.workspace_allowance),
+            (entry, claim.entry_allowance),
         ] {
             let share = self.shares.entry(key);
             let share = share.or_insert_with(|| Share::new(now, key, allowance));
@@ -362,7 +362,7 @@
                 return;
             };
             let wait = self.expected_wait(now, pair, waiting.claim.tokens.is_some());
-            if wait.is_none_or(|it| now + it <= waiting.claim.until) {
+            if wait.is_none_or(|it| now + it <= waiting.claim.deadline) {
                 return;
             }
             self.refuse(now, last, out);
@@ -461,7 +461,7 @@
             && (must || share.is_ask_due(now, to))
         {
             let ask = share.ask(now, to);
-            let message = LimitsMessage::Ask(ask);
+            let message = LimitsMessage::Request(ask);
             out.push(LimitsAction::Send { to, message });
         }
         self.shares_due = self.shares_due.min(share.next_wake());
--- a/crates/core/src/limits/message.rs
+++ b/crates/core/src/limits/message.rs
@@ -7,14 +7,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitsMessage {
     /// To the home of a limit.
-    Ask(LimitAsk),
+    Request(LeaseRequest),
     /// From the home of a limit.
     Lease(LimitLease),
 }
 
 /// What an instance holds of a limit and wants of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitAsk {
+pub struct LeaseRequest {
     /// Which limit.
     pub key: LimitKey,
     /// What the catalogue in force at the sender allows.
@@ -24,9 +24,9 @@
     /// Places that the sender regards as its own until it asks again or its
     /// lease ends, whatever it is answered: those in use, and those of its
     /// lease that it does not give back with this ask.
-    pub holds: u32,
+    pub held_slots: u32,
     /// Places that the sender would use; 0 gives the lease back.
-    pub wants: u32,
+    pub wanted_slots: u32,
     /// Tokens that the sender would use soon.
     pub tokens_wanted: u64,
     /// Tokens that the sender does not need any more.
@@ -53,7 +53,7 @@
     /// When there will be tokens again, if fewer were leased than wanted; else 0.
     pub tokens_wait_ms: u32,
     /// A wish that was not met is worth repeating after so long.
-    pub again_ms: u32,
+    pub retry_after_ms: u32,
     /// The home takes back some unasked; nothing else is changed by it.
-    pub unasked: bool,
+    pub is_revocation: bool,
 }
--- a/crates/core/src/limits/parked.rs
+++ b/crates/core/src/limits/parked.rs
@@ -27,13 +27,13 @@
     pub fn push(&mut self, request: u64, waiting: Waiting) {
         let line = self.lines.entry(waiting.claim.pair()).or_default();
         line.push_back(request);
-        self.due.insert((waiting.claim.until, request));
+        self.due.insert((waiting.claim.deadline, request));
         self.waiting.insert(request, waiting);
     }
 
     pub fn remove(&mut self, request: u64) -> Option<Waiting> {
         let waiting = self.waiting.remove(&request)?;
-        self.due.remove(&(waiting.claim.until, request));
+        self.due.remove(&(waiting.claim.deadline, request));
         let pair = waiting.claim.pair();
         if let Some(line) = self.lines.get_mut(&pair) {
             line.retain(|&it| it != request);
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -1,7 +1,7 @@
 //! What this instance holds of one limit.
 
 use super::bucket::TokenBucket;
-use super::message::{LimitAsk, LimitLease};
+use super::message::{LeaseRequest, LimitLease};
 use super::{Allowance, LimitKey};
 use crate::ids::{InstanceKey, WorkspaceKey};
 use crate::time::Time;
@@ -263,7 +263,7 @@
     }
 
     /// Makes an ask, and gives up what it does not claim.
-    pub fn ask(&mut self, now: Time, home: InstanceKey) -> LimitAsk {
+    pub fn ask(&mut self, now: Time, home: InstanceKey) -> LeaseRequest {
         let again = self.asked.is_some() && self.asked_home == Some(home);
         if !again || self.silent_since.is_none() {
             self.silent_since = Some(now);
@@ -291,12 +291,12 @@
         });
         self.asked_home = Some(home);
         self.renew_at = Time::NEVER;
-        LimitAsk {
+        LeaseRequest {
             key: self.key,
             allowance: self.allowance,
             seq: self.seq,
-            holds: self.in_use.max(self.slots),
-            wants,
+            held_slots: self.in_use.max(self.slots),
+            wanted_slots: wants,
             tokens_wanted,
             tokens_returned: returned,
             tokens_owed: owed,
@@ -336,7 +336,7 @@
     /// Takes in an answer; returns whether it gave up places by it, which the
     /// home must hear of.
     pub fn take_lease(&mut self, now: Time, lease: &LimitLease) -> bool {
-        if lease.unasked {
+        if lease.is_revocation {
             return self.give_back_unasked(lease);
         }
         let Some(asked) = self.asked.filter(|it| it.seq == lease.seq) else {
@@ -375,7 +375,7 @@
         self.is_short = lacks_places || lease.slots >= self.allowance.concurrent;
         self.not_before = now;
         if lacks_places || lacks_tokens {
-            let again = Duration::from_millis(u64::from(lease.again_ms));
+            let again = Duration::from_millis(u64::from(lease.retry_after_ms));
             let at = now + again.max(WANT_EVERY);
             self.not_before = if lacks_places {
                 at
--- a/crates/core/src/node/limits.rs
+++ b/crates/core/src/node/limits.rs
@@ -48,12 +48,14 @@
 
     pub(super) fn on_limits_message(&mut self, from: PeerId, message: LimitsMessage) {
         match message {
-            LimitsMessage::Ask(ask) => {
+            LimitsMessage::Request(ask) => {
                 let (now, out) = (self.now, &mut self.limits_asked);
-                self.limit_home.ask(now, from, &ask, out);
+                self.limit_home.on_request(now, from, &ask, out);
             }
             LimitsMessage::Lease(lease) => {
-                self.with_leases(|leases, now, fleet, out| leases.lease(now, &lease, fleet, out));
+                self.with_leases(|leases, now, fleet, out| {
+                    leases.on_lease(now, &lease, fleet, out)
+                });
             }
         }
     }
@@ -69,7 +71,7 @@
             debug_assert!(false, "a request is judged before it is limited");
             return;
         };
-        self.with_leases(|leases, now, fleet, out| leases.take(now, seq, claim, fleet, out));
+        self.with_leases(|leases, now, fleet, out| leases.submit(now, seq, claim, fleet, out));
     }
 
     fn is_admitting(&self, seq: u64) -> bool {
@@ -90,7 +92,7 @@
 
     /// Gives a request's place in the limits back.
     pub(super) fn end_admission(&mut self, seq: u64) {
-        self.with_leases(|leases, now, fleet, out| leases.end(now, seq, fleet, out));
+        self.with_leases(|leases, now, fleet, out| leases.finish(now, seq, fleet, out));
     }
 
     /// Charges tokens that a request has generated.
@@ -110,7 +112,7 @@
 
     /// A life of an instance is over; what it leased is free.
     pub(super) fn forget_leases(&mut self, instance: InstanceKey, incarnation: Incarnation) {
-        self.limit_home.life_over(PeerId {
+        self.limit_home.incarnation_ended(PeerId {
             instance,
             incarnation,
         });
@@ -133,19 +135,19 @@
     let limits = &view.entry.limits;
     Some(Claim {
         workspace: facts.workspace,
-        workspace_allows: Allowance {
+        workspace_allowance: Allowance {
             concurrent: facts.workspace_limits.concurrent,
             tokens_per_minute: facts.workspace_limits.tokens_per_minute,
             revision,
         },
         entry: view.entry.key,
-        entry_allows: Allowance {
+        entry_allowance: Allowance {
             concurrent: limits.concurrent,
             tokens_per_minute: limits.tokens_per_minute,
             revision,
         },
         queue: limits.queue,
         tokens: (!view.target.is_service()).then_some(facts.prompt_tokens),
-        until: request.waiting_since + request.longest_wait(),
+        deadline: request.waiting_since + request.longest_wait(),
     })
 }
--- a/crates/core/tests/limits_leases.rs
+++ b/crates/core/tests/limits_leases.rs
@@ -5,7 +5,7 @@
 
 use fixture::{World, workspace};
 use oriolemux_core::ids::Incarnation;
-use oriolemux_core::limits::{Allowance, FairLevel, LEASE_TIME};
+use oriolemux_core::limits::{Allowance, FairLevel, LEASE_TTL};
 use oriolemux_core::reason::Reason;
 use oriolemux_core::time::Time;
 use rstest::rstest;
@@ -205,9 +205,9 @@
     world.parted = vec![(0, 2), (1, 2)];
     let others =
         |world: &World| (world.members[0].admitted.len() + world.members[1].admitted.len()) as u32;
-    world.run(LEASE_TIME / 4);
+    world.run(LEASE_TTL / 4);
     assert_eq!(others(&world), 10 - of_dead);
-    world.run(LEASE_TIME);
+    world.run(LEASE_TTL);
     assert_eq!(others(&world), 10);
 }
 
@@ -219,7 +219,7 @@
     let old = world.members[1].id;
     world.members[1].leases = oriolemux_core::limits::Leases::new();
     world.members[1].id.incarnation = Incarnation(2);
-    world.members[0].home.life_over(old);
+    world.members[0].home.incarnation_ended(old);
     world.run(Duration::from_secs(2));
     assert_eq!(world.members[0].admitted.len(), 10, "{of_old} came back");
 }
@@ -240,7 +240,7 @@
     world.run(Duration::from_secs(1));
     for member in &world.members[1..] {
         assert_eq!(member.admitted.len(), 2);
-        assert_eq!(member.leases.counts().alone, 2);
+        assert_eq!(member.leases.counts().without_home, 2);
     }
     world.parted.clear();
     world.run(Duration::from_secs(3));
@@ -288,7 +288,7 @@
     world.run(RTT);
     world.end(1, first);
     world.parted = vec![(0, 1)];
-    world.now += LEASE_TIME;
+    world.now += LEASE_TTL;
     let claim = world.claim(workspace("ws", 10, 0), entry(10), 60_000);
     world.take(1, claim);
     assert!(world.members[1].admitted.is_empty());
@@ -421,5 +421,5 @@
 ) {
     let fair = FairLevel::of(total, wants.iter().copied());
     let given: Vec<u32> = wants.iter().map(|&it| fair.share(it)).collect();
-    assert_eq!((given.as_slice(), fair.rest), (shares, rest));
+    assert_eq!((given.as_slice(), fair.remainder), (shares, rest));
 }
--- a/crates/core/tests/membership_sizes.rs
+++ b/crates/core/tests/membership_sizes.rs
@@ -7,7 +7,7 @@
 
 use fleet::{actions, changed, fleet, member};
 use oriolemux_core::ids::{EndpointKey, Incarnation, InstanceKey, WorkspaceKey};
-use oriolemux_core::limits::{Allowance, LimitAsk, LimitKey, LimitLease, LimitsMessage};
+use oriolemux_core::limits::{Allowance, LeaseRequest, LimitKey, LimitLease, LimitsMessage};
 use oriolemux_core::membership::{LINK_IDLE, ListedState, MembershipMessage, list_delta};
 use oriolemux_core::peer::{PeerEnvelope, PeerMessage};
 use oriolemux_core::time::Time;
@@ -56,7 +56,7 @@
 }
 
 fn ask() -> PeerMessage {
-    PeerMessage::Limits(LimitsMessage::Ask(LimitAsk {
+    PeerMessage::Limits(LimitsMessage::Request(LeaseRequest {
         key: LimitKey::Workspace(WorkspaceKey::of("ws")),
         allowance: Allowance {
             concurrent: 500,
@@ -64,8 +64,8 @@
             revision: 70_000,
         },
         seq: 1000,
-        holds: 12,
-        wants: 14,
+        held_slots: 12,
+        wanted_slots: 14,
         tokens_wanted: 20_000,
         tokens_returned: 0,
         tokens_owed: 300,
@@ -80,8 +80,8 @@
         tokens: 20_000,
         ttl_ms: 20_000,
         tokens_wait_ms: 0,
-        again_ms: 7_800,
-        unasked: false,
+        retry_after_ms: 7_800,
+        is_revocation: false,
     }))
 }
 
