--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -248,7 +248,7 @@
             self.lengths.release(waiting.node);
         }
         if let Some(lease) = self.leases.get(&id).copied() {
-            self.endpoints[lease.endpoint].health.probe_withdrawn();
+            self.endpoints[lease.endpoint].health.probe_inconclusive();
             self.end_lease(now, id);
         }
     }
--- a/crates/core/src/cell/endpoint.rs
+++ b/crates/core/src/cell/endpoint.rs
@@ -143,7 +143,7 @@
 
     /// Returns whether its figures change with time alone.
     pub fn is_moving(&self, now: Time) -> bool {
-        !self.ledger.held().is_empty() || self.health.is_moving(now)
+        !self.ledger.held().is_empty() || self.health.changes_with_time(now)
     }
 
     /// Returns why the endpoint can't take a request whatever its room, if it can't.
--- a/crates/core/src/cell/place.rs
+++ b/crates/core/src/cell/place.rs
@@ -7,7 +7,7 @@
 use crate::cell::request::Distance;
 use crate::ids::RequestId;
 use crate::memory::{Age, Demand, Forecast, Held, Margins};
-use crate::routing::Merits;
+use crate::routing::RoutingFactors;
 use crate::routing::prefix::EndpointIx;
 use crate::time::Time;
 
@@ -170,13 +170,19 @@
     }
 }
 
-fn merits(endpoint: &Endpoint, waiting: &Waiting, fit: Fit, blocks: u32, belief: f64) -> Merits {
+fn merits(
+    endpoint: &Endpoint,
+    waiting: &Waiting,
+    fit: Fit,
+    blocks: u32,
+    belief: f64,
+) -> RoutingFactors {
     let all = waiting.req.prefix.len().max(1) as f64;
-    Merits {
+    RoutingFactors {
         free_share: fit.free_share,
         prefix_share: belief * f64::from(blocks) / all,
         prompt_tokens: waiting.req.prompt_tokens,
-        far: endpoint.info.distance == Distance::Far,
+        is_remote: endpoint.info.distance == Distance::Far,
     }
 }
 
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -18,7 +18,7 @@
 mod home;
 mod leases;
 mod message;
-mod parked;
+mod queue;
 mod share;
 
 pub use bucket::TokenBucket;
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -2,7 +2,7 @@
 
 use super::claim::{Claim, Pair, keys_of};
 use super::message::LimitLease;
-use super::parked::{Parked, Waiting};
+use super::queue::{Parked, Waiting};
 use super::share::Share;
 use super::{LimitFleet, LimitKey, LimitsAction, LimitsMessage};
 use crate::ids::EntryKey;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -11,25 +11,25 @@
 
 mod cells;
 mod delta;
-mod doubt;
+mod gossip;
 mod homes;
 mod links;
 mod list;
 mod message;
-mod news;
+mod quarantine;
 mod reads;
 mod view;
 
 pub use cells::{CELL_ENDPOINTS, CellPlan, plan_cells};
 pub use delta::{ListDelta, apply_delta, list_delta};
-pub use doubt::{DOUBT_CONFIRM, DOUBT_LIMIT};
+pub use gossip::LEAVING_HOLD;
 pub use homes::EndpointState;
 pub use links::LINK_IDLE;
 pub use list::{
     EndpointKind, EndpointRecord, FencingSupport, InstanceList, InstanceRecord, ListedState,
 };
 pub use message::MembershipMessage;
-pub use news::LEAVING_HOLD;
+pub use quarantine::{QUARANTINE_CONFIRM, QUARANTINE_TIMEOUT};
 pub use reads::{LIST_STALE, START_SPREAD, WATCHERS};
 pub use view::{
     Cell, CellId, DataCentreId, Endpoint, EndpointId, HOME_RANKS, Instance, InstanceId, View,
@@ -40,10 +40,10 @@
 use crate::time::Time;
 use crate::value::{PeerId, PeerTarget};
 use core::time::Duration;
-use doubt::Doubt;
+use gossip::EndpointNotice;
 use indexmap::IndexMap;
 use links::Life;
-use news::EndpointNotice;
+use quarantine::Doubt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use reads::Reads;
@@ -115,7 +115,7 @@
         endpoint: EndpointKey,
     },
     /// An endpoint that was leaving is there again.
-    EndpointBack {
+    EndpointReturned {
         /// Which endpoint.
         endpoint: EndpointKey,
     },
@@ -243,7 +243,7 @@
                 endpoint,
                 list_revision,
             } => self.news_of_endpoint(now, endpoint, list_revision, Some(from), out),
-            MembershipMessage::InstanceLife {
+            MembershipMessage::InstanceStatus {
                 instance,
                 incarnation,
                 leaving,
@@ -253,7 +253,7 @@
             }
             MembershipMessage::ListPull { have } => self.answer_pull(now, from, have, out),
             MembershipMessage::Delta(delta) => self.pulled_delta(now, from, &delta, out),
-            MembershipMessage::Whole(list) => self.pulled_list(now, *list, out),
+            MembershipMessage::FullList(list) => self.pulled_list(now, *list, out),
         }
     }
 
--- a/crates/core/src/membership/news.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -59,7 +59,7 @@
             return;
         }
         self.notices.shift_remove(&endpoint);
-        let change = MembershipChange::EndpointBack { endpoint };
+        let change = MembershipChange::EndpointReturned { endpoint };
         out.push(MembershipAction::Changed(change));
     }
 
@@ -149,7 +149,7 @@
         if is_leaving && !was_leaving {
             say_instance_gone(instance, out);
         }
-        let message = MembershipMessage::InstanceLife {
+        let message = MembershipMessage::InstanceStatus {
             instance,
             incarnation,
             leaving,
@@ -163,7 +163,7 @@
 
     /// Tells everybody reachable that this instance is leaving.
     pub(super) fn tell_own_leaving(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        let message = MembershipMessage::InstanceLife {
+        let message = MembershipMessage::InstanceStatus {
             instance: self.me,
             incarnation: self.cfg.incarnation,
             leaving: true,
@@ -182,14 +182,14 @@
         extra: Vec<InstanceKey>,
         out: &mut Vec<MembershipAction>,
     ) {
-        for to in self.told_news(source, extra) {
+        for to in self.gossip_targets(source, extra) {
             self.send(now, to, message.clone(), out);
         }
     }
 
     /// Returns whom this instance tells a piece of news that is new to it: those in `extra`, and
     /// others along the watchers, so that everybody hears it and nothing circles.
-    pub fn told_news(
+    pub fn gossip_targets(
         &self,
         source: Option<PeerId>,
         mut extra: Vec<InstanceKey>,
@@ -248,7 +248,7 @@
         let lives = self.lives.iter().filter(|(key, _)| **key != to);
         news.extend(lives.filter_map(|(&instance, life)| {
             let incarnation = life.leaving.filter(|_| life.is_leaving())?;
-            Some(MembershipMessage::InstanceLife {
+            Some(MembershipMessage::InstanceStatus {
                 instance,
                 incarnation,
                 leaving: true,
@@ -271,7 +271,7 @@
             }
             let came_back = notice.list_revision <= known.not_live_at;
             if came_back {
-                let change = MembershipChange::EndpointBack { endpoint };
+                let change = MembershipChange::EndpointReturned { endpoint };
                 out.push(MembershipAction::Changed(change));
             }
             !came_back
--- a/crates/core/src/membership/homes.rs
+++ b/crates/core/src/membership/homes.rs
@@ -43,7 +43,7 @@
         let givers = self.assign_cells(|it| it.record.state == ListedState::Live);
         for ((cell, homes), givers) in self.view.cells.values_mut().zip(homes).zip(givers) {
             cell.homes = homes;
-            cell.giver = givers.first().copied();
+            cell.controller = givers.first().copied();
         }
     }
 
@@ -62,7 +62,7 @@
             let near = |it: &Instance| it.data_centre == cell.data_centre;
             let candidates = instances.iter().map(|it| Candidate {
                 instance: it.key,
-                near: near(it),
+                is_preferred: near(it),
             });
             rendezvous::rank(cell.plan.key.0, candidates, instances.len(), &mut ranked);
             let here = instances.iter().filter(|it| near(it)).count();
@@ -97,7 +97,7 @@
         let usable = self.view.instances.values().filter(|it| it.usable);
         usable.map(move |it| Candidate {
             instance: it.key,
-            near: near == Some(it.data_centre),
+            is_preferred: near == Some(it.data_centre),
         })
     }
 
@@ -133,8 +133,8 @@
     ///
     /// It ranks first among those that the list calls live, whatever links and
     /// peers say of them; [`crate::orders`] says why.
-    pub fn giver_of_cell(&self, cell: CellKey) -> Option<InstanceKey> {
-        self.view.cell(cell)?.giver
+    pub fn controller_of_cell(&self, cell: CellKey) -> Option<InstanceKey> {
+        self.view.cell(cell)?.controller
     }
 
     /// Returns whether this instance is the home of a cell.
--- a/crates/core/src/membership/links.rs
+++ b/crates/core/src/membership/links.rs
@@ -170,7 +170,7 @@
     /// Returns whether `peer` is the present life of its instance.
     ///
     /// Messages of any other life are dropped by the node.
-    pub fn is_present_life(&self, peer: PeerId) -> bool {
+    pub fn is_current_incarnation(&self, peer: PeerId) -> bool {
         let life = self.lives.get(&peer.instance);
         life.is_some_and(|it| it.incarnation == Some(peer.incarnation))
     }
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -17,7 +17,7 @@
         list_revision: u64,
     },
     /// An instance is leaving, or has come back as a new life.
-    InstanceLife {
+    InstanceStatus {
         /// Which instance.
         instance: InstanceKey,
         /// The life that the news is about.
@@ -38,5 +38,5 @@
     /// The changes that were asked for.
     Delta(Box<ListDelta>),
     /// The whole list, for a peer whose revision is too old for changes.
-    Whole(Box<InstanceList>),
+    FullList(Box<InstanceList>),
 }
--- a/crates/core/src/membership/doubt.rs
+++ b/crates/core/src/membership/quarantine.rs
@@ -15,10 +15,10 @@
 
 /// A later revision confirms a doubted list only after so long, so that a
 /// writer that publishes a list in pieces does not confirm itself.
-pub const DOUBT_CONFIRM: Duration = Duration::from_secs(10);
+pub const QUARANTINE_CONFIRM: Duration = Duration::from_secs(10);
 
 /// A doubted list that nothing contradicts is believed after so long.
-pub const DOUBT_LIMIT: Duration = Duration::from_secs(300);
+pub const QUARANTINE_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// A list that is held back.
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
         }
         doubt.list = list;
         doubt.vanished = vanished;
-        let confirmed = now >= doubt.since + DOUBT_CONFIRM;
+        let confirmed = now >= doubt.since + QUARANTINE_CONFIRM;
         if confirmed && !doubt.list.instances.is_empty() {
             self.believe_doubted(now, out);
         }
@@ -111,8 +111,8 @@
         }
         match self.evidence(doubt) {
             Evidence::Alive => Time::NEVER,
-            Evidence::Dead => doubt.since + DOUBT_CONFIRM,
-            Evidence::Unknown => doubt.since + DOUBT_LIMIT,
+            Evidence::Dead => doubt.since + QUARANTINE_CONFIRM,
+            Evidence::Unknown => doubt.since + QUARANTINE_TIMEOUT,
         }
     }
 
--- a/crates/core/src/membership/reads.rs
+++ b/crates/core/src/membership/reads.rs
@@ -124,7 +124,7 @@
     }
 
     /// Asks for a read of the list now, because an order depends on it.
-    pub fn want_fresh(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
+    pub fn request_list_read(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         if self.reads.read.is_none() {
             self.reads.read = Some(now);
             out.push(MembershipAction::ReadList);
@@ -221,7 +221,7 @@
 
     /// Returns when the call was sent that last confirmed the list in force;
     /// `None` if a newer one is known to exist.
-    pub fn list_confirmed(&self) -> Option<Time> {
+    pub fn list_confirmed_at(&self) -> Option<Time> {
         let is_newest = self.view.revision() >= self.reads.told && self.doubt.is_none();
         self.reads.fresh_at.filter(|_| is_newest)
     }
@@ -241,7 +241,7 @@
         match self.reads.pulled {
             Some(at) if now < at + PULL_LIMIT => return,
             // The peer has gone, or the list is too long for its frames.
-            Some(_) => self.want_fresh(now, out),
+            Some(_) => self.request_list_read(now, out),
             None => {}
         }
         self.pull(now, from.instance, self.view.revision(), out);
@@ -265,7 +265,7 @@
         let base = self.history.iter().find(|it| it.revision == have);
         let message = match base {
             Some(base) => MembershipMessage::Delta(Box::new(list_delta(base, self.view.list()))),
-            None => MembershipMessage::Whole(Box::new(self.view.list().clone())),
+            None => MembershipMessage::FullList(Box::new(self.view.list().clone())),
         };
         self.send(now, from.instance, message, out);
     }
--- a/crates/core/src/membership/view.rs
+++ b/crates/core/src/membership/view.rs
@@ -69,7 +69,7 @@
     /// Usable instances in order of rank, the home first; at most [`HOME_RANKS`].
     pub homes: Vec<InstanceKey>,
     /// The instance that gives orders to its endpoints.
-    pub giver: Option<InstanceKey>,
+    pub controller: Option<InstanceKey>,
 }
 
 /// How many instances in rank order are kept for each cell: the home and those
@@ -132,7 +132,7 @@
             plan,
             data_centre,
             homes: Vec::new(),
-            giver: None,
+            controller: None,
         });
         self.cell_ids.insert(key, id);
     }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -347,7 +347,7 @@
     }
 
     fn on_envelope(&mut self, from: PeerId, envelope: PeerEnvelope) {
-        if !self.membership.is_present_life(from) {
+        if !self.membership.is_current_incarnation(from) {
             // A message of a life that was replaced: the process was paused and
             // does not know. Its requests are void, so nothing of it may count.
             self.note(Note::Discarded {
--- a/crates/core/src/node/claims.rs
+++ b/crates/core/src/node/claims.rs
@@ -43,7 +43,7 @@
                         self.on_claim_refused(request, verdict);
                     }
                     KeysAction::WantFreshList => {
-                        self.with_membership(|it, now, out| it.want_fresh(now, out));
+                        self.with_membership(|it, now, out| it.request_list_read(now, out));
                     }
                 }
             }
--- a/crates/core/src/node/fleet.rs
+++ b/crates/core/src/node/fleet.rs
@@ -61,7 +61,7 @@
             }
             MembershipChange::InstanceGone { .. } => {}
             MembershipChange::EndpointLeaving { endpoint }
-            | MembershipChange::EndpointBack { endpoint } => {
+            | MembershipChange::EndpointReturned { endpoint } => {
                 self.refresh_endpoint(endpoint);
                 self.refresh_goals();
             }
--- a/crates/core/src/node/home.rs
+++ b/crates/core/src/node/home.rs
@@ -351,7 +351,7 @@
 
     /// Asks an endpoint for its load, and again later.
     pub(super) fn poll_load(&mut self, endpoint: EndpointKey) {
-        if !self.homes.has(endpoint) && !self.orders.is_giver_of(endpoint) {
+        if !self.homes.has(endpoint) && !self.orders.controls(endpoint) {
             self.homes.polled.remove(&endpoint);
             self.homes.reported.remove(&endpoint);
             return;
--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::event::{Action, OrderResult};
 use crate::ids::EndpointKey;
-use crate::orders::{Knowledge, OrdersAction, count_givers, plan_goals};
+use crate::orders::{ControllerContext, OrdersAction, count_controllers, plan_goals};
 use crate::time::Time;
 use core::time::Duration;
 
@@ -43,7 +43,8 @@
     }
 
     pub(super) fn on_order_done(&mut self, key: EndpointKey, fencing: u64, result: OrderResult) {
-        self.orders.done(self.now, key, fencing, result);
+        self.orders
+            .on_order_answered(self.now, key, fencing, result);
     }
 
     /// Gives the orders that are due.
@@ -59,7 +60,7 @@
         self.orders.tick(self.now, &knowledge, &is_used, &mut out);
         for action in out {
             match action {
-                OrdersAction::Give {
+                OrdersAction::Send {
                     endpoint,
                     fencing,
                     kind,
@@ -70,8 +71,8 @@
                     kind,
                     send_before,
                 }),
-                OrdersAction::WantFreshList => {
-                    self.with_membership(|it, now, out| it.want_fresh(now, out));
+                OrdersAction::ReadList => {
+                    self.with_membership(|it, now, out| it.request_list_read(now, out));
                 }
                 OrdersAction::Note(note) => self.note(note),
             }
@@ -83,21 +84,21 @@
         wake.max(self.orders_looked + LOOK_GAP)
     }
 
-    fn knowledge(&mut self) -> Knowledge {
+    fn knowledge(&mut self) -> ControllerContext {
         let list_revision = self.membership.view().revision();
         // Ranking every instance for every cell takes half a millisecond in a
         // fleet of 390, and the answer follows from the list alone.
         if self.givers.list_revision != list_revision {
             self.givers = GiverCount {
                 list_revision,
-                givers: count_givers(&self.membership),
+                givers: count_controllers(&self.membership),
             };
         }
-        Knowledge {
+        ControllerContext {
             list_revision,
-            confirmed: self.membership.list_confirmed(),
+            confirmed: self.membership.list_confirmed_at(),
             is_catalogue_current: self.sync.is_current(),
-            givers: self.givers.givers,
+            controllers: self.givers.givers,
         }
     }
 }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -197,7 +197,7 @@
             let Some(blame) = self.suspects.ledger.told(self.now, fingerprint) else {
                 continue;
             };
-            for to in self.membership.told_news(source, Vec::new()) {
+            for to in self.membership.gossip_targets(source, Vec::new()) {
                 by_receiver.entry(to).or_default().push(blame.clone());
             }
         }
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -11,15 +11,15 @@
 //! with a fencing number that never falls, on fresh knowledge, at this giver's
 //! part of the weight store's rate. See `docs/design/orders.md`.
 
+mod controller;
 mod endpoint;
 mod fence;
-mod give;
 mod goals;
 mod reconcile;
 
+pub use controller::{ControllerContext, Orders, OrdersConfig};
 pub use fence::{FENCE_REVISION_SHIFT, next_fence};
-pub use give::{Knowledge, Orders, OrdersConfig};
-pub use goals::{EndpointGoal, ModelGoal, count_givers, plan_goals};
+pub use goals::{EndpointGoal, ModelGoal, count_controllers, plan_goals};
 pub use reconcile::next_change;
 
 use crate::note::Note;
@@ -29,7 +29,7 @@
 
 /// A giver may order for so long after it asked for the list that confirms it.
 /// After that it has to ask again: it may have been replaced without noticing.
-pub const GIVER_LEASE: Duration = Duration::from_secs(10);
+pub const CONTROLLER_LEASE: Duration = Duration::from_secs(10);
 
 /// One read of the list may lag behind another by so much. We assume it; the
 /// platform does not say.
@@ -40,14 +40,15 @@
 
 /// A new giver waits for so long before it orders anything of an endpoint that
 /// does not refuse the old one's orders.
-pub const HAND_OVER_WAIT: Duration =
-    Duration::from_secs(GIVER_LEASE.as_secs() + LIST_LAG.as_secs() + HAND_OVER_MARGIN.as_secs());
+pub const HAND_OVER_WAIT: Duration = Duration::from_secs(
+    CONTROLLER_LEASE.as_secs() + LIST_LAG.as_secs() + HAND_OVER_MARGIN.as_secs(),
+);
 
 /// What orders ask of the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrdersAction {
     /// Give an order.
-    Give {
+    Send {
         /// To which endpoint.
         endpoint: EndpointTarget,
         /// The order's fencing number.
@@ -58,7 +59,7 @@
         send_before: Time,
     },
     /// Read the list now; orders wait for it.
-    WantFreshList,
+    ReadList,
     /// Tell operators.
     Note(Note),
 }
--- a/crates/core/src/orders/give.rs
+++ b/crates/core/src/orders/controller.rs
@@ -4,7 +4,7 @@
 use super::fence::{FENCE_REVISION_SHIFT, next_fence};
 use super::goals::EndpointGoal;
 use super::reconcile::takes_weights;
-use super::{GIVER_LEASE, OrdersAction};
+use super::{CONTROLLER_LEASE, OrdersAction};
 use crate::ids::{CellKey, EndpointKey};
 use crate::note::Note;
 use crate::time::Time;
@@ -43,7 +43,7 @@
 
 /// What the giver knows about its own standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct ControllerContext {
     /// The revision of the list in force.
     pub list_revision: u64,
     /// When the call was sent that last confirmed that list; `None` if it was
@@ -52,13 +52,14 @@
     /// Whether the catalogue in force is the newest that anybody has told of.
     pub is_catalogue_current: bool,
     /// How many instances give orders.
-    pub givers: u32,
+    pub controllers: u32,
 }
 
-impl Knowledge {
+impl ControllerContext {
     /// Returns until when orders may be given on it.
     fn lease_end(&self) -> Time {
-        self.confirmed.map_or(Time::ZERO, |it| it + GIVER_LEASE)
+        self.confirmed
+            .map_or(Time::ZERO, |it| it + CONTROLLER_LEASE)
     }
 }
 
@@ -110,7 +111,7 @@
     }
 
     /// Returns whether this instance gives orders to an endpoint.
-    pub fn is_giver_of(&self, endpoint: EndpointKey) -> bool {
+    pub fn controls(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
@@ -131,7 +132,13 @@
     }
 
     /// An endpoint answered an order.
-    pub fn done(&mut self, now: Time, endpoint: EndpointKey, fencing: u64, result: OrderResult) {
+    pub fn on_order_answered(
+        &mut self,
+        now: Time,
+        endpoint: EndpointKey,
+        fencing: u64,
+        result: OrderResult,
+    ) {
         let retry = self.rng.random_range(0.5..1.0);
         let Some(ordered) = self.endpoints.get_mut(&endpoint) else {
             return;
@@ -151,7 +158,7 @@
     pub fn tick(
         &mut self,
         now: Time,
-        knowledge: &Knowledge,
+        knowledge: &ControllerContext,
         is_used: &impl Fn(EndpointKey, &LoadedModel) -> bool,
         out: &mut Vec<OrdersAction>,
     ) {
@@ -176,7 +183,7 @@
         &mut self,
         now: Time,
         key: EndpointKey,
-        knowledge: &Knowledge,
+        knowledge: &ControllerContext,
         is_used: &impl Fn(EndpointKey, &LoadedModel) -> bool,
         loading: &mut BTreeMap<CellKey, u32>,
         out: &mut Vec<OrdersAction>,
@@ -212,7 +219,7 @@
         &mut self,
         now: Time,
         key: EndpointKey,
-        knowledge: &Knowledge,
+        knowledge: &ControllerContext,
         is_load: bool,
     ) -> Result<(), Hold> {
         if !knowledge.is_catalogue_current {
@@ -229,7 +236,7 @@
             return Err(Hold::Stale);
         }
         match is_load {
-            true => self.may_load(now, knowledge.givers),
+            true => self.may_load(now, knowledge.controllers),
             false => Ok(()),
         }
     }
@@ -260,7 +267,7 @@
                 let next = self.freshened.map_or(now, |it| it + FRESHEN_EVERY);
                 if next <= now {
                     self.freshened = Some(now);
-                    out.push(OrdersAction::WantFreshList);
+                    out.push(OrdersAction::ReadList);
                 }
                 next.max(now + FRESHEN_EVERY)
             }
@@ -280,10 +287,10 @@
         now: Time,
         key: EndpointKey,
         kind: OrderKind,
-        knowledge: &Knowledge,
+        knowledge: &ControllerContext,
         out: &mut Vec<OrdersAction>,
     ) -> bool {
-        let pause = self.load_pause(knowledge.givers);
+        let pause = self.load_pause(knowledge.controllers);
         let Some(ordered) = self.endpoints.get_mut(&key) else {
             return false;
         };
@@ -298,7 +305,7 @@
         ordered.is_held = false;
         ordered.sent(now, fencing, kind.clone());
         self.wake = self.wake.min(now + ANSWER_LIMIT);
-        out.push(OrdersAction::Give {
+        out.push(OrdersAction::Send {
             endpoint: ordered.goal.endpoint.clone(),
             fencing,
             kind,
--- a/crates/core/src/orders/goals.rs
+++ b/crates/core/src/orders/goals.rs
@@ -47,7 +47,7 @@
     let managed = managed_names(catalogue);
     let mut goals = Vec::new();
     for cell in membership.view().cells() {
-        if membership.giver_of_cell(cell.plan.key) != Some(me) {
+        if membership.controller_of_cell(cell.plan.key) != Some(me) {
             continue;
         }
         let endpoints = cell.plan.endpoints.iter().copied();
@@ -75,10 +75,10 @@
 }
 
 /// Returns how many instances give orders, and at least one.
-pub fn count_givers(membership: &Membership) -> u32 {
+pub fn count_controllers(membership: &Membership) -> u32 {
     let cells = membership.view().cells();
     let givers: BTreeSet<InstanceKey> = cells
-        .filter_map(|it| membership.giver_of_cell(it.plan.key))
+        .filter_map(|it| membership.controller_of_cell(it.plan.key))
         .collect();
     u32::try_from(givers.len()).unwrap_or(u32::MAX).max(1)
 }
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -16,7 +16,7 @@
     pub instance: InstanceKey,
     /// Whether it is preferred over all that are not, for example because it
     /// shares the data centre of the endpoints that it would decide for.
-    pub near: bool,
+    pub is_preferred: bool,
 }
 
 impl Candidate {
@@ -24,7 +24,7 @@
     pub const fn anywhere(instance: InstanceKey) -> Self {
         Candidate {
             instance,
-            near: false,
+            is_preferred: false,
         }
     }
 }
@@ -49,7 +49,7 @@
 
 fn rank_of(key: u64, candidate: Candidate) -> Rank {
     let score = score(key, candidate.instance.0);
-    (candidate.near, score, Reverse(candidate.instance))
+    (candidate.is_preferred, score, Reverse(candidate.instance))
 }
 
 /// Returns the home of `key`, or `None` if there is no candidate.
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -19,7 +19,7 @@
 
 /// What ranks an endpoint for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Merits {
+pub struct RoutingFactors {
     /// Share of the endpoint's room that is free, from 0 to 1.
     pub free_share: f64,
     /// Share of the prompt's blocks that the endpoint is believed to hold.
@@ -27,15 +27,15 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Whether the endpoint is in another data centre.
-    pub far: bool,
+    pub is_remote: bool,
 }
 
-impl Merits {
+impl RoutingFactors {
     /// Returns the rank; the highest wins.
     pub fn score(&self) -> f64 {
         let prompt = (f64::from(self.prompt_tokens) / PREFIX_FULL_TOKENS).min(1.0);
         let prefix = PREFIX_WEIGHT * self.prefix_share * prompt;
-        let penalty = if self.far { FAR_PENALTY } else { 0.0 };
+        let penalty = if self.is_remote { FAR_PENALTY } else { 0.0 };
         self.free_share + prefix - penalty
     }
 }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -31,7 +31,7 @@
 
 /// Whether an endpoint may be granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EjectionState {
     /// It may.
     Open,
     /// It was ejected.
@@ -49,7 +49,7 @@
 /// Evidence about one endpoint.
 #[derive(Clone, Debug)]
 pub struct Health {
-    standing: Standing,
+    standing: EjectionState,
     failures: f64,
     successes: f64,
     updated: Time,
@@ -61,7 +61,7 @@
 impl Default for Health {
     fn default() -> Self {
         Health {
-            standing: Standing::Open,
+            standing: EjectionState::Open,
             failures: 0.0,
             successes: 0.0,
             updated: Time::ZERO,
@@ -87,8 +87,8 @@
     pub fn succeeded(&mut self, now: Time) {
         self.decay(now);
         self.successes += 1.0;
-        if let Standing::Probing { .. } = self.standing {
-            self.standing = Standing::Open;
+        if let EjectionState::Probing { .. } = self.standing {
+            self.standing = EjectionState::Open;
             self.failures = 0.0;
             self.backoff = FIRST_PROBE;
             self.ramp_from = None;
@@ -104,8 +104,8 @@
         let blame = blame(reason);
         self.failures += blame;
         match self.standing {
-            Standing::Probing { .. } if blame > 0.0 => self.eject(now),
-            Standing::Open if self.is_bad() => self.eject(now),
+            EjectionState::Probing { .. } if blame > 0.0 => self.eject(now),
+            EjectionState::Open if self.is_bad() => self.eject(now),
             _ => return false,
         }
         true
@@ -114,10 +114,10 @@
     /// Moves on with time: a probe comes due, or one has told nothing for too long.
     pub fn tick(&mut self, now: Time) {
         match self.standing {
-            Standing::Ejected { probe_at } if now >= probe_at => {
-                self.standing = Standing::Probing { since: None };
+            EjectionState::Ejected { probe_at } if now >= probe_at => {
+                self.standing = EjectionState::Probing { since: None };
             }
-            Standing::Probing { since: Some(since) } if now.since(since) > PROBE_LIMIT => {
+            EjectionState::Probing { since: Some(since) } if now.since(since) > PROBE_LIMIT => {
                 self.eject(now);
             }
             _ => {}
@@ -126,15 +126,15 @@
 
     /// Notes a grant.
     pub fn granted(&mut self, now: Time) {
-        if let Standing::Probing { since } = &mut self.standing {
+        if let EjectionState::Probing { since } = &mut self.standing {
             *since = Some(now);
         }
         self.ramp_from.get_or_insert(now);
     }
 
     /// Notes that the probe under way ended without telling anything.
-    pub fn probe_withdrawn(&mut self) {
-        if let Standing::Probing { since } = &mut self.standing {
+    pub fn probe_inconclusive(&mut self) {
+        if let EjectionState::Probing { since } = &mut self.standing {
             *since = None;
         }
     }
@@ -142,15 +142,15 @@
     /// Returns whether a request may go there; only idempotent work probes.
     pub fn admits(&self, now: Time, idempotent: bool) -> bool {
         match self.standing {
-            Standing::Open => now >= self.paused_until,
-            Standing::Ejected { .. } => false,
-            Standing::Probing { since } => since.is_none() && idempotent,
+            EjectionState::Open => now >= self.paused_until,
+            EjectionState::Ejected { .. } => false,
+            EjectionState::Probing { since } => since.is_none() && idempotent,
         }
     }
 
     /// Returns whether the endpoint gets no work but probes.
     pub fn is_ejected(&self) -> bool {
-        self.standing != Standing::Open
+        self.standing != EjectionState::Open
     }
 
     /// Returns the share of its capacity that the endpoint may be given now.
@@ -163,8 +163,8 @@
     }
 
     /// Returns whether it changes with time alone.
-    pub fn is_moving(&self, now: Time) -> bool {
-        self.standing != Standing::Open
+    pub fn changes_with_time(&self, now: Time) -> bool {
+        self.standing != EjectionState::Open
             || now < self.paused_until
             || self.ramp_from.is_some_and(|from| now.since(from) < RAMP)
     }
@@ -176,7 +176,7 @@
 
     fn eject(&mut self, now: Time) {
         let probe_at = now + self.backoff;
-        self.standing = Standing::Ejected { probe_at };
+        self.standing = EjectionState::Ejected { probe_at };
         self.backoff = (self.backoff * 2).min(LONGEST_PROBE);
     }
 
--- a/crates/core/tests/membership_failures.rs
+++ b/crates/core/tests/membership_failures.rs
@@ -9,8 +9,9 @@
 use network::Network;
 use oriolemux_core::ids::{EndpointKey, Incarnation, InstanceKey};
 use oriolemux_core::membership::{
-    DOUBT_CONFIRM, DOUBT_LIMIT, EndpointState, InstanceList, LEAVING_HOLD, LIST_STALE, ListedState,
-    Membership, MembershipAction, MembershipChange, MembershipMessage, SUSPECT_AFTER,
+    EndpointState, InstanceList, LEAVING_HOLD, LIST_STALE, ListedState, Membership,
+    MembershipAction, MembershipChange, MembershipMessage, QUARANTINE_CONFIRM, QUARANTINE_TIMEOUT,
+    SUSPECT_AFTER,
 };
 use oriolemux_core::note::Note;
 use oriolemux_core::time::Time;
@@ -97,7 +98,7 @@
     actions(|out| member.list(T + Duration::from_secs(1), second.clone(), out));
     assert_eq!(member.view().revision(), 1);
     let third = changed(&second, |_| {});
-    actions(|out| member.list(T + DOUBT_CONFIRM, third, out));
+    actions(|out| member.list(T + QUARANTINE_CONFIRM, third, out));
     assert_eq!((member.view().revision(), member.live_count()), (4, 2));
 }
 
@@ -106,7 +107,7 @@
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     actions(|out| member.list(T, empty(&list), out));
-    actions(|out| member.tick(T + DOUBT_LIMIT + DOUBT_LIMIT, out));
+    actions(|out| member.tick(T + QUARANTINE_TIMEOUT + QUARANTINE_TIMEOUT, out));
     assert_eq!(member.live_count(), 6);
 }
 
@@ -119,12 +120,15 @@
     let mut member = member("i0-000", &list);
     actions(|out| member.peer_up(T, peer("i0-004", 1), out));
     actions(|out| member.list(T, without_most(&list), out));
-    assert_eq!(member.next_wake().min(T + DOUBT_LIMIT), member.next_wake());
-    actions(|out| member.tick(T + DOUBT_LIMIT, out));
+    assert_eq!(
+        member.next_wake().min(T + QUARANTINE_TIMEOUT),
+        member.next_wake()
+    );
+    actions(|out| member.tick(T + QUARANTINE_TIMEOUT, out));
     assert_eq!(member.view().revision(), 1, "a link says that it lives");
-    let down = T + DOUBT_LIMIT;
+    let down = T + QUARANTINE_TIMEOUT;
     actions(|out| member.peer_down(down, peer("i0-004", 1), out));
-    actions(|out| member.tick(down + DOUBT_CONFIRM, out));
+    actions(|out| member.tick(down + QUARANTINE_CONFIRM, out));
     assert_eq!((member.view().revision(), member.live_count()), (2, 2));
 }
 
@@ -209,7 +213,10 @@
     );
     let later = T + LEAVING_HOLD;
     let out = actions(|out| member.endpoint_reported(later, endpoint, false, out));
-    assert_eq!(changes(&out), [MembershipChange::EndpointBack { endpoint }]);
+    assert_eq!(
+        changes(&out),
+        [MembershipChange::EndpointReturned { endpoint }]
+    );
 
     actions(|out| member.endpoint_refused_leaving(later, endpoint, out));
     let gone = changed(&list, |list| list.endpoints.truncate(0));
@@ -270,8 +277,8 @@
     };
     assert!(changes(&out).contains(&replaced));
     actions(|out| member.peer_up(T, peer("i0-001", 5), out));
-    assert!(!member.is_present_life(peer("i0-001", 5)));
-    assert!(member.is_present_life(peer("i0-001", 9)));
+    assert!(!member.is_current_incarnation(peer("i0-001", 5)));
+    assert!(member.is_current_incarnation(peer("i0-001", 9)));
     actions(|out| member.peer_down(T, peer("i0-001", 5), out));
     assert!(
         member.is_linked(instance),
--- a/crates/core/tests/membership_sizes.rs
+++ b/crates/core/tests/membership_sizes.rs
@@ -36,7 +36,7 @@
 }
 
 fn life() -> PeerMessage {
-    PeerMessage::Membership(MembershipMessage::InstanceLife {
+    PeerMessage::Membership(MembershipMessage::InstanceStatus {
         instance: InstanceKey::of("i"),
         incarnation: Incarnation(u64::MAX),
         leaving: true,
@@ -52,7 +52,7 @@
 }
 
 fn whole_list() -> PeerMessage {
-    PeerMessage::Membership(MembershipMessage::Whole(Box::new(fleet(10, 39, 60))))
+    PeerMessage::Membership(MembershipMessage::FullList(Box::new(fleet(10, 39, 60))))
 }
 
 fn ask() -> PeerMessage {
--- a/crates/core/tests/node/orders.rs
+++ b/crates/core/tests/node/orders.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{World, loom};
 use oriolemux_core::event::OrderKind;
-use oriolemux_core::orders::GIVER_LEASE;
+use oriolemux_core::orders::CONTROLLER_LEASE;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -72,6 +72,6 @@
 
     world.run_for(120 * MINUTE);
 
-    let lease_end = down + GIVER_LEASE;
+    let lease_end = down + CONTROLLER_LEASE;
     assert!(world.orders.iter().all(|it| it.at <= lease_end));
 }
--- a/crates/core/tests/orders_failures.rs
+++ b/crates/core/tests/orders_failures.rs
@@ -8,7 +8,7 @@
 use oriolemux_core::ids::EndpointKey;
 use oriolemux_core::membership::FencingSupport;
 use oriolemux_core::orders::{
-    FENCE_REVISION_SHIFT, GIVER_LEASE, HAND_OVER_WAIT, next_change, next_fence,
+    CONTROLLER_LEASE, FENCE_REVISION_SHIFT, HAND_OVER_WAIT, next_change, next_fence,
 };
 use oriolemux_core::time::Time;
 use proptest::prelude::*;
@@ -116,7 +116,8 @@
     let refused = engine.obey(&order[0]);
     assert!(matches!(refused, OrderResult::Fenced { .. }));
     let now = T + Duration::from_secs(2);
-    old.orders.done(now, e1(), order[0].fencing, refused);
+    old.orders
+        .on_order_answered(now, e1(), order[0].fencing, refused);
     old.can_read = false;
     assert!(old.tick(now).is_empty(), "a later list is known to exist");
     assert_eq!((old.held, engine.models.len()), (1, 1));
@@ -153,12 +154,12 @@
     giver.can_read = false;
     let ready = T + HAND_OVER_WAIT;
     giver.knowledge.confirmed = Some(ready);
-    let order = report_and_tick(&mut giver, ready + GIVER_LEASE / 2, &engine);
-    assert!(order[0].send_before <= ready + GIVER_LEASE);
+    let order = report_and_tick(&mut giver, ready + CONTROLLER_LEASE / 2, &engine);
+    assert!(order[0].send_before <= ready + CONTROLLER_LEASE);
     let woken = ready + Duration::from_secs(60);
     giver
         .orders
-        .done(woken, e1(), order[0].fencing, OrderResult::Failed);
+        .on_order_answered(woken, e1(), order[0].fencing, OrderResult::Failed);
     let later = woken + Duration::from_secs(5);
     assert!(report_and_tick(&mut giver, later, &engine).is_empty());
 }
@@ -203,7 +204,9 @@
     let order = report_and_tick(&mut giver, now, &Engine::new(CHECKED));
     let refused = engine.obey(&order[0]);
     assert!(matches!(refused, OrderResult::Fenced { .. }));
-    giver.orders.done(now, e1(), order[0].fencing, refused);
+    giver
+        .orders
+        .on_order_answered(now, e1(), order[0].fencing, refused);
     let order = giver.tick(now + Duration::from_secs(1));
     assert_eq!(engine.obey(&order[0]), OrderResult::Accepted);
 }
@@ -241,7 +244,7 @@
     let order = report_and_tick(&mut giver, now, &engine);
     giver
         .orders
-        .done(now, e1(), order[0].fencing, OrderResult::Accepted);
+        .on_order_answered(now, e1(), order[0].fencing, OrderResult::Accepted);
     let mut seen = engine.clone();
     seen.highest = order[0].fencing;
     for _ in 0..120 {
@@ -262,7 +265,7 @@
             numbers.push(order.fencing);
             giver
                 .orders
-                .done(now, e1(), order.fencing, OrderResult::Failed);
+                .on_order_answered(now, e1(), order.fencing, OrderResult::Failed);
         }
     }
     assert!((6..12).contains(&at.len()), "{at:?}");
@@ -317,7 +320,7 @@
         let mut giver = Giver::new(T, 5, goals.clone());
         giver.orders = oriolemux_core::orders::Orders::new(cfg);
         giver.orders.set_goals(T, goals);
-        giver.knowledge.givers = givers;
+        giver.knowledge.controllers = givers;
         let mut engines: Vec<_> = names
             .iter()
             .map(|it| (EndpointKey::of(it), Engine::new(CHECKED)))
@@ -383,7 +386,7 @@
                 let obeyed = result == OrderResult::Accepted;
                 prop_assert!(later || !obeyed || !seen_later);
                 seen_later |= later && obeyed;
-                giver.orders.done(now, e1(), order.fencing, result);
+                giver.orders.on_order_answered(now, e1(), order.fencing, result);
             }
         }
     }
--- a/crates/core/tests/orders_goals.rs
+++ b/crates/core/tests/orders_goals.rs
@@ -7,7 +7,7 @@
 use oriolemux_core::catalogue::{Catalogue, parse_index};
 use oriolemux_core::ids::EndpointKey;
 use oriolemux_core::membership::{EndpointKind, InstanceList, ListedState, SUSPECT_AFTER};
-use oriolemux_core::orders::{EndpointGoal, count_givers, plan_goals};
+use oriolemux_core::orders::{EndpointGoal, count_controllers, plan_goals};
 use oriolemux_core::time::Time;
 use std::collections::BTreeMap;
 
@@ -66,7 +66,7 @@
     assert_eq!(goals.len(), 36);
     assert!(goals.values().all(|it| it.models.len() == 1));
     // Three cells in each of three data centres, one for each instance.
-    assert_eq!(count_givers(&member("i0-000", &list)), 9);
+    assert_eq!(count_controllers(&member("i0-000", &list)), 9);
 }
 
 #[test]
@@ -130,7 +130,7 @@
     let list = fleet(1, 3, 4);
     let first = member("i0-000", &list);
     let cell = first.view().cells().next().unwrap().plan.key;
-    let giver = first.giver_of_cell(cell).unwrap();
+    let giver = first.controller_of_cell(cell).unwrap();
     let name = first.view().instance(giver).unwrap().record.name.clone();
     let other = list.instances.iter().find(|it| it.name != name).unwrap();
     let mut other = member(&other.name, &list);
@@ -138,5 +138,5 @@
     actions(|out| other.peer_down(T, peer(&name, 1), out));
     actions(|out| other.tick(T + SUSPECT_AFTER, out));
     assert_ne!(other.home_of_cell(cell), Some(giver));
-    assert_eq!(other.giver_of_cell(cell), Some(giver));
+    assert_eq!(other.controller_of_cell(cell), Some(giver));
 }
--- a/crates/core/tests/rendezvous_rank.rs
+++ b/crates/core/tests/rendezvous_rank.rs
@@ -66,7 +66,7 @@
     let candidates = || {
         all.iter().enumerate().map(|(i, &instance)| Candidate {
             instance,
-            near: i >= 8,
+            is_preferred: i >= 8,
         })
     };
     let mut ranked = Vec::new();
--- a/crates/oriolemux/tests/peers_codec.rs
+++ b/crates/oriolemux/tests/peers_codec.rs
@@ -50,13 +50,13 @@
             }
         }),
         (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(instance, life, leaving)| {
-            MembershipMessage::InstanceLife {
+            MembershipMessage::InstanceStatus {
                 instance: InstanceKey(instance),
                 incarnation: Incarnation(life),
                 leaving,
             }
         }),
-        any_list().prop_map(|it| MembershipMessage::Whole(Box::new(it))),
+        any_list().prop_map(|it| MembershipMessage::FullList(Box::new(it))),
     ];
     prop_oneof![
         Just(PeerMessage::Heartbeat),
