--- a/crates/core/src/length.rs
+++ b/crates/core/src/length.rs
@@ -86,7 +86,7 @@
     entries: BTreeMap<(ClassKey, EntryKey), LengthNode>,
     workspaces: BTreeMap<(LengthNode, WorkspaceKey), LengthNode>,
     workspace_keys: Vec<(LengthNode, WorkspaceKey)>,
-    hand: usize,
+    clock_hand: usize,
     drifts: u64,
 }
 
@@ -195,12 +195,12 @@
     /// Frees a node that no request refers to, and hands it to a new key.
     fn reuse(&mut self, entry: LengthNode, workspace: WorkspaceKey) -> Option<LengthNode> {
         for _ in 0..REUSE_PROBES {
-            self.hand = (self.hand + 1) % self.workspace_keys.len();
-            let key = self.workspace_keys[self.hand];
+            self.clock_hand = (self.clock_hand + 1) % self.workspace_keys.len();
+            let key = self.workspace_keys[self.clock_hand];
             let node = self.workspaces[&key];
             if self.nodes[node].users == 0 {
                 self.workspaces.remove(&key);
-                self.workspace_keys[self.hand] = (entry, workspace);
+                self.workspace_keys[self.clock_hand] = (entry, workspace);
                 return Some(node);
             }
         }
@@ -210,7 +210,7 @@
     fn observe(&mut self, node: LengthNode, bucket: usize, ended: bool) {
         let mut at = Some(node);
         while let Some(node) = at {
-            self.catch_up_with_drift(node);
+            self.apply_parent_drift(node);
             let hazard = self.nodes[node].curve.hazard(bucket);
             let this = &mut self.nodes[node];
             this.counts.observe(bucket, ended);
@@ -221,7 +221,7 @@
                 has_learned && drift.observe(hazard, ended)
             });
             if drifted {
-                self.drifted(node);
+                self.on_drift(node);
             }
         }
     }
@@ -231,7 +231,7 @@
     /// Without this, plans that double in length at the start of a school term
     /// would be admitted by last term's lengths until the long window has
     /// turned over; one would notice it by preemptions that go on for hours.
-    fn drifted(&mut self, entry: LengthNode) {
+    fn on_drift(&mut self, entry: LengthNode) {
         self.drifts += 1;
         let node = &mut self.nodes[entry];
         node.drifts += 1;
@@ -245,7 +245,7 @@
         }
     }
 
-    fn catch_up_with_drift(&mut self, node: LengthNode) {
+    fn apply_parent_drift(&mut self, node: LengthNode) {
         let Some(parent) = self.nodes[node].parent else {
             return;
         };
@@ -259,7 +259,7 @@
     }
 
     fn refresh_curve(&mut self, node: LengthNode) {
-        self.catch_up_with_drift(node);
+        self.apply_parent_drift(node);
         let parent = self.nodes[node].parent;
         if let Some(parent) = parent {
             self.refresh_curve(parent);
--- a/crates/core/src/length/drift.rs
+++ b/crates/core/src/length/drift.rs
@@ -14,7 +14,7 @@
 
 /// Evidence of one observation that stays when the next arrives; about the
 /// last 4,000 observations count, which is some 160 answers.
-const KEEP: f64 = 1.0 - 1.0 / 4_000.0;
+const EVIDENCE_DECAY: f64 = 1.0 - 1.0 / 4_000.0;
 /// Standard deviations of evidence that are taken as a change. Sequential
 /// testing crosses it by chance more often than a single test would, which
 /// costs some answers' worth of learning each time.
@@ -46,8 +46,8 @@
     pub fn observe(&mut self, hazard: f32, ended: bool) -> bool {
         let hazard = f64::from(hazard);
         let ended = f64::from(u8::from(ended));
-        self.excess = self.excess * KEEP + ended - hazard;
-        self.variance = self.variance * KEEP + hazard * (1.0 - hazard);
+        self.excess = self.excess * EVIDENCE_DECAY + ended - hazard;
+        self.variance = self.variance * EVIDENCE_DECAY + hazard * (1.0 - hazard);
         if self.variance < MIN_VARIANCE || self.excess.abs() < THRESHOLD * self.variance.sqrt() {
             return false;
         }
--- a/crates/core/src/limits/bucket.rs
+++ b/crates/core/src/limits/bucket.rs
@@ -29,7 +29,7 @@
             level: 0.0,
             filled_at: now,
         };
-        bucket.level = bucket.most();
+        bucket.level = bucket.capacity();
         bucket
     }
 
@@ -37,26 +37,26 @@
         self.per_minute as f64 / SECONDS_A_MINUTE as f64
     }
 
-    fn most(&self) -> f64 {
+    fn capacity(&self) -> f64 {
         self.per_second() * BURST_SECONDS as f64
     }
 
     /// Changes the rate; what waits is kept up to the new bound.
     pub fn set_rate(&mut self, now: Time, per_minute: u64) {
-        self.fill(now);
+        self.refill(now);
         self.per_minute = per_minute;
-        self.level = self.level.min(self.most());
+        self.level = self.level.min(self.capacity());
     }
 
-    fn fill(&mut self, now: Time) {
+    fn refill(&mut self, now: Time) {
         let time = now.since(self.filled_at).as_secs_f64();
-        self.level = (self.level + time * self.per_second()).min(self.most());
+        self.level = (self.level + time * self.per_second()).min(self.capacity());
         self.filled_at = self.filled_at.max(now);
     }
 
     /// Takes up to `wanted` tokens; returns how many.
     pub fn take_up_to(&mut self, now: Time, wanted: u64) -> u64 {
-        self.fill(now);
+        self.refill(now);
         let there = self.level.max(0.0) as u64;
         let taken = wanted.min(there);
         self.level -= taken as f64;
@@ -65,25 +65,25 @@
 
     /// Takes `tokens` whether or not they are there, for they are spent already.
     pub fn overdraw(&mut self, now: Time, tokens: u64) {
-        self.fill(now);
+        self.refill(now);
         self.level -= tokens as f64;
     }
 
     /// Puts tokens back that were taken and not used.
     pub fn put_back(&mut self, now: Time, tokens: u64) {
-        self.fill(now);
-        self.level = (self.level + tokens as f64).min(self.most());
+        self.refill(now);
+        self.level = (self.level + tokens as f64).min(self.capacity());
     }
 
     /// Returns whether at least one token is there.
     pub fn has_tokens(&mut self, now: Time) -> bool {
-        self.fill(now);
+        self.refill(now);
         self.level >= 1.0
     }
 
     /// Returns how long it takes until at least `tokens` are there.
     pub fn time_until(&mut self, now: Time, tokens: u64) -> Duration {
-        self.fill(now);
+        self.refill(now);
         let missing = tokens as f64 - self.level;
         if missing <= 0.0 {
             return Duration::ZERO;
@@ -94,7 +94,7 @@
 
     /// Returns whether the bucket is as full as it gets.
     pub fn is_full(&mut self, now: Time) -> bool {
-        self.fill(now);
-        self.level >= self.most()
+        self.refill(now);
+        self.level >= self.capacity()
     }
 }
--- a/crates/core/src/limits/home.rs
+++ b/crates/core/src/limits/home.rs
@@ -11,24 +11,24 @@
 use std::collections::BTreeMap;
 
 /// The home takes back from holders above their share at most so often.
-const TAKE_BACK_EVERY: Duration = Duration::from_millis(250);
+const MIN_REVOKE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Accounts that nobody holds anything of are dropped so often.
-const SWEEP_EVERY: Duration = Duration::from_secs(10);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A home that meets a limit soon after homes moved leases each asker an equal
 /// part at most for so long. Others may hold leases of an earlier home, of
 /// which they tell the new one within this time; leasing the whole limit to
 /// whoever asks first would run up to twice of it.
-const MEETING_TIME: Duration = Duration::from_secs(1);
+const HANDOVER_TIME: Duration = Duration::from_secs(1);
 
 /// For each instance that uses a limit, so much is added to the pause after
 /// which a wish that was not met is repeated. Hundreds of instances that want
 /// more of a limit that is used up would otherwise keep its home busy.
-const AGAIN_FOR_EACH: Duration = Duration::from_millis(20);
+const RETRY_PAUSE_PER_HOLDER: Duration = Duration::from_millis(20);
 
 /// The least tokens that are worth telling a waiting instance about.
-const TOKENS_WORTH_WAITING: u64 = 1;
+const MIN_TOKENS_AWAITED: u64 = 1;
 
 /// What one instance holds of one limit.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
     expires: Time,
     seq: u32,
     /// The share that it was asked to come down to since it last asked.
-    told: Option<u32>,
+    revoked_to: Option<u32>,
 }
 
 /// One limit.
@@ -53,8 +53,8 @@
     holdings: BTreeMap<PeerId, Holding>,
     bucket: TokenBucket,
     /// Until when each asker gets an equal part at most.
-    meeting_until: Time,
-    took_back: Time,
+    equal_shares_until: Time,
+    revoked_at: Time,
 }
 
 /// Leases out the limits that this instance is home for.
@@ -66,7 +66,7 @@
     fleet: (u32, u32),
     /// When homes moved last. Leases of earlier homes have ended
     /// [`LEASE_TTL`] later.
-    moved: Option<Time>,
+    homes_moved_at: Option<Time>,
 }
 
 impl LimitHome {
@@ -83,7 +83,7 @@
     /// To be called whenever homes may have moved.
     pub fn set_fleet(&mut self, now: Time, usable: u32, listed: u32) {
         self.fleet = (usable, listed);
-        self.moved = Some(now);
+        self.homes_moved_at = Some(now);
     }
 
     /// Returns how many limits are in use here.
@@ -107,17 +107,17 @@
     ) {
         let fleet = self.fleet;
         let account = self.accounts.entry(ask.key);
-        let others_may_hold = self.moved.is_some_and(|it| now < it + LEASE_TTL);
+        let others_may_hold = self.homes_moved_at.is_some_and(|it| now < it + LEASE_TTL);
         let account = account.or_insert_with(|| Account::new(now, ask.allowance, others_may_hold));
-        account.learn(now, ask.allowance);
+        account.update_allowance(now, ask.allowance);
         account.expire(now);
-        if account.is_overtaken(from, ask) {
+        if account.is_superseded(from, ask) {
             return;
         }
         let lease = account.lease(now, from, ask, fleet);
         out.push(send_lease(from.instance, lease));
-        account.take_back(now, from, ask, fleet, out);
-        self.sweep_due.get_or_insert(now + SWEEP_EVERY);
+        account.revoke_excess(now, from, ask, fleet, out);
+        self.sweep_due.get_or_insert(now + SWEEP_INTERVAL);
     }
 
     /// Frees what a life held that is known to be over.
@@ -145,7 +145,7 @@
             !account.holdings.is_empty() || !account.bucket.is_full(now)
         });
         let more = !self.accounts.is_empty();
-        self.sweep_due = more.then_some(now + SWEEP_EVERY);
+        self.sweep_due = more.then_some(now + SWEEP_INTERVAL);
     }
 }
 
@@ -156,7 +156,7 @@
 
 /// Returns the part of `whole` for the usable instances of those listed. At
 /// least one is left, or a small limit would stop its workspace in a partition.
-fn part(whole: u32, (usable, listed): (u32, u32)) -> u32 {
+fn reachable_share(whole: u32, (usable, listed): (u32, u32)) -> u32 {
     if usable >= listed || whole == 0 {
         return whole;
     }
@@ -167,19 +167,19 @@
 impl Account {
     fn new(now: Time, allowance: Allowance, others_may_hold: bool) -> Self {
         let meeting_until = match others_may_hold {
-            true => now + MEETING_TIME,
+            true => now + HANDOVER_TIME,
             false => Time::ZERO,
         };
         Account {
             allowance,
             holdings: BTreeMap::new(),
             bucket: TokenBucket::new(now, allowance.tokens_per_minute),
-            meeting_until,
-            took_back: Time::ZERO,
+            equal_shares_until: meeting_until,
+            revoked_at: Time::ZERO,
         }
     }
 
-    fn learn(&mut self, now: Time, allowance: Allowance) {
+    fn update_allowance(&mut self, now: Time, allowance: Allowance) {
         if allowance.revision <= self.allowance.revision {
             return;
         }
@@ -194,7 +194,7 @@
     }
 
     /// Returns whether a later ask of the same life was answered before.
-    fn is_overtaken(&self, from: PeerId, ask: &LeaseRequest) -> bool {
+    fn is_superseded(&self, from: PeerId, ask: &LeaseRequest) -> bool {
         let holding = self.holdings.get(&from);
         holding.is_some_and(|it| it.seq >= ask.seq)
     }
@@ -212,7 +212,7 @@
     }
 
     /// Returns what does not divide evenly and is not held by another.
-    fn rest_left(&self, from: PeerId, fair: FairLevel) -> u32 {
+    fn remainder_left(&self, from: PeerId, fair: FairLevel) -> u32 {
         let others = self.holdings.iter().filter(|(it, _)| **it != from);
         let above: u32 = others
             .map(|(_, it)| it.slots.saturating_sub(fair.share(it.wants)))
@@ -227,14 +227,14 @@
         ask: &LeaseRequest,
         fleet: (u32, u32),
     ) -> LimitLease {
-        let total = part(self.allowance.concurrent, fleet);
+        let total = reachable_share(self.allowance.concurrent, fleet);
         let free = total.saturating_sub(self.slots_of_others(from));
         let fair = self.fair_level(total, from, ask.wanted_slots);
-        let share = fair.share(ask.wanted_slots) + self.rest_left(from, fair);
+        let share = fair.share(ask.wanted_slots) + self.remainder_left(from, fair);
         let slots = share
             .min(free)
             .min(ask.wanted_slots)
-            .min(self.most_at_first(now, total, fleet));
+            .min(self.handover_cap(now, total, fleet));
         if ask.wanted_slots == 0 && ask.held_slots == 0 {
             self.holdings.remove(&from);
         } else {
@@ -245,7 +245,7 @@
                 wants: ask.wanted_slots.max(ask.held_slots),
                 expires: now + LEASE_TTL,
                 seq: ask.seq,
-                told: None,
+                revoked_to: None,
             };
             self.holdings.insert(from, holding);
         }
@@ -257,19 +257,19 @@
             tokens,
             ttl_ms: u32::try_from(LEASE_TTL.as_millis()).unwrap_or(u32::MAX),
             tokens_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
-            retry_after_ms: self.again_ms(),
+            retry_after_ms: self.retry_after_ms(),
             is_revocation: false,
         }
     }
 
-    fn again_ms(&self) -> u32 {
+    fn retry_after_ms(&self) -> u32 {
         let holders = u32::try_from(self.holdings.len()).unwrap_or(u32::MAX);
-        let pause = AGAIN_FOR_EACH.saturating_mul(holders);
+        let pause = RETRY_PAUSE_PER_HOLDER.saturating_mul(holders);
         u32::try_from(pause.as_millis()).unwrap_or(u32::MAX)
     }
 
-    fn most_at_first(&self, now: Time, total: u32, (_, listed): (u32, u32)) -> u32 {
-        if now >= self.meeting_until || listed == 0 {
+    fn handover_cap(&self, now: Time, total: u32, (_, listed): (u32, u32)) -> u32 {
+        if now >= self.equal_shares_until || listed == 0 {
             return total;
         }
         total.div_ceil(listed)
@@ -302,7 +302,7 @@
             .bucket
             .take_up_to(now, ask.tokens_wanted.min(there.div_ceil(2)));
         let wait = match tokens {
-            0 => self.bucket.time_until(now, TOKENS_WORTH_WAITING),
+            0 => self.bucket.time_until(now, MIN_TOKENS_AWAITED),
             _ => Duration::ZERO,
         };
         (
@@ -312,7 +312,7 @@
     }
 
     /// Asks holders above their share to come down, if `from` got less than its own.
-    fn take_back(
+    fn revoke_excess(
         &mut self,
         now: Time,
         from: PeerId,
@@ -320,20 +320,20 @@
         fleet: (u32, u32),
         out: &mut Vec<LimitsAction>,
     ) {
-        let total = part(self.allowance.concurrent, fleet);
+        let total = reachable_share(self.allowance.concurrent, fleet);
         let fair = self.fair_level(total, from, ask.wanted_slots);
         let due = fair.share(ask.wanted_slots);
         let has = self.holdings.get(&from).map_or(0, |it| it.slots);
-        if has >= due || now < self.took_back + TAKE_BACK_EVERY {
+        if has >= due || now < self.revoked_at + MIN_REVOKE_INTERVAL {
             return;
         }
-        self.took_back = now;
+        self.revoked_at = now;
         let others = self.holdings.iter_mut().filter(|(it, _)| **it != from);
         for (peer, holding) in others {
             let share = fair.share(holding.wants);
-            let is_told = holding.told.is_some_and(|it| it <= share);
+            let is_told = holding.revoked_to.is_some_and(|it| it <= share);
             if holding.slots > share && !is_told {
-                holding.told = Some(share);
+                holding.revoked_to = Some(share);
                 let lease = LimitLease {
                     key: ask.key,
                     seq: holding.seq,
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -2,7 +2,7 @@
 
 use super::claim::{Claim, Pair, keys_of};
 use super::message::LimitLease;
-use super::queue::{Parked, Waiting};
+use super::queue::{WaitQueue, Waiting};
 use super::share::Share;
 use super::{LimitFleet, LimitKey, LimitsAction, LimitsMessage};
 use crate::ids::EntryKey;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// The least time after which a refused caller is told to come back.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// A request that holds a place.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 
 /// What stands in the way of a request.
 #[derive(Clone, Copy, Debug)]
-struct Obstacle {
+struct BlockingLimit {
     key: LimitKey,
     reason: Reason,
 }
@@ -50,7 +50,7 @@
 pub struct Leases {
     shares: BTreeMap<LimitKey, Share>,
     admitted: BTreeMap<u64, Admitted>,
-    parked: Parked,
+    queue: WaitQueue,
     instances: u32,
     /// Nothing is due for a share before this. It may lie too early, never too
     /// late, so that it need not be worked out anew with every event.
@@ -62,7 +62,7 @@
         Leases {
             shares: BTreeMap::new(),
             admitted: BTreeMap::new(),
-            parked: Parked::default(),
+            queue: WaitQueue::default(),
             instances: 1,
             shares_due: Time::NEVER,
         }
@@ -79,9 +79,9 @@
     pub fn counts(&self) -> LeaseCounts {
         LeaseCounts {
             limits: self.shares.len(),
-            without_home: self.shares.values().filter(|it| it.is_alone()).count(),
+            without_home: self.shares.values().filter(|it| it.uses_fallback()).count(),
             admitted: self.admitted.len(),
-            waiting: self.parked.len(),
+            waiting: self.queue.len(),
         }
     }
 
@@ -101,25 +101,25 @@
         fleet: &impl LimitFleet,
         out: &mut Vec<LimitsAction>,
     ) {
-        debug_assert!(!self.admitted.contains_key(&request) && self.parked.get(request).is_none());
+        debug_assert!(!self.admitted.contains_key(&request) && self.queue.get(request).is_none());
         self.instances = fleet.sharing_instances();
-        self.meet(now, &claim);
+        self.ensure_shares(now, &claim);
         let waiting = Waiting {
             claim,
             arrived: now,
         };
         if self
-            .obstacle(now, claim.pair(), claim.tokens.is_some())
+            .blocking_limit(now, claim.pair(), claim.tokens.is_some())
             .is_none()
         {
             self.admit(now, request, &waiting, out);
         } else {
-            self.count_parked(claim.pair(), 1);
-            self.parked.push(request, waiting);
-            self.refuse_hopeless(now, claim.pair(), out);
+            self.count_waiting(claim.pair(), 1);
+            self.queue.push(request, waiting);
+            self.refuse_too_late(now, claim.pair(), out);
             self.trim_queue(now, claim.entry, claim.queue, out);
         }
-        self.ask_homes(now, &claim.keys(), fleet, out);
+        self.request_leases(now, &claim.keys(), fleet, out);
     }
 
     /// A request is over, whatever became of it.
@@ -133,15 +133,15 @@
         let pair = if let Some(admitted) = self.admitted.remove(&request) {
             self.release(now, &admitted);
             admitted.pair
-        } else if let Some(waiting) = self.parked.remove(request) {
+        } else if let Some(waiting) = self.queue.remove(request) {
             let pair = waiting.claim.pair();
-            self.count_parked(pair, -1);
+            self.count_waiting(pair, -1);
             pair
         } else {
             return;
         };
         self.admit_waiting(now, out);
-        self.ask_homes(now, &keys_of(pair), fleet, out);
+        self.request_leases(now, &keys_of(pair), fleet, out);
     }
 
     /// A request has taken `tokens` more than were counted before.
@@ -165,7 +165,7 @@
                 share.spend(now, u64::from(tokens));
             }
         }
-        self.ask_homes(now, &keys, fleet, out);
+        self.request_leases(now, &keys, fleet, out);
     }
 
     /// The home of a limit leased something, or takes some back.
@@ -179,13 +179,13 @@
         let Some(share) = self.shares.get_mut(&lease.key) else {
             return;
         };
-        let gave_up = share.take_lease(now, lease);
+        let gave_up = share.apply_lease(now, lease);
         self.admit_waiting(now, out);
         self.refuse_waiting(now, lease.key, out);
         if gave_up {
-            self.ask_home(now, lease.key, true, fleet, out);
+            self.request_lease(now, lease.key, true, fleet, out);
         } else {
-            self.ask_homes(now, &[lease.key], fleet, out);
+            self.request_leases(now, &[lease.key], fleet, out);
         }
     }
 
@@ -193,18 +193,18 @@
     pub fn homes_moved(&mut self, now: Time, fleet: &impl LimitFleet, out: &mut Vec<LimitsAction>) {
         self.instances = fleet.sharing_instances();
         let keys: Vec<LimitKey> = self.shares.keys().copied().collect();
-        self.ask_homes(now, &keys, fleet, out);
+        self.request_leases(now, &keys, fleet, out);
     }
 
     /// Returns when [`Leases::tick`] is due.
     pub fn next_wake(&self) -> Time {
-        self.shares_due.min(self.parked.next_due())
+        self.shares_due.min(self.queue.next_due())
     }
 
     /// Renews leases, repeats asks and refuses what waited for too long.
     pub fn tick(&mut self, now: Time, fleet: &impl LimitFleet, out: &mut Vec<LimitsAction>) {
         self.instances = fleet.sharing_instances();
-        while let Some(request) = self.parked.overdue(now) {
+        while let Some(request) = self.queue.overdue(now) {
             self.refuse(now, request, out);
         }
         if now >= self.shares_due {
@@ -215,14 +215,14 @@
     fn tick_shares(&mut self, now: Time, fleet: &impl LimitFleet, out: &mut Vec<LimitsAction>) {
         let due = self.shares.values().filter(|it| it.next_wake() <= now);
         let keys: Vec<LimitKey> = due.map(|it| it.key).collect();
-        self.ask_homes(now, &keys, fleet, out);
+        self.request_leases(now, &keys, fleet, out);
         self.admit_waiting(now, out);
         self.shares.retain(|_, it| !it.is_idle(now));
         let due = self.shares.values().map(Share::next_wake);
         self.shares_due = due.min().unwrap_or(Time::NEVER);
     }
 
-    fn meet(&mut self, now: Time, claim: &Claim) {
+    fn ensure_shares(&mut self, now: Time, claim: &Claim) {
         let [workspace, entry] = claim.keys();
         for (key, allowance) in [
             (workspace, claim.workspace_allowance),
@@ -230,23 +230,28 @@
         ] {
             let share = self.shares.entry(key);
             let share = share.or_insert_with(|| Share::new(now, key, allowance));
-            share.learn(allowance);
+            share.update_allowance(allowance);
             share.used_at = now;
         }
     }
 
     /// Returns the first limit that does not let a request of `pair` start.
-    fn obstacle(&mut self, now: Time, pair: Pair, uses_tokens: bool) -> Option<Obstacle> {
+    fn blocking_limit(
+        &mut self,
+        now: Time,
+        pair: Pair,
+        uses_tokens: bool,
+    ) -> Option<BlockingLimit> {
         let instances = self.instances;
         for key in keys_of(pair) {
             let share = self.shares.get_mut(&key)?;
-            if !share.has_place(now, instances) {
+            if !share.has_free_slot(now, instances) {
                 let reason = key.concurrency_reason();
-                return Some(Obstacle { key, reason });
+                return Some(BlockingLimit { key, reason });
             }
             if uses_tokens && !share.has_tokens(now) {
                 let reason = Reason::TokenRate;
-                return Some(Obstacle { key, reason });
+                return Some(BlockingLimit { key, reason });
             }
         }
         None
@@ -282,7 +287,7 @@
             debug_assert!(share.in_use > 0);
             share.in_use -= 1;
             share.used_at = now;
-            share.note_held(now.since(admitted.since));
+            share.record_hold_time(now.since(admitted.since));
             if let Some(count) = share.by_workspace.get_mut(&workspace) {
                 *count -= 1;
                 if *count == 0 {
@@ -292,10 +297,10 @@
         }
     }
 
-    fn count_parked(&mut self, pair: Pair, change: i32) {
+    fn count_waiting(&mut self, pair: Pair, change: i32) {
         for key in keys_of(pair) {
             if let Some(share) = self.shares.get_mut(&key) {
-                share.parked = share.parked.saturating_add_signed(change);
+                share.waiting = share.waiting.saturating_add_signed(change);
             }
         }
     }
@@ -307,14 +312,14 @@
     /// hundreds does not keep a small one out.
     fn admit_waiting(&mut self, now: Time, out: &mut Vec<LimitsAction>) {
         loop {
-            let heads: Vec<(Pair, u64)> = self.parked.heads().collect();
+            let heads: Vec<(Pair, u64)> = self.queue.heads().collect();
             let mut best: Option<(u32, Time, u64)> = None;
             for (pair, request) in heads {
-                let Some(&waiting) = self.parked.get(request) else {
+                let Some(&waiting) = self.queue.get(request) else {
                     continue;
                 };
                 let uses_tokens = waiting.claim.tokens.is_some();
-                if self.obstacle(now, pair, uses_tokens).is_some() {
+                if self.blocking_limit(now, pair, uses_tokens).is_some() {
                     continue;
                 }
                 let rank = (self.running_of(pair), waiting.arrived, request);
@@ -323,10 +328,10 @@
             let Some((_, _, request)) = best else {
                 return;
             };
-            let Some(waiting) = self.parked.remove(request) else {
+            let Some(waiting) = self.queue.remove(request) else {
                 return;
             };
-            self.count_parked(waiting.claim.pair(), -1);
+            self.count_waiting(waiting.claim.pair(), -1);
             self.admit(now, request, &waiting, out);
         }
     }
@@ -339,13 +344,13 @@
 
     /// Refuses those that wait for `key` and cannot start in time.
     fn refuse_waiting(&mut self, now: Time, key: LimitKey, out: &mut Vec<LimitsAction>) {
-        let heads: Vec<(Pair, u64)> = self.parked.heads().collect();
+        let heads: Vec<(Pair, u64)> = self.queue.heads().collect();
         for (pair, head) in heads {
             if !keys_of(pair).contains(&key) {
                 continue;
             }
-            self.refuse_hopeless(now, pair, out);
-            let queue = self.parked.get(head).map(|it| it.claim.queue);
+            self.refuse_too_late(now, pair, out);
+            let queue = self.queue.get(head).map(|it| it.claim.queue);
             if let Some(queue) = queue {
                 self.trim_queue(now, pair.0, queue, out);
             }
@@ -356,9 +361,9 @@
     ///
     /// The answer is given at once: holding it back until the deadline would
     /// only keep the caller from going elsewhere.
-    fn refuse_hopeless(&mut self, now: Time, pair: Pair, out: &mut Vec<LimitsAction>) {
-        while let Some(&last) = self.parked.line(pair).last() {
-            let Some(waiting) = self.parked.get(last).copied() else {
+    fn refuse_too_late(&mut self, now: Time, pair: Pair, out: &mut Vec<LimitsAction>) {
+        while let Some(&last) = self.queue.of_pair(pair).last() {
+            let Some(waiting) = self.queue.get(last).copied() else {
                 return;
             };
             let wait = self.expected_wait(now, pair, waiting.claim.tokens.is_some());
@@ -371,16 +376,16 @@
 
     /// Returns how long the last of a line will wait, if that can be told.
     fn expected_wait(&mut self, now: Time, pair: Pair, uses_tokens: bool) -> Option<Duration> {
-        let obstacle = self.obstacle(now, pair, uses_tokens)?;
+        let obstacle = self.blocking_limit(now, pair, uses_tokens)?;
         let instances = self.instances;
         let share = self.shares.get_mut(&obstacle.key)?;
         if obstacle.reason == Reason::TokenRate {
             return Some(share.tokens_wait(now));
         }
-        if !share.is_short() {
+        if !share.is_exhausted() {
             return None;
         }
-        let ahead = share.parked.saturating_sub(1);
+        let ahead = share.waiting.saturating_sub(1);
         share.predicted_wait(now, instances, ahead)
     }
 
@@ -388,12 +393,12 @@
     /// the newest of the workspace that has the most waiting.
     fn trim_queue(&mut self, now: Time, entry: EntryKey, queue: u32, out: &mut Vec<LimitsAction>) {
         let key = LimitKey::Entry(entry);
-        if !self.shares.get(&key).is_some_and(Share::is_short) {
+        if !self.shares.get(&key).is_some_and(Share::is_exhausted) {
             return;
         }
         let most = (queue / self.instances.max(1)).max(1) as usize;
         loop {
-            let lines = self.parked.lines_of(entry);
+            let lines = self.queue.of_entry(entry);
             let lines: Vec<(usize, u64)> = lines
                 .filter_map(|(_, line)| Some((line.len(), *line.back()?)))
                 .collect();
@@ -406,31 +411,31 @@
     }
 
     fn refuse(&mut self, now: Time, request: u64, out: &mut Vec<LimitsAction>) {
-        let Some(waiting) = self.parked.get(request).copied() else {
+        let Some(waiting) = self.queue.get(request).copied() else {
             return;
         };
         let uses_tokens = waiting.claim.tokens.is_some();
-        let obstacle = self.obstacle(now, waiting.claim.pair(), uses_tokens);
+        let obstacle = self.blocking_limit(now, waiting.claim.pair(), uses_tokens);
         let reason = obstacle.map_or(Reason::WaitExpired, |it| it.reason);
         self.refuse_for(now, request, reason, out);
     }
 
     fn refuse_for(&mut self, now: Time, request: u64, reason: Reason, out: &mut Vec<LimitsAction>) {
-        let Some(waiting) = self.parked.get(request).copied() else {
+        let Some(waiting) = self.queue.get(request).copied() else {
             return;
         };
         let pair = waiting.claim.pair();
         let wait = self.expected_wait(now, pair, waiting.claim.tokens.is_some());
-        self.parked.remove(request);
-        self.count_parked(pair, -1);
+        self.queue.remove(request);
+        self.count_waiting(pair, -1);
         out.push(LimitsAction::Refuse {
             request,
             reason,
-            retry_after: wait.unwrap_or(LEAST_RETRY).max(LEAST_RETRY),
+            retry_after: wait.unwrap_or(MIN_RETRY_AFTER).max(MIN_RETRY_AFTER),
         });
     }
 
-    fn ask_homes(
+    fn request_leases(
         &mut self,
         now: Time,
         keys: &[LimitKey],
@@ -438,15 +443,15 @@
         out: &mut Vec<LimitsAction>,
     ) {
         for &key in keys {
-            self.ask_home(now, key, false, fleet, out);
+            self.request_lease(now, key, false, fleet, out);
         }
     }
 
-    fn ask_home(
+    fn request_lease(
         &mut self,
         now: Time,
         key: LimitKey,
-        must: bool,
+        force: bool,
         fleet: &impl LimitFleet,
         out: &mut Vec<LimitsAction>,
     ) {
@@ -455,17 +460,17 @@
             return;
         };
         let home = fleet.home_of_limit(key);
-        let was_alone = share.is_alone();
-        share.check_silence(now, home.is_some(), instances);
+        let was_alone = share.uses_fallback();
+        share.check_home(now, home.is_some(), instances);
         if let Some(to) = home
-            && (must || share.is_ask_due(now, to))
+            && (force || share.is_request_due(now, to))
         {
-            let ask = share.ask(now, to);
+            let ask = share.make_request(now, to);
             let message = LimitsMessage::Request(ask);
             out.push(LimitsAction::Send { to, message });
         }
         self.shares_due = self.shares_due.min(share.next_wake());
-        if share.is_alone() && !was_alone {
+        if share.uses_fallback() && !was_alone {
             self.admit_waiting(now, out);
         }
     }
--- a/crates/core/src/limits/queue.rs
+++ b/crates/core/src/limits/queue.rs
@@ -17,15 +17,15 @@
 /// Invariant: a request is in `waiting`, in the line of its pair and in `due`,
 /// or in none of them; no line is empty.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Parked {
+pub(super) struct WaitQueue {
     waiting: BTreeMap<u64, Waiting>,
-    lines: BTreeMap<Pair, VecDeque<u64>>,
+    by_pair: BTreeMap<Pair, VecDeque<u64>>,
     due: BTreeSet<(Time, u64)>,
 }
 
-impl Parked {
+impl WaitQueue {
     pub fn push(&mut self, request: u64, waiting: Waiting) {
-        let line = self.lines.entry(waiting.claim.pair()).or_default();
+        let line = self.by_pair.entry(waiting.claim.pair()).or_default();
         line.push_back(request);
         self.due.insert((waiting.claim.deadline, request));
         self.waiting.insert(request, waiting);
@@ -35,10 +35,10 @@
         let waiting = self.waiting.remove(&request)?;
         self.due.remove(&(waiting.claim.deadline, request));
         let pair = waiting.claim.pair();
-        if let Some(line) = self.lines.get_mut(&pair) {
+        if let Some(line) = self.by_pair.get_mut(&pair) {
             line.retain(|&it| it != request);
             if line.is_empty() {
-                self.lines.remove(&pair);
+                self.by_pair.remove(&pair);
             }
         }
         Some(waiting)
@@ -54,20 +54,20 @@
 
     /// Returns the pairs that wait, each with its first request.
     pub fn heads(&self) -> impl Iterator<Item = (Pair, u64)> + '_ {
-        let lines = self.lines.iter();
+        let lines = self.by_pair.iter();
         lines.filter_map(|(&pair, line)| Some((pair, *line.front()?)))
     }
 
     /// Returns the lines of an entry.
-    pub fn lines_of(&self, entry: EntryKey) -> impl Iterator<Item = (Pair, &VecDeque<u64>)> + '_ {
-        let lines = self.lines.iter();
+    pub fn of_entry(&self, entry: EntryKey) -> impl Iterator<Item = (Pair, &VecDeque<u64>)> + '_ {
+        let lines = self.by_pair.iter();
         let of_entry = lines.filter(move |(pair, _)| pair.0 == entry);
         of_entry.map(|(&pair, line)| (pair, line))
     }
 
     /// Returns the requests of a pair, first come first.
-    pub fn line(&self, pair: Pair) -> Vec<u64> {
-        let line = self.lines.get(&pair);
+    pub fn of_pair(&self, pair: Pair) -> Vec<u64> {
+        let line = self.by_pair.get(&pair);
         line.map_or_else(Vec::new, |it| it.iter().copied().collect())
     }
 
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -9,30 +9,30 @@
 use std::collections::BTreeMap;
 
 /// An ask that is not answered by then is sent again.
-pub(super) const ASK_LIMIT: Duration = Duration::from_millis(250);
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A home that has not answered for so long is taken as unreachable, and the
 /// limit is kept by an equal part for each instance.
-pub(super) const HOME_LIMIT: Duration = Duration::from_millis(750);
+pub(super) const HOME_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// While the home is unreachable it is asked so often.
-const RETRY_EVERY: Duration = Duration::from_secs(1);
+const UNREACHABLE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A lease is renewed when so much of its time is left.
 const RENEW_BEFORE: Duration = Duration::from_secs(10);
 
 /// Places beyond those in use that are asked for, so that the next request
 /// need not wait for an answer: one, and a quarter of those in use.
-const SPARE_PART: u32 = 4;
+const SPARE_DIVISOR: u32 = 4;
 
 /// A wish for more that could not be met is repeated at most so often.
-const WANT_EVERY: Duration = Duration::from_millis(250);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// Tokens are asked for to last so long at the rate of late.
-const TOKENS_FOR: Duration = Duration::from_secs(10);
+const TOKEN_HORIZON: Duration = Duration::from_secs(10);
 
 /// The part of a minute's tokens that is asked for at least.
-const LEAST_TOKENS_PART: u64 = 240;
+const MIN_TOKENS_DIVISOR: u64 = 240;
 
 /// The rate of spending is averaged over so long.
 const SPEND_WINDOW: Duration = Duration::from_secs(10);
@@ -45,7 +45,7 @@
 
 /// An ask that is out.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingRequest {
     seq: u32,
     at: Time,
     wants: u32,
@@ -61,7 +61,7 @@
     /// Requests admitted and not ended.
     pub in_use: u32,
     /// Requests that wait here for this limit.
-    pub parked: u32,
+    pub waiting: u32,
     /// Requests in use, by workspace; for entries only.
     pub by_workspace: BTreeMap<WorkspaceKey, u32>,
     /// Places leased, until `expires`.
@@ -70,25 +70,25 @@
     /// Tokens leased and not spent; negative if more were spent.
     tokens: i64,
     /// The home said that there are no tokens before this.
-    tokens_at: Time,
+    tokens_expected_at: Time,
     /// Tokens spent lately, decayed over [`SPEND_WINDOW`].
     spent: f64,
     spent_at: Time,
     seq: u32,
-    asked: Option<Asked>,
+    pending: Option<PendingRequest>,
     /// The first of the asks that were not answered in a row.
-    silent_since: Option<Time>,
+    unanswered_since: Option<Time>,
     /// When to ask next although nothing changed.
     renew_at: Time,
     /// A wish that was not met is not repeated before this.
-    not_before: Time,
-    asked_home: Option<InstanceKey>,
+    retry_not_before: Time,
+    requested_home: Option<InstanceKey>,
     /// The home leased fewer places than were wanted, or all there are.
-    is_short: bool,
+    is_exhausted: bool,
     /// Set while the home is unreachable.
-    alone: Option<TokenBucket>,
+    fallback: Option<TokenBucket>,
     /// How long a place is held, averaged; `None` before one was given back.
-    hold: Option<Duration>,
+    mean_hold: Option<Duration>,
     pub used_at: Time,
 }
 
@@ -98,29 +98,29 @@
             key,
             allowance,
             in_use: 0,
-            parked: 0,
+            waiting: 0,
             by_workspace: BTreeMap::new(),
             slots: 0,
             expires: Time::ZERO,
             tokens: 0,
-            tokens_at: Time::ZERO,
+            tokens_expected_at: Time::ZERO,
             spent: 0.0,
             spent_at: now,
             seq: 0,
-            asked: None,
-            silent_since: None,
+            pending: None,
+            unanswered_since: None,
             renew_at: Time::NEVER,
-            not_before: Time::ZERO,
-            asked_home: None,
-            is_short: false,
-            alone: None,
-            hold: None,
+            retry_not_before: Time::ZERO,
+            requested_home: None,
+            is_exhausted: false,
+            fallback: None,
+            mean_hold: None,
             used_at: now,
         }
     }
 
     /// Takes over what a later revision of the catalogue says.
-    pub fn learn(&mut self, allowance: Allowance) {
+    pub fn update_allowance(&mut self, allowance: Allowance) {
         if allowance.revision > self.allowance.revision {
             self.allowance = allowance;
         }
@@ -131,29 +131,29 @@
     }
 
     /// Returns how many places may be in use now.
-    pub fn places(&self, now: Time, instances: u32) -> u32 {
+    pub fn usable_slots(&self, now: Time, instances: u32) -> u32 {
         let leased = self.leased(now);
-        match self.alone {
-            Some(_) => leased.max(self.part_alone(instances)),
+        match self.fallback {
+            Some(_) => leased.max(self.fallback_slots(instances)),
             None => leased,
         }
     }
 
     /// Returns the equal part of the limit for an instance without a home.
-    fn part_alone(&self, instances: u32) -> u32 {
+    fn fallback_slots(&self, instances: u32) -> u32 {
         let part = self.allowance.concurrent / instances.max(1);
         part.max(u32::from(self.allowance.concurrent > 0))
     }
 
-    pub fn has_place(&self, now: Time, instances: u32) -> bool {
-        self.in_use < self.places(now, instances)
+    pub fn has_free_slot(&self, now: Time, instances: u32) -> bool {
+        self.in_use < self.usable_slots(now, instances)
     }
 
     pub fn has_tokens(&mut self, now: Time) -> bool {
         if self.allowance.tokens_per_minute == 0 {
             return true;
         }
-        match &mut self.alone {
+        match &mut self.fallback {
             Some(bucket) => bucket.has_tokens(now),
             None => self.tokens > 0 && now < self.expires,
         }
@@ -161,38 +161,38 @@
 
     /// Returns when tokens are expected, if the home said that there are none.
     pub fn tokens_wait(&mut self, now: Time) -> Duration {
-        match &mut self.alone {
+        match &mut self.fallback {
             Some(bucket) => bucket.time_until(now, 1),
-            None => self.tokens_at.since(now),
+            None => self.tokens_expected_at.since(now),
         }
     }
 
     /// Returns whether it is known that no more places can be had now. Until
     /// then a wish is on its way that may still be met.
-    pub fn is_short(&self) -> bool {
-        self.alone.is_some() || self.is_short
+    pub fn is_exhausted(&self) -> bool {
+        self.fallback.is_some() || self.is_exhausted
     }
 
     /// Returns whether nothing is held or owed, so that it can be forgotten.
     pub fn is_idle(&self, now: Time) -> bool {
-        let in_use = self.in_use + self.parked + self.leased(now);
-        in_use == 0 && self.asked.is_none() && now >= self.used_at + FORGET_AFTER
+        let in_use = self.in_use + self.waiting + self.leased(now);
+        in_use == 0 && self.pending.is_none() && now >= self.used_at + FORGET_AFTER
     }
 
     /// Returns how long the `ahead`-th waiting request waits for a place, at
     /// the rate at which places became free of late. Without any to go by
     /// nothing is predicted: a guess would refuse what might have run.
     pub fn predicted_wait(&self, now: Time, instances: u32, ahead: u32) -> Option<Duration> {
-        let places = self.places(now, instances).max(1);
+        let places = self.usable_slots(now, instances).max(1);
         let turns = f64::from(ahead + 1) / f64::from(places);
-        self.hold.map(|it| it.mul_f64(turns))
+        self.mean_hold.map(|it| it.mul_f64(turns))
     }
 
     pub fn spend(&mut self, now: Time, tokens: u64) {
         if self.allowance.tokens_per_minute == 0 {
             return;
         }
-        match &mut self.alone {
+        match &mut self.fallback {
             Some(bucket) => bucket.overdraw(now, tokens),
             None => self.tokens -= i64::try_from(tokens).unwrap_or(i64::MAX),
         }
@@ -206,31 +206,31 @@
         self.spent_at = self.spent_at.max(now);
     }
 
-    pub fn note_held(&mut self, time: Duration) {
-        let before = self.hold.unwrap_or(time);
+    pub fn record_hold_time(&mut self, time: Duration) {
+        let before = self.mean_hold.unwrap_or(time);
         let mixed = before.mul_f64(1.0 - HOLD_WEIGHT) + time.mul_f64(HOLD_WEIGHT);
-        self.hold = Some(mixed);
+        self.mean_hold = Some(mixed);
     }
 
-    fn wants(&self) -> u32 {
-        let needed = self.in_use + self.parked;
+    fn wanted_slots(&self) -> u32 {
+        let needed = self.in_use + self.waiting;
         if needed == 0 {
             return 0;
         }
-        let spare = 1 + self.in_use / SPARE_PART;
+        let spare = 1 + self.in_use / SPARE_DIVISOR;
         (needed + spare).min(self.allowance.concurrent)
     }
 
     /// Returns how many tokens to ask for: enough for a while and to make up
     /// for what was overspent; none while enough are left.
     fn tokens_wanted(&mut self, now: Time) -> u64 {
-        if self.allowance.tokens_per_minute == 0 || self.in_use + self.parked == 0 {
+        if self.allowance.tokens_per_minute == 0 || self.in_use + self.waiting == 0 {
             return 0;
         }
         self.decay(now);
         let rate = self.spent / SPEND_WINDOW.as_secs_f64();
-        let soon = (rate * TOKENS_FOR.as_secs_f64()) as u64;
-        let least = (self.allowance.tokens_per_minute / LEAST_TOKENS_PART).max(1);
+        let soon = (rate * TOKEN_HORIZON.as_secs_f64()) as u64;
+        let least = (self.allowance.tokens_per_minute / MIN_TOKENS_DIVISOR).max(1);
         let wanted = i64::try_from(soon.max(least)).unwrap_or(i64::MAX);
         if self.tokens > wanted / 2 {
             return 0;
@@ -239,36 +239,38 @@
     }
 
     /// Returns whether the home is to be asked now.
-    pub fn is_ask_due(&mut self, now: Time, home: InstanceKey) -> bool {
-        let moved = self.asked_home != Some(home);
-        if let Some(asked) = self.asked {
-            return moved || now >= asked.at + ASK_LIMIT;
+    pub fn is_request_due(&mut self, now: Time, home: InstanceKey) -> bool {
+        let moved = self.requested_home != Some(home);
+        if let Some(asked) = self.pending {
+            return moved || now >= asked.at + REQUEST_TIMEOUT;
         }
         let tells_again = moved && (self.leased(now) > 0 || self.in_use > 0);
         if tells_again || now >= self.renew_at {
             return true;
         }
-        let lacks = self.in_use + self.parked > self.leased(now);
-        now >= self.not_before && (lacks || self.tokens_wanted(now) > 0)
+        let lacks = self.in_use + self.waiting > self.leased(now);
+        now >= self.retry_not_before && (lacks || self.tokens_wanted(now) > 0)
     }
 
     /// Returns when to look again, whatever happens until then.
     pub fn next_wake(&self) -> Time {
-        let silent = match (self.alone.is_some(), self.silent_since) {
-            (false, Some(since)) => since + HOME_LIMIT,
+        let silent = match (self.fallback.is_some(), self.unanswered_since) {
+            (false, Some(since)) => since + HOME_TIMEOUT,
             _ => Time::NEVER,
         };
-        let answer = self.asked.map_or(self.renew_at, |it| it.at + ASK_LIMIT);
+        let answer = self
+            .pending
+            .map_or(self.renew_at, |it| it.at + REQUEST_TIMEOUT);
         answer.min(silent)
     }
 
     /// Makes an ask, and gives up what it does not claim.
-    pub fn ask(&mut self, now: Time, home: InstanceKey) -> LeaseRequest {
-        let again = self.asked.is_some() && self.asked_home == Some(home);
-        if !again || self.silent_since.is_none() {
-            self.silent_since = Some(now);
+    pub fn make_request(&mut self, now: Time, home: InstanceKey) -> LeaseRequest {
+        let again = self.pending.is_some() && self.requested_home == Some(home);
+        if !again || self.unanswered_since.is_none() {
+            self.unanswered_since = Some(now);
         }
-        let wants = self.wants();
+        let wants = self.wanted_slots();
         self.slots = self.leased(now).min(wants);
         let returned = match wants {
             0 => u64::try_from(self.tokens).unwrap_or(0),
@@ -277,19 +279,19 @@
         self.tokens -= i64::try_from(returned).unwrap_or(0);
         // An ask that was not answered may not have arrived; what is owed is
         // told again. If it did arrive it counts twice, which errs on the safe side.
-        let told = self.asked.map_or(0, |it| it.tokens_owed);
+        let told = self.pending.map_or(0, |it| it.tokens_owed);
         let owed = told + self.tokens.min(0).unsigned_abs();
         self.tokens = self.tokens.max(0);
         let tokens_wanted = self.tokens_wanted(now);
         self.seq += 1;
-        self.asked = Some(Asked {
+        self.pending = Some(PendingRequest {
             seq: self.seq,
             at: now,
             wants,
             tokens_wanted,
             tokens_owed: owed,
         });
-        self.asked_home = Some(home);
+        self.requested_home = Some(home);
         self.renew_at = Time::NEVER;
         LeaseRequest {
             key: self.key,
@@ -304,60 +306,60 @@
     }
 
     /// Goes on without a home once it has been silent for too long.
-    pub fn check_silence(&mut self, now: Time, has_home: bool, instances: u32) {
-        let since = self.silent_since.filter(|_| self.asked.is_some());
-        let is_silent = since.is_some_and(|it| now >= it + HOME_LIMIT);
+    pub fn check_home(&mut self, now: Time, has_home: bool, instances: u32) {
+        let since = self.unanswered_since.filter(|_| self.pending.is_some());
+        let is_silent = since.is_some_and(|it| now >= it + HOME_TIMEOUT);
         if has_home && !is_silent {
             return;
         }
-        if self.alone.is_none() {
-            self.alone = Some(self.bucket_alone(now, instances));
+        if self.fallback.is_none() {
+            self.fallback = Some(self.fallback_bucket(now, instances));
         }
-        if self.asked.is_none_or(|it| now >= it.at + ASK_LIMIT) {
-            self.asked = None;
-            self.renew_at = now + RETRY_EVERY;
+        if self.pending.is_none_or(|it| now >= it.at + REQUEST_TIMEOUT) {
+            self.pending = None;
+            self.renew_at = now + UNREACHABLE_RETRY_INTERVAL;
         }
     }
 
-    fn bucket_alone(&mut self, now: Time, instances: u32) -> TokenBucket {
+    fn fallback_bucket(&mut self, now: Time, instances: u32) -> TokenBucket {
         let part = self.allowance.tokens_per_minute / u64::from(instances.max(1));
         // What was overspent under the home is not forgiven.
-        let told = self.asked.map_or(0, |it| it.tokens_owed);
+        let told = self.pending.map_or(0, |it| it.tokens_owed);
         let mut bucket = TokenBucket::new(now, part);
         bucket.overdraw(now, told + self.tokens.min(0).unsigned_abs());
         self.tokens = self.tokens.max(0);
         bucket
     }
 
-    pub fn is_alone(&self) -> bool {
-        self.alone.is_some()
+    pub fn uses_fallback(&self) -> bool {
+        self.fallback.is_some()
     }
 
     /// Takes in an answer; returns whether it gave up places by it, which the
     /// home must hear of.
-    pub fn take_lease(&mut self, now: Time, lease: &LimitLease) -> bool {
+    pub fn apply_lease(&mut self, now: Time, lease: &LimitLease) -> bool {
         if lease.is_revocation {
-            return self.give_back_unasked(lease);
+            return self.apply_revocation(lease);
         }
-        let Some(asked) = self.asked.filter(|it| it.seq == lease.seq) else {
+        let Some(asked) = self.pending.filter(|it| it.seq == lease.seq) else {
             return false;
         };
         let held = self.leased(now);
-        self.asked = None;
-        self.silent_since = None;
-        self.alone = None;
+        self.pending = None;
+        self.unanswered_since = None;
+        self.fallback = None;
         self.slots = lease.slots;
         self.expires = asked.at + Duration::from_millis(u64::from(lease.ttl_ms));
         self.tokens = self
             .tokens
             .saturating_add(i64::try_from(lease.tokens).unwrap_or(i64::MAX));
-        self.tokens_at = now + Duration::from_millis(u64::from(lease.tokens_wait_ms));
+        self.tokens_expected_at = now + Duration::from_millis(u64::from(lease.tokens_wait_ms));
         self.schedule(now, &asked, lease);
         lease.slots < held
     }
 
-    fn give_back_unasked(&mut self, lease: &LimitLease) -> bool {
-        let is_current = self.asked.is_none() && lease.seq == self.seq;
+    fn apply_revocation(&mut self, lease: &LimitLease) -> bool {
+        let is_current = self.pending.is_none() && lease.seq == self.seq;
         if !is_current || lease.slots >= self.slots {
             return false;
         }
@@ -366,23 +368,23 @@
     }
 
     /// Sets when to ask again if nothing else happens.
-    fn schedule(&mut self, now: Time, asked: &Asked, lease: &LimitLease) {
+    fn schedule(&mut self, now: Time, asked: &PendingRequest, lease: &LimitLease) {
         let renew = self.expires.since(now).saturating_sub(RENEW_BEFORE);
-        let idle = self.in_use + self.parked == 0 && self.slots == 0;
+        let idle = self.in_use + self.waiting == 0 && self.slots == 0;
         self.renew_at = if idle { Time::NEVER } else { now + renew };
         let lacks_places = lease.slots < asked.wants;
         let lacks_tokens = lease.tokens < asked.tokens_wanted;
-        self.is_short = lacks_places || lease.slots >= self.allowance.concurrent;
-        self.not_before = now;
+        self.is_exhausted = lacks_places || lease.slots >= self.allowance.concurrent;
+        self.retry_not_before = now;
         if lacks_places || lacks_tokens {
             let again = Duration::from_millis(u64::from(lease.retry_after_ms));
-            let at = now + again.max(WANT_EVERY);
-            self.not_before = if lacks_places {
+            let at = now + again.max(MIN_RETRY_PAUSE);
+            self.retry_not_before = if lacks_places {
                 at
             } else {
-                at.max(self.tokens_at)
+                at.max(self.tokens_expected_at)
             };
-            self.renew_at = self.renew_at.min(self.not_before);
+            self.renew_at = self.renew_at.min(self.retry_not_before);
         }
     }
 }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -42,8 +42,8 @@
 use core::time::Duration;
 use gossip::EndpointNotice;
 use indexmap::IndexMap;
-use links::Life;
-use quarantine::Doubt;
+use links::PeerState;
+use quarantine::Quarantine;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use reads::Reads;
@@ -54,7 +54,7 @@
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(250);
 
 /// Lives that are remembered as replaced, for each instance.
-const REPLACED_LIVES: usize = 4;
+const MAX_REPLACED_INCARNATIONS: usize = 4;
 
 /// Earlier lists that are kept to compute changes for peers.
 const LIST_HISTORY: usize = 16;
@@ -159,10 +159,10 @@
     /// Earlier lists, oldest first, for changes asked for by peers.
     history: VecDeque<InstanceList>,
     /// What is known of instances beyond the list; also of some not in it yet.
-    lives: IndexMap<InstanceKey, Life>,
+    peer_states: IndexMap<InstanceKey, PeerState>,
     /// Endpoints that said that they are leaving while the list calls them live.
     notices: IndexMap<EndpointKey, EndpointNotice>,
-    doubt: Option<Doubt>,
+    quarantine: Option<Quarantine>,
     reads: Reads,
     /// Peers that were asked to be dialled last, to tell a change.
     dialled: Vec<InstanceKey>,
@@ -181,9 +181,9 @@
             cfg,
             view: View::default(),
             history: VecDeque::new(),
-            lives: IndexMap::new(),
+            peer_states: IndexMap::new(),
             notices: IndexMap::new(),
-            doubt: None,
+            quarantine: None,
             reads: Reads::default(),
             dialled: Vec::new(),
             links_due: Time::NEVER,
@@ -213,21 +213,23 @@
             return;
         }
         self.stopping = true;
-        self.tell_own_leaving(now, out);
+        self.announce_leaving(now, out);
         self.refresh(now, out);
         out.push(MembershipAction::Changed(MembershipChange::Homes));
     }
 
     /// Returns when [`Membership::tick`] is due.
     pub fn next_wake(&self) -> Time {
-        self.next_read().min(self.links_due).min(self.doubt_due())
+        self.next_read()
+            .min(self.links_due)
+            .min(self.quarantine_due())
     }
 
     /// Does whatever is due.
     pub fn tick(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         self.tick_reads(now, out);
         self.tick_links(now, out);
-        self.tick_doubt(now, out);
+        self.tick_quarantine(now, out);
     }
 
     /// A peer message arrived.
@@ -242,12 +244,12 @@
             MembershipMessage::EndpointLeaving {
                 endpoint,
                 list_revision,
-            } => self.news_of_endpoint(now, endpoint, list_revision, Some(from), out),
+            } => self.on_endpoint_leaving(now, endpoint, list_revision, Some(from), out),
             MembershipMessage::InstanceStatus {
                 instance,
                 incarnation,
                 leaving,
-            } => self.news_of_instance(now, instance, incarnation, leaving, Some(from), out),
+            } => self.on_instance_status(now, instance, incarnation, leaving, Some(from), out),
             MembershipMessage::ListNotice { revision } => {
                 self.peer_revision(now, from, revision, out);
             }
@@ -273,10 +275,10 @@
         let revision = list.revision;
         let before = core::mem::take(&mut self.view);
         self.view = View::build(list, self.cfg.cell_endpoints, &before);
-        self.doubt = None;
+        self.quarantine = None;
         self.drop_stale_notices(out);
-        self.prune_lives();
-        self.say_what_left(&before, out);
+        self.prune_peer_states();
+        self.emit_departures(&before, out);
         if before.revision() > 0 {
             self.history.push_back(before.list);
         }
@@ -288,16 +290,16 @@
         out.push(MembershipAction::Changed(MembershipChange::List {
             revision,
         }));
-        self.push_notice(now, revision, out);
+        self.announce_revision(now, revision, out);
     }
 
     /// Tells which instances and endpoints the new list no longer offers.
-    fn say_what_left(&self, before: &View, out: &mut Vec<MembershipAction>) {
+    fn emit_departures(&self, before: &View, out: &mut Vec<MembershipAction>) {
         let live = |state: ListedState| state == ListedState::Live;
         for old in before.instances().filter(|it| live(it.record.state)) {
             let new = self.view.instance(old.key);
             if !new.is_some_and(|it| live(it.record.state)) {
-                say_instance_gone(old.key, out);
+                emit_instance_gone(old.key, out);
             }
         }
         for old in before.endpoints().filter(|it| live(it.record.state)) {
@@ -319,7 +321,7 @@
     }
 }
 
-fn say_instance_gone(instance: InstanceKey, out: &mut Vec<MembershipAction>) {
+fn emit_instance_gone(instance: InstanceKey, out: &mut Vec<MembershipAction>) {
     out.push(MembershipAction::Note(Note::InstanceGone(instance)));
     let change = MembershipChange::InstanceGone { instance };
     out.push(MembershipAction::Changed(change));
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -5,8 +5,8 @@
 //! of news on only when it is new to it, so it cannot circle.
 
 use super::{
-    EndpointKey, Incarnation, InstanceKey, Life, ListedState, Membership, MembershipAction,
-    MembershipChange, MembershipMessage, say_instance_gone,
+    EndpointKey, Incarnation, InstanceKey, ListedState, Membership, MembershipAction,
+    MembershipChange, MembershipMessage, PeerState, emit_instance_gone,
 };
 use crate::note::Note;
 use crate::time::Time;
@@ -18,13 +18,13 @@
 pub const LEAVING_HOLD: Duration = Duration::from_secs(30);
 
 /// News kept for endpoints that the list in force does not name yet.
-const NOTICES_AHEAD: usize = 256;
+const MAX_EARLY_NOTICES: usize = 256;
 
 /// What is known of an endpoint that is leaving while the list calls it live.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointNotice {
     /// When it was heard last.
-    pub heard: Time,
+    pub received_at: Time,
     /// The list revision at the instance that learnt it first.
     pub list_revision: u64,
 }
@@ -37,7 +37,7 @@
         endpoint: EndpointKey,
         out: &mut Vec<MembershipAction>,
     ) {
-        self.news_of_endpoint(now, endpoint, self.view.revision(), None, out);
+        self.on_endpoint_leaving(now, endpoint, self.view.revision(), None, out);
     }
 
     /// An endpoint reported its load and whether it is leaving.
@@ -55,7 +55,7 @@
         let Some(notice) = self.notices.get(&endpoint) else {
             return;
         };
-        if now < notice.heard + LEAVING_HOLD {
+        if now < notice.received_at + LEAVING_HOLD {
             return;
         }
         self.notices.shift_remove(&endpoint);
@@ -63,7 +63,7 @@
         out.push(MembershipAction::Changed(change));
     }
 
-    pub(super) fn news_of_endpoint(
+    pub(super) fn on_endpoint_leaving(
         &mut self,
         now: Time,
         endpoint: EndpointKey,
@@ -72,7 +72,7 @@
         out: &mut Vec<MembershipAction>,
     ) {
         let Some(known) = self.view.endpoint(endpoint) else {
-            self.keep_for_later(now, endpoint, list_revision);
+            self.keep_early_notice(now, endpoint, list_revision);
             return;
         };
         let about_earlier_life = source.is_some() && list_revision <= known.not_live_at;
@@ -80,7 +80,7 @@
             return;
         }
         let notice = EndpointNotice {
-            heard: now,
+            received_at: now,
             list_revision,
         };
         if self.notices.insert(endpoint, notice).is_some() {
@@ -94,18 +94,18 @@
             list_revision,
         };
         let deciders = match source {
-            None => self.deciders_for(endpoint),
+            None => self.homes_of_endpoint(endpoint),
             Some(_) => Vec::new(),
         };
-        self.spread(now, &message, source, deciders, out);
+        self.gossip(now, &message, source, deciders, out);
     }
 
     /// Keeps news of an endpoint that a later list will name.
-    fn keep_for_later(&mut self, now: Time, endpoint: EndpointKey, list_revision: u64) {
+    fn keep_early_notice(&mut self, now: Time, endpoint: EndpointKey, list_revision: u64) {
         let ahead = list_revision > self.view.revision();
-        if ahead && self.notices.len() < self.view.endpoints.len() + NOTICES_AHEAD {
+        if ahead && self.notices.len() < self.view.endpoints.len() + MAX_EARLY_NOTICES {
             let notice = EndpointNotice {
-                heard: now,
+                received_at: now,
                 list_revision,
             };
             self.notices.insert(endpoint, notice);
@@ -113,12 +113,12 @@
     }
 
     /// Returns the instances that may be handing out this endpoint now.
-    fn deciders_for(&self, endpoint: EndpointKey) -> Vec<InstanceKey> {
+    fn homes_of_endpoint(&self, endpoint: EndpointKey) -> Vec<InstanceKey> {
         let cell = self.view.endpoint(endpoint).map(|it| it.cell);
         cell.map_or_else(Vec::new, |cell| self.homes_of_cell(cell).to_vec())
     }
 
-    pub(super) fn news_of_instance(
+    pub(super) fn on_instance_status(
         &mut self,
         now: Time,
         instance: InstanceKey,
@@ -130,7 +130,7 @@
         if instance == self.me || self.view.instance(instance).is_none() {
             return;
         }
-        let life = self.lives.entry(instance).or_default();
+        let life = self.peer_states.entry(instance).or_default();
         let was_leaving = life.is_leaving();
         let about_earlier_life = life.replaced.contains(&incarnation)
             || life.incarnation.is_some_and(|it| it != incarnation);
@@ -147,14 +147,14 @@
         life.leaving = leaving.then_some(incarnation);
         let is_leaving = life.is_leaving();
         if is_leaving && !was_leaving {
-            say_instance_gone(instance, out);
+            emit_instance_gone(instance, out);
         }
         let message = MembershipMessage::InstanceStatus {
             instance,
             incarnation,
             leaving,
         };
-        self.spread(now, &message, source, Vec::new(), out);
+        self.gossip(now, &message, source, Vec::new(), out);
         if is_leaving != was_leaving {
             self.refresh(now, out);
             out.push(MembershipAction::Changed(MembershipChange::Homes));
@@ -162,19 +162,19 @@
     }
 
     /// Tells everybody reachable that this instance is leaving.
-    pub(super) fn tell_own_leaving(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
+    pub(super) fn announce_leaving(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         let message = MembershipMessage::InstanceStatus {
             instance: self.me,
             incarnation: self.cfg.incarnation,
             leaving: true,
         };
-        let linked = self.lives.keys().copied();
+        let linked = self.peer_states.keys().copied();
         let linked: Vec<InstanceKey> = linked.filter(|&it| self.is_linked(it)).collect();
-        self.spread(now, &message, None, linked, out);
+        self.gossip(now, &message, None, linked, out);
     }
 
     /// Passes news on: to `extra`, and along the watchers.
-    fn spread(
+    fn gossip(
         &mut self,
         now: Time,
         message: &MembershipMessage,
@@ -216,7 +216,11 @@
     /// has to know what changes meanwhile.
     pub fn own_data_centre_instances(&self) -> Vec<InstanceKey> {
         let own = self.own_data_centre();
-        let is_suspected = |key| self.lives.get(&key).is_some_and(Life::is_suspected);
+        let is_suspected = |key| {
+            self.peer_states
+                .get(&key)
+                .is_some_and(PeerState::is_suspected)
+        };
         let here = self.view.instances();
         let here = here.filter(|it| Some(it.data_centre) == own);
         here.map(|it| it.key)
@@ -228,7 +232,7 @@
     ///
     /// News sent while a link was down is lost; without this an instance on
     /// the other side of a healed partition would go on using the endpoint.
-    pub(super) fn tell_newcomer(
+    pub(super) fn send_current_state(
         &mut self,
         now: Time,
         to: InstanceKey,
@@ -245,7 +249,7 @@
                 list_revision: notice.list_revision,
             })
             .collect();
-        let lives = self.lives.iter().filter(|(key, _)| **key != to);
+        let lives = self.peer_states.iter().filter(|(key, _)| **key != to);
         news.extend(lives.filter_map(|(&instance, life)| {
             let incarnation = life.leaving.filter(|_| life.is_leaving())?;
             Some(MembershipMessage::InstanceStatus {
--- a/crates/core/src/membership/homes.rs
+++ b/crates/core/src/membership/homes.rs
@@ -2,7 +2,7 @@
 
 use super::list::ListedState;
 use super::view::{Cell, Endpoint, HOME_RANKS, Instance};
-use super::{DataCentreId, Life, Membership};
+use super::{DataCentreId, Membership, PeerState};
 use crate::ids::{CellKey, EndpointKey, InstanceKey};
 use crate::rendezvous::{self, Candidate};
 use std::collections::BTreeMap;
@@ -31,7 +31,9 @@
             let there = if instance.key == me {
                 !stopping
             } else {
-                self.lives.get(&instance.key).is_none_or(Life::may_be_home)
+                self.peer_states
+                    .get(&instance.key)
+                    .is_none_or(PeerState::may_be_home)
             };
             instance.usable = listed && there;
         }
@@ -190,12 +192,12 @@
     pub fn endpoint_state(&self, key: EndpointKey) -> EndpointState {
         match self.view.endpoint(key) {
             None => EndpointState::Unknown,
-            Some(endpoint) if self.takes_work(endpoint) => EndpointState::Live,
+            Some(endpoint) if self.accepts_work(endpoint) => EndpointState::Live,
             Some(_) => EndpointState::Leaving,
         }
     }
 
-    fn takes_work(&self, endpoint: &Endpoint) -> bool {
+    fn accepts_work(&self, endpoint: &Endpoint) -> bool {
         endpoint.record.state == ListedState::Live && !self.notices.contains_key(&endpoint.key)
     }
 }
--- a/crates/core/src/membership/links.rs
+++ b/crates/core/src/membership/links.rs
@@ -6,8 +6,8 @@
 //! instead of 389.
 
 use super::{
-    InstanceKey, Membership, MembershipAction, MembershipChange, REPLACED_LIVES, SUSPECT_AFTER,
-    say_instance_gone,
+    InstanceKey, MAX_REPLACED_INCARNATIONS, Membership, MembershipAction, MembershipChange,
+    SUSPECT_AFTER, emit_instance_gone,
 };
 use crate::ids::Incarnation;
 use crate::rendezvous;
@@ -19,7 +19,7 @@
 pub const LINK_IDLE: Duration = Duration::from_secs(60);
 
 /// Instances beyond the list whose life is remembered.
-const STRANGERS: usize = 256;
+const MAX_UNLISTED_PEERS: usize = 256;
 
 /// What is known of the link to an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 
 /// What is known of one instance beyond the list.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Life {
+pub(super) struct PeerState {
     /// The life that authenticated itself last.
     pub incarnation: Option<Incarnation>,
     /// Lives that were replaced. A paused process of an earlier life that
@@ -51,10 +51,10 @@
     /// The link.
     pub link: Link,
     /// When something was sent or asked to be sent.
-    pub touched: Option<Time>,
+    pub last_used: Option<Time>,
 }
 
-impl Life {
+impl PeerState {
     /// Returns whether the present life said that it is leaving.
     pub fn is_leaving(&self) -> bool {
         match (self.leaving, self.incarnation) {
@@ -71,7 +71,7 @@
 
     /// Returns when something is to be done about its link.
     fn due(&self) -> Time {
-        let idle = self.touched.map_or(Time::NEVER, |it| it + LINK_IDLE);
+        let idle = self.last_used.map_or(Time::NEVER, |it| it + LINK_IDLE);
         match self.link {
             Link::Down {
                 since,
@@ -96,7 +96,7 @@
         let was = self.incarnation.replace(incarnation);
         let was = was.filter(|&it| it != incarnation)?;
         self.replaced.push(was);
-        if self.replaced.len() > REPLACED_LIVES {
+        if self.replaced.len() > MAX_REPLACED_INCARNATIONS {
             self.replaced.remove(0);
         }
         Some(was)
@@ -109,7 +109,7 @@
         if !self.is_known_or_room(peer.instance) {
             return;
         }
-        let life = self.lives.entry(peer.instance).or_default();
+        let life = self.peer_states.entry(peer.instance).or_default();
         if life.replaced.contains(&peer.incarnation) {
             return;
         }
@@ -126,13 +126,13 @@
         }
         let is_home = life.may_be_home();
         if was_leaving.is_some() {
-            self.news_of_instance(now, peer.instance, peer.incarnation, false, None, out);
+            self.on_instance_status(now, peer.instance, peer.incarnation, false, None, out);
         }
         if was_home != is_home {
             self.refresh(now, out);
             out.push(MembershipAction::Changed(MembershipChange::Homes));
         }
-        self.tell_newcomer(now, peer.instance, out);
+        self.send_current_state(now, peer.instance, out);
     }
 
     /// The link to a peer broke, or could not be made.
@@ -140,7 +140,7 @@
     /// The shell reports this for failures only, not for links closed because
     /// they were idle; an incarnation of 0 means that none is known.
     pub fn peer_down(&mut self, now: Time, peer: PeerId, out: &mut Vec<MembershipAction>) {
-        let Some(life) = self.lives.get_mut(&peer.instance) else {
+        let Some(life) = self.peer_states.get_mut(&peer.instance) else {
             return;
         };
         let unknown = peer.incarnation == Incarnation(0);
@@ -159,7 +159,7 @@
 
     /// The link to a peer was closed because it was idle.
     pub fn peer_idle(&mut self, peer: PeerId) {
-        if let Some(life) = self.lives.get_mut(&peer.instance)
+        if let Some(life) = self.peer_states.get_mut(&peer.instance)
             && life.incarnation == Some(peer.incarnation)
             && life.link == Link::Up
         {
@@ -171,7 +171,7 @@
     ///
     /// Messages of any other life are dropped by the node.
     pub fn is_current_incarnation(&self, peer: PeerId) -> bool {
-        let life = self.lives.get(&peer.instance);
+        let life = self.peer_states.get(&peer.instance);
         life.is_some_and(|it| it.incarnation == Some(peer.incarnation))
     }
 
@@ -180,12 +180,12 @@
         if instance == self.me {
             return Some(self.cfg.incarnation);
         }
-        self.lives.get(&instance)?.incarnation
+        self.peer_states.get(&instance)?.incarnation
     }
 
     /// Returns whether the link to an instance is up.
     pub fn is_linked(&self, instance: InstanceKey) -> bool {
-        let life = self.lives.get(&instance);
+        let life = self.peer_states.get(&instance);
         life.is_some_and(|it| it.link == Link::Up)
     }
 
@@ -206,7 +206,7 @@
         if self.is_linked(to) && !is_dialled {
             return;
         }
-        self.lives.entry(to).or_default().touched = Some(now);
+        self.peer_states.entry(to).or_default().last_used = Some(now);
         self.links_due = self.links_due.min(now + LINK_IDLE);
         if !is_dialled {
             self.refresh_links(now, out);
@@ -214,13 +214,14 @@
     }
 
     fn is_known_or_room(&self, instance: InstanceKey) -> bool {
-        let known = self.lives.contains_key(&instance) || self.view.instance(instance).is_some();
-        known || self.lives.len() < self.view.instances.len() + STRANGERS
+        let known =
+            self.peer_states.contains_key(&instance) || self.view.instance(instance).is_some();
+        known || self.peer_states.len() < self.view.instances.len() + MAX_UNLISTED_PEERS
     }
 
     /// Asks for links to be dialled anew if the set changed.
     pub(super) fn refresh_links(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        self.forget_idle(now);
+        self.drop_idle(now);
         let mut wanted = self.wanted_links();
         wanted.sort_unstable();
         wanted.dedup();
@@ -235,16 +236,16 @@
         out.push(MembershipAction::Links(targets));
     }
 
-    fn forget_idle(&mut self, now: Time) {
-        for life in self.lives.values_mut() {
-            life.touched = life.touched.filter(|&it| now < it + LINK_IDLE);
+    fn drop_idle(&mut self, now: Time) {
+        for life in self.peer_states.values_mut() {
+            life.last_used = life.last_used.filter(|&it| now < it + LINK_IDLE);
         }
     }
 
     fn wanted_links(&self) -> Vec<InstanceKey> {
         let mut wanted = self.watcher_links();
-        for (&key, life) in &self.lives {
-            let recent = life.touched.is_some();
+        for (&key, life) in &self.peer_states {
+            let recent = life.last_used.is_some();
             let listed = self.view.instance(key).is_some();
             if key != self.me && listed && (recent || matches!(life.link, Link::Down { .. })) {
                 wanted.push(key);
@@ -258,16 +259,16 @@
         if now < self.links_due {
             return;
         }
-        self.tick_suspicions(now, out);
+        self.suspect_unreachable(now, out);
         self.refresh_links(now, out);
-        let due = self.lives.values().map(Life::due);
+        let due = self.peer_states.values().map(PeerState::due);
         self.links_due = due.min().unwrap_or(Time::NEVER);
     }
 
     /// Moves homes away from instances whose link stayed down.
-    fn tick_suspicions(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
+    fn suspect_unreachable(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         let mut gone = Vec::new();
-        for (&key, life) in &mut self.lives {
+        for (&key, life) in &mut self.peer_states {
             if let Link::Down { since, suspected } = &mut life.link
                 && !*suspected
                 && *since + SUSPECT_AFTER <= now
@@ -280,16 +281,16 @@
             return;
         }
         for key in gone {
-            say_instance_gone(key, out);
+            emit_instance_gone(key, out);
         }
         self.refresh(now, out);
         out.push(MembershipAction::Changed(MembershipChange::Homes));
     }
 
     /// Forgets lives of instances that are neither listed nor linked.
-    pub(super) fn prune_lives(&mut self) {
+    pub(super) fn prune_peer_states(&mut self) {
         let view = &self.view;
-        self.lives
+        self.peer_states
             .retain(|&key, life| view.instance(key).is_some() || life.link == Link::Up);
     }
 
--- a/crates/core/src/membership/quarantine.rs
+++ b/crates/core/src/membership/quarantine.rs
@@ -22,11 +22,11 @@
 
 /// A list that is held back.
 #[derive(Clone, Debug)]
-pub(super) struct Doubt {
+pub(super) struct Quarantine {
     list: InstanceList,
     since: Time,
     /// Instances that it no longer names.
-    vanished: Vec<InstanceKey>,
+    missing: Vec<InstanceKey>,
 }
 
 /// What links to vanished instances say.
@@ -61,21 +61,21 @@
             self.accept_list(now, list, out);
             return true;
         }
-        self.doubt_list(now, list, out);
+        self.quarantine_list(now, list, out);
         true
     }
 
-    fn doubt_list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
-        let vanished = vanished_instances(&self.view, &list);
-        let Some(doubt) = &mut self.doubt else {
+    fn quarantine_list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
+        let vanished = missing_instances(&self.view, &list);
+        let Some(doubt) = &mut self.quarantine else {
             out.push(MembershipAction::Note(Note::ListDoubted {
                 named: count(list.instances.len()),
                 known: count(self.view.list().instances.len()),
             }));
-            self.doubt = Some(Doubt {
+            self.quarantine = Some(Quarantine {
                 list,
                 since: now,
-                vanished,
+                missing: vanished,
             });
             return;
         };
@@ -83,27 +83,27 @@
             return;
         }
         doubt.list = list;
-        doubt.vanished = vanished;
+        doubt.missing = vanished;
         let confirmed = now >= doubt.since + QUARANTINE_CONFIRM;
         if confirmed && !doubt.list.instances.is_empty() {
-            self.believe_doubted(now, out);
+            self.accept_quarantined(now, out);
         }
     }
 
-    fn believe_doubted(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        if let Some(doubt) = self.doubt.take() {
+    fn accept_quarantined(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
+        if let Some(doubt) = self.quarantine.take() {
             self.accept_list(now, doubt.list, out);
         }
     }
 
     /// Returns the highest revision seen, also of a list that is doubted.
     pub(super) fn seen_revision(&self) -> u64 {
-        let doubted = self.doubt.as_ref().map_or(0, |it| it.list.revision);
+        let doubted = self.quarantine.as_ref().map_or(0, |it| it.list.revision);
         self.view.revision().max(doubted)
     }
 
-    pub(super) fn doubt_due(&self) -> Time {
-        let Some(doubt) = &self.doubt else {
+    pub(super) fn quarantine_due(&self) -> Time {
+        let Some(doubt) = &self.quarantine else {
             return Time::NEVER;
         };
         if doubt.list.instances.is_empty() {
@@ -116,15 +116,19 @@
         }
     }
 
-    pub(super) fn tick_doubt(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        if self.doubt_due() <= now {
-            self.believe_doubted(now, out);
+    pub(super) fn tick_quarantine(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
+        if self.quarantine_due() <= now {
+            self.accept_quarantined(now, out);
         }
     }
 
-    fn evidence(&self, doubt: &Doubt) -> Evidence {
+    fn evidence(&self, doubt: &Quarantine) -> Evidence {
         let mut evidence = Evidence::Unknown;
-        for life in doubt.vanished.iter().filter_map(|it| self.lives.get(it)) {
+        for life in doubt
+            .missing
+            .iter()
+            .filter_map(|it| self.peer_states.get(it))
+        {
             match life.link {
                 Link::Up => return Evidence::Alive,
                 Link::Down { .. } => evidence = Evidence::Dead,
@@ -139,7 +143,7 @@
     u32::try_from(len).unwrap_or(u32::MAX)
 }
 
-fn vanished_instances(view: &View, list: &InstanceList) -> Vec<InstanceKey> {
+fn missing_instances(view: &View, list: &InstanceList) -> Vec<InstanceKey> {
     let named: Vec<InstanceKey> = list.instances.iter().map(|it| it.key()).collect();
     let live = view
         .instances()
@@ -155,7 +159,7 @@
     let known = view
         .instances()
         .filter(|it| it.record.state == ListedState::Live);
-    let lost = vanished_instances(view, list).len();
+    let lost = missing_instances(view, list).len();
     if lost * 2 > known.count() {
         return true;
     }
--- a/crates/core/src/membership/reads.rs
+++ b/crates/core/src/membership/reads.rs
@@ -21,22 +21,22 @@
 pub const START_SPREAD: Duration = Duration::from_millis(1000);
 
 /// An instance that holds no watch reads the platform so often.
-const READ_FALLBACK: Duration = Duration::from_secs(300);
+const FALLBACK_READ_INTERVAL: Duration = Duration::from_secs(300);
 
 /// The shortest time between two watches, should the platform answer at once.
-const WATCH_GAP: Duration = Duration::from_millis(100);
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A read or watch that was not answered by then has failed.
-const ANSWER_LIMIT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The first wait after a failure; doubles up to [`RETRY_MOST`].
-const RETRY_FIRST: Duration = Duration::from_millis(250);
+const RETRY_MIN: Duration = Duration::from_millis(250);
 
 /// The longest wait after a failure.
-const RETRY_MOST: Duration = Duration::from_secs(10);
+const RETRY_MAX: Duration = Duration::from_secs(10);
 
 /// A peer that does not answer a pull by then may be asked again.
-const PULL_LIMIT: Duration = Duration::from_secs(2);
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A list that was not confirmed for so long is reported, and again after as long.
 pub const LIST_STALE: Duration = Duration::from_secs(600);
@@ -47,19 +47,19 @@
     /// When to read or watch next.
     due: Option<Time>,
     /// When the read that is out was sent.
-    read: Option<Time>,
+    read_sent: Option<Time>,
     /// When the watch that is out was sent.
-    watch: Option<Time>,
+    watch_sent: Option<Time>,
     /// Failures in a row.
     failures: u32,
     /// The list in force was current at this time.
-    fresh_at: Option<Time>,
+    confirmed_at: Option<Time>,
     /// When to report that the list is stale.
     stale_due: Option<Time>,
     /// When a peer was asked for changes.
-    pulled: Option<Time>,
+    pull_sent: Option<Time>,
     /// The highest revision that a peer said it holds.
-    told: u64,
+    highest_announced: u64,
 }
 
 impl Reads {
@@ -68,13 +68,13 @@
         self.stale_due = Some(now + LIST_STALE);
     }
 
-    fn oldest_out(&self) -> Option<Time> {
-        self.read.into_iter().chain(self.watch).min()
+    fn oldest_pending(&self) -> Option<Time> {
+        self.read_sent.into_iter().chain(self.watch_sent).min()
     }
 
-    fn clear_out(&mut self) {
-        self.read = None;
-        self.watch = None;
+    fn clear_pending(&mut self) {
+        self.read_sent = None;
+        self.watch_sent = None;
     }
 }
 
@@ -84,8 +84,8 @@
     }
 
     pub(super) fn next_read(&self) -> Time {
-        let lost = self.reads.oldest_out().map(|it| it + ANSWER_LIMIT);
-        let due = if self.reads.watch.is_some() {
+        let lost = self.reads.oldest_pending().map(|it| it + CALL_TIMEOUT);
+        let due = if self.reads.watch_sent.is_some() {
             None
         } else {
             self.reads.due
@@ -96,17 +96,17 @@
     }
 
     pub(super) fn tick_reads(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        let oldest = self.reads.oldest_out();
-        if oldest.is_some_and(|it| it + ANSWER_LIMIT <= now) {
+        let oldest = self.reads.oldest_pending();
+        if oldest.is_some_and(|it| it + CALL_TIMEOUT <= now) {
             self.list_failed(now, out);
         }
-        if self.reads.due.is_some_and(|it| it <= now) && self.reads.watch.is_none() {
+        if self.reads.due.is_some_and(|it| it <= now) && self.reads.watch_sent.is_none() {
             self.reads.due = None;
             self.ask_platform(now, out);
         }
         if self.reads.stale_due.is_some_and(|it| it <= now) {
             self.reads.stale_due = Some(now + LIST_STALE);
-            let since = self.reads.fresh_at.unwrap_or(Time::ZERO);
+            let since = self.reads.confirmed_at.unwrap_or(Time::ZERO);
             let age_secs = now.since(since).as_secs();
             out.push(MembershipAction::Note(Note::ListStale { age_secs }));
         }
@@ -114,19 +114,19 @@
 
     fn ask_platform(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         if self.view.revision() > 0 && self.is_watcher() {
-            self.reads.watch = Some(now);
+            self.reads.watch_sent = Some(now);
             let above = self.seen_revision();
             out.push(MembershipAction::WatchList { above });
-        } else if self.reads.read.is_none() {
-            self.reads.read = Some(now);
+        } else if self.reads.read_sent.is_none() {
+            self.reads.read_sent = Some(now);
             out.push(MembershipAction::ReadList);
         }
     }
 
     /// Asks for a read of the list now, because an order depends on it.
     pub fn request_list_read(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        if self.reads.read.is_none() {
-            self.reads.read = Some(now);
+        if self.reads.read_sent.is_none() {
+            self.reads.read_sent = Some(now);
             out.push(MembershipAction::ReadList);
         }
     }
@@ -134,11 +134,11 @@
     /// The platform answered with a list.
     pub fn list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
         let revision = list.revision;
-        let asked_at = self.take_answered(now, revision);
+        let asked_at = self.take_pending(now, revision);
         self.platform_answered(out);
         self.consider_list(now, list, out);
         // A service that serves an old revision must not make the list look fresh.
-        let current = revision == self.view.revision() && revision >= self.reads.told;
+        let current = revision == self.view.revision() && revision >= self.reads.highest_announced;
         if current {
             self.confirm(now, asked_at);
         }
@@ -149,22 +149,22 @@
     ///
     /// A watch is answered by a higher revision only, so that the one in force
     /// answers the read; for any other the older call is taken, to be safe.
-    fn take_answered(&mut self, now: Time, revision: u64) -> Time {
+    fn take_pending(&mut self, now: Time, revision: u64) -> Time {
         if revision == self.view.revision()
-            && let Some(read) = self.reads.read.take()
+            && let Some(read) = self.reads.read_sent.take()
         {
             return read;
         }
-        let asked_at = self.reads.oldest_out().unwrap_or(now);
-        self.reads.clear_out();
+        let asked_at = self.reads.oldest_pending().unwrap_or(now);
+        self.reads.clear_pending();
         asked_at
     }
 
     /// The platform answered that there is nothing newer.
     pub fn list_unchanged(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        let asked_at = self.reads.watch.take().unwrap_or(now);
+        let asked_at = self.reads.watch_sent.take().unwrap_or(now);
         self.platform_answered(out);
-        if self.doubt.is_none() && self.view.revision() >= self.reads.told {
+        if self.quarantine.is_none() && self.view.revision() >= self.reads.highest_announced {
             self.confirm(now, asked_at);
         }
         self.schedule_next(now);
@@ -172,13 +172,13 @@
 
     /// The platform did not answer, or with something that is not a list.
     pub fn list_failed(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        self.reads.clear_out();
+        self.reads.clear_pending();
         if self.reads.failures == 0 {
             out.push(MembershipAction::Note(Note::PlatformDown));
         }
-        let doubled = RETRY_FIRST * (1 << self.reads.failures.min(6));
+        let doubled = RETRY_MIN * (1 << self.reads.failures.min(6));
         self.reads.failures = self.reads.failures.saturating_add(1);
-        let most = doubled.min(RETRY_MOST);
+        let most = doubled.min(RETRY_MAX);
         let delay = most / 2 + self.jitter(most / 2);
         self.reads.due = Some(now + delay);
     }
@@ -191,24 +191,24 @@
     }
 
     fn confirm(&mut self, now: Time, asked_at: Time) {
-        self.reads.fresh_at = self.reads.fresh_at.max(Some(asked_at));
+        self.reads.confirmed_at = self.reads.confirmed_at.max(Some(asked_at));
         self.reads.stale_due = Some(now + LIST_STALE);
     }
 
     fn schedule_next(&mut self, now: Time) {
         let delay = if self.is_watcher() {
-            WATCH_GAP
+            MIN_WATCH_INTERVAL
         } else {
-            READ_FALLBACK / 2 + self.jitter(READ_FALLBACK)
+            FALLBACK_READ_INTERVAL / 2 + self.jitter(FALLBACK_READ_INTERVAL)
         };
         self.reads.due = Some(now + delay);
     }
 
     /// Takes over the watch as soon as this instance ranks for it.
     pub(super) fn refresh_reads(&mut self, now: Time) {
-        let idle = self.reads.watch.is_none() && self.reads.failures == 0;
+        let idle = self.reads.watch_sent.is_none() && self.reads.failures == 0;
         if idle && self.reads.due.is_some() && self.is_watcher() {
-            let soon = now + WATCH_GAP;
+            let soon = now + MIN_WATCH_INTERVAL;
             self.reads.due = self.reads.due.min(Some(soon));
         }
     }
@@ -216,14 +216,15 @@
     /// Returns for how long the list in force has not been confirmed by the
     /// platform, counted from when the confirming call was sent.
     pub fn list_age(&self, now: Time) -> Option<Duration> {
-        self.reads.fresh_at.map(|it| now.since(it))
+        self.reads.confirmed_at.map(|it| now.since(it))
     }
 
     /// Returns when the call was sent that last confirmed the list in force;
     /// `None` if a newer one is known to exist.
     pub fn list_confirmed_at(&self) -> Option<Time> {
-        let is_newest = self.view.revision() >= self.reads.told && self.doubt.is_none();
-        self.reads.fresh_at.filter(|_| is_newest)
+        let is_newest =
+            self.view.revision() >= self.reads.highest_announced && self.quarantine.is_none();
+        self.reads.confirmed_at.filter(|_| is_newest)
     }
 
     /// A peer said which revision of the list it holds.
@@ -234,12 +235,12 @@
         revision: u64,
         out: &mut Vec<MembershipAction>,
     ) {
-        self.reads.told = self.reads.told.max(revision);
+        self.reads.highest_announced = self.reads.highest_announced.max(revision);
         if revision <= self.seen_revision() {
             return;
         }
-        match self.reads.pulled {
-            Some(at) if now < at + PULL_LIMIT => return,
+        match self.reads.pull_sent {
+            Some(at) if now < at + PULL_TIMEOUT => return,
             // The peer has gone, or the list is too long for its frames.
             Some(_) => self.request_list_read(now, out),
             None => {}
@@ -248,7 +249,7 @@
     }
 
     fn pull(&mut self, now: Time, from: InstanceKey, have: u64, out: &mut Vec<MembershipAction>) {
-        self.reads.pulled = Some(now);
+        self.reads.pull_sent = Some(now);
         self.send(now, from, MembershipMessage::ListPull { have }, out);
     }
 
@@ -292,12 +293,12 @@
         list: InstanceList,
         out: &mut Vec<MembershipAction>,
     ) {
-        self.reads.pulled = None;
+        self.reads.pull_sent = None;
         self.consider_list(now, list, out);
     }
 
     /// Tells the instances that count on this one about a new list.
-    pub(super) fn push_notice(
+    pub(super) fn announce_revision(
         &mut self,
         now: Time,
         revision: u64,
--- a/crates/core/src/orders/controller.rs
+++ b/crates/core/src/orders/controller.rs
@@ -1,9 +1,9 @@
 //! When an order may be given, and what becomes of it.
 
-use super::endpoint::{ANSWER_LIMIT, Ordered};
+use super::endpoint::{ManagedEndpoint, RESPONSE_TIMEOUT};
 use super::fence::{FENCE_REVISION_SHIFT, next_fence};
 use super::goals::EndpointGoal;
-use super::reconcile::takes_weights;
+use super::reconcile::loads_weights;
 use super::{CONTROLLER_LEASE, OrdersAction};
 use crate::ids::{CellKey, EndpointKey};
 use crate::note::Note;
@@ -15,13 +15,13 @@
 use std::collections::BTreeMap;
 
 /// An order is sent within this time or not at all.
-const SEND_LIMIT: Duration = Duration::from_secs(2);
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The part of a cell's endpoints that load at the same time at most.
-const LOADING_PART: u32 = 4;
+const LOADING_DIVISOR: u32 = 4;
 
 /// The list is asked for again at most so often for the sake of an order.
-const FRESHEN_EVERY: Duration = Duration::from_secs(2);
+const MIN_LIST_READ_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How the giver of orders takes part.
 #[derive(Clone, Copy, Debug)]
@@ -71,13 +71,13 @@
 pub struct Orders {
     cfg: OrdersConfig,
     rng: SmallRng,
-    endpoints: BTreeMap<EndpointKey, Ordered>,
+    endpoints: BTreeMap<EndpointKey, ManagedEndpoint>,
     /// The number used last.
-    last: u64,
+    last_fence: u64,
     /// When this giver may take weights again.
     next_load: Option<Time>,
     /// When the list was asked for last.
-    freshened: Option<Time>,
+    list_requested_at: Option<Time>,
     wake: Time,
 }
 
@@ -88,9 +88,9 @@
             cfg,
             rng: SmallRng::seed_from_u64(cfg.seed),
             endpoints: BTreeMap::new(),
-            last: 0,
+            last_fence: 0,
             next_load: None,
-            freshened: None,
+            list_requested_at: None,
             wake: Time::NEVER,
         }
     }
@@ -103,7 +103,7 @@
             let known = before.remove(&key);
             let ordered = match known {
                 Some(known) => known.with_goal(goal),
-                None => Ordered::new(now, goal),
+                None => ManagedEndpoint::new(now, goal),
             };
             self.endpoints.insert(key, ordered);
         }
@@ -127,7 +127,7 @@
         };
         let lag = u64::from(report.lag_ms) * 1_000;
         let true_at = Time::from_micros(now.as_micros().saturating_sub(lag));
-        ordered.take_report(true_at, report);
+        ordered.apply_report(true_at, report);
         self.wake = now;
     }
 
@@ -192,30 +192,30 @@
         let Some(ordered) = self.endpoints.get_mut(&key) else {
             return;
         };
-        let wake = ordered.settle(now, retry);
+        let wake = ordered.advance(now, retry);
         self.wake = self.wake.min(wake);
         let Some(kind) = ordered.next_change(is_used) else {
             ordered.is_held = false;
             return;
         };
         let cell = ordered.goal.cell;
-        let most = (ordered.goal.cell_size / LOADING_PART).max(1);
+        let most = (ordered.goal.cell_size / LOADING_DIVISOR).max(1);
         let in_cell = loading.entry(cell).or_default();
-        let is_load = takes_weights(&kind);
+        let is_load = loads_weights(&kind);
         if is_load && *in_cell >= most {
             return;
         }
-        if let Err(hold) = self.may_order(now, key, knowledge, is_load) {
+        if let Err(hold) = self.check_order(now, key, knowledge, is_load) {
             self.hold(now, key, hold, out);
             return;
         }
-        if self.give(now, key, kind, knowledge, out) && is_load {
+        if self.send(now, key, kind, knowledge, out) && is_load {
             *in_cell += 1;
         }
     }
 
     /// Returns whether an order may be given now, or why not.
-    fn may_order(
+    fn check_order(
         &mut self,
         now: Time,
         key: EndpointKey,
@@ -223,7 +223,7 @@
         is_load: bool,
     ) -> Result<(), Hold> {
         if !knowledge.is_catalogue_current {
-            return Err(Hold::Until(now + FRESHEN_EVERY));
+            return Err(Hold::Until(now + MIN_LIST_READ_INTERVAL));
         }
         if now >= knowledge.lease_end() {
             return Err(Hold::Stale);
@@ -236,7 +236,7 @@
             return Err(Hold::Stale);
         }
         match is_load {
-            true => self.may_load(now, knowledge.controllers),
+            true => self.check_load(now, knowledge.controllers),
             false => Ok(()),
         }
     }
@@ -245,7 +245,7 @@
     ///
     /// The first load waits for a random part of the pause, because a new
     /// catalogue reaches all givers at once.
-    fn may_load(&mut self, now: Time, givers: u32) -> Result<(), Hold> {
+    fn check_load(&mut self, now: Time, givers: u32) -> Result<(), Hold> {
         let pause = self.load_pause(givers);
         let rng = &mut self.rng;
         let first = || now + pause.mul_f64(rng.random_range(0.0..1.0));
@@ -264,12 +264,14 @@
         let until = match hold {
             Hold::Until(until) => until,
             Hold::Stale => {
-                let next = self.freshened.map_or(now, |it| it + FRESHEN_EVERY);
+                let next = self
+                    .list_requested_at
+                    .map_or(now, |it| it + MIN_LIST_READ_INTERVAL);
                 if next <= now {
-                    self.freshened = Some(now);
+                    self.list_requested_at = Some(now);
                     out.push(OrdersAction::ReadList);
                 }
-                next.max(now + FRESHEN_EVERY)
+                next.max(now + MIN_LIST_READ_INTERVAL)
             }
         };
         self.wake = self.wake.min(until);
@@ -282,7 +284,7 @@
         }
     }
 
-    fn give(
+    fn send(
         &mut self,
         now: Time,
         key: EndpointKey,
@@ -295,21 +297,21 @@
             return false;
         };
         let revision = knowledge.list_revision;
-        let Some(fencing) = next_fence(revision, self.last, ordered.highest) else {
+        let Some(fencing) = next_fence(revision, self.last_fence, ordered.highest) else {
             return false;
         };
-        self.last = fencing;
-        if takes_weights(&kind) {
+        self.last_fence = fencing;
+        if loads_weights(&kind) {
             self.next_load = Some(now + pause);
         }
         ordered.is_held = false;
         ordered.sent(now, fencing, kind.clone());
-        self.wake = self.wake.min(now + ANSWER_LIMIT);
+        self.wake = self.wake.min(now + RESPONSE_TIMEOUT);
         out.push(OrdersAction::Send {
             endpoint: ordered.goal.endpoint.clone(),
             fencing,
             kind,
-            send_before: (now + SEND_LIMIT).min(knowledge.lease_end()),
+            send_before: (now + SEND_TIMEOUT).min(knowledge.lease_end()),
         });
         out.push(OrdersAction::Note(Note::Ordered {
             endpoint: key,
--- a/crates/core/src/orders/endpoint.rs
+++ b/crates/core/src/orders/endpoint.rs
@@ -2,23 +2,23 @@
 
 use super::HAND_OVER_WAIT;
 use super::goals::EndpointGoal;
-use super::reconcile::{next_change, takes_weights};
+use super::reconcile::{loads_weights, next_change};
 use crate::ids::EndpointKey;
 use crate::time::Time;
 use crate::value::{LoadReport, LoadedModel, OrderKind, OrderResult};
 use core::time::Duration;
 
 /// An order whose answer does not come by then has failed.
-pub(super) const ANSWER_LIMIT: Duration = Duration::from_secs(15);
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A change that was accepted and that no report shows by then is ordered again.
-const EFFECT_LIMIT: Duration = Duration::from_secs(600);
+const EFFECT_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// The first pause after a failed order; doubles up to [`RETRY_MOST`].
-const RETRY_FIRST: Duration = Duration::from_secs(1);
+const RETRY_MIN: Duration = Duration::from_secs(1);
 
 /// The longest pause after a failed order.
-const RETRY_MOST: Duration = Duration::from_secs(60);
+const RETRY_MAX: Duration = Duration::from_secs(60);
 
 /// An order that was given.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 
 /// One endpoint to which this instance gives orders.
 #[derive(Clone, Debug)]
-pub(super) struct Ordered {
+pub(super) struct ManagedEndpoint {
     pub goal: EndpointGoal,
     /// Since when this instance is the giver.
     since: Time,
@@ -52,23 +52,23 @@
     highest_at: Time,
     /// The endpoint has forgotten the highest number: it was restarted, and
     /// would obey a giver that it refused before.
-    has_forgotten: bool,
+    has_lost_fence: bool,
     stage: Stage,
     failures: u32,
     /// An order is held back, and operators were told.
     pub is_held: bool,
 }
 
-impl Ordered {
+impl ManagedEndpoint {
     pub fn new(now: Time, goal: EndpointGoal) -> Self {
-        Ordered {
+        ManagedEndpoint {
             goal,
             since: now,
             loaded: Vec::new(),
             reported: None,
             highest: 0,
             highest_at: Time::ZERO,
-            has_forgotten: false,
+            has_lost_fence: false,
             stage: Stage::Idle,
             failures: 0,
             is_held: false,
@@ -78,7 +78,7 @@
     /// Returns from when on no order of an earlier giver can arrive any more,
     /// or would be refused.
     pub fn safe_from(&self) -> Time {
-        if self.goal.fencing.protects() && !self.has_forgotten {
+        if self.goal.fencing.protects() && !self.has_lost_fence {
             return Time::ZERO;
         }
         self.since + HAND_OVER_WAIT
@@ -89,10 +89,10 @@
             Stage::Sent { kind, .. } | Stage::Accepted { kind, .. } => kind,
             Stage::Idle | Stage::Failed { .. } => return false,
         };
-        takes_weights(kind)
+        loads_weights(kind)
     }
 
-    pub fn take_report(&mut self, true_at: Time, report: &LoadReport) {
+    pub fn apply_report(&mut self, true_at: Time, report: &LoadReport) {
         if self.reported.is_some_and(|it| true_at < it) {
             return;
         }
@@ -100,7 +100,7 @@
         let lost = self.loaded.iter().any(|it| !holds(report, it));
         self.loaded.clone_from(&report.models);
         if self.goal.fencing.protects() {
-            self.compare_fence(true_at, report.fencing);
+            self.check_fence(true_at, report.fencing);
         }
         // What was loaded is gone unasked: the endpoint was restarted, and the
         // load that it had accepted with it.
@@ -111,17 +111,17 @@
 
     /// Notices an endpoint that knows a lower number than before: it has lost
     /// its memory, and with it the protection from earlier givers.
-    fn compare_fence(&mut self, true_at: Time, reported: u64) {
+    fn check_fence(&mut self, true_at: Time, reported: u64) {
         if reported < self.highest && true_at > self.highest_at {
-            self.has_forgotten = true;
+            self.has_lost_fence = true;
             if matches!(self.stage, Stage::Accepted { .. }) {
                 self.stage = Stage::Idle;
             }
         }
-        self.saw_fence(true_at, reported);
+        self.observe_fence(true_at, reported);
     }
 
-    fn saw_fence(&mut self, at: Time, fencing: u64) {
+    fn observe_fence(&mut self, at: Time, fencing: u64) {
         if fencing > self.highest {
             self.highest = fencing;
             self.highest_at = at;
@@ -157,13 +157,13 @@
         let kind = kind.clone();
         match result {
             OrderResult::Accepted => {
-                self.saw_fence(now, answered);
-                self.has_forgotten = false;
+                self.observe_fence(now, answered);
+                self.has_lost_fence = false;
                 self.failures = 0;
                 self.stage = Stage::Accepted { kind, at: now };
             }
             OrderResult::Fenced { highest } => {
-                self.saw_fence(now, highest);
+                self.observe_fence(now, highest);
                 self.stage = Stage::Idle;
             }
             OrderResult::Failed => self.fail(now, retry),
@@ -171,20 +171,20 @@
     }
 
     fn fail(&mut self, now: Time, retry: f64) {
-        let doubled = RETRY_FIRST * (1 << self.failures.min(6));
+        let doubled = RETRY_MIN * (1 << self.failures.min(6));
         self.failures = self.failures.saturating_add(1);
-        let until = now + doubled.min(RETRY_MOST).mul_f64(retry);
+        let until = now + doubled.min(RETRY_MAX).mul_f64(retry);
         self.stage = Stage::Failed { until };
     }
 
     /// Ends what has taken too long; returns when to look again.
-    pub fn settle(&mut self, now: Time, retry: f64) -> Time {
+    pub fn advance(&mut self, now: Time, retry: f64) -> Time {
         match &self.stage {
-            Stage::Sent { at, .. } if *at + ANSWER_LIMIT <= now => self.fail(now, retry),
+            Stage::Sent { at, .. } if *at + RESPONSE_TIMEOUT <= now => self.fail(now, retry),
             Stage::Accepted { kind, at } => {
                 let is_seen = self.reported.is_some_and(|it| it > *at);
-                let has_effect = is_seen && !self.would_repeat(kind);
-                if has_effect || *at + EFFECT_LIMIT <= now {
+                let has_effect = is_seen && !self.is_effect_missing(kind);
+                if has_effect || *at + EFFECT_TIMEOUT <= now {
                     self.stage = Stage::Idle;
                 }
             }
@@ -193,14 +193,14 @@
         }
         match &self.stage {
             Stage::Idle => Time::NEVER,
-            Stage::Sent { at, .. } => *at + ANSWER_LIMIT,
-            Stage::Accepted { at, .. } => *at + EFFECT_LIMIT,
+            Stage::Sent { at, .. } => *at + RESPONSE_TIMEOUT,
+            Stage::Accepted { at, .. } => *at + EFFECT_TIMEOUT,
             Stage::Failed { until } => *until,
         }
     }
 
     /// Returns whether the newest report still lacks what was ordered.
-    fn would_repeat(&self, kind: &OrderKind) -> bool {
+    fn is_effect_missing(&self, kind: &OrderKind) -> bool {
         let holds = |model: &str, version: &str, adapter: &Option<String>| {
             let held = self.loaded.iter();
             let mut held = held.filter(|it| it.name == model && it.version == version);
--- a/crates/core/src/orders/reconcile.rs
+++ b/crates/core/src/orders/reconcile.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns whether a change takes weights from the weight store.
-pub(super) const fn takes_weights(kind: &OrderKind) -> bool {
+pub(super) const fn loads_weights(kind: &OrderKind) -> bool {
     matches!(kind, OrderKind::Load { .. })
 }
 
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -15,7 +15,7 @@
 pub const PREFIX_FULL_TOKENS: f64 = 2_000.0;
 /// Cost of another data centre, on the same scale: a millisecond and a half
 /// each way is little beside a prefill, but breaks ties.
-pub const FAR_PENALTY: f64 = 0.1;
+pub const REMOTE_PENALTY: f64 = 0.1;
 
 /// What ranks an endpoint for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,7 +35,7 @@
     pub fn score(&self) -> f64 {
         let prompt = (f64::from(self.prompt_tokens) / PREFIX_FULL_TOKENS).min(1.0);
         let prefix = PREFIX_WEIGHT * self.prefix_share * prompt;
-        let penalty = if self.is_remote { FAR_PENALTY } else { 0.0 };
+        let penalty = if self.is_remote { REMOTE_PENALTY } else { 0.0 };
         self.free_share + prefix - penalty
     }
 }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -17,13 +17,13 @@
 /// Time in which evidence loses half its weight.
 const EVIDENCE_HALF_LIFE: Duration = Duration::from_secs(20);
 /// Wait before the first probe; it doubles with each probe that fails.
-const FIRST_PROBE: Duration = Duration::from_secs(5);
+const MIN_PROBE_DELAY: Duration = Duration::from_secs(5);
 /// The longest wait before a probe.
-const LONGEST_PROBE: Duration = Duration::from_secs(60);
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(60);
 /// A probe that has told nothing by then counts as failed.
-const PROBE_LIMIT: Duration = Duration::from_secs(30);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time from the first grant to the full share.
-const RAMP: Duration = Duration::from_secs(10);
+const RAMP_TIME: Duration = Duration::from_secs(10);
 /// Share of its capacity that an endpoint gets at first.
 const RAMP_START: f64 = 0.2;
 /// How long an endpoint that refused as busy gets nothing new.
@@ -65,7 +65,7 @@
             failures: 0.0,
             successes: 0.0,
             updated: Time::ZERO,
-            backoff: FIRST_PROBE,
+            backoff: MIN_PROBE_DELAY,
             ramp_from: None,
             paused_until: Time::ZERO,
         }
@@ -73,7 +73,7 @@
 }
 
 /// Returns how much a failure says against the endpoint; 0 for one that does not.
-fn blame(reason: Reason) -> f64 {
+fn failure_weight(reason: Reason) -> f64 {
     match reason {
         Reason::Stalled | Reason::ConnectFailed => 1.0,
         Reason::ConnectionLost | Reason::Truncated | Reason::GenerationLost => 1.0,
@@ -90,7 +90,7 @@
         if let EjectionState::Probing { .. } = self.standing {
             self.standing = EjectionState::Open;
             self.failures = 0.0;
-            self.backoff = FIRST_PROBE;
+            self.backoff = MIN_PROBE_DELAY;
             self.ramp_from = None;
         }
     }
@@ -101,11 +101,11 @@
         if reason == Reason::EndpointRefused {
             self.paused_until = now + BUSY_PAUSE;
         }
-        let blame = blame(reason);
+        let blame = failure_weight(reason);
         self.failures += blame;
         match self.standing {
             EjectionState::Probing { .. } if blame > 0.0 => self.eject(now),
-            EjectionState::Open if self.is_bad() => self.eject(now),
+            EjectionState::Open if self.exceeds_thresholds() => self.eject(now),
             _ => return false,
         }
         true
@@ -117,7 +117,7 @@
             EjectionState::Ejected { probe_at } if now >= probe_at => {
                 self.standing = EjectionState::Probing { since: None };
             }
-            EjectionState::Probing { since: Some(since) } if now.since(since) > PROBE_LIMIT => {
+            EjectionState::Probing { since: Some(since) } if now.since(since) > PROBE_TIMEOUT => {
                 self.eject(now);
             }
             _ => {}
@@ -159,17 +159,19 @@
             Some(from) => now.since(from).as_secs_f64(),
             None => 0.0,
         };
-        (RAMP_START + (1.0 - RAMP_START) * since / RAMP.as_secs_f64()).min(1.0)
+        (RAMP_START + (1.0 - RAMP_START) * since / RAMP_TIME.as_secs_f64()).min(1.0)
     }
 
     /// Returns whether it changes with time alone.
     pub fn changes_with_time(&self, now: Time) -> bool {
         self.standing != EjectionState::Open
             || now < self.paused_until
-            || self.ramp_from.is_some_and(|from| now.since(from) < RAMP)
+            || self
+                .ramp_from
+                .is_some_and(|from| now.since(from) < RAMP_TIME)
     }
 
-    fn is_bad(&self) -> bool {
+    fn exceeds_thresholds(&self) -> bool {
         let share = self.failures / (self.failures + self.successes).max(1.0);
         self.failures >= EJECT_FAILURES && share >= EJECT_SHARE
     }
@@ -177,7 +179,7 @@
     fn eject(&mut self, now: Time) {
         let probe_at = now + self.backoff;
         self.standing = EjectionState::Ejected { probe_at };
-        self.backoff = (self.backoff * 2).min(LONGEST_PROBE);
+        self.backoff = (self.backoff * 2).min(MAX_PROBE_DELAY);
     }
 
     fn decay(&mut self, now: Time) {
--- a/crates/core/src/routing/prefix.rs
+++ b/crates/core/src/routing/prefix.rs
@@ -18,9 +18,9 @@
 /// How long a block is expected after a grant, without an event that confirms it.
 const EXPECTED_FOR: Duration = Duration::from_secs(20);
 /// Share of belief in a block that was reported before a gap in the events.
-const DOUBTED: f64 = 0.5;
+const STALE_CONFIDENCE: f64 = 0.5;
 /// Share of belief in a block that a grant should have put there.
-const EXPECTED: f64 = 0.8;
+const EXPECTED_CONFIDENCE: f64 = 0.8;
 /// The most blocks remembered for one endpoint; the oldest go first.
 const MAX_BLOCKS: usize = 4_096;
 /// The most endpoints returned as holders of one prefix.
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Cached {
+struct EndpointBlocks {
     blocks: BTreeMap<u64, Belief>,
     /// Blocks in the order in which they were learned; may name blocks that are gone.
     order: VecDeque<u64>,
@@ -55,7 +55,7 @@
 /// Invariant: `holders[block]` lists exactly the endpoints whose `blocks` name it.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixMap {
-    endpoints: BTreeMap<EndpointIx, Cached>,
+    endpoints: BTreeMap<EndpointIx, EndpointBlocks>,
     holders: BTreeMap<u64, Vec<EndpointIx>>,
 }
 
@@ -121,8 +121,8 @@
         for (at, block) in prefix.iter().enumerate().rev() {
             let belief = match cached.blocks.get(block) {
                 Some(Belief::Reported { epoch }) if *epoch == cached.epoch => 1.0,
-                Some(Belief::Reported { .. }) => DOUBTED,
-                Some(Belief::Expected { until }) if now <= *until => EXPECTED,
+                Some(Belief::Reported { .. }) => STALE_CONFIDENCE,
+                Some(Belief::Expected { until }) if now <= *until => EXPECTED_CONFIDENCE,
                 _ => continue,
             };
             let blocks = at as u32 + 1;
--- a/crates/core/tests/limits_bounds.rs
+++ b/crates/core/tests/limits_bounds.rs
@@ -36,12 +36,12 @@
         Step::Take { member, large } => {
             let ws = if large { ("large", 7) } else { ("small", 3) };
             let claim = world.claim(workspace(ws.0, ws.1, 0), ENTRY, 5_000);
-            world.take(member, claim);
+            world.submit(member, claim);
         }
         Step::End { member, nth } => {
             let admitted = &world.members[member].admitted;
             if let Some(&request) = admitted.get(nth) {
-                world.end(member, request);
+                world.finish(member, request);
             }
         }
         Step::Run { ms } => world.run(Duration::from_millis(ms)),
@@ -82,7 +82,7 @@
         world.delay = Duration::from_millis(delay);
         for step in &steps {
             apply(&mut world, step);
-            if world.was_alone {
+            if world.used_fallback {
                 return Ok(());
             }
             let (entry, large, small) = usage(&world);
@@ -105,7 +105,7 @@
             apply(&mut world, step);
         }
         for a in 0..split {
-            world.parted.extend((split..4).map(|b| (a, b)));
+            world.partitioned.extend((split..4).map(|b| (a, b)));
         }
         if reachable {
             (split..4).for_each(|it| world.set_home(it, Some(split)));
--- a/crates/core/tests/limits_leases.rs
+++ b/crates/core/tests/limits_leases.rs
@@ -30,7 +30,7 @@
     for member in 0..world.members.len() {
         for _ in 0..count {
             let claim = world.claim(workspace(ws, limit, 0), entry, 60_000);
-            world.take(member, claim);
+            world.submit(member, claim);
         }
     }
     world.run(Duration::from_secs(2));
@@ -40,11 +40,11 @@
 fn the_first_request_waits_for_one_answer_and_the_next_for_none() {
     let mut world = World::new(3);
     let claim = world.claim(workspace("ws", 10, 0), entry(10), 1000);
-    let first = world.take(1, claim);
+    let first = world.submit(1, claim);
     assert!(world.members[1].admitted.is_empty());
     world.run(RTT);
     assert_eq!(world.members[1].admitted, [first]);
-    let second = world.take(1, claim);
+    let second = world.submit(1, claim);
     assert_eq!(world.members[1].admitted, [first, second]);
 }
 
@@ -58,7 +58,7 @@
     let burst = |world: &mut World| {
         for _ in 0..6 {
             let claim = world.claim(workspace("ws", 6, 0), entry(100), 60_000);
-            world.take(1, claim);
+            world.submit(1, claim);
         }
         world.run(3 * RTT);
         world.members[1].admitted.len()
@@ -67,7 +67,7 @@
     world.run(Duration::from_secs(2));
     assert_eq!(world.members[1].admitted.len(), 6);
     for request in world.members[1].admitted.clone() {
-        world.end(1, request);
+        world.finish(1, request);
     }
     world.run(Duration::from_secs(100));
     assert_eq!(world.members[0].home.accounts(), 0);
@@ -82,7 +82,7 @@
     assert_eq!(world.running(), 30);
     let ended = world.members[0].admitted.clone();
     for request in ended {
-        world.end(0, request);
+        world.finish(0, request);
     }
     world.run(Duration::from_secs(2));
     assert_eq!(world.running(), 30, "others take what one gave up");
@@ -97,18 +97,18 @@
     let mut world = World::new(2);
     for _ in 0..40 {
         let claim = world.claim(workspace("ws", 20, 0), entry(100), 60_000);
-        world.take(0, claim);
+        world.submit(0, claim);
     }
     world.run(Duration::from_secs(2));
     assert_eq!(world.members[0].admitted.len(), 20);
     for _ in 0..40 {
         let claim = world.claim(workspace("ws", 20, 0), entry(100), 60_000);
-        world.take(1, claim);
+        world.submit(1, claim);
     }
     world.run(Duration::from_secs(1));
     for _ in 0..10 {
         let request = world.members[0].admitted[0];
-        world.end(0, request);
+        world.finish(0, request);
         world.run(Duration::from_millis(600));
     }
     assert_eq!(world.members[0].admitted.len(), 10);
@@ -124,18 +124,18 @@
     for _ in 0..300 {
         let mut claim = world.claim(workspace("large", 500, 0), entry(10), 60_000);
         claim.queue = 100;
-        world.take(0, claim);
+        world.submit(0, claim);
     }
     world.run(Duration::from_secs(2));
     assert_eq!(world.members[0].admitted.len(), 10);
     assert_eq!(world.refusals()["queue_full"], 190);
     let mut claim = world.claim(workspace("small", 5, 0), entry(10), 60_000);
     claim.queue = 100;
-    let small = world.take(0, claim);
+    let small = world.submit(0, claim);
     world.run(RTT);
     assert!(world.members[0].refused.iter().all(|it| it.0 != small));
     let request = world.members[0].admitted[0];
-    world.end(0, request);
+    world.finish(0, request);
     assert_eq!(world.members[0].admitted.last(), Some(&small), "it is next");
 }
 
@@ -143,12 +143,12 @@
 fn what_cannot_start_in_time_is_refused_at_once() {
     let mut world = World::new(1);
     let claim = world.claim(workspace("ws", 2, 0), entry(10), 2_500);
-    let first = world.take(0, claim);
+    let first = world.submit(0, claim);
     world.run(Duration::from_secs(2));
-    world.end(0, first);
+    world.finish(0, first);
     for _ in 0..5 {
         let claim = world.claim(workspace("ws", 2, 0), entry(10), 2_500);
-        world.take(0, claim);
+        world.submit(0, claim);
     }
     world.run(RTT);
     let refused = &world.members[0].refused;
@@ -166,12 +166,12 @@
     let mut world = World::new(1);
     for _ in 0..5 {
         let claim = world.claim(workspace("ws", 2, 0), entry(10), 2_000);
-        world.take(0, claim);
+        world.submit(0, claim);
     }
     for _ in 0..5 {
         world.run(2 * RTT);
         for request in world.members[0].admitted.clone() {
-            world.end(0, request);
+            world.finish(0, request);
         }
     }
     assert!(world.members[0].refused.is_empty());
@@ -182,9 +182,9 @@
 fn what_did_not_start_in_time_is_refused_with_the_limit_that_was_in_the_way() {
     let mut world = World::new(1);
     let claim = world.claim(workspace("ws", 10, 0), entry(1), 60_000);
-    world.take(0, claim);
+    world.submit(0, claim);
     let claim = world.claim(workspace("ws", 10, 0), entry(1), 3_000);
-    let late = world.take(0, claim);
+    let late = world.submit(0, claim);
     world.run(Duration::from_secs(4));
     let refused = &world.members[0].refused;
     assert_eq!(
@@ -202,7 +202,7 @@
     take_everywhere(&mut world, 10, "ws", 10, entry(100));
     let of_dead = world.members[2].admitted.len() as u32;
     assert!(of_dead > 0);
-    world.parted = vec![(0, 2), (1, 2)];
+    world.partitioned = vec![(0, 2), (1, 2)];
     let others =
         |world: &World| (world.members[0].admitted.len() + world.members[1].admitted.len()) as u32;
     world.run(LEASE_TTL / 4);
@@ -230,11 +230,11 @@
     // Sequence: the home is frozen; the list and the links do not show it yet.
     // Cause: requests waited for an answer that did not come.
     let mut world = World::new(4);
-    world.parted = (1..4).map(|it| (0, it)).collect();
+    world.partitioned = (1..4).map(|it| (0, it)).collect();
     for member in 1..4 {
         for _ in 0..10 {
             let claim = world.claim(workspace("ws", 8, 0), entry(100), 60_000);
-            world.take(member, claim);
+            world.submit(member, claim);
         }
     }
     world.run(Duration::from_secs(1));
@@ -242,9 +242,9 @@
         assert_eq!(member.admitted.len(), 2);
         assert_eq!(member.leases.counts().without_home, 2);
     }
-    world.parted.clear();
+    world.partitioned.clear();
     world.run(Duration::from_secs(3));
-    assert!(!world.is_any_alone());
+    assert!(!world.is_any_in_fallback());
     assert_eq!(
         world.running(),
         8,
@@ -263,7 +263,7 @@
     let mut world = World::new(6);
     let (left, right) = ([0, 1], [2, 3, 4, 5]);
     for &a in &left {
-        world.parted.extend(right.iter().map(|&b| (a, b)));
+        world.partitioned.extend(right.iter().map(|&b| (a, b)));
     }
     for &member in &right {
         world.set_home(member, Some(2));
@@ -284,13 +284,13 @@
     // Cause: the lease was checked when it came, not when it was used.
     let mut world = World::new(2);
     let claim = world.claim(workspace("ws", 10, 0), entry(10), 60_000);
-    let first = world.take(1, claim);
+    let first = world.submit(1, claim);
     world.run(RTT);
-    world.end(1, first);
-    world.parted = vec![(0, 1)];
+    world.finish(1, first);
+    world.partitioned = vec![(0, 1)];
     world.now += LEASE_TTL;
     let claim = world.claim(workspace("ws", 10, 0), entry(10), 60_000);
-    world.take(1, claim);
+    world.submit(1, claim);
     assert!(world.members[1].admitted.is_empty());
 }
 
@@ -302,7 +302,7 @@
     let (key, mut allowance) = workspace("ws", 4, 0);
     allowance.revision = 2;
     let claim = world.claim((key, allowance), entry(100), 60_000);
-    world.take(0, claim);
+    world.submit(0, claim);
     let running: Vec<(usize, u64)> = (0..2)
         .flat_map(|m| {
             world.members[m]
@@ -313,13 +313,13 @@
         })
         .collect();
     for (member, request) in running {
-        world.end(member, request);
+        world.finish(member, request);
         world.run(RTT);
     }
     world.run(Duration::from_secs(1));
     assert_eq!(world.running(), 4);
     let claim = world.claim(workspace("ws", 10, 0), entry(100), 60_000);
-    world.take(1, claim);
+    world.submit(1, claim);
     world.run(Duration::from_secs(1));
     assert_eq!(world.running(), 4, "a lower revision changes nothing");
 }
@@ -332,13 +332,13 @@
     for _ in 0..1_200 {
         for member in 0..3 {
             let claim = world.claim(workspace("ws", 1000, rate), entry(1000), 2_000);
-            world.take(member, claim);
+            world.submit(member, claim);
         }
         world.run(Duration::from_millis(50));
         for member in 0..3 {
             for request in world.members[member].admitted.clone() {
                 world.charge(member, request, cost - 10);
-                world.end(member, request);
+                world.finish(member, request);
                 spent += u64::from(cost);
             }
         }
@@ -355,12 +355,12 @@
 fn a_refusal_for_tokens_says_when_there_will_be_some() {
     let mut world = World::new(1);
     let claim = world.claim(workspace("ws", 10, 600), entry(10), 1_000);
-    let request = world.take(0, claim);
+    let request = world.submit(0, claim);
     world.run(RTT);
     world.charge(0, request, 700);
     world.run(Duration::from_secs(1));
     let claim = world.claim(workspace("ws", 10, 600), entry(10), 1_000);
-    world.take(0, claim);
+    world.submit(0, claim);
     world.run(Duration::from_secs(2));
     let (_, reason, retry_after) = world.members[0].refused[0];
     assert_eq!(reason, Reason::TokenRate);
@@ -372,15 +372,15 @@
     let mut world = World::new(2);
     for _ in 0..2_000 {
         let claim = world.claim(workspace("ws", 100, 10_000_000), entry(100), 1_000);
-        let request = world.take(1, claim);
+        let request = world.submit(1, claim);
         world.run(Duration::from_millis(10));
         world.charge(1, request, 500);
-        world.end(1, request);
+        world.finish(1, request);
     }
     assert!(
-        world.asks < 60,
+        world.requests_sent < 60,
         "{} asks for 2,000 requests in 20 s",
-        world.asks
+        world.requests_sent
     );
 }
 
@@ -393,17 +393,20 @@
     for member in 0..120 {
         for _ in 0..5 {
             let claim = world.claim(workspace("ws", 240, 0), entry(10_000), 60_000);
-            world.take(member, claim);
+            world.submit(member, claim);
         }
     }
     world.run(Duration::from_secs(10));
-    world.asks = 0;
-    world.leases = 0;
+    world.requests_sent = 0;
+    world.leases_sent = 0;
     world.run(Duration::from_secs(10));
     assert_eq!(world.running(), 240);
-    println!("{} asks, {} leases in 10 s", world.asks, world.leases);
-    assert!(world.asks < 1_000, "{} asks", world.asks);
-    assert!(world.leases < 1_100, "{} leases", world.leases);
+    println!(
+        "{} asks, {} leases in 10 s",
+        world.requests_sent, world.leases_sent
+    );
+    assert!(world.requests_sent < 1_000, "{} asks", world.requests_sent);
+    assert!(world.leases_sent < 1_100, "{} leases", world.leases_sent);
 }
 
 #[rstest]
--- a/crates/core/tests/orders_failures.rs
+++ b/crates/core/tests/orders_failures.rs
@@ -3,7 +3,7 @@
 #[path = "fixtures/orders.rs"]
 mod fixture;
 
-use fixture::{Engine, Giver, Sent, goal, loaded};
+use fixture::{Controller, Engine, Sent, goal, loaded};
 use oriolemux_core::event::{OrderKind, OrderResult};
 use oriolemux_core::ids::EndpointKey;
 use oriolemux_core::membership::FencingSupport;
@@ -28,12 +28,12 @@
     vec![(e1(), Engine::new(fencing))]
 }
 
-fn giver(now: Time, revision: u64, fencing: FencingSupport, version: &str) -> Giver {
-    Giver::new(now, revision, vec![goal("e1", fencing, &[("m", version)])])
+fn giver(now: Time, revision: u64, fencing: FencingSupport, version: &str) -> Controller {
+    Controller::new(now, revision, vec![goal("e1", fencing, &[("m", version)])])
 }
 
 /// Gives a report and returns the orders that follow.
-fn report_and_tick(giver: &mut Giver, now: Time, engine: &Engine) -> Vec<Sent> {
+fn report_and_tick(giver: &mut Controller, now: Time, engine: &Engine) -> Vec<Sent> {
     giver.orders.report(now, e1(), &engine.report());
     giver.tick(now)
 }
@@ -111,14 +111,14 @@
     let mut old = giver(T, 5, CHECKED, "1");
     let mut new = giver(T, 6, CHECKED, "2");
     let order = report_and_tick(&mut new, T + Duration::from_secs(1), &engine);
-    assert_eq!(engine.obey(&order[0]), OrderResult::Accepted);
+    assert_eq!(engine.execute(&order[0]), OrderResult::Accepted);
     let order = report_and_tick(&mut old, T + Duration::from_secs(1), &Engine::new(CHECKED));
-    let refused = engine.obey(&order[0]);
+    let refused = engine.execute(&order[0]);
     assert!(matches!(refused, OrderResult::Fenced { .. }));
     let now = T + Duration::from_secs(2);
     old.orders
         .on_order_answered(now, e1(), order[0].fencing, refused);
-    old.can_read = false;
+    old.can_read_list = false;
     assert!(old.tick(now).is_empty(), "a later list is known to exist");
     assert_eq!((old.held, engine.models.len()), (1, 1));
 }
@@ -151,7 +151,7 @@
     // Cause: the order carried no end, and the lease was checked only before.
     let engine = Engine::new(fencing);
     let mut giver = giver(T, 5, fencing, "1");
-    giver.can_read = false;
+    giver.can_read_list = false;
     let ready = T + HAND_OVER_WAIT;
     giver.knowledge.confirmed = Some(ready);
     let order = report_and_tick(&mut giver, ready + CONTROLLER_LEASE / 2, &engine);
@@ -171,11 +171,11 @@
     // Cause: the list was taken as true because nothing newer had come.
     let engine = Engine::new(CHECKED);
     let mut giver = giver(T, 5, CHECKED, "1");
-    giver.can_read = false;
+    giver.can_read_list = false;
     let hour = T + Duration::from_secs(3600);
     assert!(report_and_tick(&mut giver, hour, &engine).is_empty());
     assert_eq!(giver.held, 1);
-    giver.can_read = true;
+    giver.can_read_list = true;
     let later = hour + Duration::from_secs(10);
     assert_eq!(report_and_tick(&mut giver, later, &engine).len(), 1);
 }
@@ -202,13 +202,13 @@
     let mut giver = giver(T, 5, CHECKED, "1");
     let now = T + Duration::from_secs(1);
     let order = report_and_tick(&mut giver, now, &Engine::new(CHECKED));
-    let refused = engine.obey(&order[0]);
+    let refused = engine.execute(&order[0]);
     assert!(matches!(refused, OrderResult::Fenced { .. }));
     giver
         .orders
         .on_order_answered(now, e1(), order[0].fencing, refused);
     let order = giver.tick(now + Duration::from_secs(1));
-    assert_eq!(engine.obey(&order[0]), OrderResult::Accepted);
+    assert_eq!(engine.execute(&order[0]), OrderResult::Accepted);
 }
 
 #[test]
@@ -280,7 +280,7 @@
         goal.cell_size = 8;
         goal
     });
-    let mut giver = Giver::new(T, 5, goals.collect());
+    let mut giver = Controller::new(T, 5, goals.collect());
     let now = T + Duration::from_secs(1);
     let engine = Engine::new(CHECKED);
     let mut at_once = 0;
@@ -317,7 +317,7 @@
             loads_per_minute: rate,
             seed: u64::from(seed),
         };
-        let mut giver = Giver::new(T, 5, goals.clone());
+        let mut giver = Controller::new(T, 5, goals.clone());
         giver.orders = oriolemux_core::orders::Orders::new(cfg);
         giver.orders.set_goals(T, goals);
         giver.knowledge.controllers = givers;
@@ -382,7 +382,7 @@
             now += Duration::from_secs(1);
             let giver = &mut givers[usize::from(later)];
             for order in report_and_tick(giver, now, &engine.clone()) {
-                let result = engine.obey(&order);
+                let result = engine.execute(&order);
                 let obeyed = result == OrderResult::Accepted;
                 prop_assert!(later || !obeyed || !seen_later);
                 seen_later |= later && obeyed;
