--- a/crates/core/src/cell/endpoint.rs
+++ b/crates/core/src/cell/endpoint.rs
@@ -147,7 +147,7 @@
 
     /// Returns whether the free room changes as time passes, without any event.
     pub fn changes_with_time(&self, now: Time) -> bool {
-        !self.ledger.held().is_empty() || self.health.is_moving(now)
+        !self.ledger.held().is_empty() || self.health.changes_with_time(now)
     }
 
     /// Returns why the endpoint is ineligible for a request regardless of free room, if it is.
--- a/crates/core/src/membership/homes.rs
+++ b/crates/core/src/membership/homes.rs
@@ -2,7 +2,7 @@
 
 use super::list::ListedState;
 use super::view::{Cell, Endpoint, HOME_RANKS, Instance};
-use super::{DataCentreId, Life, Membership};
+use super::{DataCentreId, Membership, PeerState};
 use crate::ids::{CellKey, EndpointKey, InstanceKey};
 use crate::rendezvous::{self, Candidate};
 use std::collections::BTreeMap;
@@ -31,7 +31,9 @@
             let there = if instance.key == me {
                 !stopping
             } else {
-                self.lives.get(&instance.key).is_none_or(Life::may_be_home)
+                self.peer_states
+                    .get(&instance.key)
+                    .is_none_or(PeerState::may_be_home)
             };
             instance.usable = listed && there;
         }
@@ -43,7 +45,7 @@
         let givers = self.assign_cells(|it| it.record.state == ListedState::Live);
         for ((cell, homes), givers) in self.view.cells.values_mut().zip(homes).zip(givers) {
             cell.homes = homes;
-            cell.giver = givers.first().copied();
+            cell.controller = givers.first().copied();
         }
     }
 
@@ -62,7 +64,7 @@
             let near = |it: &Instance| it.data_centre == cell.data_centre;
             let candidates = instances.iter().map(|it| Candidate {
                 instance: it.key,
-                near: near(it),
+                is_preferred: near(it),
             });
             rendezvous::rank(cell.plan.key.0, candidates, instances.len(), &mut ranked);
             let here = instances.iter().filter(|it| near(it)).count();
@@ -97,7 +99,7 @@
         let usable = self.view.instances.values().filter(|it| it.usable);
         usable.map(move |it| Candidate {
             instance: it.key,
-            near: near == Some(it.data_centre),
+            is_preferred: near == Some(it.data_centre),
         })
     }
 
@@ -133,8 +135,8 @@
     ///
     /// It ranks first among those that the list calls live, whatever links and
     /// peers say of them; [`crate::orders`] says why.
-    pub fn giver_of_cell(&self, cell: CellKey) -> Option<InstanceKey> {
-        self.view.cell(cell)?.giver
+    pub fn controller_of_cell(&self, cell: CellKey) -> Option<InstanceKey> {
+        self.view.cell(cell)?.controller
     }
 
     /// Returns whether this instance is the home of a cell.
@@ -190,12 +192,12 @@
     pub fn endpoint_state(&self, key: EndpointKey) -> EndpointState {
         match self.view.endpoint(key) {
             None => EndpointState::Unknown,
-            Some(endpoint) if self.takes_work(endpoint) => EndpointState::Live,
+            Some(endpoint) if self.accepts_work(endpoint) => EndpointState::Live,
             Some(_) => EndpointState::Leaving,
         }
     }
 
-    fn takes_work(&self, endpoint: &Endpoint) -> bool {
+    fn accepts_work(&self, endpoint: &Endpoint) -> bool {
         endpoint.record.state == ListedState::Live && !self.notices.contains_key(&endpoint.key)
     }
 }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -17,13 +17,13 @@
 /// Time in which evidence loses half its weight.
 const EVIDENCE_HALF_LIFE: Duration = Duration::from_secs(20);
 /// Wait before the first probe; it doubles with each probe that fails.
-const FIRST_PROBE: Duration = Duration::from_secs(5);
+const MIN_PROBE_DELAY: Duration = Duration::from_secs(5);
 /// The longest wait before a probe.
-const LONGEST_PROBE: Duration = Duration::from_secs(60);
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(60);
 /// A probe that has told nothing by then counts as failed.
-const PROBE_LIMIT: Duration = Duration::from_secs(30);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time from the first grant to the full share.
-const RAMP: Duration = Duration::from_secs(10);
+const RAMP_TIME: Duration = Duration::from_secs(10);
 /// Share of its capacity that an endpoint gets at first.
 const RAMP_START: f64 = 0.2;
 /// How long an endpoint that refused as busy gets nothing new.
@@ -31,7 +31,7 @@
 
 /// Whether an endpoint may be granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EjectionState {
     /// It may.
     Open,
     /// It was ejected.
@@ -49,7 +49,7 @@
 /// Evidence about one endpoint.
 #[derive(Clone, Debug)]
 pub struct Health {
-    standing: Standing,
+    standing: EjectionState,
     failures: f64,
     successes: f64,
     updated: Time,
@@ -61,11 +61,11 @@
 impl Default for Health {
     fn default() -> Self {
         Health {
-            standing: Standing::Open,
+            standing: EjectionState::Open,
             failures: 0.0,
             successes: 0.0,
             updated: Time::ZERO,
-            backoff: FIRST_PROBE,
+            backoff: MIN_PROBE_DELAY,
             ramp_from: None,
             paused_until: Time::ZERO,
         }
@@ -73,7 +73,7 @@
 }
 
 /// Returns how much a failure says against the endpoint; 0 for one that does not.
-fn blame(reason: Reason) -> f64 {
+fn failure_weight(reason: Reason) -> f64 {
     match reason {
         Reason::Stalled | Reason::ConnectFailed => 1.0,
         Reason::ConnectionLost | Reason::Truncated | Reason::GenerationLost => 1.0,
@@ -87,10 +87,10 @@
     pub fn succeeded(&mut self, now: Time) {
         self.decay(now);
         self.successes += 1.0;
-        if let Standing::Probing { .. } = self.standing {
-            self.standing = Standing::Open;
+        if let EjectionState::Probing { .. } = self.standing {
+            self.standing = EjectionState::Open;
             self.failures = 0.0;
-            self.backoff = FIRST_PROBE;
+            self.backoff = MIN_PROBE_DELAY;
             self.ramp_from = None;
         }
     }
@@ -101,11 +101,11 @@
         if reason == Reason::EndpointRefused {
             self.paused_until = now + BUSY_PAUSE;
         }
-        let blame = blame(reason);
+        let blame = failure_weight(reason);
         self.failures += blame;
         match self.standing {
-            Standing::Probing { .. } if blame > 0.0 => self.eject(now),
-            Standing::Open if self.is_bad() => self.eject(now),
+            EjectionState::Probing { .. } if blame > 0.0 => self.eject(now),
+            EjectionState::Open if self.exceeds_thresholds() => self.eject(now),
             _ => return false,
         }
         true
@@ -114,10 +114,10 @@
     /// Moves on with time: a probe comes due, or one has told nothing for too long.
     pub fn tick(&mut self, now: Time) {
         match self.standing {
-            Standing::Ejected { probe_at } if now >= probe_at => {
-                self.standing = Standing::Probing { since: None };
+            EjectionState::Ejected { probe_at } if now >= probe_at => {
+                self.standing = EjectionState::Probing { since: None };
             }
-            Standing::Probing { since: Some(since) } if now.since(since) > PROBE_LIMIT => {
+            EjectionState::Probing { since: Some(since) } if now.since(since) > PROBE_TIMEOUT => {
                 self.eject(now);
             }
             _ => {}
@@ -126,15 +126,15 @@
 
     /// Notes a grant.
     pub fn granted(&mut self, now: Time) {
-        if let Standing::Probing { since } = &mut self.standing {
+        if let EjectionState::Probing { since } = &mut self.standing {
             *since = Some(now);
         }
         self.ramp_from.get_or_insert(now);
     }
 
     /// Notes that the probe under way ended without telling anything.
-    pub fn probe_withdrawn(&mut self) {
-        if let Standing::Probing { since } = &mut self.standing {
+    pub fn probe_inconclusive(&mut self) {
+        if let EjectionState::Probing { since } = &mut self.standing {
             *since = None;
         }
     }
@@ -142,15 +142,15 @@
     /// Returns whether a request may go there; only idempotent work probes.
     pub fn admits(&self, now: Time, idempotent: bool) -> bool {
         match self.standing {
-            Standing::Open => now >= self.paused_until,
-            Standing::Ejected { .. } => false,
-            Standing::Probing { since } => since.is_none() && idempotent,
+            EjectionState::Open => now >= self.paused_until,
+            EjectionState::Ejected { .. } => false,
+            EjectionState::Probing { since } => since.is_none() && idempotent,
         }
     }
 
     /// Returns whether the endpoint gets no work but probes.
     pub fn is_ejected(&self) -> bool {
-        self.standing != Standing::Open
+        self.standing != EjectionState::Open
     }
 
     /// Returns the share of its capacity that the endpoint may be given now.
@@ -159,25 +159,27 @@
             Some(from) => now.since(from).as_secs_f64(),
             None => 0.0,
         };
-        (RAMP_START + (1.0 - RAMP_START) * since / RAMP.as_secs_f64()).min(1.0)
+        (RAMP_START + (1.0 - RAMP_START) * since / RAMP_TIME.as_secs_f64()).min(1.0)
     }
 
     /// Returns whether it changes with time alone.
-    pub fn is_moving(&self, now: Time) -> bool {
-        self.standing != Standing::Open
+    pub fn changes_with_time(&self, now: Time) -> bool {
+        self.standing != EjectionState::Open
             || now < self.paused_until
-            || self.ramp_from.is_some_and(|from| now.since(from) < RAMP)
+            || self
+                .ramp_from
+                .is_some_and(|from| now.since(from) < RAMP_TIME)
     }
 
-    fn is_bad(&self) -> bool {
+    fn exceeds_thresholds(&self) -> bool {
         let share = self.failures / (self.failures + self.successes).max(1.0);
         self.failures >= EJECT_FAILURES && share >= EJECT_SHARE
     }
 
     fn eject(&mut self, now: Time) {
         let probe_at = now + self.backoff;
-        self.standing = Standing::Ejected { probe_at };
-        self.backoff = (self.backoff * 2).min(LONGEST_PROBE);
+        self.standing = EjectionState::Ejected { probe_at };
+        self.backoff = (self.backoff * 2).min(MAX_PROBE_DELAY);
     }
 
     fn decay(&mut self, now: Time) {
