--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -1,12 +1,12 @@
 //! Admission and placement for a cell, a small group of endpoints that serve one model or one plain
 //! service.
 //!
-//! One instance is the *home* of the cell. It queues requests, admits them against the endpoints'
-//! memory and chooses the endpoint of each. Tokens do not pass through the home: the entry
-//! instance, which holds the caller's connection, talks to the endpoint and reports progress at
-//! checkpoints ([`crate::checkpoint`]) and the end of the request. The state is soft: a new home
-//! rebuilds it from load reports and from the running requests that entry instances report
-//! ([`Cell::adopt`]).
+//! One instance is the *home* of the cell, chosen by rendezvous hashing; it alone decides for the
+//! cell. It queues requests, admits them against the endpoints' KV cache and chooses the endpoint
+//! of each. Tokens do not pass through the home: the entry instance, which holds the caller's
+//! connection, talks to the endpoint and reports progress at checkpoints ([`crate::checkpoint`])
+//! and the end of the request. The state is soft: a new home rebuilds it from load reports and from
+//! the running requests that entry instances report ([`Cell::adopt`]).
 //!
 //! # Polling
 //!
--- a/crates/core/src/cell/codec.rs
+++ b/crates/core/src/cell/codec.rs
@@ -39,7 +39,7 @@
     type Value = Vec<Checkpoint>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("pairs of sequence number and tokens")
+        f.write_str("pairs of a sequence number and a token count")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
@@ -48,9 +48,11 @@
         let mut before = 0_u64;
         while let Some(step) = seq.next_element::<u64>()? {
             let packed = seq.next_element::<u64>()?;
-            let packed = packed.ok_or_else(|| A::Error::custom("a checkpoint without tokens"))?;
+            let packed =
+                packed.ok_or_else(|| A::Error::custom("checkpoint without a token count"))?;
             before = before.wrapping_add(step);
-            let tokens = unpack(packed).ok_or_else(|| A::Error::custom("too many tokens"))?;
+            let tokens =
+                unpack(packed).ok_or_else(|| A::Error::custom("token count exceeds 32 bits"))?;
             batch.push(Checkpoint {
                 seq: before,
                 tokens,
--- a/crates/core/src/cell/queue.rs
+++ b/crates/core/src/cell/queue.rs
@@ -63,7 +63,8 @@
     pub hold: Option<EndpointIx>,
     /// When it is next checked for refusal if it has not started.
     pub review: Time,
-    /// Its total demand on an engine's memory over time, in token-tokens.
+    /// Its predicted use of KV cache integrated over its generated tokens, in token-tokens (tokens
+    /// held times tokens generated).
     pub work: f64,
 }
 
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -2,10 +2,11 @@
 //!
 //! A *claim* binds such a name to the one request that may run under it. Each claim is granted by a
 //! single process: for a ticket the incarnation that issued it ([`tickets`]), for a key the key's
-//! home. [`Keys`] is both sides of that protocol in one process: it grants the claims that other
-//! processes request, and requests the claims of its own requests. The claim precedes the first
-//! dispatch. A request whose claim is refused never runs. Its caller receives "outcome unknown"
-//! unless the refusal proves more, because an earlier request under the same name may have run.
+//! home, which is the instance that decides for the key, chosen by rendezvous hashing. [`Keys`] is
+//! both sides of that protocol in one process: it grants the claims that other processes request,
+//! and requests the claims of its own requests. The claim precedes the first dispatch. A request
+//! whose claim is refused never runs. Its caller receives "outcome unknown" unless the refusal
+//! proves more, because an earlier request under the same name may have run.
 //!
 //! `docs/design/at-most-once.md` lists the assumptions that each kind of name depends on.
 
--- a/crates/core/src/keys/claim.rs
+++ b/crates/core/src/keys/claim.rs
@@ -109,7 +109,7 @@
     pub fn verdict(self) -> Verdict {
         match self {
             ClaimRefusal::Running => unknown(Reason::AlreadyRunning, Some(RETRY_AFTER)),
-            ClaimRefusal::Ran(earlier) => Verdict::repeated(Reason::AlreadyRan, earlier),
+            ClaimRefusal::Ran(prior) => Verdict::duplicate(Reason::AlreadyRan, prior),
             ClaimRefusal::HolderGone => unknown(Reason::HolderGone, None),
             ClaimRefusal::BodyDiffers => Verdict::not_accepted(Reason::KeyReused, None),
             ClaimRefusal::NotIssued => Verdict::not_accepted(Reason::BadTicket, None),
--- a/crates/core/src/keys/grant.rs
+++ b/crates/core/src/keys/grant.rs
@@ -149,7 +149,7 @@
         // The answer was lost and the same request claims the name again.
         ClaimState::Held(holder) if holder == claim.claimant => Ok(()),
         ClaimState::Held(_) => Err(ClaimRefusal::Running),
-        ClaimState::Ended(_, earlier) => Err(ClaimRefusal::Ran(earlier)),
+        ClaimState::Ended(_, prior) => Err(ClaimRefusal::Ran(prior)),
         ClaimState::HolderGone(_) | ClaimState::Free => Err(ClaimRefusal::HolderGone),
     }
 }
--- a/crates/core/src/keys/holder.rs
+++ b/crates/core/src/keys/holder.rs
@@ -217,7 +217,7 @@
                     self.send_report(now, request, out);
                 }
             }
-            // The grant arrived after the request was refused, so it is returned.
+            // The grant arrived after the request had ended, so it is returned.
             Phase::Ended { .. } => self.send_report(now, request, out),
             Phase::Held => {}
         }
--- a/crates/core/src/keys/table.rs
+++ b/crates/core/src/keys/table.rs
@@ -127,7 +127,7 @@
         match state {
             HolderState::Running => Some(ClaimState::Held(holder)),
             HolderState::NotRun => None,
-            HolderState::Ended(earlier) => Some(ClaimState::Ended(holder, earlier)),
+            HolderState::Ended(prior) => Some(ClaimState::Ended(holder, prior)),
         }
     }
 }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -85,8 +85,8 @@
 
     /// Returns the verdict on a duplicate of an earlier request with the same ticket or key. The
     /// duplicate did not run.
-    pub const fn repeated(reason: Reason, earlier: PriorOutcome) -> Self {
-        match earlier {
+    pub const fn duplicate(reason: Reason, prior: PriorOutcome) -> Self {
+        match prior {
             PriorOutcome::Unknown => Self::unknown(reason),
             PriorOutcome::Partial { delivered } => Self::partial(reason, delivered),
             PriorOutcome::Complete => Self::new(Outcome::Complete, reason, None, 0),
--- a/crates/core/src/outcome/request.rs
+++ b/crates/core/src/outcome/request.rs
@@ -66,7 +66,7 @@
     /// Records that an attempt is handed to the shell. From then on it may have run, until its own
     /// end proves otherwise.
     pub fn on_dispatch(&mut self, attempt: AttemptId) {
-        debug_assert!(self.open.is_none(), "two attempts of one request");
+        debug_assert!(self.open.is_none(), "an attempt is still open");
         self.unproven |= self.open.is_some();
         self.open = Some(attempt);
     }
--- a/crates/core/tests/cell_basics.rs
+++ b/crates/core/tests/cell_basics.rs
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_long_generation_tells_its_age_often_enough() {
+fn the_distance_between_checkpoints_is_bounded() {
     // Guards against a dozen requests being granted at once to a full engine. A generation of
     // 15,000 tokens reported its age last at 8,192 tokens. Its estimated age reaches the caller's
     // limit, so it counts as about to end. This happens if the distance between checkpoints doubles
--- a/crates/core/tests/keys_failures.rs
+++ b/crates/core/tests/keys_failures.rs
@@ -68,10 +68,10 @@
     assert!(fleet.answer_of(first).unwrap().is_granted());
 
     fleet.pass(fleet.cfg.settle);
-    let repeat = fleet.answer(1, key(&text));
+    let duplicate = fleet.answer(1, key(&text));
 
     let already_running = (Reason::AlreadyRunning, Outcome::Unknown);
-    assert_eq!(repeat.refusal(), already_running);
+    assert_eq!(duplicate.refusal(), already_running);
 }
 
 #[test]
@@ -107,9 +107,9 @@
     fleet.request(a, key("order-1"));
     fleet.restart(a, 1, &ALL);
 
-    let repeat = fleet.answer(b, key("order-1"));
+    let duplicate = fleet.answer(b, key("order-1"));
 
-    assert_eq!(repeat.refusal(), (Reason::HolderGone, Outcome::Unknown));
+    assert_eq!(duplicate.refusal(), (Reason::HolderGone, Outcome::Unknown));
 }
 
 // Guards against a second execution right after an instance was lost. The home grants a key and
@@ -278,9 +278,9 @@
     let abandoned = fleet.request(0, key(&text));
     fleet.end(0, abandoned, HolderState::Ended(PriorOutcome::Unknown));
 
-    let repeat = fleet.answer(1, key(&text));
+    let duplicate = fleet.answer(1, key(&text));
 
-    assert!(repeat.is_granted());
+    assert!(duplicate.is_granted());
 }
 
 #[test]
--- a/crates/core/tests/outcome_claims.rs
+++ b/crates/core/tests/outcome_claims.rs
@@ -95,11 +95,11 @@
 #[case(PriorOutcome::Partial { delivered: 7 }, Outcome::Partial, 7)]
 #[case(PriorOutcome::Complete, Outcome::Complete, 0)]
 fn a_duplicate_receives_the_outcome_of_the_first_request(
-    #[case] earlier: PriorOutcome,
+    #[case] prior: PriorOutcome,
     #[case] outcome: Outcome,
     #[case] delivered: u32,
 ) {
-    let verdict = Verdict::repeated(Reason::AlreadyRan, earlier);
+    let verdict = Verdict::duplicate(Reason::AlreadyRan, prior);
 
     assert_eq!(
         (verdict.outcome(), verdict.delivered()),
--- a/crates/core/tests/tickets_failures.rs
+++ b/crates/core/tests/tickets_failures.rs
@@ -80,7 +80,7 @@
     let requester = fleet.id(1);
     fleet.inject(0, requester, KeysMessage::Request(claim));
 
-    let repeat = fleet.answer(2, ticket);
+    let duplicate = fleet.answer(2, ticket);
     let refused = fleet.answer_of(lost).unwrap();
     fleet.heal();
     let late = KeysMessage::Granted {
@@ -90,7 +90,10 @@
     fleet.inject(1, issuer, late);
     let after_return = fleet.answer(2, ticket);
 
-    assert_eq!(repeat.refusal(), (Reason::AlreadyRunning, Outcome::Unknown));
+    assert_eq!(
+        duplicate.refusal(),
+        (Reason::AlreadyRunning, Outcome::Unknown)
+    );
     assert_eq!(refused.refusal(), (Reason::HomeSilent, Outcome::Unknown));
     assert!(after_return.is_granted());
 }
