--- a/crates/core/src/cell/config.rs
+++ b/crates/core/src/cell/config.rs
@@ -1,6 +1,6 @@
 //! Policy parameters of a cell.
 //!
-//! `docs/design/admission.md` describes how each default was chosen.
+//! `docs/design/admission.md` names the parameter sweep behind each default.
 
 use core::time::Duration;
 
--- a/crates/core/src/cell/queue/backlog.rs
+++ b/crates/core/src/cell/queue/backlog.rs
@@ -55,7 +55,7 @@
     pub fn sub(&mut self, deadline: Time, work: f64) {
         self.count -= 1;
         if self.count == 0 {
-            // Resets the sums so that rounding errors do not accumulate.
+            // Resets the sums so that rounding errors do not accumulate over days.
             self.tree.fill(0.0);
             self.total = 0.0;
             return;
