--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -36,7 +36,7 @@
 /// What became of one attempt.
 enum AttemptOutcome {
     /// The endpoint answered.
-    Answer(BufferedResponse),
+    Response(BufferedResponse),
     /// The endpoint did not run the call.
     NotRun,
     /// No connection could be made.
@@ -46,7 +46,7 @@
     /// The connection or the answer broke; the call may have run.
     Lost {
         /// When the answer had begun, if it had.
-        begun: Option<Instant>,
+        response_started: Option<Instant>,
     },
     /// The answer was another request's; the call may have run.
     WrongAttempt,
@@ -73,22 +73,22 @@
         let attempt = calls.attempt(&place).await;
         drop(in_use);
         calls.record(&place, &attempt).await;
-        let repeat = calls.may_retry(&attempt);
+        let will_retry = calls.may_retry(&attempt);
         log_event!(
             CallAttempt,
             attempt = job.name(),
             endpoint = place.name.as_str(),
             entry = job.entry().name.as_str(),
-            repeat = repeat,
+            repeat = will_retry,
             what = attempt.label(),
             status = attempt.status(),
             ms = job.arrived.elapsed().as_millis() as u64
         );
         ByReason::Attempts.add(attempt.label());
-        if repeat {
+        if will_retry {
             ByReason::Repeats.add(attempt.label());
         }
-        if !repeat {
+        if !will_retry {
             return calls.finish(attempt, &place);
         }
     }
@@ -98,15 +98,15 @@
     /// Returns the status of the endpoint's answer; 0 if there was none.
     fn status(&self) -> u16 {
         match self {
-            AttemptOutcome::Answer(answer) => answer.status.as_u16(),
+            AttemptOutcome::Response(response) => response.status.as_u16(),
             _ => 0,
         }
     }
 
     fn label(&self) -> &'static str {
         match self {
-            AttemptOutcome::Answer(answer) if answer.status.is_server_error() => "failed",
-            AttemptOutcome::Answer(_) => "answered",
+            AttemptOutcome::Response(response) if response.status.is_server_error() => "failed",
+            AttemptOutcome::Response(_) => "answered",
             AttemptOutcome::NotRun => "not_run",
             AttemptOutcome::NoConnection => "no_connection",
             AttemptOutcome::Withdrawn => "withdrawn",
@@ -152,17 +152,19 @@
             workspace: job.workspace_name(),
             ..ForwardHead::default()
         };
-        let (link, answer) = match job.send(place, &send).await {
+        let (link, response) = match job.send(place, &send).await {
             Ok(sent) => sent,
             Err(LinkError::Withdrawn) => return AttemptOutcome::Withdrawn,
             Err(error) if error.never_sent() => return AttemptOutcome::NoConnection,
             Err(error) => {
                 log::debug!("a call was lost: {error}");
-                return AttemptOutcome::Lost { begun: None };
+                return AttemptOutcome::Lost {
+                    response_started: None,
+                };
             }
         };
-        let begun = Some(Instant::now());
-        let (parts, body) = answer.into_parts();
+        let response_started = Some(Instant::now());
+        let (parts, body) = response.into_parts();
         let attempt = job.head.attempt.as_deref();
         let head = job
             .cx
@@ -176,31 +178,33 @@
             return AttemptOutcome::NotRun;
         }
         match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
-            Ok(body) => AttemptOutcome::Answer(BufferedResponse {
+            Ok(body) => AttemptOutcome::Response(BufferedResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body: body.to_bytes(),
             }),
             Err(error) => {
                 log::debug!("an answer of {} broke: {error}", place.name);
-                AttemptOutcome::Lost { begun }
+                AttemptOutcome::Lost { response_started }
             }
         }
     }
 
     async fn record(&mut self, place: &Place, attempt: &AttemptOutcome) {
         match attempt {
-            AttemptOutcome::Answer(answer) => {
+            AttemptOutcome::Response(response) => {
                 self.job.cx.state().endpoints.on_success(place.key);
-                if answer.status.is_success() {
+                if response.status.is_success() {
                     self.job.on_run_succeeded();
                 }
             }
             AttemptOutcome::NotRun | AttemptOutcome::Refused | AttemptOutcome::Withdrawn => {}
             AttemptOutcome::NoConnection => self.job.record_unreachable(place),
-            AttemptOutcome::Lost { begun } => {
+            AttemptOutcome::Lost { response_started } => {
                 self.job.record_failure(place);
-                self.job.on_connection_broken(place, *begun).await;
+                self.job
+                    .on_connection_broken(place, *response_started)
+                    .await;
             }
             AttemptOutcome::WrongAttempt | AttemptOutcome::Timeout => {
                 self.job.record_failure(place)
@@ -220,26 +224,26 @@
         if job.remaining() < MIN_RETRY_TIME || job.is_refused() {
             return false;
         }
-        let allowed = match attempt {
+        let may_retry = match attempt {
             // Nothing arrived anywhere, so that nothing is repeated.
             AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn => {
                 return self.attempts.refused() <= MAX_REFUSED_SENDS;
             }
             AttemptOutcome::NotRun => self.attempts.refused() <= MAX_REFUSED_SENDS,
-            AttemptOutcome::Answer(answer) if !answer.status.is_server_error() => false,
+            AttemptOutcome::Response(response) if !response.status.is_server_error() => false,
             AttemptOutcome::Refused => false,
-            AttemptOutcome::Answer(_)
+            AttemptOutcome::Response(_)
             | AttemptOutcome::Lost { .. }
             | AttemptOutcome::WrongAttempt
             | AttemptOutcome::Timeout => self.attempts.may_run_again(job.entry()),
         };
-        allowed && job.try_spend_retry(RepeatKind::Retry)
+        may_retry && job.try_spend_retry(RepeatKind::Retry)
     }
 
     fn refuse_unadmitted(&self, reason: Reason) -> Response<ResponseBody> {
         let reason = match reason {
             // An earlier attempt may have run, so that "not run" would be untrue.
-            Reason::TurnTaken if self.attempts.may_have_run() => Reason::AnswerLost,
+            Reason::TurnTaken if self.attempts.may_have_run() => Reason::ResponseLost,
             reason => reason,
         };
         self.log_failure("-", reason);
@@ -254,7 +258,7 @@
 
     fn refuse_unplaced(&self, why: NoPlace) -> Response<ResponseBody> {
         let reason = match why {
-            _ if self.attempts.may_have_run() => Reason::AnswerLost,
+            _ if self.attempts.may_have_run() => Reason::ResponseLost,
             why => Reason::from(why),
         };
         self.log_failure("-", reason);
@@ -263,23 +267,26 @@
 
     fn finish(&self, attempt: AttemptOutcome, place: &Place) -> Response<ResponseBody> {
         let reason = match attempt {
-            AttemptOutcome::Answer(mut answer) => {
+            AttemptOutcome::Response(mut response) => {
                 Histogram::Call.record(self.job.arrived.elapsed());
-                self.job.cx.wire.strip_response_headers(&mut answer.headers);
-                return answer.into_response();
+                self.job
+                    .cx
+                    .wire
+                    .strip_response_headers(&mut response.headers);
+                return response.into_response();
             }
             _ if self.job.is_refused() => self.job.log_refusal(),
             // An earlier attempt may have run, so that "not run" would be untrue.
             AttemptOutcome::NotRun | AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn
                 if self.attempts.may_have_run() =>
             {
-                Reason::AnswerLost
+                Reason::ResponseLost
             }
             AttemptOutcome::NotRun => Reason::NotRunAtEndpoint,
             AttemptOutcome::NoConnection => Reason::NoConnection,
             AttemptOutcome::Withdrawn => Reason::NoEndpoint,
-            AttemptOutcome::Lost { .. } => Reason::AnswerLost,
-            AttemptOutcome::WrongAttempt => Reason::AnswerForeign,
+            AttemptOutcome::Lost { .. } => Reason::ResponseLost,
+            AttemptOutcome::WrongAttempt => Reason::WrongAttempt,
             AttemptOutcome::Timeout => Reason::Timeout,
             AttemptOutcome::Refused => Reason::EndsEndpoints,
         };
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -95,11 +95,11 @@
     let ms = millis(begun.elapsed());
     let now = cx.now();
     match fetched {
-        Ok(news) => {
+        Ok(delta) => {
             ByReason::PeerAnswers.add("told");
-            log_event!(DeltaReceived, peer:% = peer, revision = news.revision, whole = news.whole,
-                records = news.records.len(), ms = ms);
-            apply_delta(cx, news);
+            log_event!(DeltaReceived, peer:% = peer, revision = delta.revision, whole = delta.whole,
+                records = delta.records.len(), ms = ms);
+            apply_delta(cx, delta);
         }
         Err(error) => {
             ByReason::PeerAnswers.add(error.label());
@@ -120,18 +120,22 @@
     }
 }
 
-fn apply_delta<W: Wire>(cx: &Cx<W>, news: News) {
-    let seen: BTreeMap<String, ()> = match news.whole {
-        true => news.records.iter().map(|it| (it.key.clone(), ())).collect(),
+fn apply_delta<W: Wire>(cx: &Cx<W>, delta: News) {
+    let seen: BTreeMap<String, ()> = match delta.whole {
+        true => delta
+            .records
+            .iter()
+            .map(|it| (it.key.clone(), ()))
+            .collect(),
         false => BTreeMap::new(),
     };
-    let has_news = apply(cx, Source::Peer, news.records);
-    if news.whole {
-        finish_full_read(cx, Source::Peer, &seen, news.revision);
+    let has_changes = apply(cx, Source::Peer, delta.records);
+    if delta.whole {
+        finish_full_read(cx, Source::Peer, &seen, delta.revision);
     } else {
-        cx.state().replica.reached(news.revision);
+        cx.state().replica.reached(delta.revision);
     }
-    if has_news {
+    if has_changes {
         // Who was told can tell it on, and the others must hear so at once.
         cx.state().announce();
         cx.gossip_due.notify_one();
@@ -232,6 +236,6 @@
 }
 
 fn encode<W: Wire>(cx: &Cx<W>, after: u64) -> io::Result<Vec<u8>> {
-    let news = cx.state().replica.news_for(after);
-    format::encode(&news).map_err(io::Error::other)
+    let delta = cx.state().replica.news_for(after);
+    format::encode(&delta).map_err(io::Error::other)
 }
--- a/crates/gateway/src/catch_up/format.rs
+++ b/crates/gateway/src/catch_up/format.rs
@@ -44,9 +44,9 @@
 /// # Errors
 ///
 /// Fails if the news is larger than [`MAX_DELTA_BYTES`].
-pub fn encode(news: &News) -> Result<Vec<u8>, bincode::error::EncodeError> {
+pub fn encode(delta: &News) -> Result<Vec<u8>, bincode::error::EncodeError> {
     let mut plain = vec![PLAIN];
-    bincode::serde::encode_into_std_write(news, &mut plain, config())?;
+    bincode::serde::encode_into_std_write(delta, &mut plain, config())?;
     if plain.len() <= LARGE_NEWS {
         return Ok(plain);
     }
@@ -77,6 +77,6 @@
 }
 
 fn records(bytes: &[u8]) -> Result<News, FormatError> {
-    let (news, _) = bincode::serde::decode_from_slice(bytes, config())?;
-    Ok(news)
+    let (delta, _) = bincode::serde::decode_from_slice(bytes, config())?;
+    Ok(delta)
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -40,20 +40,20 @@
 /// refused, have come back once already, and are lost: 16 to 31 of some 2,500 requests on
 /// a day whose instances all stop at once. Once the store is known not to answer, nobody
 /// waits.
-async fn first_catalogue<W: Wire>(cx: &Cx<W>, patience: Duration) -> Option<Arc<Catalogue>> {
-    let wait = FIRST_CATALOGUE_TIMEOUT.min(patience.mul_f64(FIRST_CATALOGUE_SHARE));
-    let until = tokio::time::Instant::now() + wait;
+async fn first_catalogue<W: Wire>(cx: &Cx<W>, caller_timeout: Duration) -> Option<Arc<Catalogue>> {
+    let wait = FIRST_CATALOGUE_TIMEOUT.min(caller_timeout.mul_f64(FIRST_CATALOGUE_SHARE));
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         let mut changed = core::pin::pin!(cx.replica_changed.notified());
         changed.as_mut().enable();
-        let (catalogue, store_is_away) = {
+        let (catalogue, store_is_unavailable) = {
             let state = cx.state();
             (state.servable().cloned(), state.reader.is_away())
         };
         if catalogue.is_some() {
             return catalogue;
         }
-        if store_is_away || tokio::time::timeout_at(until, changed).await.is_err() {
+        if store_is_unavailable || tokio::time::timeout_at(deadline, changed).await.is_err() {
             return None;
         }
     }
@@ -67,18 +67,18 @@
 ) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let head = cx.wire.caller_head(req.headers());
-    let patience = head.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+    let caller_timeout = head.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let attempt = head.attempt.clone();
     let refused = |reason: Reason| {
         let attempt = attempt.as_deref().unwrap_or("-");
         ByReason::Refused.add(&reason.to_string());
         log_event!(RefusedAtFront, attempt = attempt, reason:% = reason);
-        refuse(reason, patience)
+        refuse(reason, caller_timeout)
     };
     if !cx.accepts_call() {
         return refused(Reason::Stopping);
     }
-    let Some(catalogue) = first_catalogue(&cx, patience).await else {
+    let Some(catalogue) = first_catalogue(&cx, caller_timeout).await else {
         return refused(Reason::NoCatalogue);
     };
     let host = host_of(&req);
@@ -89,14 +89,14 @@
             if !is_valid_last_event_id(catalogue.entry(entry).repeat, &head) {
                 return refused(Reason::NoSuchEvent);
             }
-            let judged = MatchedRequest {
+            let matched = MatchedRequest {
                 catalogue,
                 entry,
                 workspace,
                 head,
                 arrived,
             };
-            match read_body(cx, judged, req).await {
+            match read_body(cx, matched, req).await {
                 Ok(job) => run(job, engines).await,
                 Err(reason) => refused(reason),
             }
@@ -136,23 +136,24 @@
 /// that a caller that stalls in the middle of it holds no place at an endpoint.
 async fn read_body<W: Wire>(
     cx: Arc<Cx<W>>,
-    judged: MatchedRequest,
+    matched: MatchedRequest,
     req: Request<Incoming>,
 ) -> Result<Job<W>, Reason> {
-    let entry = judged.catalogue.entry(judged.entry);
-    let patience = judged.head.timeout.unwrap_or(entry.timeout);
-    let ends = judged.arrived + patience.min(entry.timeout);
+    let entry = matched.catalogue.entry(matched.entry);
+    let caller_timeout = matched.head.timeout.unwrap_or(entry.timeout);
+    let deadline = matched.arrived + caller_timeout.min(entry.timeout);
     let host = host_of(&req).to_owned();
     let (parts, body) = req.into_parts();
-    let limit = judged.catalogue.limits().max_body_bytes;
-    let collected = tokio::time::timeout_at(ends.into(), Limited::new(body, limit).collect()).await;
+    let limit = matched.catalogue.limits().max_body_bytes;
+    let collected =
+        tokio::time::timeout_at(deadline.into(), Limited::new(body, limit).collect()).await;
     let body: Bytes = match collected {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(Reason::BodyTooLarge),
         Ok(Err(_)) => return Err(Reason::BodyBroken),
         Err(_) => return Err(Reason::WaitTooLong),
     };
-    let workspace = judged.workspace.map(|id| judged.catalogue.workspace(id));
+    let workspace = matched.workspace.map(|id| matched.catalogue.workspace(id));
     let fingerprint = Fingerprint::of(&Identity {
         deployment: cx.state().deployment(),
         workspace: workspace.map(|it| it.name.as_str()),
@@ -165,25 +166,25 @@
     let now = cx.now();
     let mut state = cx.state();
     let draw = state.draw();
-    let service = judged.catalogue.draw_service(judged.entry, draw);
-    let name = &judged.catalogue.service(service).name;
+    let service = matched.catalogue.draw_service(matched.entry, draw);
+    let name = &matched.catalogue.service(service).name;
     state.budget.on_request(now, name);
     drop(state);
     Ok(Job {
         cx,
-        catalogue: judged.catalogue,
-        entry: judged.entry,
-        workspace: judged.workspace,
+        catalogue: matched.catalogue,
+        entry: matched.entry,
+        workspace: matched.workspace,
         service,
-        head: judged.head,
+        head: matched.head,
         method: parts.method,
         uri: origin_form(parts.uri),
         headers: parts.headers,
         body,
         fingerprint,
         run,
-        arrived: judged.arrived,
-        deadline: ends,
+        arrived: matched.arrived,
+        deadline: deadline,
     })
 }
 
--- a/crates/gateway/src/front/connection.rs
+++ b/crates/gateway/src/front/connection.rs
@@ -60,19 +60,19 @@
         activity: Arc::clone(&activity),
     });
     let service = service_fn(|req| {
-        let answer = handle(Arc::clone(&cx), engines.clone(), req);
+        let response = handle(Arc::clone(&cx), engines.clone(), req);
         let (activity, cx) = (Arc::clone(&activity), Arc::clone(&cx));
         async move {
             let open = cx.count(OpenKind::Request);
             activity.begin_request();
-            let mut answer = answer.await;
+            let mut response = response.await;
             activity.end_request();
             if cx.stopping.is_cancelled() {
                 let close = HeaderValue::from_static("close");
-                answer.headers_mut().insert(header::CONNECTION, close);
+                response.headers_mut().insert(header::CONNECTION, close);
             }
             drop(open);
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
     let mut builder = http1::Builder::new();
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -83,37 +83,37 @@
 async fn on_datagram<W: Wire>(cx: &Cx<W>, socket: &UdpSocket, datagram: Datagram) {
     let now = cx.now();
     let (from, life) = (datagram.from.address, datagram.from.life);
-    let heard = cx.state().hear(now, datagram);
-    let heard = match heard {
-        Ok(heard) => heard,
+    let received = cx.state().hear(now, datagram);
+    let received = match received {
+        Ok(received) => received,
         Err(why) => return log_dropped(from, why.word()),
     };
-    cx.announce_leaving(&heard.leaving);
-    for (cordon, effect) in &heard.cordons {
+    cx.announce_leaving(&received.leaving);
+    for (cordon, effect) in &received.cordons {
         cx.announce_cordon(cordon, *effect, Source::Peer);
     }
-    for change in &heard.limits {
+    for change in &received.limits {
         cx.announce_limit(change, Source::Peer);
     }
-    if heard.is_new {
+    if received.is_new {
         log_event!(PeerJoined, peer:% = from, incarnation = life.0);
     }
-    for peer in heard.gone {
+    for peer in received.gone {
         log_event!(PeerGone, peer:% = peer);
     }
     if cx.state().is_behind() {
         cx.catch_up_due.notify_one();
     }
-    if heard.tell_soon {
+    if received.tell_soon {
         cx.gossip_due.notify_one();
     }
-    if heard.decided {
+    if received.decided {
         cx.decided.notify_waiters();
     }
-    if heard.suspected {
+    if received.suspected {
         cx.announce_suspects();
     }
-    send_all(cx, socket, heard.send).await;
+    send_all(cx, socket, received.send).await;
 }
 
 fn log_dropped(from: impl core::fmt::Display, why: &str) {
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -194,8 +194,11 @@
     /// Returns the gateway's own answer, which says when to come back.
     pub fn refuse(&self, reason: Reason) -> Response<ResponseBody> {
         ByReason::Refused.add(&reason.to_string());
-        let patience = self.head.timeout.unwrap_or(self.entry().timeout);
-        refuse(reason, patience.saturating_sub(self.arrived.elapsed()))
+        let caller_timeout = self.head.timeout.unwrap_or(self.entry().timeout);
+        refuse(
+            reason,
+            caller_timeout.saturating_sub(self.arrived.elapsed()),
+        )
     }
 
     /// Chooses an endpoint for a call and counts it there until [`UsageGuard`] is dropped.
@@ -220,13 +223,14 @@
     /// Returns why there is none.
     pub async fn request_placement(
         &self,
-        asked: PlacementParams<'_>,
-        until: Instant,
+        params: PlacementParams<'_>,
+        deadline: Instant,
     ) -> Result<(Place, UsageGuard<W>), NoPlace> {
-        let begin = |state: &mut Gateway, place: &Place| self.begin_use(state, place, asked.tokens);
-        let (place, begun) = request_placement(self, asked, until, begin).await?;
+        let begin =
+            |state: &mut Gateway, place: &Place| self.begin_use(state, place, params.tokens);
+        let (place, begun) = request_placement(self, params, deadline, begin).await?;
         self.cx.gossip_due.notify_one();
-        Ok(self.placed(place, asked.tokens, begun))
+        Ok(self.placed(place, params.tokens, begun))
     }
 
     /// Asks for a place for a copy of what runs at `source`, and counts it there.
@@ -236,7 +240,7 @@
         kind: CopyKind,
         tokens: u32,
     ) -> Option<(Place, CopyUsageGuard<W>)> {
-        let asked = PlacementParams {
+        let params = PlacementParams {
             kind: Want::Copy { source, kind },
             tokens,
             exclude: &[],
@@ -249,8 +253,8 @@
                 tokens,
             }
         };
-        let until = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
-        let found = request_placement(self, asked, until, begin).await.ok();
+        let deadline = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
+        let found = request_placement(self, params, deadline, begin).await.ok();
         self.cx.gossip_due.notify_one();
         found
     }
@@ -352,8 +356,8 @@
         if is_withdrawn {
             return Err(LinkError::Withdrawn);
         }
-        let answer = link.send(self.request(send)).await?;
-        Ok((link, answer))
+        let response = link.send(self.request(send)).await?;
+        Ok((link, response))
     }
 }
 
--- a/crates/gateway/src/page.rs
+++ b/crates/gateway/src/page.rs
@@ -37,7 +37,7 @@
 }
 
 /// Answers each request with what `answer` returns, for good.
-pub async fn serve<F>(listener: TcpListener, answer: F)
+pub async fn serve<F>(listener: TcpListener, handler: F)
 where
     F: Fn(PageRequest) -> Response<ResponseBody> + Clone + Send + Sync + 'static,
 {
@@ -51,15 +51,15 @@
             }
         };
         let from_here = is_local(&stream);
-        let answer = answer.clone();
+        let handler = handler.clone();
         tokio::spawn(async move {
             let service = service_fn(|req: Request<Incoming>| {
-                let answer = answer(PageRequest {
+                let response = handler(PageRequest {
                     method: req.method().clone(),
                     path: req.uri().path().to_owned(),
                     is_local: from_here,
                 });
-                async move { Ok::<_, Infallible>(answer) }
+                async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Ok(Err(error)) = timeout(CONNECTION_LIMIT, connection).await {
@@ -104,10 +104,10 @@
 
 impl<W: Wire> OperatorsPage<W> {
     /// Answers one question.
-    pub fn answer(&self, asked: &PageRequest) -> Response<ResponseBody> {
-        match (&asked.method, asked.path.as_str()) {
+    pub fn handle(&self, request: &PageRequest) -> Response<ResponseBody> {
+        match (&request.method, request.path.as_str()) {
             (&Method::GET, "/status") => self.status(),
-            (&Method::POST, "/drain") if asked.is_local => {
+            (&Method::POST, "/drain") if request.is_local => {
                 self.stop.cancel();
                 json(br#"{"readiness":"stopping"}"#.to_vec())
             }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -58,17 +58,17 @@
 /// Returns why there is no place.
 pub async fn request_placement<W: Wire, T>(
     job: &Job<W>,
-    asked: PlacementParams<'_>,
-    until: Instant,
-    take: impl Fn(&mut Gateway, &Place) -> T,
+    params: PlacementParams<'_>,
+    deadline: Instant,
+    on_granted: impl Fn(&mut Gateway, &Place) -> T,
 ) -> Result<(Place, T), NoPlace> {
     let cx = &job.cx;
-    let waiter = job.queued_request(asked.tokens);
+    let waiter = job.queued_request(params.tokens);
     let (id, service) = (waiter.id, waiter.service);
     let request = PlacementRequest {
         waiter,
-        want: asked.kind,
-        exclude: asked.exclude.to_vec(),
+        want: params.kind,
+        exclude: params.exclude.to_vec(),
     };
     cx.state().ask(cx.now(), request);
     cx.gossip_due.notify_one();
@@ -87,17 +87,17 @@
             return Err(NoPlace::Cordoned);
         }
         let now = cx.now();
-        let is_over = Instant::now() >= until;
-        let mut look = POLL_INTERVAL;
+        let is_past_deadline = Instant::now() >= deadline;
+        let mut poll_interval = POLL_INTERVAL;
         let why = {
             let mut state = cx.state();
             match state.verdict(now, id) {
                 Verdict::Decided(Decision::Granted(key)) => {
                     if let Some(place) = state.place_at(key) {
-                        let taken = take(&mut state, &place);
+                        let granted = on_granted(&mut state, &place);
                         state.ask_no_longer(id);
                         ByReason::Places.add("home");
-                        return Ok((place, taken));
+                        return Ok((place, granted));
                     }
                     // It began to leave while the answer was under way.
                     state.ask_again(now, id);
@@ -105,32 +105,32 @@
                 }
                 Verdict::Decided(Decision::Denied(why)) => return Err(why),
                 Verdict::Decided(Decision::Waits(why)) => {
-                    look = QUEUED_POLL_INTERVAL;
+                    poll_interval = QUEUED_POLL_INTERVAL;
                     why
                 }
                 Verdict::Asked => NoPlace::Full,
                 Verdict::Unanswered => {
                     state.home_unanswered(now, service, id);
-                    let demand = job.demand(asked.tokens, asked.exclude);
-                    match state.place_alone(now, &demand, asked.kind) {
+                    let demand = job.demand(params.tokens, params.exclude);
+                    match state.place_alone(now, &demand, params.kind) {
                         Ok(place) => {
-                            let taken = take(&mut state, &place);
+                            let granted = on_granted(&mut state, &place);
                             state.ask_no_longer(id);
                             drop(state);
                             log_placed_without_home(job, &place);
-                            return Ok((place, taken));
+                            return Ok((place, granted));
                         }
-                        Err(why) if asked.kind != Want::Place => return Err(why),
+                        Err(why) if params.kind != Want::Place => return Err(why),
                         Err(why) => why,
                     }
                 }
             }
         };
-        if is_over {
+        if is_past_deadline {
             return Err(why);
         }
         // Time that is over is not told by anybody, so the wait is bounded.
-        let _ = tokio::time::timeout(look, decided).await;
+        let _ = tokio::time::timeout(poll_interval, decided).await;
     }
 }
 
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -59,16 +59,16 @@
 impl<W: Wire> Job<W> {
     /// Finds out what became of the endpoint whose connection ended before its answer, which
     /// had begun at `begun` if it had.
-    pub async fn on_connection_broken(&self, place: &Place, begun: Option<Instant>) {
-        let begun = begun.map(|at| at.elapsed());
-        if begun.is_some_and(|it| it >= RAN_WELL_AFTER) {
+    pub async fn on_connection_broken(&self, place: &Place, response_started: Option<Instant>) {
+        let response_started = response_started.map(|at| at.elapsed());
+        if response_started.is_some_and(|it| it >= RAN_WELL_AFTER) {
             return self.on_run_succeeded();
         }
         let found = probe(place.address.into()).await;
         log_event!(ConnectionBroken, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), endpoint = place.name.as_str(),
-            found = found.label(), has_begun = begun.is_some(),
-            begun_ms = begun.unwrap_or_default().as_millis() as u64);
+            found = found.label(), has_begun = response_started.is_some(),
+            begun_ms = response_started.unwrap_or_default().as_millis() as u64);
         match found {
             ProbeResult::Refused => self.on_endpoint_crash(place),
             ProbeResult::Unknown => {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -61,7 +61,7 @@
         headers: HeaderMap,
     },
     /// The engine gave a final answer without events.
-    Answer(BufferedResponse),
+    Response(BufferedResponse),
     /// It failed and may have run.
     Failed {
         /// The request.
@@ -69,7 +69,7 @@
         /// Where it was.
         attempts: Attempts,
         /// What the caller gets unless it runs again.
-        answer: Response<ResponseBody>,
+        response: Response<ResponseBody>,
     },
     /// The engine did not run it.
     NotRun {
@@ -166,12 +166,12 @@
                 let _ = started.send(StartOutcome::Streaming { status, headers });
                 upstream
             }
-            AttemptStart::FinalResponse(answer) if answer.status.is_server_error() => {
-                let _ = started.send(self.failed(answer.into_response()));
+            AttemptStart::FinalResponse(response) if response.status.is_server_error() => {
+                let _ = started.send(self.failed(response.into_response()));
                 return;
             }
-            AttemptStart::FinalResponse(answer) => {
-                let _ = started.send(StartOutcome::Answer(answer));
+            AttemptStart::FinalResponse(response) => {
+                let _ = started.send(StartOutcome::Response(response));
                 return;
             }
             AttemptStart::NotRun { reached_engine } => {
@@ -189,8 +189,8 @@
             }
             AttemptStart::Failed(reason) => {
                 self.log_end(&reason.to_string());
-                let answer = refuse(reason, self.job.remaining());
-                let _ = started.send(self.failed(answer));
+                let response = refuse(reason, self.job.remaining());
+                let _ = started.send(self.failed(response));
                 return;
             }
         };
@@ -198,13 +198,13 @@
     }
 
     /// Gives the request back after it may have run.
-    fn failed(self, answer: Response<ResponseBody>) -> StartOutcome<W> {
+    fn failed(self, response: Response<ResponseBody>) -> StartOutcome<W> {
         let mut attempts = self.attempts;
         attempts.record_run(self.engine.key);
         StartOutcome::Failed {
             job: Box::new(self.job),
             attempts,
-            answer,
+            response,
         }
     }
 
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -46,7 +46,9 @@
             match self.send_and_wait().await {
                 SendOutcome::Timeout => return AttemptStart::Failed(Reason::Timeout),
                 SendOutcome::Refused => return AttemptStart::Failed(self.job.log_refusal()),
-                SendOutcome::Sent(Ok((link, answer))) => return self.read_head(link, answer).await,
+                SendOutcome::Sent(Ok((link, response))) => {
+                    return self.read_head(link, response).await;
+                }
                 SendOutcome::Sent(Err(error)) => break error,
                 SendOutcome::Reassign(place, in_use) => self.reassign(place, in_use).await,
             }
@@ -64,7 +66,7 @@
         log::debug!("a generation was lost before its first event: {error}");
         match self.job.is_refused() {
             true => AttemptStart::Failed(self.job.log_refusal()),
-            false => AttemptStart::Failed(Reason::AnswerLost),
+            false => AttemptStart::Failed(Reason::ResponseLost),
         }
     }
 
@@ -112,13 +114,13 @@
     pub(super) async fn engine_with_room(&self) -> Option<(Place, UsageGuard<W>)> {
         let mut tried = self.attempts.tried().to_vec();
         tried.push(self.engine.key);
-        let asked = PlacementParams {
+        let params = PlacementParams {
             kind: Want::Aside,
             tokens: self.reserved_tokens,
             exclude: &tried,
         };
-        let until = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
-        let chosen = self.job.request_placement(asked, until).await.ok()?;
+        let deadline = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
+        let chosen = self.job.request_placement(params, deadline).await.ok()?;
         self.job
             .try_spend_retry(RepeatKind::ReadAnew)
             .then_some(chosen)
@@ -146,14 +148,14 @@
     pub(super) async fn read_head(
         &mut self,
         link: Link,
-        answer: Response<Incoming>,
+        response: Response<Incoming>,
     ) -> AttemptStart {
-        let (parts, body) = answer.into_parts();
+        let (parts, body) = response.into_parts();
         let attempt = self.job.head.attempt.as_deref();
         let wire = &self.job.cx.wire;
         let head = wire.response_head(parts.status, &parts.headers, attempt);
         if head.wrong_attempt {
-            return AttemptStart::Failed(Reason::AnswerForeign);
+            return AttemptStart::Failed(Reason::WrongAttempt);
         }
         self.job
             .observe_response_head(&self.engine, &head, link.sent);
@@ -179,7 +181,7 @@
                 headers,
                 body: body.to_bytes(),
             }),
-            _ => AttemptStart::Failed(Reason::AnswerLost),
+            _ => AttemptStart::Failed(Reason::ResponseLost),
         }
     }
 
--- a/crates/gateway/src/relay/resume.rs
+++ b/crates/gateway/src/relay/resume.rs
@@ -224,7 +224,7 @@
         let limit = self.job.remaining();
         let sent = tokio::time::timeout(limit, self.send(copy)).await;
         let begun = match sent {
-            Ok(Ok((link, answer))) => self.read_head(link, answer).await,
+            Ok(Ok((link, response))) => self.read_head(link, response).await,
             Ok(Err(error)) => {
                 log::debug!("a generation could not go on: {error}");
                 if !matches!(error, LinkError::Withdrawn) {
@@ -233,13 +233,15 @@
                 if !error.never_sent() {
                     self.job.on_connection_broken(&self.engine, None).await;
                 }
-                AttemptStart::Failed(Reason::AnswerLost)
+                AttemptStart::Failed(Reason::ResponseLost)
             }
             Err(_) => AttemptStart::Failed(Reason::Timeout),
         };
         match &begun {
             AttemptStart::Stream { .. } => {}
-            AttemptStart::FinalResponse(answer) => self.log_resume_failure(answer.status.as_str()),
+            AttemptStart::FinalResponse(response) => {
+                self.log_resume_failure(response.status.as_str())
+            }
             AttemptStart::NotRun { .. } => self.log_resume_failure("not_run"),
             AttemptStart::Failed(reason) => self.log_resume_failure(&reason.to_string()),
         }
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -65,9 +65,9 @@
     /// stopping
     Stopping,
     /// answer_lost
-    AnswerLost,
+    ResponseLost,
     /// answer_foreign
-    AnswerForeign,
+    WrongAttempt,
     /// timeout
     Timeout,
     /// budget_spent
@@ -101,7 +101,7 @@
             | Reason::NoConnection
             | Reason::TurnTaken
             | Reason::Stopping => StatusCode::SERVICE_UNAVAILABLE,
-            Reason::AnswerLost | Reason::AnswerForeign | Reason::BudgetSpent => {
+            Reason::ResponseLost | Reason::WrongAttempt | Reason::BudgetSpent => {
                 StatusCode::BAD_GATEWAY
             }
             Reason::Timeout => StatusCode::GATEWAY_TIMEOUT,
@@ -121,25 +121,25 @@
 }
 
 /// Returns after which time a caller that waits for `left` more should come back.
-pub fn retry_after(reason: Reason, left: Duration) -> Duration {
+pub fn retry_after(reason: Reason, remaining: Duration) -> Duration {
     let latest = match reason {
         Reason::EndpointsFull | Reason::Cordoned => RETRY_MAX_FULL,
         _ => RETRY_MAX,
     };
-    let share = left.mul_f64(RETRY_SHARE);
+    let share = remaining.mul_f64(RETRY_SHARE);
     share.clamp(RETRY_MIN, latest).min(share)
 }
 
 /// Returns the answer for `reason` to a caller that waits for `left` more.
-pub fn refuse(reason: Reason, left: Duration) -> Response<ResponseBody> {
+pub fn refuse(reason: Reason, remaining: Duration) -> Response<ResponseBody> {
     let status = reason.status();
-    let mut answer = Response::builder().status(status);
+    let mut response = Response::builder().status(status);
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        let seconds = retry_after(reason, left).as_secs_f64();
-        answer = answer.header(header::RETRY_AFTER, format!("{seconds:.3}"));
+        let seconds = retry_after(reason, remaining).as_secs_f64();
+        response = response.header(header::RETRY_AFTER, format!("{seconds:.3}"));
     }
     let body = format!("{{\"error\":\"{reason}\"}}\n");
-    answer
+    response
         .header(header::CONTENT_TYPE, "application/json")
         .body(full_body(body.into()))
         .unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -31,9 +31,9 @@
 fn stop_plan(settings: &RunConfig) -> StopPlan {
     let now = std::time::Instant::now();
     let ends = now + settings.grace;
-    let takes_for = settings.notice.saturating_sub(GENERATION_CUTOFF);
+    let accepts_for = settings.notice.saturating_sub(GENERATION_CUTOFF);
     StopPlan {
-        no_generations_from: now + takes_for,
+        no_generations_from: now + accepts_for,
         no_calls_from: ends.checked_sub(CALL_CUTOFF).unwrap_or(now),
         deadline: ends,
     }
@@ -208,33 +208,35 @@
         let cx = Cx::new(wire, clock, settings.limits, state);
         let callers = TaskTracker::new();
         let socket = Arc::new(self.socket);
-        let mut parts = JoinSet::new();
-        parts.spawn(store::follow_store(Arc::clone(&cx), store_client));
-        parts.spawn(gossip::send_loop(Arc::clone(&cx), Arc::clone(&socket)));
-        parts.spawn(gossip::receive_loop(Arc::clone(&cx), socket));
-        parts.spawn(catch_up::serve_deltas(Arc::clone(&cx), self.peers));
-        parts.spawn(catch_up::catch_up(Arc::clone(&cx)));
-        let asked = Arc::clone(&cx);
-        parts.spawn(page::serve(self.readiness, move |_| {
-            page::readiness(&asked)
+        let mut tasks = JoinSet::new();
+        tasks.spawn(store::follow_store(Arc::clone(&cx), store_client));
+        tasks.spawn(gossip::send_loop(Arc::clone(&cx), Arc::clone(&socket)));
+        tasks.spawn(gossip::receive_loop(Arc::clone(&cx), socket));
+        tasks.spawn(catch_up::serve_deltas(Arc::clone(&cx), self.peers));
+        tasks.spawn(catch_up::catch_up(Arc::clone(&cx)));
+        let readiness_cx = Arc::clone(&cx);
+        tasks.spawn(page::serve(self.readiness, move |_| {
+            page::readiness(&readiness_cx)
         }));
-        if let (Some(listener), Some(shown)) = (self.metrics, settings.metrics) {
+        if let (Some(listener), Some(page)) = (self.metrics, settings.metrics) {
             let operators = OperatorsPage {
                 cx: Arc::clone(&cx),
                 instance: settings.name.as_str().into(),
-                metrics: shown.render,
+                metrics: page.render,
                 stop: stop.clone(),
             };
-            parts.spawn(page::serve(listener, move |asked| operators.answer(&asked)));
+            tasks.spawn(page::serve(listener, move |request| {
+                operators.handle(&request)
+            }));
         }
-        parts.spawn(apply_reloads(Arc::clone(&cx), reloads));
+        tasks.spawn(apply_reloads(Arc::clone(&cx), reloads));
         let front = front::serve(Arc::clone(&cx), engines, self.front, callers.clone());
-        let door = parts.spawn(front);
+        let acceptor = tasks.spawn(front);
         tokio::select! {
             () = stop.cancelled() => {}
-            _ = parts.join_next() => return Err(RunError::TaskEnded),
+            _ = tasks.join_next() => return Err(RunError::TaskEnded),
         }
-        stop_gracefully(&cx, &settings, &callers, &door).await;
+        stop_gracefully(&cx, &settings, &callers, &acceptor).await;
         Ok(())
     }
 }
@@ -250,7 +252,7 @@
     cx: &Arc<Cx<W>>,
     settings: &RunConfig,
     callers: &TaskTracker,
-    door: &AbortHandle,
+    acceptor: &AbortHandle,
 ) {
     let begun = Instant::now();
     cx.begin_stop(stop_plan(settings));
@@ -259,7 +261,7 @@
     while cx.open_count(OpenKind::Generation) > 0 && begun.elapsed() < door_closes {
         sleep(STOP_POLL_INTERVAL).await;
     }
-    door.abort();
+    acceptor.abort();
     cx.closing.cancel();
     callers.close();
     let left = settings.grace.saturating_sub(begun.elapsed());
--- a/crates/gateway/src/run_lease.rs
+++ b/crates/gateway/src/run_lease.rs
@@ -62,8 +62,8 @@
     ///
     /// Returns why it may not.
     pub async fn wait_until_admitted(&self) -> Result<(), Reason> {
-        let until = (self.arrived + self.entry().target).min(self.deadline);
-        self.admitted_until(until).await
+        let deadline = (self.arrived + self.entry().target).min(self.deadline);
+        self.admitted_until(deadline).await
     }
 
     /// Waits until a generation may go on at another engine.
@@ -72,11 +72,11 @@
     ///
     /// Returns why it may not.
     pub async fn wait_until_admitted_to_resume(&self) -> Result<(), Reason> {
-        let until = (Instant::now() + RESUME_ADMISSION_TIMEOUT).min(self.deadline);
-        self.admitted_until(until).await
+        let deadline = (Instant::now() + RESUME_ADMISSION_TIMEOUT).min(self.deadline);
+        self.admitted_until(deadline).await
     }
 
-    async fn admitted_until(&self, until: Instant) -> Result<(), Reason> {
+    async fn admitted_until(&self, deadline: Instant) -> Result<(), Reason> {
         let cx = &self.cx;
         loop {
             let mut decided = core::pin::pin!(cx.decided.notified());
@@ -85,7 +85,7 @@
                 Admission::Go => return Ok(()),
                 Admission::Refused => return Err(self.log_refusal()),
                 Admission::NoHome => return Err(Reason::TurnTaken),
-                Admission::Wait if Instant::now() >= until => return Err(Reason::TurnTaken),
+                Admission::Wait if Instant::now() >= deadline => return Err(Reason::TurnTaken),
                 Admission::Wait => cx.gossip_due.notify_one(),
             }
             // Time that is over is not told by anybody, so the wait is bounded.
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -44,12 +44,12 @@
 async fn read_all<W: Wire, S: Store>(cx: &Cx<W>, store: &S) -> Result<(), CallFailure> {
     let mut seen = BTreeMap::new();
     let mut after: Option<String> = None;
-    let mut began = None;
+    let mut first_revision = None;
     loop {
         let page = store.page(after.as_deref(), PAGE_TIMEOUT).await?;
         // Pages are no snapshot: what was written after the first one may be missing
         // from the others, so that only the first page's revision is certain.
-        let began = *began.get_or_insert(page.revision);
+        let first_revision = *first_revision.get_or_insert(page.revision);
         for record in &page.records {
             seen.insert(record.key.clone(), ());
         }
@@ -62,7 +62,7 @@
         match page.next {
             Some(next) => after = Some(next),
             None => {
-                finish_full_read(cx, Source::Store, &seen, began);
+                finish_full_read(cx, Source::Store, &seen, first_revision);
                 let now = cx.now();
                 cx.state().note_behind(now);
                 return Ok(());
@@ -76,27 +76,27 @@
     cx: &Cx<W>,
     from: Source,
     seen: &BTreeMap<String, ()>,
-    began: u64,
+    first_revision: u64,
 ) {
-    let missing = cx.state().replica.missing_from(seen, began);
+    let missing = cx.state().replica.missing_from(seen, first_revision);
     apply(cx, from, missing);
-    cx.state().replica.read_whole(began);
-    lift_missing_cordons(cx, from, began);
+    cx.state().replica.read_whole(first_revision);
+    lift_missing_cordons(cx, from, first_revision);
     cx.replica_changed.notify_waiters();
 }
 
 /// Lifts cordons that peers told of and that were gone from the store at revision `began`: the
 /// records that closed and opened the data centre may both have been missed.
-fn lift_missing_cordons<W: Wire>(cx: &Cx<W>, from: Source, began: u64) {
+fn lift_missing_cordons<W: Wire>(cx: &Cx<W>, from: Source, first_revision: u64) {
     let now = cx.now();
     let mut lifted = Vec::new();
     let mut state = cx.state();
     for (data_centre, revision, _) in state.endpoints.cordons().closed() {
         let is_there = state.replica.has(&cx.wire.cordon_key(data_centre));
-        if revision < began && !is_there {
+        if revision < first_revision && !is_there {
             lifted.push(Cordon {
                 data_centre: data_centre.to_owned(),
-                revision: began,
+                revision: first_revision,
                 is_closed: false,
             });
         }
@@ -115,20 +115,20 @@
 /// be large, on the way, and nearly here.
 async fn watch<W: Wire, S: Store>(cx: &Cx<W>, store: &S) {
     let after = cx.state().replica.revision();
-    let answer = store
+    let response = store
         .watch(after, WATCH_WAIT, WATCH_WAIT + ANSWER_SLACK)
         .await;
     let mut answered: fn(&mut StoreReader, Time) -> bool = StoreReader::on_answer;
-    let result = answer.map(|changes| {
+    let result = response.map(|changes| {
         if !changes.records.is_empty() {
             answered = StoreReader::on_changes;
         }
-        let has_news = apply(cx, Source::Store, changes.records);
+        let has_changes = apply(cx, Source::Store, changes.records);
         let now = cx.now();
         let mut state = cx.state();
         state.replica.reached(changes.revision);
         state.note_behind(now);
-        if has_news {
+        if has_changes {
             state.announce();
             drop(state);
             cx.gossip_due.notify_one();
@@ -192,7 +192,7 @@
 /// Takes records in and does what follows from those that are news; returns whether any is.
 pub fn apply<W: Wire>(cx: &Cx<W>, from: Source, records: Vec<Record>) -> bool {
     let mut left = Vec::new();
-    let mut has_news = false;
+    let mut has_changes = false;
     for record in records {
         if !cx.state().replica.is_newer(&record) {
             continue;
@@ -202,7 +202,7 @@
         if cx.state().replica.apply(record.clone(), mark) != Applied::News {
             continue;
         }
-        has_news = true;
+        has_changes = true;
         let now = cx.now();
         match published {
             Published::Catalogue(source) => apply_catalogue(cx, from, source),
@@ -228,10 +228,10 @@
         }
     }
     cx.announce_leaving(&left);
-    if has_news {
+    if has_changes {
         cx.replica_changed.notify_waiters();
     }
-    has_news
+    has_changes
 }
 
 fn log_unreadable(record: &Record, why: &str) {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -61,29 +61,29 @@
             continue;
         }
         match start(job, engines.clone(), attempts, chosen, length).await {
-            GenerationStart::Ended(answer) => return answer,
+            GenerationStart::Ended(response) => return response,
             GenerationStart::NotRun {
-                job: returned,
-                attempts: so_far,
+                job: returned_job,
+                attempts: returned_attempts,
                 reached_engine,
             } => {
-                (job, attempts) = (*returned, so_far);
-                let may_repeat = !reached_engine || job.try_spend_retry(RepeatKind::Retry);
-                if attempts.refused() > MAX_REFUSED_SENDS || !may_repeat {
+                (job, attempts) = (*returned_job, returned_attempts);
+                let may_retry = !reached_engine || job.try_spend_retry(RepeatKind::Retry);
+                if attempts.refused() > MAX_REFUSED_SENDS || !may_retry {
                     return refuse_generation(&job, &attempts, Reason::NotRunAtEndpoint);
                 }
             }
             GenerationStart::Failed {
-                job: returned,
-                attempts: so_far,
-                answer,
+                job: returned_job,
+                attempts: returned_attempts,
+                response,
             } => {
-                (job, attempts) = (*returned, so_far);
-                let may_repeat = attempts.may_run_again(job.entry())
+                (job, attempts) = (*returned_job, returned_attempts);
+                let may_retry = attempts.may_run_again(job.entry())
                     && job.remaining() > MIN_RETRY_TIME
                     && !job.is_refused();
-                if !may_repeat || !job.try_spend_retry(RepeatKind::Retry) {
-                    return answer;
+                if !may_retry || !job.try_spend_retry(RepeatKind::Retry) {
+                    return response;
                 }
             }
             GenerationStart::Lost => {
@@ -114,7 +114,7 @@
     Failed {
         job: Box<Job<W>>,
         attempts: Attempts,
-        answer: Response<ResponseBody>,
+        response: Response<ResponseBody>,
     },
     /// The relay ended without a word, which only a fault of it can cause.
     Lost,
@@ -134,15 +134,15 @@
         Ok(StartOutcome::Streaming { status, headers }) => {
             GenerationStart::Ended(streamed(status, headers, rx))
         }
-        Ok(StartOutcome::Answer(answer)) => GenerationStart::Ended(answer.into_response()),
+        Ok(StartOutcome::Response(response)) => GenerationStart::Ended(response.into_response()),
         Ok(StartOutcome::Failed {
             job,
             attempts,
-            answer,
+            response,
         }) => GenerationStart::Failed {
             job,
             attempts,
-            answer,
+            response,
         },
         Ok(StartOutcome::NotRun {
             job,
@@ -160,11 +160,11 @@
 fn streamed(
     status: StatusCode,
     mut headers: HeaderMap,
-    pieces: mpsc::Receiver<Chunk>,
+    chunks: mpsc::Receiver<Chunk>,
 ) -> Response<ResponseBody> {
     // The length of what an engine sent says nothing when another goes on.
     headers.remove(header::CONTENT_LENGTH);
-    let mut response = Response::new(ChunkBody { pieces }.boxed_unsync());
+    let mut response = Response::new(ChunkBody { chunks }.boxed_unsync());
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
@@ -176,13 +176,13 @@
     tried: &[EndpointKey],
 ) -> Result<(Place, UsageGuard<W>), Reason> {
     let limit = job.entry().target.mul_f64(WAIT_TARGET_FACTOR);
-    let until = (job.arrived + limit).min(job.deadline);
-    let asked = PlacementParams {
+    let deadline = (job.arrived + limit).min(job.deadline);
+    let params = PlacementParams {
         kind: Want::Place,
         tokens,
         exclude: tried,
     };
-    job.request_placement(asked, until)
+    job.request_placement(params, deadline)
         .await
         .map_err(Reason::from)
 }
@@ -196,7 +196,7 @@
     // Where it may have run, "not run" would be untrue.
     let reason = match reason {
         Reason::EndsEndpoints => reason,
-        _ if attempts.may_have_run() => Reason::AnswerLost,
+        _ if attempts.may_have_run() => Reason::ResponseLost,
         _ => reason,
     };
     log_event!(GenerationRefused, attempt = job.name(), entry = job.entry().name.as_str(),
@@ -207,7 +207,7 @@
 /// The body of a streamed answer. When the caller leaves, it is dropped, and the
 /// relay learns of it by its closed channel.
 struct ChunkBody {
-    pieces: mpsc::Receiver<Chunk>,
+    chunks: mpsc::Receiver<Chunk>,
 }
 
 impl http_body::Body for ChunkBody {
@@ -218,7 +218,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamAborted>>> {
-        let piece = core::task::ready!(self.pieces.poll_recv(cx));
-        Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+        let chunk = core::task::ready!(self.chunks.poll_recv(cx));
+        Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
