--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,8 +1,8 @@
-//! Calls of plain services: forwarded, and answered whole.
+//! Calls of plain services: forwarded, with a buffered response.
 //!
-//! The answer is read to its end before the caller gets any of it. A call that
-//! may be repeated can so be repeated after an answer that broke off in the
-//! middle, and nothing that is half an answer ever reaches a caller.
+//! The response is read to its end before the caller gets any of it. A call that may be retried
+//! can therefore be retried after a response that broke off in the middle, and no caller ever
+//! receives a partial response.
 
 use crate::attempts::Attempts;
 use crate::job::Job;
@@ -19,40 +19,39 @@
 use oriolemux_core::gateway::state::Place;
 use std::time::Instant;
 
-/// The largest answer of a plain service that is held.
+/// The largest response of a plain service that is buffered.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// How many times the target the first attempt of an idempotent call may take. An
-/// endpoint that hangs is given up then, while there is time for another one.
+/// How many times the entry's target the first attempt of an idempotent call may take. A hanging
+/// endpoint is abandoned while there is time for another one.
 const FIRST_ATTEMPT_TARGET_FACTOR: f64 = 3.0;
 
-/// A repeat with less time left than this would only be work in vain.
+/// Calls are not retried with less time remaining than this: the retry could not finish.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(30);
 
-/// Sends beyond the entry's attempts that may follow a definite refusal, which ran
-/// nothing.
+/// Attempts beyond the entry's maximum that may follow definite refusals, which ran nothing.
 const MAX_REFUSED_SENDS: usize = 2;
 
-/// What became of one attempt.
+/// The outcome of one attempt.
 enum AttemptOutcome {
-    /// The endpoint answered.
+    /// The endpoint responded.
     Response(BufferedResponse),
     /// The endpoint did not run the call.
     NotRun,
-    /// No connection could be made.
+    /// No connection could be opened.
     NoConnection,
     /// The endpoint was withdrawn before anything was sent.
     Withdrawn,
-    /// The connection or the answer broke; the call may have run.
+    /// The connection or the response broke; the call may have run.
     Lost {
-        /// When the answer had begun, if it had.
+        /// When the response started, if it did.
         response_started: Option<Instant>,
     },
-    /// The answer was another request's; the call may have run.
+    /// The response belonged to another request; the call may have run.
     WrongAttempt,
-    /// The time was over.
+    /// The attempt timed out.
     Timeout,
-    /// The call was refused while it was there, because it ended too many endpoints.
+    /// The call was refused during the attempt because it crashed too many endpoints.
     Refused,
 }
 
@@ -95,7 +94,7 @@
 }
 
 impl AttemptOutcome {
-    /// Returns the status of the endpoint's answer; 0 if there was none.
+    /// Returns the status of the endpoint's response; 0 if there was none.
     fn status(&self) -> u16 {
         match self {
             AttemptOutcome::Response(response) => response.status.as_u16(),
@@ -134,7 +133,7 @@
         }
     }
 
-    /// Returns how long this attempt may take.
+    /// Returns the timeout of the next attempt.
     fn attempt_timeout(&self) -> Duration {
         let left = self.job.remaining();
         let entry = self.job.entry();
@@ -157,7 +156,7 @@
             Err(LinkError::Withdrawn) => return AttemptOutcome::Withdrawn,
             Err(error) if error.never_sent() => return AttemptOutcome::NoConnection,
             Err(error) => {
-                log::debug!("a call was lost: {error}");
+                log::debug!("connection of a call failed after sending: {error}");
                 return AttemptOutcome::Lost {
                     response_started: None,
                 };
@@ -184,7 +183,7 @@
                 body: body.to_bytes(),
             }),
             Err(error) => {
-                log::debug!("an answer of {} broke: {error}", place.name);
+                log::debug!("response of {} broke off: {error}", place.name);
                 AttemptOutcome::Lost { response_started }
             }
         }
@@ -218,14 +217,14 @@
         }
     }
 
-    /// Returns whether the call is sent once more, and spends a repeat if so.
+    /// Returns whether the call is sent again, and spends a retry if necessary.
     fn may_retry(&self, attempt: &AttemptOutcome) -> bool {
         let job = self.job;
         if job.remaining() < MIN_RETRY_TIME || job.is_refused() {
             return false;
         }
         let may_retry = match attempt {
-            // Nothing arrived anywhere, so that nothing is repeated.
+            // Nothing reached any endpoint, so this is not a retry.
             AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn => {
                 return self.attempts.refused() <= MAX_REFUSED_SENDS;
             }
@@ -242,7 +241,8 @@
 
     fn refuse_unadmitted(&self, reason: Reason) -> Response<ResponseBody> {
         let reason = match reason {
-            // An earlier attempt may have run, so that "not run" would be untrue.
+            // An earlier attempt may have run, so the response must not promise that the call did
+            // not run.
             Reason::TurnTaken if self.attempts.may_have_run() => Reason::ResponseLost,
             reason => reason,
         };
@@ -276,7 +276,8 @@
                 return response.into_response();
             }
             _ if self.job.is_refused() => self.job.log_refusal(),
-            // An earlier attempt may have run, so that "not run" would be untrue.
+            // An earlier attempt may have run, so the response must not promise that the call did
+            // not run.
             AttemptOutcome::NotRun | AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn
                 if self.attempts.may_have_run() =>
             {
--- a/crates/gateway/src/cx.rs
+++ b/crates/gateway/src/cx.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the gateway share.
+//! The context that all tasks of the gateway share.
 
 use crate::log_event;
 use crate::meters::ByReason;
@@ -26,7 +26,7 @@
         Clock(Instant::now())
     }
 
-    /// Returns a point of the clock as an instant; nothing if it is never reached.
+    /// Converts a time of this clock to an instant; `None` if it is never reached.
     pub fn instant(self, at: Time) -> Option<Instant> {
         if at == Time::NEVER {
             return None;
@@ -34,45 +34,45 @@
         self.0.checked_add(Duration::from_micros(at.as_micros()))
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the start of the clock.
     pub fn now(self) -> Time {
         let micros = self.0.elapsed().as_micros();
         Time::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 }
 
-/// Bounds of the sockets.
+/// Limits of the sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayLimits {
-    /// A connection to an endpoint must be made within this time.
+    /// The timeout for connecting to an endpoint.
     pub connect: Duration,
-    /// The most connections of callers.
+    /// The maximum number of caller connections.
     pub connections: usize,
 }
 
-/// What all tasks of the gateway share.
+/// The context that all tasks of the gateway share.
 pub struct Cx<W> {
-    /// The names and formats of the platform.
+    /// The platform's names and formats.
     pub wire: W,
     /// The clock.
     pub clock: Clock,
-    /// Bounds of the sockets.
+    /// Limits of the sockets.
     pub limits: GatewayLimits,
-    /// Told when what is known of the store has changed.
+    /// Notified when the replica of the store has changed.
     pub replica_changed: Notify,
-    /// Told when endpoints began to leave, or their data centre was closed.
+    /// Notified when endpoints begin to leave or a data centre is cordoned.
     pub departures: Notify,
-    /// Told when a home may have decided about a place.
+    /// Notified when a home may have decided a placement.
     pub decided: Notify,
-    /// Told when there is news of requests that end endpoints.
+    /// Notified when crash records of suspects have changed.
     pub suspects_changed: Notify,
-    /// Told when peers should hear of something soon.
+    /// Notified when gossip should be sent soon.
     pub gossip_due: Notify,
-    /// Told when a peer knows more of the store.
+    /// Notified when a peer has a later revision of the store.
     pub catch_up_due: Notify,
     /// Cancelled when the planned stop begins.
     pub stopping: CancellationToken,
-    /// Cancelled when callers' idle connections are to be closed.
+    /// Cancelled when idle caller connections should be closed.
     pub closing: CancellationToken,
     state: Mutex<Gateway>,
     sent: Mutex<BTreeMap<&'static str, SentTotals>>,
@@ -80,44 +80,44 @@
     stop: OnceLock<StopPlan>,
 }
 
-/// What was sent to peers for one purpose.
+/// The totals of what was sent to peers for one purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentTotals {
-    /// Datagrams, or answers over a connection.
+    /// Datagrams, and responses over connections.
     pub messages: u64,
-    /// Their bytes, without those of the transport.
+    /// Their payload bytes, without transport headers.
     pub bytes: u64,
 }
 
-/// The times of a planned stop.
+/// The schedule of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub struct StopPlan {
-    /// Generations that come later are refused, not run.
+    /// Generations that arrive later are refused and do not run.
     pub no_generations_from: Instant,
-    /// All that comes later is refused, not run.
+    /// All requests that arrive later are refused and do not run.
     pub no_calls_from: Instant,
-    /// What still runs then is cut off.
+    /// Requests that still run then are aborted.
     pub deadline: Instant,
 }
 
-/// What is counted while it is open.
+/// The things that are counted while they are open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenKind {
     /// A caller's connection.
     Connection,
-    /// A request, until the head of its answer is ready.
+    /// A request, until the head of its response is ready.
     Request,
-    /// A generation, until its last event is passed on.
+    /// A generation, until its last event is forwarded.
     Generation,
-    /// A peer that is told much of what the store published, until it has read it.
+    /// A large delta of the store's records, until the peer has read it.
     LargeTransfer,
 }
 
-/// How many kinds of [`OpenKind`] there are.
+/// The number of variants of [`OpenKind`].
 const OPEN_KINDS: usize = 4;
 
 impl<W: Wire> Cx<W> {
-    /// Puts the decisions behind what all tasks share.
+    /// Creates the shared context around the decision state.
     pub fn new(wire: W, clock: Clock, limits: GatewayLimits, state: Gateway) -> Arc<Self> {
         Arc::new(Cx {
             wire,
@@ -138,24 +138,24 @@
         })
     }
 
-    /// Returns the decisions. Never hold them across an await.
+    /// Locks the decision state. The lock must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, Gateway> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the time.
+    /// Returns the time of the context's clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Returns the published name of an endpoint, for logs; its key if it is not known.
+    /// Returns the published name of an endpoint, for logs; its key if the endpoint is not known.
     pub fn endpoint_name(&self, key: EndpointKey) -> String {
         let state = self.state();
         let known = state.endpoints.get(key);
         known.map_or_else(|| key.to_string(), |endpoint| endpoint.record.name.clone())
     }
 
-    /// Counts something until what is returned is dropped.
+    /// Counts something as open until the guard is dropped.
     pub fn count(self: &Arc<Self>, what: OpenKind) -> OpenGuard<W> {
         self.open[what as usize].fetch_add(1, Ordering::Relaxed);
         OpenGuard {
@@ -164,25 +164,25 @@
         }
     }
 
-    /// Counts a caller's connection until what is returned is dropped; nothing if there are too many.
+    /// Counts a caller's connection until the guard is dropped; `None` at the connection limit.
     pub fn open_connection(self: &Arc<Self>) -> Option<OpenGuard<W>> {
         let guard = self.count(OpenKind::Connection);
         (self.open_count(OpenKind::Connection) <= self.limits.connections).then_some(guard)
     }
 
-    /// Counts a peer that is told much until what is returned is dropped; nothing if `most`
-    /// are told already.
+    /// Counts a large transfer to a peer until the guard is dropped; `None` if `most` transfers
+    /// are in progress already.
     pub fn begin_large_transfer(self: &Arc<Self>, most: usize) -> Option<OpenGuard<W>> {
         let guard = self.count(OpenKind::LargeTransfer);
         (self.open_count(OpenKind::LargeTransfer) <= most).then_some(guard)
     }
 
-    /// Returns how many are open.
+    /// Returns how many of `what` are open.
     pub fn open_count(&self, what: OpenKind) -> usize {
         self.open[what as usize].load(Ordering::Relaxed)
     }
 
-    /// Counts what was sent to a peer.
+    /// Counts a message that was sent to a peer.
     pub fn record_sent(&self, purpose: &'static str, bytes: usize) {
         ByReason::PeerMessages.add(purpose);
         ByReason::PeerBytes.add_many(purpose, bytes as u64);
@@ -192,13 +192,13 @@
         sent.bytes += bytes as u64;
     }
 
-    /// Returns what was sent to peers, by purpose.
+    /// Returns the totals of what was sent to peers, by purpose.
     pub fn sent(&self) -> BTreeMap<&'static str, SentTotals> {
         let sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
         sent.clone()
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned stop. Only the first call sets the schedule.
     pub fn begin_stop(&self, plan: StopPlan) {
         self.stop.get_or_init(|| plan);
         self.state().stop();
@@ -206,11 +206,11 @@
         self.gossip_due.notify_one();
     }
 
-    /// Returns whether a generation that is expected to take so long may begin.
+    /// Returns whether a generation with the expected duration may begin.
     ///
-    /// What goes wrong otherwise: a generation that came late in a planned stop, and is
-    /// longer than expected, is cut off when the stop ends. Those that came before
-    /// the balancer can have noticed cannot be refused for that; later ones can.
+    /// During a planned stop, a generation that runs longer than expected is aborted when the stop
+    /// ends. Generations that arrive before the balancer can have noticed the stop cannot be
+    /// refused for that; later ones are.
     pub fn accepts_generation(&self, expected: Duration) -> bool {
         let now = Instant::now();
         self.stop
@@ -224,14 +224,14 @@
         self.stop.get().is_none_or(|plan| now < plan.no_calls_from)
     }
 
-    /// Tells those who wait, and peers, that there is news of requests that end endpoints.
+    /// Wakes waiting requests and schedules gossip after crash records of suspects changed.
     pub fn announce_suspects(&self) {
         self.suspects_changed.notify_waiters();
         self.decided.notify_waiters();
         self.gossip_due.notify_one();
     }
 
-    /// Tells those who wait, and peers, what the operator said about a data centre.
+    /// Logs a cordon that was set or lifted, wakes waiting requests and schedules gossip.
     pub fn announce_cordon(&self, cordon: &Cordon, effect: CordonEffect, from: Source) {
         if effect == CordonEffect::Outdated {
             return;
@@ -265,7 +265,7 @@
         self.gossip_due.notify_one();
     }
 
-    /// Tells those who wait, and peers, that endpoints began to leave.
+    /// Logs endpoints that begin to leave, wakes waiting requests and schedules gossip.
     pub fn announce_leaving(&self, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
             let name = self.endpoint_name(endpoint);
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Tells what an endpoint or a peer said about an endpoint's limit, and lets peers hear it.
+    /// Logs a change of an endpoint's rate limit and schedules gossip.
     pub fn announce_limit(&self, change: &LimitChange, from: Source) {
         let name = self.endpoint_name(change.endpoint);
         let before = change.before.unwrap_or(0.0);
@@ -302,7 +302,7 @@
     }
 }
 
-/// Something that is open.
+/// Counts something as open until dropped.
 pub struct OpenGuard<W> {
     cx: Arc<Cx<W>>,
     what: OpenKind,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' side: takes requests and judges them by the catalogue in force.
+//! The front for callers: accepts requests and matches them against the catalogue in force.
 
 mod connection;
 
@@ -23,23 +23,22 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The time that a caller is assumed to wait if nothing is known of it.
+/// The assumed timeout of a caller that states none.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a request waits for the first catalogue of an instance that has just started.
-/// It is read in some 10 ms; ten times as long covers a store that is slow.
+/// Reading it takes some 10 ms; the timeout covers a store that takes ten times as long.
 const FIRST_CATALOGUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The share of its caller's patience that a request waits for it at most.
+/// The maximum share of the caller's timeout that is spent waiting for the first catalogue.
 const FIRST_CATALOGUE_SHARE: f64 = 0.25;
 
 /// Returns the catalogue in force; an instance that has just started waits for it.
 ///
-/// What goes wrong otherwise: callers whose connections ended with an instance are back
-/// in the moment in which it listens, some 10 ms before it knows a catalogue. They are
-/// refused, have come back once already, and are lost: 16 to 31 of some 2,500 requests on
-/// a day whose instances all stop at once. Once the store is known not to answer, nobody
-/// waits.
+/// Callers whose connections ended with an instance reconnect as soon as it listens, some 10 ms
+/// before it has a catalogue. They retry only once, so refusing them loses their requests: 16 to
+/// 31 of some 2,500 requests when all instances stop at once. Once the store is known to be
+/// unavailable, requests do not wait.
 async fn first_catalogue<W: Wire>(cx: &Cx<W>, caller_timeout: Duration) -> Option<Arc<Catalogue>> {
     let wait = FIRST_CATALOGUE_TIMEOUT.min(caller_timeout.mul_f64(FIRST_CATALOGUE_SHARE));
     let deadline = tokio::time::Instant::now() + wait;
@@ -104,12 +103,12 @@
     }
 }
 
-/// Returns whether what the caller says it holds can be a part of its generation. Where
-/// nothing may go on, it is not looked at: the caller gets a generation from its start.
+/// Returns whether the last event that the caller names can be part of its generation. For a
+/// generation that is not resumable, the event is ignored and the caller gets it from the start.
 fn is_valid_last_event_id(repeat: Repeat, head: &CallerHead) -> bool {
     match head.last_event_id {
         LastEventId::Event(number) if repeat == Repeat::ResumableStream => {
-            // An event holds a token or more.
+            // Each event holds at least one token.
             head.max_tokens == 0 || number <= u64::from(head.max_tokens)
         }
         LastEventId::Invalid => repeat != Repeat::ResumableStream,
@@ -117,7 +116,7 @@
     }
 }
 
-/// A request's head with its judgement.
+/// The head of a request with the entry that it matches.
 struct MatchedRequest {
     catalogue: Arc<Catalogue>,
     entry: EntryId,
@@ -132,8 +131,8 @@
     named.or(req.uri().host()).unwrap_or("")
 }
 
-/// Reads the body whole. A request is sent on only when all of it is here, so
-/// that a caller that stalls in the middle of it holds no place at an endpoint.
+/// Reads the full body. The request is forwarded only after that, so that a caller that stalls
+/// in the middle of its body occupies no place at an endpoint.
 async fn read_body<W: Wire>(
     cx: Arc<Cx<W>>,
     matched: MatchedRequest,
@@ -188,7 +187,7 @@
     })
 }
 
-/// Returns path and query alone, as an endpoint expects them.
+/// Returns path and query only, as endpoints expect them.
 fn origin_form(uri: Uri) -> Uri {
     let path = uri.into_parts().path_and_query;
     path.map(Uri::from).unwrap_or_default()
--- a/crates/gateway/src/front/connection.rs
+++ b/crates/gateway/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: how long they may be idle, and how they are closed.
+//! Connections of callers: idle and head timeouts, and closing.
 
 use super::handle;
 use crate::cx::{Cx, OpenKind};
@@ -18,10 +18,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::task::TaskTracker;
 
-/// The pause after an accept that failed, for example for lack of descriptors.
+/// The pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: core::time::Duration = core::time::Duration::from_millis(20);
 
-/// Takes connections until the listener is dropped with the task.
+/// Accepts connections until the task is aborted, which drops the listener.
 pub async fn serve<W: Wire, E: EngineCalls>(
     cx: Arc<Cx<W>>,
     engines: E,
@@ -34,7 +34,7 @@
                 tasks.spawn(serve_connection(Arc::clone(&cx), engines.clone(), stream));
             }
             Err(error) => {
-                log::warn!("cannot accept a caller: {error}");
+                log::warn!("cannot accept a caller connection: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -43,11 +43,11 @@
 
 async fn serve_connection<W: Wire, E: EngineCalls>(cx: Arc<Cx<W>>, engines: E, stream: TcpStream) {
     let Some(_open) = cx.open_connection() else {
-        log::warn!("too many connections of callers; one is closed");
+        log::warn!("caller connection closed: connection limit reached");
         return;
     };
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a caller's connection keeps its delay: {error}");
+        log::debug!("cannot set TCP_NODELAY on a caller connection: {error}");
     }
     let activity = Arc::new(Activity::new());
     let limits = cx
@@ -84,7 +84,7 @@
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(error) = ended {
-                    log::debug!("a caller's connection broke: {error}");
+                    log::debug!("caller connection failed: {error}");
                 }
                 return;
             }
@@ -101,13 +101,13 @@
     }
 }
 
-/// The least time between two looks, whatever the bounds are.
+/// The minimum time between two checks of a connection, whatever its timeouts are.
 const MIN_CHECK_INTERVAL: core::time::Duration = core::time::Duration::from_millis(10);
 
-/// The HTTP library asks for at least this much buffer.
+/// The minimum buffer size that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What a connection does.
+/// What a connection is doing.
 #[derive(Debug)]
 struct Activity {
     state: Mutex<ActivityState>,
@@ -115,11 +115,12 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ActivityState {
-    /// Whether a request is being answered.
+    /// Whether a request is being processed.
     busy: bool,
-    /// When the last answer's head was ready, or the connection was made.
+    /// When the head of the last response was ready, data was last written, or the connection was
+    /// accepted.
     idle_since: Instant,
-    /// When the first byte of a head came that is not complete.
+    /// When the first byte of an incomplete request head arrived.
     head_since: Option<Instant>,
 }
 
@@ -167,8 +168,8 @@
         state.idle_since = Instant::now();
     }
 
-    /// Returns when the connection is looked at next. The first byte of a head wakes
-    /// nobody, so that a head that stalls is noticed half a bound late at the most.
+    /// Returns when the connection is checked next. The first byte of a head wakes nobody, so a
+    /// stalled head is noticed at most half a timeout late.
     fn next_check(&self, limits: CallerLimits) -> Instant {
         let state = *self.state();
         let now = Instant::now();
@@ -193,7 +194,7 @@
     }
 }
 
-/// A caller's stream whose bytes are noted.
+/// A caller's stream that records reads and writes.
 struct WatchedStream {
     stream: TcpStream,
     activity: Arc<Activity>,
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, judged and read.
+//! One caller request that was matched to an entry and read in full.
 
 use crate::cx::Cx;
 use crate::link::{Link, LinkError};
@@ -30,54 +30,54 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// How long what wants a place at once may wait for a home: for the home and the next in
-/// rank, one after the other.
+/// How long a placement that is needed at once may wait for a home: time for the home and for
+/// the next in rank, one after the other.
 pub const IMMEDIATE_PLACEMENT_TIMEOUT: Duration = HOME_PATIENCE.saturating_mul(3);
 
-/// A request that was judged by one catalogue and read whole.
+/// A request that was matched against one catalogue and read in full.
 pub struct Job<W: Wire> {
-    /// What all tasks share.
+    /// The context that all tasks share.
     pub cx: Arc<Cx<W>>,
-    /// The catalogue that the request is judged by, to its end.
+    /// The catalogue that the request was matched against; it applies until the request ends.
     pub catalogue: Arc<Catalogue>,
-    /// Its entry.
+    /// The matched entry.
     pub entry: EntryId,
-    /// Its workspace.
+    /// The caller's workspace, if the entry requires a key.
     pub workspace: Option<WorkspaceId>,
-    /// The service that was drawn for it.
+    /// The service that was picked for the request.
     pub service: ServiceId,
-    /// What the caller's headers say.
+    /// The values of the caller's headers.
     pub head: CallerHead,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The caller's headers.
+    /// The caller's headers as received.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What makes it the same request as another attempt.
+    /// Identifies the request across attempts and instances.
     pub fingerprint: Fingerprint,
-    /// It counts as running for as long.
+    /// Counts the request as running until the job is dropped.
     pub run: RunGuard<W>,
     /// When the request's head was read.
     pub arrived: Instant,
-    /// When its time is over.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
 impl<W: Wire> Job<W> {
-    /// Returns the entry.
+    /// Returns the matched entry.
     pub fn entry(&self) -> &HttpEntry {
         self.catalogue.entry(self.entry)
     }
 
-    /// Returns the caller's name of the attempt, for logs.
+    /// Returns the caller's attempt id for logs, `-` if there is none.
     pub fn name(&self) -> &str {
         self.head.attempt.as_deref().unwrap_or("-")
     }
 
-    /// Returns the last event that the caller holds of a generation that may go on.
+    /// Returns the last event that the caller has received, if the generation is resumable.
     pub fn last_event_id(&self) -> Option<u64> {
         match (self.entry().repeat, self.head.last_event_id) {
             (Repeat::ResumableStream, LastEventId::Event(number)) => Some(number),
@@ -85,17 +85,17 @@
         }
     }
 
-    /// Returns the time that is left.
+    /// Returns the time until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the service.
+    /// Returns the service that was picked for the request.
     pub fn service(&self) -> &Service {
         self.catalogue.service(self.service)
     }
 
-    /// Returns what an endpoint must have.
+    /// Returns what an endpoint must offer to serve the request.
     pub fn demand<'a>(&'a self, tokens: u32, exclude: &'a [EndpointKey]) -> Demand<'a> {
         let service = self.service();
         Demand {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Spends one of the fleet's repeats; returns whether there was one.
+    /// Spends one retry of the fleet's budget; returns whether one was available.
     pub fn try_spend_retry(&self, kind: RepeatKind) -> bool {
         let service = &self.service().name;
         let now = self.cx.now();
@@ -136,13 +136,13 @@
         spent.is_allowed
     }
 
-    /// Returns whether the fleet's budget has a repeat for a generation that goes on.
+    /// Returns whether the fleet's retry budget allows a generation to resume.
     pub fn may_resume(&self) -> bool {
         let now = self.cx.now();
         self.cx.state().may_move(now, &self.service().name)
     }
 
-    /// Takes in what the head of an endpoint's answer says about the endpoint.
+    /// Applies what the head of a response says about the endpoint.
     pub fn observe_response_head(&self, place: &Place, head: &ResponseHead, sent: Instant) {
         let now = self.cx.now();
         let sent = now.before(sent.elapsed()).unwrap_or(Time::ZERO);
@@ -169,21 +169,21 @@
         }
     }
 
-    /// Notes that a request failed at an endpoint.
+    /// Records that a request failed at an endpoint.
     pub fn record_failure(&self, place: &Place) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_failure(now, place.key);
         log_ejection(place, passed_over);
     }
 
-    /// Notes that no connection to an endpoint could be made.
+    /// Records that no connection to an endpoint could be opened.
     pub fn record_unreachable(&self, place: &Place) {
         let now = self.cx.now();
         let passed_over = self.cx.state().endpoints.on_unreachable(now, place.key);
         log_ejection(place, passed_over);
     }
 
-    /// Notes that another process answers at the address of an endpoint.
+    /// Marks an endpoint as leaving because another process answers at its address.
     pub fn record_replaced(&self, place: &Place) {
         let now = self.cx.now();
         if self.cx.state().endpoints.leave(now, place.key) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Returns the gateway's own answer, which says when to come back.
+    /// Returns the gateway's own error response; a 503 carries a `Retry-After` header.
     pub fn refuse(&self, reason: Reason) -> Response<ResponseBody> {
         ByReason::Refused.add(&reason.to_string());
         let caller_timeout = self.head.timeout.unwrap_or(self.entry().timeout);
@@ -201,11 +201,11 @@
         )
     }
 
-    /// Chooses an endpoint for a call and counts it there until [`UsageGuard`] is dropped.
+    /// Chooses an endpoint for a call and counts the call there until [`UsageGuard`] is dropped.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns why no endpoint is available.
     pub fn place(&self, exclude: &[EndpointKey]) -> Result<(Place, UsageGuard<W>), NoPlace> {
         let now = self.cx.now();
         let mut state = self.cx.state();
@@ -215,12 +215,12 @@
         Ok(self.placed(place, 0, begun))
     }
 
-    /// Asks for an engine until `until`, and counts the generation there as
+    /// Requests an engine until `deadline`, and counts the generation there as
     /// [`Job::place`] does.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns why no engine is available.
     pub async fn request_placement(
         &self,
         params: PlacementParams<'_>,
@@ -233,7 +233,7 @@
         Ok(self.placed(place, params.tokens, begun))
     }
 
-    /// Asks for a place for a copy of what runs at `source`, and counts it there.
+    /// Requests a place for a copy of the generation at `source`, and counts the copy there.
     pub async fn request_copy_placement(
         &self,
         source: EndpointKey,
@@ -259,7 +259,7 @@
         found
     }
 
-    /// Counts a request at an endpoint; returns what was known to run there.
+    /// Counts a request at an endpoint; returns the endpoint's usage before it.
     fn begin_use(&self, state: &mut Gateway, place: &Place, tokens: u32) -> (Used, UsageGuard<W>) {
         let used = state.used(place.key);
         let unread = match tokens {
@@ -297,7 +297,7 @@
         (place, in_use)
     }
 
-    /// Returns the request as an endpoint is sent it.
+    /// Returns the request as it is sent to an endpoint.
     pub fn request(&self, send: &ForwardHead<'_>) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
@@ -317,22 +317,24 @@
         Some(&self.catalogue.workspace(id).name)
     }
 
-    /// Returns the rank of the request; a workspace's goes before its entry's.
+    /// Returns the priority of the request; the workspace's overrides the entry's.
     pub fn priority(&self) -> u8 {
         let workspace = self.workspace.map(|id| self.catalogue.workspace(id));
         let own = workspace.and_then(|workspace| workspace.priority);
         own.unwrap_or(self.entry().priority)
     }
 
-    /// Connects to `place` and sends the request there, unless it was withdrawn meanwhile.
+    /// Connects to `place` and sends the request, unless the endpoint was withdrawn since it was
+    /// chosen.
     ///
-    /// The time between choosing and sending holds a connection and perhaps a process that was
-    /// frozen. A generation that goes on may still do so at an engine that began to leave: its
-    /// copy is there, and the notice is longer than this takes. No cordon is passed by anything.
+    /// Between choosing and sending, a connection is opened and the process may have been
+    /// suspended. A generation that resumes may be sent to an engine that began to leave
+    /// meanwhile: its copy is there, and the notice is longer than this delay. Nothing is sent to
+    /// a cordoned data centre.
     ///
     /// # Errors
     ///
-    /// Returns how the connection failed.
+    /// Returns how the connection failed, or that the endpoint was withdrawn.
     pub async fn send(
         &self,
         place: &Place,
@@ -367,17 +369,17 @@
     }
 }
 
-/// Counts a request at an endpoint until it is dropped.
+/// Counts a request at an endpoint until dropped.
 pub struct UsageGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     endpoint: EndpointKey,
     tokens: u32,
-    /// Prompt tokens that count as not read.
+    /// Prompt tokens that are counted as not prefilled yet.
     pending_prefill: u32,
 }
 
 impl<W: Wire> UsageGuard<W> {
-    /// Counts a generation that goes on at another engine, which reads hardly anything.
+    /// Counts a generation that resumes at another engine, where next to nothing is prefilled.
     pub fn for_resumed(cx: &Arc<Cx<W>>, endpoint: EndpointKey, tokens: u32) -> Self {
         cx.state().usage.begin(endpoint, tokens, 0);
         cx.gossip_due.notify_one();
@@ -389,14 +391,14 @@
         }
     }
 
-    /// Counts anew what the request is expected to take.
+    /// Replaces the KV tokens that the request is counted with.
     pub fn adjust(&mut self, tokens: u32) {
         let mut state = self.cx.state();
         state.usage.adjust(self.endpoint, self.tokens, tokens);
         self.tokens = tokens;
     }
 
-    /// Notes the first byte of the answer.
+    /// Clears the pending prefill at the first byte of the response.
     pub fn on_first_byte(&mut self) {
         if self.pending_prefill > 0 {
             let unread = core::mem::take(&mut self.pending_prefill);
@@ -407,7 +409,8 @@
         }
     }
 
-    /// Homes are told of generations only. Plain calls are over before the news could be used.
+    /// Announces the change to homes for generations only. Plain calls end before the report could
+    /// be used.
     fn schedule_gossip(&self) {
         if self.tokens > 0 {
             self.cx.gossip_due.notify_one();
@@ -427,7 +430,7 @@
 }
 
 impl<W: Wire> Job<W> {
-    /// Returns what is expected of the generation's length.
+    /// Returns the length estimate of the generation.
     pub fn length(&self) -> Length {
         let head = &self.head;
         let state = self.cx.state();
@@ -437,7 +440,7 @@
             .expect(entry, head.max_tokens, head.expected_tokens)
     }
 
-    /// Returns the request as it waits for room of `tokens`.
+    /// Returns the request as it is queued for `tokens` of KV cache.
     pub fn queued_request(&self, tokens: u32) -> Waiter {
         let now = self.cx.now();
         Waiter {
@@ -451,14 +454,14 @@
         }
     }
 
-    /// Returns how much memory the generation is expected to take once it has made
+    /// Returns how many KV tokens the generation is expected to need in all once it has produced
     /// `made` tokens.
     pub fn expected_memory(&self, length: Length, made: u32) -> u32 {
         lengths::expected_memory(self.head.prompt_tokens, length, made)
     }
 }
 
-/// Counts a standing copy at an endpoint until it is dropped.
+/// Counts a copy at an endpoint until dropped.
 pub struct CopyUsageGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     endpoint: EndpointKey,
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,6 +1,6 @@
-//! What the platform must provide: two small traits and the types they speak in.
+//! The interface to the platform: three traits and their types.
 //!
-//! An implementation translates and calls; it decides nothing, repeats nothing
+//! An implementation translates formats and makes calls. It makes no decisions, does not retry
 //! and keeps no state beyond a connection.
 
 use crate::response::{ResponseBody, full_body};
@@ -15,141 +15,141 @@
 use oriolemux_core::gateway::{CatalogueSource, Cordon, Mark, Record};
 use std::net::SocketAddrV4;
 
-/// What the headers of a caller's request say.
+/// The values of a caller's headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHead {
-    /// The caller's name of this attempt, which endpoints echo.
+    /// The caller's id of this attempt, which endpoints echo.
     pub attempt: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// SHA-256 of the key, if there is one.
+    /// SHA-256 of the caller's key, if it sent one.
     pub key_digest: Option<[u8; 32]>,
-    /// Tokens of the prompt of a generation.
+    /// The length of a generation's prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens that the caller wants generated.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// How many tokens the caller expects.
+    /// The caller's estimate of the number of generated tokens.
     pub expected_tokens: Option<u32>,
-    /// Where in a generation the caller wants to go on.
+    /// The event after which the caller wants a generation to continue.
     pub last_event_id: LastEventId,
 }
 
-/// What a caller says it holds of a generation.
+/// The last event of a generation that a caller says it has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LastEventId {
-    /// Nothing.
+    /// The caller sent no event id.
     #[default]
     Absent,
-    /// All events up to this one.
+    /// The caller has all events up to this one.
     Event(u64),
-    /// Something that cannot be read.
+    /// The event id cannot be parsed.
     Invalid,
 }
 
-/// A copy of a generation's memory.
+/// The location of a copy of a generation's KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyLocation<'a> {
-    /// The engine that keeps it.
+    /// The engine that holds the copy.
     pub engine: SocketAddrV4,
-    /// Its name at that engine.
+    /// The handle of the copy at that engine.
     pub handle: &'a str,
 }
 
-/// A generation that goes on after some event.
+/// How a generation continues after some event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resume<'a> {
-    /// The memory that it goes on from. Without one the engine reads prompt and events
-    /// anew, which only a resumable generation may ask for.
+    /// The copy to resume from. Without one, the engine recomputes the prompt and the events, which
+    /// may be requested for a resumable generation only.
     pub copy: Option<CopyLocation<'a>>,
-    /// The last event that the caller holds.
+    /// The last event that the caller has received.
     pub last_event: u64,
 }
 
-/// What an endpoint is told besides the caller's request.
+/// The values that are sent to an endpoint in addition to the caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ForwardHead<'a> {
-    /// The time that is left.
+    /// The time that remains for the request.
     pub timeout: Duration,
-    /// The endpoint's name; another one at its address refuses.
+    /// The expected endpoint; another one at its address refuses the request.
     pub endpoint: &'a str,
-    /// The workspace of the caller.
+    /// The caller's workspace.
     pub workspace: Option<&'a str>,
-    /// The rank of a generation; 0 is the most urgent.
+    /// The priority of a generation; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Where a standing copy of a generation's memory is kept.
+    /// Where the engine should keep a standby copy of the generation's KV cache.
     pub copy_to: Option<SocketAddrV4>,
-    /// Set if the request goes on with a generation.
+    /// Set if the request resumes a generation.
     pub resume: Option<Resume<'a>>,
 }
 
-/// What the head of an endpoint's answer says.
+/// The values in the head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// The endpoint says that the request did not run.
+    /// The endpoint reports that the request did not run.
     pub not_run: bool,
-    /// The endpoint is not the one that was expected.
+    /// Another endpoint than the expected one responded.
     pub wrong_endpoint: bool,
-    /// The attempt that the answer names is another one.
+    /// The response echoes the id of another attempt.
     pub wrong_attempt: bool,
-    /// How full the endpoint says it is.
+    /// The load that the endpoint reports.
     pub load: Option<ToldLoad>,
-    /// For how long the endpoint says it will still be cold.
+    /// For how long the endpoint will still be cold, as it reports.
     pub cold_for: Option<Duration>,
-    /// How many requests a second the endpoint says it takes from all instances.
+    /// The rate limit that the endpoint reports: requests a second from all instances together.
     pub limit: ToldLimit,
 }
 
-/// A part of all records of the store.
+/// One page of the store's records.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
     /// The records.
     pub records: Vec<Record>,
-    /// The key after which the next page begins, if there is one.
+    /// The key after which the next page begins, `None` on the last page.
     pub next: Option<String>,
     /// The store's revision when the page was read.
     pub revision: u64,
 }
 
-/// What has changed in the store.
+/// Changes of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    /// The records as they were written or removed.
+    /// The records that were written or removed.
     pub records: Vec<Record>,
-    /// The revision up to which these are all changes.
+    /// All changes up to this revision are included.
     pub revision: u64,
 }
 
-/// What a record means.
+/// The meaning of a record.
 #[derive(Clone, Debug)]
 pub enum Published {
     /// The catalogue.
     Catalogue(CatalogueSource),
     /// An endpoint.
     Endpoint(EndpointRecord),
-    /// An endpoint's entry vanished.
+    /// The record of an endpoint was removed.
     EndpointGone(String),
-    /// The operator's word about a data centre.
+    /// A cordon of a data centre that the operator set or lifted.
     Cordon {
-        /// What it says. A value that cannot be read closes the data centre all the same.
+        /// The cordon. A value that cannot be parsed cordons the data centre as well.
         cordon: Cordon,
-        /// What is wrong with the value, if anything is.
+        /// What is wrong with the value, if anything.
         why: Option<String>,
     },
-    /// Something that does not concern this product.
+    /// A record that does not concern this product.
     Other,
-    /// An endpoint's entry that cannot be read, so that it names none to use.
+    /// An endpoint's record that cannot be parsed; the endpoint must not be used.
     EndpointUnreadable {
         /// The published name.
         name: String,
-        /// What is wrong with it.
+        /// What is wrong with the record.
         why: String,
     },
-    /// It cannot be read.
+    /// The record cannot be parsed.
     Unreadable(String),
 }
 
 impl Published {
-    /// Returns the mark of `record`, which means this.
+    /// Returns the content hash of `record`, whose meaning this is.
     pub fn mark(&self, record: &Record) -> Mark {
         match self {
             Published::Endpoint(endpoint) => {
@@ -171,16 +171,16 @@
     }
 }
 
-/// The names and formats of requests, answers and records.
+/// The platform's names and formats of requests, responses and records.
 pub trait Wire: Clone + Send + Sync + 'static {
-    /// Reads what a caller's headers say.
+    /// Parses a caller's headers.
     fn caller_head(&self, headers: &HeaderMap) -> CallerHead;
 
-    /// Returns the headers for an endpoint: the caller's, less those that concern
-    /// one connection and those that are the system's to set, and the system's.
+    /// Returns the headers for an endpoint: the caller's without hop-by-hop headers and without
+    /// those that only this system sets, plus the values of `send`.
     fn endpoint_headers(&self, caller: &HeaderMap, send: &ForwardHead<'_>) -> HeaderMap;
 
-    /// Reads what the head of an answer to `attempt` says.
+    /// Parses the head of a response to `attempt`.
     fn response_head(
         &self,
         status: StatusCode,
@@ -188,31 +188,31 @@
         attempt: Option<&str>,
     ) -> ResponseHead;
 
-    /// Removes the headers of an answer that concern one connection.
+    /// Removes the hop-by-hop headers of a response.
     fn strip_response_headers(&self, headers: &mut HeaderMap);
 
-    /// Reads a record.
+    /// Decodes a record.
     fn decode(&self, record: &Record) -> Published;
 
-    /// Returns whether all cordons stand before `key` in the order in which pages are read.
+    /// Returns whether all keys of cordons sort before `key` in the order of the pages.
     fn is_past_cordons(&self, key: &str) -> bool;
 
-    /// Returns the key under which the store keeps the operator's word about a data centre.
+    /// Returns the key of the record that cordons a data centre.
     fn cordon_key(&self, data_centre: &str) -> String;
 }
 
-/// The store, which can only be read.
+/// A read-only client of the store.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Reads one page of all records. Its answer must begin within `limit`, and may then
-    /// take as long as it comes.
+    /// Reads one page of all records. The head of the response must arrive within `limit`; the
+    /// body may take longer as long as data keeps arriving.
     fn page(
         &self,
         after: Option<&str>,
         limit: Duration,
     ) -> impl Future<Output = Result<Page, CallFailure>> + Send;
 
-    /// Waits at most `wait` for changes above `after`. The answer must begin within `limit`,
-    /// and may then take as long as it comes.
+    /// Waits at most `wait` for changes after revision `after`. The head of the response must
+    /// arrive within `limit`; the body may take longer as long as data keeps arriving.
     fn watch(
         &self,
         after: u64,
@@ -221,30 +221,30 @@
     ) -> impl Future<Output = Result<Changes, CallFailure>> + Send;
 }
 
-/// What became of the call that moves a running generation's memory.
+/// The outcome of a call that copies a running generation's KV cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CopyOutcome {
     /// The copy is complete.
     Complete {
-        /// Its name.
+        /// The handle of the copy.
         handle: String,
     },
-    /// There is no room at the target, or it cannot be reached. A generation that
-    /// was stopped for the move can go on at its source under this name.
+    /// The target has no room or cannot be reached. A generation that was stopped for the copy
+    /// can resume at its source with this handle.
     NoRoom {
-        /// The name at the source, if the generation was stopped.
+        /// The handle at the source, if the generation was stopped.
         handle: Option<String>,
     },
-    /// The engine does not run the generation, at least not yet.
+    /// The engine does not run the generation, or not yet.
     NotRunning,
-    /// Another call for the generation is in progress.
+    /// Another call for the same generation is in progress.
     Busy,
-    /// There was no answer that can be read.
+    /// There was no response, or one that cannot be parsed.
     NoAnswer,
 }
 
 impl CopyOutcome {
-    /// Returns a word for it, which log lines carry.
+    /// Returns the value that log lines carry.
     pub const fn label(&self) -> &'static str {
         match self {
             CopyOutcome::Complete { .. } => "done",
@@ -256,10 +256,10 @@
     }
 }
 
-/// The calls to engines besides the requests of callers.
+/// The calls to engines other than forwarded requests.
 pub trait EngineCalls: Clone + Send + Sync + 'static {
-    /// Copies a running generation's memory from `source` to `target`, and stops it
-    /// first if `stop` is set.
+    /// Copies a running generation's KV cache from `source` to `target`. If `stop` is set, the
+    /// generation is stopped first.
     fn copy_generation(
         &self,
         source: SocketAddrV4,
@@ -269,8 +269,7 @@
         limit: Duration,
     ) -> impl Future<Output = CopyOutcome> + Send;
 
-    /// Frees a copy that nobody will use, at both engines. Returns whether the engine
-    /// took the call.
+    /// Frees an unused copy at both engines. Returns whether the source accepted the call.
     fn free_copy(
         &self,
         source: SocketAddrV4,
@@ -279,7 +278,7 @@
     ) -> impl Future<Output = bool> + Send;
 }
 
-/// A whole answer.
+/// A response that was read to its end.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
     /// The status.
@@ -291,7 +290,7 @@
 }
 
 impl BufferedResponse {
-    /// Returns the answer as the caller gets it.
+    /// Returns the response for the caller.
     pub fn into_response(self) -> Response<ResponseBody> {
         let mut response = Response::new(full_body(self.body));
         *response.status_mut() = self.status;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,19 +1,19 @@
-//! One generation from its engine to its caller, across engines if need be.
+//! Forwards one generation from its engine to its caller, across engines if necessary.
 //!
-//! # What is kept
+//! # Invariants
 //!
-//! - Whole events only, with numbers that follow each other without a gap. What
-//!   a second engine sends again is dropped; a gap ends the stream.
-//! - One engine at work: the connection to the old engine is closed before the
-//!   generation is asked for elsewhere.
-//! - A generation goes on only from its own memory, never from its beginning:
-//!   two generations of one prompt differ. Only a resumable one may be read anew by
-//!   another engine, which then goes on after the last event that the caller holds.
+//! - Only complete events are forwarded, and their numbers are consecutive. Events that a second
+//!   engine sends again are dropped; a missing event ends the stream.
+//! - One engine works on the generation at a time: the connection to the old engine is closed
+//!   before the generation is requested elsewhere.
+//! - A generation resumes only from a copy of its own KV cache, never from its beginning,
+//!   because two generations of one prompt differ. Only a resumable generation may be recomputed
+//!   by another engine, which then continues after the last event that the caller has received.
 //!
-//! `begin` waits for the head of the first answer, `pass_events` reads from one engine,
-//! `go_on` carries the generation to the next.
+//! `begin` waits for the head of the first response, `forward_events` reads from one
+//! engine, `resume` continues the generation at the next.
 //!
-//! `docs/design/relocation.md` weighs when a generation leaves its engine.
+//! `docs/design/relocation.md` discusses when a generation leaves its engine.
 
 mod begin;
 mod pace;
@@ -45,59 +45,59 @@
 use tokio::sync::{mpsc, oneshot};
 use upstream::{AttemptStart, StopReason, Upstream, sleep_until};
 
-/// Events after which a generation's memory is counted anew: about every half second.
+/// Events between two updates of a generation's expected KV usage: about every half second.
 const RECOUNT_EVENTS: u64 = 16;
 
-/// The largest answer that is no stream.
+/// The largest response body of an engine that is not a stream.
 const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// How a generation began.
+/// How a generation started.
 pub enum StartOutcome<W: Wire> {
-    /// Events come.
+    /// The engine streams events.
     Streaming {
         /// The status.
         status: StatusCode,
         /// The headers.
         headers: HeaderMap,
     },
-    /// The engine gave a final answer without events.
+    /// The engine returned a final response without events.
     Response(BufferedResponse),
-    /// It failed and may have run.
+    /// The attempt failed and may have run.
     Failed {
         /// The request.
         job: Box<Job<W>>,
-        /// Where it was.
+        /// The engines that it was sent to.
         attempts: Attempts,
-        /// What the caller gets unless it runs again.
+        /// The response for the caller, unless the request is retried.
         response: Response<ResponseBody>,
     },
-    /// The engine did not run it.
+    /// The engine did not run the request.
     NotRun {
         /// The request.
         job: Box<Job<W>>,
-        /// Where it was.
+        /// The engines that it was sent to.
         attempts: Attempts,
-        /// Whether it reached the engine, and so counts among the repeats when it is
-        /// sent once more.
+        /// Whether the request reached the engine; sending it again then counts against the
+        /// retry budget.
         reached_engine: bool,
     },
 }
 
-/// One generation.
+/// Forwards one generation.
 pub struct Relay<W: Wire, E: EngineCalls> {
     job: Job<W>,
     engine_calls: E,
-    /// Where the request was before the present engine.
+    /// The engines that the request was sent to before the current one.
     attempts: Attempts,
     engine: Place,
     usage: UsageGuard<W>,
     length: Length,
-    /// The memory that the generation is counted with.
+    /// KV tokens that the generation is counted with at the current engine.
     reserved_tokens: u32,
     state: Relocation,
     standby: Option<StandbyCopy<W>>,
     pre_copy: Option<PreCopy<W, E>>,
-    /// When the present engine's answer began.
+    /// When the response of the current engine started.
     response_started: Option<Instant>,
     splitter: EventSplitter,
     pace: Pace,
@@ -105,7 +105,7 @@
 }
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
-    /// Makes the relay of a generation that is to be sent to `source`.
+    /// Creates the relay of a generation that is to be sent to the engine in `chosen`.
     pub fn new(
         job: Job<W>,
         engines: E,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Runs the relay as a task; it ends when the caller leaves.
+    /// Runs the relay as a task, which ends when the caller disconnects.
     pub fn spawn(self) -> oneshot::Receiver<StartOutcome<W>> {
         let (started, rx) = oneshot::channel();
         tokio::spawn(async move {
@@ -162,7 +162,7 @@
                 status,
                 headers,
             } => {
-                // A caller that left meanwhile is noticed by its closed channel.
+                // If the caller has disconnected meanwhile, its closed channel shows it later.
                 let _ = started.send(StartOutcome::Streaming { status, headers });
                 upstream
             }
@@ -197,7 +197,7 @@
         self.forward_stream(upstream).await;
     }
 
-    /// Gives the request back after it may have run.
+    /// Returns the request to its sender after an attempt that may have run.
     fn failed(self, response: Response<ResponseBody>) -> StartOutcome<W> {
         let mut attempts = self.attempts;
         attempts.record_run(self.engine.key);
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Passes events on until the stream ends, moving to other engines on the way.
+    /// Forwards events until the stream ends, relocating between engines as necessary.
     async fn forward_stream(mut self, mut upstream: Upstream) {
         loop {
             let pause = self.forward_events(&mut upstream).await;
@@ -221,12 +221,12 @@
                     self.log_end("caller_left");
                     return;
                 }
-                StopReason::Timeout => return self.break_off("timeout").await,
-                StopReason::Gap => return self.break_off("event_missing").await,
+                StopReason::Timeout => return self.abort_stream("timeout").await,
+                StopReason::Gap => return self.abort_stream("event_missing").await,
                 StopReason::Relocate => {
                     upstream.link.close().await;
                     if let Err(reason) = self.wait_until_admitted().await {
-                        return self.break_off(&reason.to_string()).await;
+                        return self.abort_stream(&reason.to_string()).await;
                     }
                     self.relocate().await
                 }
@@ -242,7 +242,7 @@
                         .on_connection_broken(&self.engine, self.response_started)
                         .await;
                     if let Err(reason) = self.wait_until_admitted().await {
-                        return self.break_off(&reason.to_string()).await;
+                        return self.abort_stream(&reason.to_string()).await;
                     }
                     self.relocate().await
                 }
@@ -255,22 +255,22 @@
             let next = match next {
                 Some(begun @ AttemptStart::Stream { .. }) => Some(begun),
                 Some(AttemptStart::Failed(reason @ Reason::BudgetSpent)) => {
-                    return self.break_off(&reason.to_string()).await;
+                    return self.abort_stream(&reason.to_string()).await;
                 }
                 _ => self.recompute().await,
             };
             match next {
                 Some(AttemptStart::Stream { upstream: next, .. }) => upstream = next,
-                _ => return self.break_off("no_copy").await,
+                _ => return self.abort_stream("no_copy").await,
             }
         }
     }
 
-    /// Waits until the generation may go on at another engine.
+    /// Waits until the generation may resume at another engine.
     ///
     /// # Errors
     ///
-    /// Returns why it may not: it ended its engines, or runs elsewhere too.
+    /// Returns why it may not: it crashed engines, or it is a suspect that runs elsewhere.
     async fn wait_until_admitted(&self) -> Result<(), Reason> {
         let ran_for = self.response_started.map(|at| at.elapsed());
         if ran_for.is_some_and(|it| it >= RAN_WELL_AFTER) {
@@ -317,7 +317,7 @@
                         }
                     }
                     Some(Err(error)) => {
-                        log::debug!("a generation's connection broke: {error}");
+                        log::debug!("connection of a generation failed: {error}");
                         return StopReason::Broken;
                     }
                     None if self.splitter.has_partial_event() => return StopReason::Broken,
@@ -331,8 +331,8 @@
         }
     }
 
-    /// Passes one event on, unless the caller holds it already. A caller that takes
-    /// nothing holds the generation up no longer than its time.
+    /// Forwards one event, unless the caller has it already. A caller that reads nothing blocks
+    /// the generation until the request's deadline at most.
     async fn forward_event(&mut self, event: Event) -> Option<StopReason<W>> {
         let now = self.job.cx.now();
         let is_first_here = !self.state.has_begun_here();
@@ -378,7 +378,7 @@
         self.state.next(now, &view)
     }
 
-    /// Counts the memory anew as the generation grows.
+    /// Updates the expected KV usage as the generation grows.
     fn recount(&mut self) {
         if self.state.events().is_multiple_of(RECOUNT_EVENTS) {
             let made = self.state.tokens();
@@ -399,10 +399,10 @@
         self.log_end("complete");
     }
 
-    /// Ends the caller's stream without the mark of a complete one.
-    async fn break_off(&mut self, why: &str) {
+    /// Aborts the caller's stream, so that it does not look complete.
+    async fn abort_stream(&mut self, why: &str) {
         self.log_end(why);
-        // A caller that left meanwhile needs no end.
+        // Fails only if the caller has disconnected.
         let _ = self.tx.send(Err(StreamAborted)).await;
     }
 
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -1,4 +1,4 @@
-//! How a generation begins: until the head of an engine's answer is there.
+//! The start of a generation, up to the head of an engine's response.
 
 use super::upstream::{AttemptStart, Upstream, sleep_until};
 use super::{MAX_RESPONSE_BYTES, Relay};
@@ -19,27 +19,27 @@
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
-/// The pause before an engine with room is looked for again.
+/// The interval at which another engine with room is searched for.
 const REASSIGN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an engine that was sent the request did.
+/// The result of sending the request to an engine.
 enum SendOutcome<W: Wire> {
-    /// It answered, or its connection failed.
+    /// The engine responded, or the connection failed.
     Sent(Result<(Link, Response<Incoming>), LinkError>),
-    /// The time of the request was over.
+    /// The deadline of the request passed.
     Timeout,
-    /// It was refused while it was there, because it ended too many engines.
+    /// The request was refused meanwhile because it crashed too many engines.
     Refused,
-    /// It made the request wait, and another engine has room.
+    /// The engine queued the request, and another engine has room.
     Reassign(Place, UsageGuard<W>),
 }
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
-    /// Sends the request and waits for the head of its answer.
+    /// Sends the request and waits for the head of the response.
     ///
-    /// If its engine breaks before that, nothing is asked of the engine that is to keep its
-    /// copy. Memory is copied as it grows, so that there is none; and an engine that fails by
-    /// itself when it is asked would have run a second time what may run once.
+    /// If the engine fails before that, the engine of the standby copy is not asked. KV cache is
+    /// copied as it grows, so there is no copy yet; and if that engine failed on its own after
+    /// being asked, a request that may run only once would have run twice.
     pub(super) async fn start(&mut self) -> AttemptStart {
         self.choose_standby().await;
         let error = loop {
@@ -63,16 +63,16 @@
         }
         self.job.record_failure(&self.engine);
         self.job.on_connection_broken(&self.engine, None).await;
-        log::debug!("a generation was lost before its first event: {error}");
+        log::debug!("generation failed before its first event: {error}");
         match self.job.is_refused() {
             true => AttemptStart::Failed(self.job.log_refusal()),
             false => AttemptStart::Failed(Reason::ResponseLost),
         }
     }
 
-    /// Sends the request to the present engine and waits for the head of its answer.
+    /// Sends the request to the current engine and waits for the head of the response.
     ///
-    /// Dropping the wait closes the connection, so that a request that is taken back is
+    /// Dropping the future closes the connection, so that a request that is reassigned is
     /// cancelled before it is sent elsewhere.
     async fn send_and_wait(&self) -> SendOutcome<W> {
         let mut sent = core::pin::pin!(self.send(None));
@@ -105,12 +105,12 @@
         Instant::now() + take_back_after(self.job.entry().target)
     }
 
-    /// Returns whether the generation may begin, or go on without a copy, at one engine more.
+    /// Returns whether the generation may start, or resume without a copy, at one more engine.
     pub(super) fn may_run_again(&self) -> bool {
         !self.attempts.next_is_last(self.job.entry())
     }
 
-    /// Returns an engine with room that was not tried, if the fleet's repeats allow it.
+    /// Returns an untried engine with room, if the fleet's retry budget allows the attempt.
     pub(super) async fn engine_with_room(&self) -> Option<(Place, UsageGuard<W>)> {
         let mut tried = self.attempts.tried().to_vec();
         tried.push(self.engine.key);
@@ -137,7 +137,7 @@
         self.switch_to(place, in_use).await;
     }
 
-    /// Makes `place` the present engine; the generation may have run at the one before.
+    /// Makes `place` the current engine; the generation may have run at the previous one.
     pub(super) async fn switch_to(&mut self, place: Place, in_use: UsageGuard<W>) {
         self.attempts.record_run(self.engine.key);
         self.usage = in_use;
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Returns where the present engine is to keep a standing copy, unless that engine was
+    /// Returns where the current engine should keep a standby copy, unless that place was
     /// withdrawn since it was chosen.
     fn standby_address(&self) -> Option<SocketAddrV4> {
         let place = &self.standby.as_ref()?.place;
@@ -193,20 +193,20 @@
         state.is_usable(place.key).then_some(place.address)
     }
 
-    /// Sends the request to the present engine, to go on from `copy` if there is one.
+    /// Sends the request to the current engine, to resume from `copy` if there is one.
     pub(super) async fn send(
         &self,
         copy: Option<CopyLocation<'_>>,
     ) -> Result<(Link, Response<Incoming>), LinkError> {
         let last_event = self.state.last_event();
-        let goes_on = copy.is_some() || last_event.is_some();
+        let is_resume = copy.is_some() || last_event.is_some();
         let send = ForwardHead {
             timeout: self.job.remaining(),
             endpoint: &self.engine.name,
             workspace: self.job.workspace_name(),
             priority: Some(self.job.priority()),
             copy_to: self.standby_address(),
-            resume: goes_on.then(|| Resume {
+            resume: is_resume.then(|| Resume {
                 copy,
                 last_event: last_event.unwrap_or(0),
             }),
--- a/crates/gateway/src/relay/pace.rs
+++ b/crates/gateway/src/relay/pace.rs
@@ -1,4 +1,4 @@
-//! How the events of a generation came, for those who ask later why it was late.
+//! The timing of a generation's events, for logs and histograms that explain late generations.
 
 use crate::meters::{Histogram, millis};
 use core::time::Duration;
@@ -8,7 +8,7 @@
 /// The times of one generation's events.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
-    /// How long the request waited here for room at an engine.
+    /// How long the request waited in this instance for room at an engine.
     waited: Duration,
     first: Option<Instant>,
     last: Option<Instant>,
@@ -16,7 +16,7 @@
 }
 
 impl Pace {
-    /// Returns the times of a generation that waited for so long.
+    /// Starts the record of a generation that waited for `waited`.
     pub(super) fn new(waited: Duration) -> Self {
         Pace {
             waited,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Notes an event that is passed on.
+    /// Records an event that is forwarded.
     pub(super) fn on_event(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if let Some(last) = self.last {
@@ -35,7 +35,7 @@
         self.last = Some(now);
     }
 
-    /// Returns what a caller that arrived then has seen.
+    /// Returns the timing as seen by a caller that arrived at `arrived`.
     pub(super) fn summary(&self, arrived: Instant) -> PaceSummary {
         let first = self.first.map(|first| first - arrived);
         PaceSummary {
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a caller has seen of a generation.
+/// The timing of a generation as its caller saw it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PaceSummary {
     pub(super) waited_ms: u64,
@@ -60,7 +60,7 @@
 }
 
 impl PaceSummary {
-    /// Records the times in histograms.
+    /// Records the times in the histograms.
     pub(super) fn record(&self) {
         if let Some(first) = self.first {
             Histogram::FirstEvent.record(first);
@@ -69,7 +69,7 @@
         Histogram::Wait.record(Duration::from_millis(self.waited_ms));
     }
 
-    /// Returns whether the first event or a pause took longer than is wanted.
+    /// Returns whether the first event or a pause exceeded the entry's target.
     pub(super) fn is_late(&self, entry: &HttpEntry) -> bool {
         let slow = self.longest_pause > entry.gap_target && !entry.gap_target.is_zero();
         slow || self.first.is_none_or(|first| first > entry.target)
--- a/crates/gateway/src/relay/pre_copy.rs
+++ b/crates/gateway/src/relay/pre_copy.rs
@@ -1,4 +1,4 @@
-//! The copies of one generation's memory at other engines.
+//! The copies of one generation's KV cache at other engines.
 
 use crate::job::CopyUsageGuard;
 use crate::ports::{CopyOutcome, EngineCalls, Wire};
@@ -7,14 +7,14 @@
 use std::net::SocketAddrV4;
 use tokio::task::JoinHandle;
 
-/// How long a copy ahead may take: copies queue on the links of both engines, and
-/// no notice is much longer.
+/// The timeout of a pre-copy: copies queue on the links of both engines, and no notice is much
+/// longer.
 const PRE_COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long the call that frees a copy may take.
+/// The timeout of the call that frees a copy.
 const FREE_COPY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where the engine of a generation keeps a copy up to date.
+/// The place at which the engine of a generation keeps a copy up to date.
 pub(super) struct StandbyCopy<W: Wire> {
     pub(super) place: Place,
     pub(super) _usage: CopyUsageGuard<W>,
@@ -22,22 +22,22 @@
 
 /// A copy that is made while the generation still runs at an engine that leaves.
 ///
-/// Dropping it frees the copy. What goes wrong otherwise: a generation that ends
-/// before it leaves holds memory at an engine for seconds that nobody uses, seen as
-/// prompts that wait for room at engines with few generations.
+/// Dropping it frees the copy. Without that, a generation that ends before it relocates would
+/// hold KV cache at an engine for seconds that nobody uses: prompts would queue at engines with
+/// few generations.
 pub(super) struct PreCopy<W: Wire, E: EngineCalls> {
     engines: E,
     source: SocketAddrV4,
     pub(super) target: Place,
-    /// The call under way.
+    /// The call in progress.
     task: Option<JoinHandle<CopyOutcome>>,
-    /// The copy's name at the source, once it is complete.
+    /// The handle of the copy at the source, once the copy is complete.
     handle: Option<String>,
     _in_use: CopyUsageGuard<W>,
 }
 
 impl<W: Wire, E: EngineCalls> PreCopy<W, E> {
-    /// Returns a copy from `source` to `target` that is not begun.
+    /// Returns a copy from `source` to `target` that is not started yet.
     pub(super) fn new(
         engines: E,
         source: SocketAddrV4,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Begins the copy, or brings it up to date.
+    /// Starts the copy, or brings it up to date.
     pub(super) fn start(&mut self, attempt: &str) {
         let (engines, source) = (self.engines.clone(), self.source);
         let (attempt, target) = (attempt.to_owned(), self.target.address);
@@ -65,15 +65,15 @@
         }));
     }
 
-    /// Notes the name of a complete copy.
+    /// Stores the handle of a complete copy.
     pub(super) fn complete(&mut self, handle: String) {
         self.handle = Some(handle);
     }
 
-    /// Gives the copy to whoever goes on from it; nothing if it is not complete.
+    /// Returns the place and the handle of the copy to resume from, `None` if it is not complete.
     pub(super) fn take(mut self) -> Option<(Place, String)> {
         let handle = self.handle.take()?;
-        // A call that brings the copy up to date may end as it likes.
+        // The result of a call that refreshes the copy does not matter any more.
         self.task = None;
         Some((self.target.clone(), handle))
     }
@@ -102,7 +102,7 @@
     }
 }
 
-/// Waits for the end of a copy that is under way; for good if there is none.
+/// Waits for the copy call in progress to end; never returns if there is none.
 pub(super) async fn wait_for_end<W: Wire, E: EngineCalls>(
     ahead: &mut Option<PreCopy<W, E>>,
 ) -> CopyOutcome {
--- a/crates/gateway/src/relay/resume.rs
+++ b/crates/gateway/src/relay/resume.rs
@@ -1,4 +1,4 @@
-//! How a generation goes on at another engine.
+//! Resuming a generation at another engine.
 
 use super::Relay;
 use super::pre_copy::{PreCopy, StandbyCopy};
@@ -18,27 +18,27 @@
 use std::time::Instant;
 use tokio::time::sleep;
 
-/// How often an engine that refuses to go on from a complete copy is asked again.
+/// How often an engine that refuses to resume from a complete copy is asked again.
 ///
-/// What goes wrong otherwise: an engine that sheds a part of its requests, or is full for a
-/// moment, refuses the one request that the generation depends on; its stream is closed in
-/// the middle though the copy still stands, since what did not run has used up nothing.
+/// Without retries, an engine that sheds a part of its requests, or is full for a moment, could
+/// refuse the one request that the generation depends on. Its stream would end in the middle
+/// although the copy still exists, because a request that did not run has not consumed it.
 const MAX_RESUME_RETRIES: usize = 2;
 
-/// The pause before each such question. Both together stay within the pause between events
-/// that entries of generations want kept, 180 ms.
+/// The pause before each of these retries. Both together stay within 180 ms, the target for the
+/// gap between events of typical entries.
 const RESUME_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// How long a generation waits for a repeat of the fleet's budget before it is broken off. Callers
-/// leave a stream after two seconds without an event.
+/// How long a generation waits for the fleet's retry budget before its stream is aborted. Callers
+/// abandon a stream after two seconds without an event.
 const RETRY_BUDGET_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause between two looks at the budget.
+/// The interval at which the retry budget is checked.
 const RETRY_BUDGET_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
-    /// Copies the memory to another engine while the generation goes on, or brings
-    /// that copy up to date.
+    /// Copies the KV cache to another engine while the generation continues, or refreshes that
+    /// copy.
     pub(super) async fn start_pre_copy(&mut self) {
         if self.pre_copy.is_none() {
             let Some((target, in_use)) = self.request_copy_target(CopyKind::Ahead).await else {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Gives up a copy ahead in a data centre that was closed; another one can then be made.
+    /// Drops a pre-copy in a data centre that was cordoned; another one can then be made.
     pub(super) fn drop_cordoned_pre_copy(&mut self) {
         let Some(ahead) = &self.pre_copy else { return };
         let state = self.job.cx.state();
@@ -87,11 +87,11 @@
         }
     }
 
-    /// Goes on at another engine. The connection to the present one is closed: the
-    /// generation must not run at two engines.
+    /// Resumes at another engine. The connection to the current one must be closed, so that the
+    /// generation does not run at two engines.
     ///
-    /// A copy ahead is known to be there, a standing one is not; where the engine of
-    /// one refuses, the other is asked.
+    /// A pre-copy is known to exist, a standby copy is not; if the engine of one refuses, the
+    /// other is tried.
     pub(super) async fn relocate(&mut self) -> Option<AttemptStart> {
         self.drop_cordoned_pre_copy();
         let may_exist = self.state.standing_may_exist(self.job.cx.now());
@@ -108,7 +108,7 @@
         self.resume_from_standby().await
     }
 
-    /// Goes on where a copy was made since the notice, if it is complete.
+    /// Resumes from the pre-copy, if it is complete.
     async fn resume_from_pre_copy(&mut self) -> Option<AttemptStart> {
         let (target, handle) = self.pre_copy.take()?.take()?;
         ByReason::Relocations.add("ahead");
@@ -119,8 +119,8 @@
             to = target.name.as_str(),
             event_id = self.state.last_event()
         );
-        let keeper = self.engine.address;
-        let mut begun = self.resume_at(target, keeper, &handle).await;
+        let holder = self.engine.address;
+        let mut begun = self.resume_at(target, holder, &handle).await;
         for _ in 0..MAX_RESUME_RETRIES {
             if !matches!(
                 begun,
@@ -137,7 +137,7 @@
             let handle = &handle;
             begun = self
                 .send_resume(Some(CopyLocation {
-                    engine: keeper,
+                    engine: holder,
                     handle,
                 }))
                 .await;
@@ -145,7 +145,7 @@
         Some(begun)
     }
 
-    /// Goes on where the standing copy is kept, if there is one.
+    /// Resumes from the standby copy, if there is one.
     pub(super) async fn resume_from_standby(&mut self) -> Option<AttemptStart> {
         let copy = self.standby.take()?;
         let attempt = self.job.name().to_owned();
@@ -161,11 +161,11 @@
         Some(self.resume_at(copy.place.clone(), address, &attempt).await)
     }
 
-    /// Asks `target` to go on with the generation whose memory `keeper` holds.
+    /// Asks `target` to resume the generation whose copy `holder` holds.
     async fn resume_at(
         &mut self,
         target: Place,
-        keeper: SocketAddrV4,
+        holder: SocketAddrV4,
         handle: &str,
     ) -> AttemptStart {
         if !self.wait_for_retry_budget(RepeatKind::GoOn).await {
@@ -179,14 +179,14 @@
         self.engine = target;
         self.choose_standby().await;
         self.send_resume(Some(CopyLocation {
-            engine: keeper,
+            engine: holder,
             handle,
         }))
         .await
     }
 
-    /// Goes on at an engine that reads prompt and events anew, if the generation is
-    /// resumable and one has room.
+    /// Resumes without a copy, if the generation is resumable and an engine has room: the engine
+    /// prefills the prompt and the events.
     pub(super) async fn recompute(&mut self) -> Option<AttemptStart> {
         if !self.may_run_again() {
             return None;
@@ -195,7 +195,7 @@
         Some(self.recompute_at(place, in_use).await)
     }
 
-    /// Goes on at `place`, which reads prompt and events anew.
+    /// Resumes at `place` without a copy, which prefills the prompt and the events.
     pub(super) async fn recompute_at(
         &mut self,
         place: Place,
@@ -216,7 +216,7 @@
         self.send_resume(None).await
     }
 
-    /// Asks the present engine to go on, from a copy or anew.
+    /// Asks the current engine to resume, from `copy` or by recomputing.
     async fn send_resume(&mut self, copy: Option<CopyLocation<'_>>) -> AttemptStart {
         if !self.job.is_admitted() {
             return AttemptStart::Failed(Reason::EndsEndpoints);
@@ -226,7 +226,7 @@
         let begun = match sent {
             Ok(Ok((link, response))) => self.read_head(link, response).await,
             Ok(Err(error)) => {
-                log::debug!("a generation could not go on: {error}");
+                log::debug!("generation could not resume: {error}");
                 if !matches!(error, LinkError::Withdrawn) {
                     self.job.record_failure(&self.engine);
                 }
@@ -248,8 +248,9 @@
         begun
     }
 
-    /// Spends one of the fleet's repeats. If there is none, waits for it as long as callers bear a
-    /// pause: other repeats leave what is earned meanwhile to generations that go on.
+    /// Spends one retry of the fleet's budget. If none is available, waits for one as long as
+    /// callers tolerate a pause: other retries leave what accrues meanwhile to generations that
+    /// resume.
     async fn wait_for_retry_budget(&self, kind: RepeatKind) -> bool {
         let ends = Instant::now() + RETRY_BUDGET_TIMEOUT.min(self.job.remaining());
         while !self.job.may_resume() {
@@ -258,7 +259,7 @@
             }
             tokio::select! {
                 () = sleep(RETRY_BUDGET_POLL_INTERVAL) => {}
-                // Nothing is sent for a caller that left.
+                // Nothing is sent for a caller that has disconnected.
                 () = self.tx.closed() => return false,
             }
         }
@@ -275,7 +276,7 @@
         );
     }
 
-    /// Chooses where the present engine keeps a standing copy, where one pays.
+    /// Chooses where the current engine keeps a standby copy, if a copy is worthwhile.
     pub(super) async fn choose_standby(&mut self) {
         self.standby = None;
         let engine = self.job.service().engine;
--- a/crates/gateway/src/relay/upstream.rs
+++ b/crates/gateway/src/relay/upstream.rs
@@ -1,4 +1,4 @@
-//! The open end of an engine's answer, and how it begins and pauses.
+//! The open response of an engine: how it starts and why reading it stops.
 
 use crate::job::UsageGuard;
 use crate::link::Link;
@@ -9,52 +9,52 @@
 use oriolemux_core::gateway::state::Place;
 use std::time::Instant;
 
-/// The open connection that events come on.
+/// An open connection that delivers events.
 pub(super) struct Upstream {
     pub(super) link: Link,
     pub(super) body: Incoming,
 }
 
-/// Why the relay stopped to read from an engine.
+/// Why the relay stopped reading from an engine.
 pub(super) enum StopReason<W: Wire> {
-    /// The stream came to its end.
+    /// The stream ended.
     End,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
-    /// The engine leaves and it is time to go.
+    /// The engine leaves, and it is time to relocate.
     Relocate,
-    /// The engine is silent, and this one can read the generation anew.
+    /// The engine is silent, and the given engine can recompute the generation.
     Recompute(Place, UsageGuard<W>),
     /// The connection broke.
     Broken,
-    /// The engine fell silent or sent what is no stream.
+    /// The engine fell silent or sent data that is not an event stream.
     EngineFailed,
-    /// Time is over.
+    /// The deadline of the request passed.
     Timeout,
     /// An event is missing.
     Gap,
 }
 
-/// How a request to an engine began.
+/// How a request to an engine started.
 pub(super) enum AttemptStart {
-    /// Events come.
+    /// The engine streams events.
     Stream {
         upstream: Upstream,
         status: StatusCode,
         headers: HeaderMap,
     },
-    /// A final answer without events.
+    /// A final response without events.
     FinalResponse(BufferedResponse),
-    /// The engine did not run it.
+    /// The engine did not run the request.
     NotRun {
         /// Whether it reached the engine.
         reached_engine: bool,
     },
-    /// It failed.
+    /// The attempt failed and may have run.
     Failed(Reason),
 }
 
-/// Waits until `at`; for good if there is no such time.
+/// Waits until `at`; never returns if there is no such time.
 pub(super) async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at.into()).await,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts all parts of the gateway and ends them in order.
+//! Starts all tasks of the gateway and stops them in order.
 
 use crate::cx::{Clock, Cx, GatewayLimits, OpenKind, StopPlan};
 use crate::log_event;
@@ -17,15 +17,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// How long before the end of a planned stop the door is closed.
+/// How long before the end of a planned stop the listener for callers is closed.
 const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// How long before the end of a planned stop calls are refused: longer than a call
-/// takes, so that none is cut off.
+/// How long before the end of a planned stop calls are refused: longer than a call takes, so
+/// that none is aborted.
 const CALL_CUTOFF: Duration = Duration::from_millis(1_500);
 
-/// How long before the end of the notice generations are refused. What comes within
-/// the notice may be cut off by the end of the stop; this keeps clear of its edge.
+/// How long before the end of the notice generations are refused. A generation that arrives within
+/// the notice may be aborted at the end of the stop, so the last part of the notice is left out.
 const GENERATION_CUTOFF: Duration = Duration::from_millis(500);
 
 fn stop_plan(settings: &RunConfig) -> StopPlan {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Puts settings in force that were read anew, for good.
+/// Applies reloaded settings. Never returns.
 async fn apply_reloads<W: Wire>(
     cx: Arc<Cx<W>>,
     mut reloads: watch::Receiver<Option<ReloadedSettings>>,
@@ -51,72 +51,72 @@
             cx.state().reload(now, seeds, budget);
         }
     }
-    // Whoever read settings has ended; what is in force stays.
+    // The sender is gone; the settings in force stay.
     core::future::pending().await
 }
 
-/// How often a planned stop looks whether the last request is answered.
+/// The interval at which a planned stop checks whether the last generation has ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where an instance listens, and its bounds.
+/// The addresses and limits of an instance.
 #[derive(Clone, Debug)]
 pub struct RunConfig {
     /// The instance's name.
     pub name: String,
-    /// For callers.
+    /// The address for callers.
     pub front: SocketAddr,
-    /// For the balancer.
+    /// The address for the balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// For peers, over UDP and TCP.
+    /// The address for peers, over UDP and TCP.
     pub peers: SocketAddrV4,
-    /// The page of metrics and for operators, if there is one.
+    /// The metrics and operators' page, if there is one.
     pub metrics: Option<MetricsPage>,
-    /// Bounds of the sockets.
+    /// Limits of the sockets.
     pub limits: GatewayLimits,
-    /// How long callers are still taken after readiness was withdrawn.
+    /// How long requests are still accepted after readiness was withdrawn.
     pub notice: Duration,
-    /// How long a planned stop may take in all.
+    /// The maximum duration of a planned stop.
     pub grace: Duration,
-    /// What the decisions need.
+    /// The configuration of the decision state.
     pub config: GatewayConfig,
 }
 
-/// A page that is rendered when it is asked for.
+/// The metrics page, which is rendered for each request.
 #[derive(Clone, Copy, Debug)]
 pub struct MetricsPage {
-    /// Where it is served.
+    /// The address of the listener.
     pub listen: SocketAddr,
-    /// Returns its text.
+    /// Renders the metrics as text.
     pub render: fn() -> String,
 }
 
-/// Settings that may change while an instance runs.
+/// Settings that may change at run time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReloadedSettings {
-    /// Addresses at which peers may answer.
+    /// Addresses at which peers may be reached.
     pub seeds: Vec<SocketAddrV4>,
-    /// The fleet's bound of repeats.
+    /// The fleet's retry budget.
     pub budget: BudgetConfig,
 }
 
-/// Why the gateway ended before it was told to.
+/// Why the gateway ended without being stopped.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum RunError {
     /// cannot listen for {listener} on {address}: {source}
     Listen {
-        /// Which listener.
+        /// The listener's name.
         listener: &'static str,
         /// Its address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// a part ended that runs for good
+    /// a task that must run until shutdown has ended
     TaskEnded,
 }
 
-/// The listeners of an instance, bound before anything starts, so that an address
-/// that is in use ends the process at once. A port of 0 takes any free one.
+/// The listeners of an instance. They are bound before anything starts, so that an address that
+/// is in use ends the process at once. Port 0 binds any free port.
 pub struct BoundListeners {
     front: TcpListener,
     readiness: TcpListener,
@@ -126,7 +126,7 @@
     addresses: BoundAddresses,
 }
 
-/// Where an instance listens.
+/// The addresses that an instance listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoundAddresses {
     /// For callers.
@@ -135,7 +135,7 @@
     pub readiness: SocketAddr,
     /// For peers, over UDP and TCP.
     pub peers: SocketAddrV4,
-    /// For operators and metrics, if there is one.
+    /// For operators and metrics, if configured.
     pub metrics: Option<SocketAddr>,
 }
 
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// Returns which address cannot be used.
+    /// Returns the address that cannot be bound.
     pub async fn bind(settings: &RunConfig) -> Result<Self, RunError> {
         let front = listen("front", settings.front).await?;
         let readiness = listen("readiness", settings.readiness).await?;
@@ -169,7 +169,7 @@
         })
     }
 
-    /// Returns where this instance listens.
+    /// Returns the bound addresses.
     pub fn addresses(&self) -> BoundAddresses {
         self.addresses
     }
@@ -186,11 +186,11 @@
         }
     }
 
-    /// Runs the instance until `stop` is cancelled and the last request is answered.
+    /// Runs the instance until `stop` is cancelled and the last request has ended.
     ///
     /// # Errors
     ///
-    /// Fails if a part ends by itself.
+    /// Fails if a task ends by itself.
     pub async fn run<W: Wire, S: Store, E: EngineCalls>(
         self,
         settings: RunConfig,
@@ -241,13 +241,12 @@
     }
 }
 
-/// Stops without cutting anything off: readiness first, while callers that come
-/// nevertheless are served; then, once the last generation is passed on, the door;
-/// then the idle connections.
+/// Stops without aborting requests. Readiness is withdrawn first, while callers that still arrive
+/// are served; the listener closes once the last generation has ended, then idle connections.
 ///
-/// The door stays open as long as the process does. What goes wrong otherwise: where
-/// several instances stop one after the other, the balancer sends callers to all of
-/// them, and a closed door is a caller without an answer.
+/// The listener stays open until the process is about to end. Where several instances stop one
+/// after the other, the balancer sends callers to all of them, and a closed listener would leave
+/// callers without a response.
 async fn stop_gracefully<W: Wire>(
     cx: &Arc<Cx<W>>,
     settings: &RunConfig,
@@ -280,7 +279,7 @@
     })
 }
 
-/// Ports that are tried until one is free for UDP and TCP alike.
+/// Attempts to find a port that is free for both UDP and TCP.
 const MAX_PEER_PORT_ATTEMPTS: usize = 16;
 
 /// Binds the same port for datagrams and for connections of peers.
