--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -1,10 +1,9 @@
-//! Records of the store from peer to peer: asked for by who missed them.
+//! Fetches missed records of the store from peers, and serves them.
 //!
-//! The question is the revision up to which the asker knows everything, over TCP on the
-//! port of the datagrams; the answer is what came after it, in one piece, compressed where
-//! it is large ([`mod@format`]). An answer of no bytes is a refusal: the peer tells others at
-//! the moment. The core says whom to ask and how many may be told at once
-//! ([`core::gateway::catch_up`]).
+//! The request is the revision up to which the sender has all records, over TCP on the port number
+//! of the datagrams. The reply is a delta with all later records, compressed if it is large
+//! ([`mod@format`]). An empty reply is a refusal: the peer serves others at the moment. The core
+//! decides whom to ask and how many may be served at once ([`core::gateway::catch_up`]).
 //!
 //! [`core::gateway::catch_up`]: oriolemux_core::gateway::catch_up
 
@@ -28,34 +27,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a peer may take to read what it asked for. One that takes longer holds up
-/// others, and reads the store meanwhile.
+/// How long a peer may take to read a delta. A slower one would block others; it reads the store
+/// instead.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An answer of which nothing came for so long does not come.
+/// A connection on which nothing arrives for this long is abandoned.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The purpose under which answers are counted.
+/// The purpose under which sent deltas are counted.
 const STORE_DELTA_PURPOSE: &str = "store_news";
 
-/// How long to wait before another connection is accepted where one could not be.
+/// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
 
-/// Why a peer did not tell what it knows.
+/// Why fetching a delta from a peer failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum FetchError {
     /// the connection failed: {0}
     Connection(#[from] io::Error),
-    /// nothing came for {0:?}
+    /// no data for {0:?}
     Silent(Duration),
-    /// the peer tells others at the moment
+    /// the peer is serving others
     Refused,
-    /// the answer cannot be read: {0}
+    /// the reply cannot be decoded: {0}
     Format(#[from] FormatError),
 }
 
 impl FetchError {
-    /// Returns a word for it, which lines and counters carry.
+    /// Returns the value that log lines and counters carry.
     pub const fn label(&self) -> &'static str {
         match self {
             FetchError::Connection(_) => "connection",
@@ -73,7 +72,7 @@
     }
 }
 
-/// Asks peers whenever one knows more, for good.
+/// Fetches deltas whenever a peer has a later revision. Never returns.
 pub async fn catch_up<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         cx.catch_up_due.notified().await;
@@ -89,7 +88,7 @@
     let after = cx.state().replica.revision();
     let fetched = tokio::select! {
         fetched = fetch(peer, after) => fetched,
-        // The store, or another peer, made the question pointless.
+        // The store or another peer delivered the records meanwhile.
         () = no_longer_behind(cx) => return,
     };
     let ms = millis(begun.elapsed());
@@ -136,18 +135,18 @@
         cx.state().replica.reached(delta.revision);
     }
     if has_changes {
-        // Who was told can tell it on, and the others must hear so at once.
+        // Peers can now fetch the delta from this instance and should learn so at once.
         cx.state().announce();
         cx.gossip_due.notify_one();
     }
 }
 
-/// Asks a peer for what it knows of the store above revision `after`.
+/// Fetches a peer's records of the store above revision `after`.
 ///
 /// # Errors
 ///
-/// Fails if the peer cannot be reached, falls silent or refuses, or if its answer cannot
-/// be read. How long an answer takes as long as it comes is the caller's to bound.
+/// Fails if the peer cannot be reached, falls silent or refuses, or if its reply cannot be decoded.
+/// The total duration is not bounded while data keeps arriving; the caller must bound it.
 pub async fn fetch(peer: SocketAddrV4, after: u64) -> Result<News, FetchError> {
     let silent = |_| FetchError::Silent(SILENCE_TIMEOUT);
     let mut stream = timeout(SILENCE_TIMEOUT, connect_socket(peer))
@@ -167,7 +166,7 @@
     Ok(format::decode(&bytes)?)
 }
 
-/// Answers peers that ask what was published, for good.
+/// Serves deltas to peers that request them. Never returns.
 pub async fn serve_deltas<W: Wire>(cx: Arc<Cx<W>>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -176,18 +175,18 @@
                 tokio::spawn(async move { serve_peer(&cx, stream, from).await });
             }
             Err(error) => {
-                log::warn!("cannot accept a peer: {error}");
+                log::warn!("cannot accept a peer connection: {error}");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// How the telling of a peer ended.
+/// How serving a delta ended.
 enum DeltaTransfer {
-    /// It was told something small, or refused.
+    /// A small delta was sent, or the peer was refused.
     Small,
-    /// It read all of so many bytes on the wire.
+    /// The peer read a large delta of this many bytes on the wire.
     Large(usize),
 }
 
@@ -197,7 +196,7 @@
         Ok(Ok(DeltaTransfer::Small)) => return,
         Ok(Ok(DeltaTransfer::Large(bytes))) => ("read", bytes),
         Ok(Err(error)) => {
-            log::debug!("{from} was not told: {error}");
+            log::debug!("sending a delta to {from} failed: {error}");
             ("broken", 0)
         }
         Err(_) => ("unread", 0),
@@ -212,7 +211,7 @@
     );
 }
 
-/// Tells all that the peer has not, unless that is much and others are being told.
+/// Sends the delta, unless it is large and too many large transfers are in progress.
 async fn send_delta<W: Wire>(cx: &Arc<Cx<W>>, mut stream: TcpStream) -> io::Result<DeltaTransfer> {
     let after = stream.read_u64().await?;
     let size = cx.state().replica.news_size(after);
@@ -230,7 +229,7 @@
     stream.write_all(&bytes).await?;
     stream.shutdown().await?;
     cx.record_sent(STORE_DELTA_PURPOSE, bytes.len());
-    // What is written may still be on the way. The peer closes when it has read it all.
+    // Written bytes may still be in flight. The peer closes its end when it has read everything.
     stream.read_to_end(&mut Vec::new()).await?;
     Ok(DeltaTransfer::Large(bytes.len()))
 }
--- a/crates/gateway/src/catch_up/format.rs
+++ b/crates/gateway/src/catch_up/format.rs
@@ -1,37 +1,36 @@
-//! The bytes in which one instance tells another what was published.
+//! The wire format of a delta of the store's records.
 //!
-//! One byte says how the rest is written, `bincode` follows. What is large is compressed:
-//! entries of a catalogue repeat the same words, so that 816 KB of 4,000 entries become
-//! 84 KB in under a millisecond (measured with LZ4; deflate makes 60 KB in two). Links of
-//! instances are small, and a peer is told a tenth as long.
+//! One byte names the format, and `bincode` follows. Large deltas are compressed: the entries of a
+//! catalogue are repetitive, so LZ4 reduces the 816 KB of 4,000 entries to 84 KB in under a
+//! millisecond (deflate reaches 60 KB in two). Links of instances are small, and the transfer takes
+//! a tenth of the time.
 
 use bincode::config::{Configuration, Limit, LittleEndian, Varint, standard};
 use oriolemux_core::gateway::catch_up::LARGE_NEWS;
 use oriolemux_core::gateway::replica::News;
 
-/// The largest answer of a peer, before it is compressed: a store of the size that is
-/// designed for, twice.
+/// The largest delta before compression: twice the store size that the system is designed for.
 pub const MAX_DELTA_BYTES: usize = 64 * 1024 * 1024;
 
-/// As `bincode` writes it.
+/// Uncompressed `bincode`.
 const PLAIN: u8 = 0;
 
-/// Compressed with LZ4, after its length in four bytes.
+/// `bincode` compressed with LZ4, preceded by its length in four bytes.
 const COMPRESSED: u8 = 1;
 
-/// Bytes of the length that stands before what is compressed.
+/// Bytes of the length that precedes compressed data.
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes of a peer are no news.
+/// Why bytes cannot be decoded as a delta.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum FormatError {
-    /// its first byte, {0:?}, names no format
+    /// unknown format byte {0:?}
     Unknown(Option<u8>),
-    /// it says that it is {0} bytes long
+    /// the stated length of {0} bytes is too large
     TooLarge(usize),
-    /// it cannot be expanded: {0}
+    /// decompression failed: {0}
     Compression(#[from] lz4_flex::block::DecompressError),
-    /// it is no record list: {0}
+    /// not a list of records: {0}
     Records(#[from] bincode::error::DecodeError),
 }
 
@@ -39,11 +38,11 @@
     standard().with_limit::<MAX_DELTA_BYTES>()
 }
 
-/// Writes news.
+/// Encodes a delta.
 ///
 /// # Errors
 ///
-/// Fails if the news is larger than [`MAX_DELTA_BYTES`].
+/// Fails if the delta is larger than [`MAX_DELTA_BYTES`].
 pub fn encode(delta: &News) -> Result<Vec<u8>, bincode::error::EncodeError> {
     let mut plain = vec![PLAIN];
     bincode::serde::encode_into_std_write(delta, &mut plain, config())?;
@@ -55,12 +54,12 @@
     Ok(compressed)
 }
 
-/// Reads news.
+/// Decodes a delta.
 ///
 /// # Errors
 ///
-/// Says what is wrong with the bytes. A length above [`MAX_DELTA_BYTES`] is refused before any
-/// memory is taken for it.
+/// Returns what is wrong with the bytes. A length above [`MAX_DELTA_BYTES`] is rejected before any
+/// memory is allocated for it.
 pub fn decode(bytes: &[u8]) -> Result<News, FormatError> {
     match bytes.split_first() {
         Some((&PLAIN, rest)) => records(rest),
--- a/crates/gateway/src/event_log.rs
+++ b/crates/gateway/src/event_log.rs
@@ -1,29 +1,29 @@
-//! Numbered events of the gateway, and the lines that tell them.
+//! Numbered events of the gateway and their log lines.
 //!
-//! Every decision that touches a request or changes what the instance believes is
-//! one line with a number, the request's attempt id where there is one, and the
-//! inputs that decided it. The numbers stand in `docs/EVENTS.md`.
+//! Every decision that affects a request or changes the state of the instance is one line with a
+//! number, the request's attempt id if there is one, and the inputs of the decision.
+//! `docs/EVENTS.md` lists the numbers.
 //!
-//! Lines are bounded: of one event so many a second as its row says, so that a flood
-//! of one kind does not drown the rest. Rows of failed requests allow the most. What
-//! was left out is counted and told with the next line of the same event.
+//! Lines are rate limited for each event, so that a flood of one kind does not hide the others. The
+//! limits of failed requests are the highest. Dropped lines are counted, and their number is logged
+//! before the next line of the same event.
 
 use log::Level;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// The log target of all numbered events, of the whole product.
+/// The log target of all numbered events of the product.
 pub const TARGET: &str = "oriolemux::events";
 
-/// Lines a second of an event that happens to requests that go well.
+/// Lines a second of an event of successful requests.
 const USUAL: u32 = 200;
 
-/// Lines a second of an event that whoever sends datagrams can cause.
+/// Lines a second of an event that anybody who sends datagrams can cause.
 const FEW: u32 = 5;
 
-/// Lines a second of an event that says why a request failed. An instance that
-/// fails more is explained by the first of them.
+/// Lines a second of an event that explains a failed request. If more requests fail, the first of
+/// these lines explain the failure.
 const FAILURES: u32 = 1_000;
 
 macro_rules! events {
@@ -33,7 +33,7 @@
         pub enum GatewayEvent { $($(#[doc = $doc])* $name,)* }
 
         impl GatewayEvent {
-            /// Every event, in the order of the numbers.
+            /// All events in the order of their numbers.
             pub const ALL: &'static [GatewayEvent] = &[$(GatewayEvent::$name,)*];
 
             /// Returns the number, which log lines carry as `event`.
@@ -46,17 +46,17 @@
                 match self { $(GatewayEvent::$name => $text,)* }
             }
 
-            /// Returns the level at which it is logged.
+            /// Returns the log level.
             pub const fn level(self) -> Level {
                 match self { $(GatewayEvent::$name => Level::$level,)* }
             }
 
-            /// Returns how many lines a second are logged of it.
+            /// Returns the maximum number of lines a second.
             pub const fn limit(self) -> u32 {
                 match self { $(GatewayEvent::$name => $limit,)* }
             }
 
-            /// Returns what it means, line by line.
+            /// Returns the description, line by line.
             pub const fn doc(self) -> &'static [&'static str] {
                 match self { $(GatewayEvent::$name => &[$($doc),*],)* }
             }
@@ -67,94 +67,95 @@
 events! {
     /// A listener of the gateway accepts connections.
     Listening = 800, "gateway_listening", Info, USUAL;
-    /// An endpoint takes nothing new, for good: it said so, its entry vanished, or a peer knew.
+    /// An endpoint accepts no new requests any more: it reported so, its record was removed, or a
+    /// peer reported it.
     EndpointLeaving = 801, "endpoint_departs", Info, USUAL;
-    /// A request was refused before an endpoint was looked for; the line names the reason.
+    /// A request was refused before an endpoint was searched for; the line names the reason.
     RefusedAtFront = 802, "refused_at_front", Info, FAILURES;
-    /// An attempt of a call ended; the line says how, and whether it is repeated.
+    /// An attempt of a call ended; the line says how, and whether the call is retried.
     CallAttempt = 803, "call_attempt", Info, USUAL;
-    /// An endpoint failed several times in a row and is passed over for a while.
+    /// An endpoint is ejected for a while because several requests in a row failed.
     EndpointEjected = 804, "endpoint_passed_over", Info, USUAL;
     /// A call failed; the line names the reason and the last endpoint.
     CallFailed = 805, "call_failed", Info, FAILURES;
     /// A generation was refused and did not run.
     GenerationRefused = 806, "generation_refused", Info, FAILURES;
-    /// A generation left its engine and goes on from the copy made at the notice.
+    /// A generation left its engine and resumes from the pre-copy that was made after the notice.
     ResumedFromPreCopy = 807, "generation_goes_on_from_ahead", Info, USUAL;
-    /// A generation goes on where its standing copy is kept.
+    /// A generation resumes where its standby copy is kept.
     ResumedFromStandby = 808, "generation_goes_on_from_copy", Info, USUAL;
-    /// The engine that was to go on with a generation did not; the line says why.
+    /// The engine that was to resume a generation did not; the line says why.
     ResumeFailed = 809, "generation_cannot_go_on", Info, FAILURES;
-    /// A generation ended; the line says how, how late, and through how many engines.
+    /// A generation ended; the line says how, how late, and how often it was relocated.
     GenerationEnded = 810, "generation_ended", Info, FAILURES;
-    /// The store answers again.
+    /// The store is available again.
     StoreRegained = 811, "store_regained", Info, USUAL;
-    /// The store does not answer this instance; serving goes on with what is known.
+    /// The store is unavailable to this instance; serving continues with the known records.
     StoreLost = 812, "store_lost", Warn, USUAL;
-    /// A peer told what it knows of the store.
+    /// A peer sent its records of the store.
     DeltaReceived = 813, "told_by_peer", Info, USUAL;
-    /// A record of the store cannot be read. A catalogue in force stays; an entry of an
-    /// endpoint names none to use until it is written again.
+    /// A record of the store cannot be parsed. A catalogue in force stays in force; an endpoint is
+    /// not used until its record is written again.
     RecordUnreadable = 814, "record_unreadable", Warn, USUAL;
-    /// A catalogue is in force.
+    /// A new catalogue is in force.
     CatalogueInForce = 815, "catalogue_in_force", Info, USUAL;
-    /// A catalogue arrived that is not newer than the one in force; it was ignored.
+    /// A catalogue was ignored because it is not newer than the one in force.
     CatalogueOlder = 816, "catalogue_older", Info, USUAL;
-    /// A catalogue has a finding; the one in force stays.
+    /// A catalogue was rejected for a finding; the one in force stays.
     CatalogueRejected = 817, "catalogue_refused", Warn, USUAL;
-    /// The grace of a planned stop was over before the last request was answered.
+    /// The grace period of a planned stop ended before the last request.
     StoppedWithRequests = 818, "stopped_with_requests", Warn, USUAL;
-    /// A copy of a generation's memory was made, or was not, while its engine leaves.
+    /// A pre-copy of a generation whose engine leaves has ended; the line says how.
     PreCopyEnded = 819, "generation_copied_ahead", Info, USUAL;
-    /// An endpoint was chosen; the line shows what was known of it.
+    /// An endpoint was chosen; the line shows its known usage.
     Placed = 820, "placed", Info, USUAL;
-    /// A peer was heard for the first time in its present life, or again after it was gone.
+    /// A peer sent its first datagram in this incarnation, or the first since it was gone.
     PeerJoined = 821, "peer_heard", Info, USUAL;
     /// A peer answered neither this instance nor others, and counts as gone.
     PeerGone = 822, "peer_silent", Info, USUAL;
     /// No engine has room for a copy of a generation; the line says for which kind of copy.
     NoRoomForCopy = 823, "no_room_for_copy", Info, USUAL;
-    /// A generation that may run again waited inside its engine and is sent to another one.
+    /// A retryable generation was queued inside its engine and is sent to another one.
     Reassigned = 824, "generation_taken_back", Info, USUAL;
-    /// A resumable generation goes on at an engine that reads prompt and events anew.
+    /// A resumable generation resumes at an engine that recomputes the prompt and the events.
     Recomputed = 825, "generation_goes_on_anew", Info, USUAL;
-    /// A peer was told what the store published; the line says how much, to how many at
-    /// once, and how it ended. A small answer that was read to its end has no line.
+    /// Records of the store were sent to a peer; the line says how many bytes, how many transfers
+    /// ran at once, and how it ended. Small deltas that were sent completely are not logged.
     DeltaSent = 826, "told_peer", Info, USUAL;
-    /// A peer that knows more of the store did not tell it; the line says why.
+    /// Fetching records of the store from a peer that has more failed; the line says why.
     DeltaFetchFailed = 827, "not_told_by_peer", Info, USUAL;
-    /// A datagram was dropped: it cannot be read, or is of another version or deployment.
+    /// A datagram was dropped: it cannot be decoded, or is of another version or deployment.
     DatagramDropped = 828, "datagram_dropped", Info, FEW;
-    /// No home answered a request for a place in time, and this instance decided alone.
+    /// No home answered a placement request in time, and this instance decided without a home.
     PlacedWithoutHome = 829, "placed_alone", Info, USUAL;
-    /// The connection to an endpoint ended before its answer did. The line names the request by
-    /// what makes two attempts the same one, and says whether the endpoint ended too.
+    /// The connection to an endpoint ended before its response did. The line names the request's
+    /// fingerprint, which is the same for all its attempts, and says whether the endpoint crashed.
     ConnectionBroken = 830, "run_broke", Info, FAILURES;
-    /// A request ended an endpoint that began it; the line says how many it is known to have
-    /// ended.
+    /// A request crashed an endpoint that had begun it; the line says how many endpoints it is
+    /// known to have crashed.
     EndpointCrashed = 831, "endpoint_ended_by_request", Warn, USUAL;
-    /// A request is refused because it ended too many endpoints.
+    /// A request is refused because it crashed too many endpoints.
     SuspectRefused = 832, "suspect_refused", Warn, USUAL;
-    /// The operator closed a data centre to new work: what runs there goes on, nothing new is
-    /// sent. The line has the store's revision and how many endpoints are there.
+    /// The operator cordoned a data centre: running requests continue, and no new ones are sent.
+    /// The line has the store's revision and the number of endpoints there.
     DataCentreCordoned = 833, "data_centre_cordoned", Info, USUAL;
-    /// The operator's cordon of a data centre was lifted, or was never there.
+    /// The operator's cordon of a data centre was lifted, or never existed.
     CordonLifted = 834, "cordon_lifted", Info, USUAL;
-    /// A request is sent to one endpoint more, at the expense of the fleet's budget. The line says
-    /// why, how many instances are heard and known, since when this one runs, and what is left.
+    /// A request is sent to one more endpoint, which spends the fleet's retry budget. The line says
+    /// why, how many instances are live and known, the uptime of this one, and what remains.
     RetryGranted = 835, "repeat_spent", Info, USUAL;
-    /// A request is not sent to one endpoint more, because the budget has nothing left for it.
+    /// A request is not sent to one more endpoint, because the retry budget is exhausted.
     RetryDenied = 836, "repeat_denied", Info, FAILURES;
-    /// An endpoint names how many requests a second it takes from all instances, or names another
-    /// rate; 0 is none.
+    /// An endpoint reported a new rate limit: requests a second from all instances together; 0
+    /// means none.
     LimitReported = 837, "endpoint_limit_named", Info, USUAL;
-    /// An endpoint names no limit any more.
+    /// An endpoint reports no rate limit any more.
     LimitLifted = 838, "endpoint_limit_ended", Info, USUAL;
-    /// The limit that an endpoint names cannot be read; what it said before holds.
+    /// The rate limit that an endpoint reported cannot be parsed; the previous one stays in force.
     LimitUnreadable = 839, "endpoint_limit_unreadable", Warn, FEW;
 }
 
-/// Lines of one event within the present second.
+/// The lines of one event in the current second.
 #[derive(Debug)]
 struct Window {
     second: u64,
@@ -162,7 +163,7 @@
     left_out: u64,
 }
 
-/// What may be logged, for each event.
+/// Limits the log lines of each event.
 struct Limiter {
     started: Instant,
     windows: Vec<Mutex<Window>>,
@@ -184,8 +185,8 @@
     left_out: AtomicU64::new(0),
 });
 
-/// Returns whether a line of `event` is logged, and if so how many were left out
-/// since the last one.
+/// Returns whether a line of `event` may be logged, and if so how many were dropped since the
+/// last one.
 pub fn admit(event: GatewayEvent) -> Option<u64> {
     let limiter = &*LIMITER;
     let second = limiter.started.elapsed().as_secs();
@@ -204,7 +205,7 @@
     Some(core::mem::take(&mut window.left_out))
 }
 
-/// Returns how many lines were left out since the start.
+/// Returns how many lines were dropped since the start.
 pub fn lines_left_out() -> u64 {
     LIMITER.left_out.load(Ordering::Relaxed)
 }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,7 +1,7 @@
-//! What instances send each other unasked: datagrams.
+//! Datagrams that instances send each other.
 //!
-//! The core says what to send to whom and when ([`Gateway::tick`], [`Gateway::hear`]). What
-//! does not fit a datagram, the records of the store, is asked for: [`catch_up`].
+//! The core decides what to send to whom and when ([`Gateway::tick`], [`Gateway::hear`]). Records
+//! of the store do not fit a datagram and are fetched over TCP: [`catch_up`].
 //!
 //! [`catch_up`]: crate::catch_up
 //! [`Gateway::tick`]: oriolemux_core::gateway::Gateway::tick
@@ -20,15 +20,15 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-/// The largest datagram that is sent and read. More would be cut into fragments,
-/// of which each may be lost.
+/// The largest datagram that is sent and received. A larger one would be split into more fragments,
+/// each of which may be lost.
 const MAX_DATAGRAM: usize = 16 * 1024;
 
 fn datagram_format() -> Configuration<LittleEndian, Varint, Limit<MAX_DATAGRAM>> {
     standard().with_limit::<MAX_DATAGRAM>()
 }
 
-/// Tells peers what is due, for good.
+/// Sends what is due to peers. Never returns.
 pub async fn send_loop<W: Wire>(cx: Arc<Cx<W>>, socket: Arc<UdpSocket>) {
     loop {
         let tick = cx.state().tick_interval();
@@ -57,14 +57,14 @@
     }
 }
 
-/// Hears peers, for good.
+/// Receives datagrams of peers. Never returns.
 pub async fn receive_loop<W: Wire>(cx: Arc<Cx<W>>, socket: Arc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
         let (length, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(error) => {
-                log::debug!("no datagram: {error}");
+                log::debug!("receiving a datagram failed: {error}");
                 continue;
             }
         };
@@ -73,7 +73,7 @@
         match decoded {
             Ok((datagram, _)) => on_datagram(&cx, &socket, datagram).await,
             Err(error) => {
-                log::debug!("a datagram from {from} cannot be read: {error}");
+                log::debug!("cannot decode a datagram from {from}: {error}");
                 log_dropped(from, "unreadable");
             }
         }
@@ -130,12 +130,12 @@
         buf.clear();
         let written = bincode::serde::encode_into_std_write(&datagram, &mut buf, datagram_format());
         if let Err(error) = written {
-            log::error!("a datagram for {purpose} cannot be written: {error}");
+            log::error!("cannot encode a datagram for {purpose}: {error}");
             continue;
         }
         cx.record_sent(purpose, buf.len());
         if let Err(error) = socket.send_to(&buf, to).await {
-            log::debug!("peer {to} cannot be told: {error}");
+            log::debug!("sending a datagram to {to} failed: {error}");
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,22 +1,26 @@
-//! The sockets around HTTP entries.
+//! The network side of HTTP entries.
 //!
-//! # The story
+//! # Overview
 //!
-//! The decisions live in [`oriolemux_core::gateway`]; this crate gives them
-//! callers, endpoints, peers and a store. [`front`] takes callers' requests and
-//! judges them by the catalogue in force. [`call`] forwards a call and returns
-//! its answer whole. [`stream`] finds a place for a generation, in its turn where room is
-//! short, [`placement`] waits for what the home of its engines decides, and [`relay`] passes its events on, and carries it to another engine when its
-//! own leaves; [`attempts`] says where a request was and what that leaves open, and
-//! [`mod@probe`] whether an endpoint ended together with a connection to it. A request that ended
-//! endpoints waits for its [`run_lease`], or is refused.
-//! [`page`] answers the balancer, operators who ask for the [`status`] and whoever
-//! collects [metrics](mod@meters). [`gossip`] tells peers what they need, [`store`] keeps
-//! up with what is published, [`catch_up`] asks peers for what was missed, and [`run`]
-//! starts all of it and ends it in order.
+//! [`oriolemux_core::gateway`] makes the decisions; this crate connects them to callers,
+//! endpoints, peers and a store.
 //!
-//! Names and formats of the platform are behind the traits of [`ports`]; the
-//! `platform` crate implements them.
+//! - [`front`] accepts callers' requests and matches them against the catalogue in force.
+//! - [`call`] forwards a call and returns the buffered response.
+//! - [`stream`] finds a place for a generation and queues it while no engine has room.
+//! - [`placement`] waits for the decision of the home of the generation's service.
+//! - [`relay`] forwards the events of a generation, and relocates it when its engine leaves.
+//! - [`attempts`] records which endpoints a request was sent to and which attempts remain.
+//! - [`mod@probe`] checks whether an endpoint crashed when a connection to it broke.
+//! - [`run_lease`] delays or refuses requests that crashed endpoints.
+//! - [`page`] serves the balancer, operators who query the [`status`], and collectors of
+//!   [metrics](mod@meters).
+//! - [`gossip`] exchanges datagrams with peers.
+//! - [`store`] follows the store, and [`catch_up`] fetches missed changes from peers.
+//! - [`run`] starts all tasks and stops them in order.
+//!
+//! The traits of [`ports`] hide the platform's names and formats; the `platform` crate
+//! implements them.
 
 pub mod attempts;
 pub mod call;
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,9 +1,8 @@
 //! Connections to endpoints.
 //!
-//! Each request has a connection of its own, which is closed after it. What
-//! goes wrong otherwise: an endpoint sends a second answer, or a late one, and
-//! the next request on the connection takes it for its own. A connection costs
-//! one round trip within a data centre and is never in doubt.
+//! Each request uses its own connection, which is closed afterwards. On a shared connection, the
+//! next request could receive a second or late response to the previous one. A new connection costs
+//! one round trip within a data centre.
 
 use bytes::Bytes;
 use core::time::Duration;
@@ -18,28 +17,28 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Bytes sent and not acknowledged for this long end the connection. A peer that
-/// lost its power answers nothing, and the connection would hang for good.
+/// A connection fails if sent bytes are not acknowledged for this long. Without this, a connection
+/// to a machine that lost power would hang forever.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The largest head of an answer.
+/// The largest head of a response in bytes.
 const MAX_HEAD: usize = 64 * 1024;
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum LinkError {
     /// no connection within {0:?}
     ConnectTimeout(Duration),
     /// no connection: {0}
     Connect(std::io::Error),
-    /// the endpoint takes no new work any more
+    /// the endpoint accepts no new requests
     Withdrawn,
     /// the connection broke: {0}
     Broken(hyper::Error),
 }
 
 impl LinkError {
-    /// Returns whether nothing of the request can have reached the endpoint.
+    /// Returns whether no part of the request can have reached the endpoint.
     pub fn never_sent(&self) -> bool {
         match self {
             LinkError::ConnectTimeout(_) | LinkError::Connect(_) | LinkError::Withdrawn => true,
@@ -48,10 +47,10 @@
     }
 }
 
-/// A connection that is used for one request. Dropping it closes the connection,
-/// which cancels the request at the endpoint.
+/// A connection that is used for one request. Dropping it closes the connection, which cancels the
+/// request at the endpoint.
 pub struct Link {
-    /// When the request was sent; before that, when the connection was asked for.
+    /// When the request was sent; before that, when the connection was established.
     pub sent: Instant,
     sender: http1::SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
@@ -62,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is no connection within `limit`; then nothing was sent.
+    /// Fails if there is no connection within `limit`; nothing was sent then.
     pub async fn connect(address: SocketAddrV4, limit: Duration) -> Result<Self, LinkError> {
         let stream = timeout(limit, connect_socket(address))
             .await
@@ -75,7 +74,7 @@
             .map_err(LinkError::Broken)?;
         let task = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("a connection to {address} broke: {error}");
+                log::debug!("connection to {address} failed: {error}");
             }
         });
         Ok(Link {
@@ -85,11 +84,11 @@
         })
     }
 
-    /// Sends the request and waits for the head of its answer.
+    /// Sends the request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks; then the request may have run.
+    /// Fails if the connection breaks; the request may have run then.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -103,13 +102,13 @@
 }
 
 impl Link {
-    /// Closes the connection, and returns when it is closed.
+    /// Closes the connection and waits until it is closed.
     ///
-    /// Dropping a link closes it too, but only when its task is next looked at. Whoever
-    /// asks for the same work elsewhere must not be faster than that.
+    /// Dropping the link also closes it, but only when its task is next polled. A caller that sends
+    /// the same work elsewhere must wait until the connection is closed.
     pub async fn close(mut self) {
         self.task.abort();
-        // An aborted task ends with an error that says so.
+        // The result only says that the task was aborted.
         let _ = (&mut self.task).await;
     }
 }
@@ -120,7 +119,7 @@
     }
 }
 
-/// Opens a TCP connection that notices a peer which has gone silent.
+/// Opens a TCP connection that fails if the peer stops acknowledging data.
 pub async fn connect_socket(address: SocketAddrV4) -> std::io::Result<TcpStream> {
     let stream = TcpSocket::new_v4()?.connect(address.into()).await?;
     stream.set_nodelay(true)?;
@@ -128,7 +127,7 @@
     Ok(stream)
 }
 
-/// Returns a body that is known whole.
+/// Returns a buffered body.
 pub fn full_body(bytes: Bytes) -> Full<Bytes> {
     Full::new(bytes)
 }
@@ -136,20 +135,20 @@
 /// Why a body was not read to its end.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum ReadError {
-    /// it broke off: {0}
+    /// the body broke off: {0}
     Broken(hyper::Error),
-    /// nothing came for {0:?}
+    /// no data for {0:?}
     Silent(Duration),
-    /// it is larger than {0} bytes
+    /// the body is larger than {0} bytes
     TooLarge(usize),
 }
 
-/// Reads a body of at most `most` bytes. It may take as long as some of it comes within
-/// each `silence`; how long in all is the caller's to bound.
+/// Reads a body of at most `most` bytes. Data must arrive within each period of `silence`; the
+/// total duration is not bounded, so the caller must bound it.
 ///
 /// # Errors
 ///
-/// Says why it was not read to its end.
+/// Returns why the body was not read to its end.
 pub async fn read_bounded(
     mut body: Incoming,
     most: usize,
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -1,17 +1,17 @@
 //! Counters, gauges and histograms of the gateway.
 //!
-//! The tables are the only place that names them; `docs/EVENTS.md` lists them.
-//! Without a recorder they cost next to nothing and go nowhere.
+//! The tables below are the only place that defines them; `docs/EVENTS.md` lists them.
+//! Without a recorder they have no effect and next to no cost.
 
 use crate::cx::{Cx, OpenKind};
 use crate::ports::Wire;
 use core::time::Duration;
 use oriolemux_core::gateway::EndpointState;
 
-/// Counts numbered events by name, those of the whole product.
+/// The counter of numbered events of the whole product, by event name.
 const EVENTS: &str = "oriolemux_events_total";
 
-/// Makes an enum of metrics from a table of names and meanings.
+/// Defines an enum of metrics from a table of names and descriptions.
 #[macro_export]
 macro_rules! meters {
     ($(#[$enum_doc:meta])* $Enum:ident { $($(#[doc = $doc:literal])* $name:ident = $text:literal;)* }) => {
@@ -20,15 +20,15 @@
         pub enum $Enum { $($(#[doc = $doc])* $name,)* }
 
         impl $Enum {
-            /// All of them.
+            /// All metrics of the table.
             pub const ALL: &'static [$Enum] = &[$($Enum::$name,)*];
 
-            /// Returns the name that is published.
+            /// Returns the published name.
             pub const fn name(self) -> &'static str {
                 match self { $($Enum::$name => $text,)* }
             }
 
-            /// Returns the meaning, line by line.
+            /// Returns the description, line by line.
             pub const fn doc(self) -> &'static [&'static str] {
                 match self { $($Enum::$name => &[$($doc),*],)* }
             }
@@ -39,26 +39,27 @@
 meters! {
     /// A counter with the label `reason`.
     ByReason {
-        /// Requests that the gateway answered itself.
+        /// Requests that the gateway refused or failed itself.
         Refused = "oriolemux_gateway_refusals_total";
-        /// Attempts of calls, by how they ended.
+        /// Attempts of calls, by outcome.
         Attempts = "oriolemux_gateway_attempts_total";
-        /// Calls that were sent once more, by how the attempt before ended.
+        /// Calls that were retried, by the outcome of the previous attempt.
         Repeats = "oriolemux_gateway_repeats_total";
-        /// Generations that were to go on at another engine: from a copy `ahead`, from a
-        /// `standing` one, read `anew`, or `failed`.
+        /// Generations that were to resume at another engine: from a pre-copy (`ahead`), from a
+        /// standby copy (`standing`), by recomputing (`anew`), or `failed`.
         Relocations = "oriolemux_gateway_relocations_total";
         /// Generations, by how they ended.
         Generations = "oriolemux_gateway_generations_total";
-        /// Questions to peers about what the store published, by how they ended.
+        /// Requests to peers for records of the store, by outcome.
         PeerAnswers = "oriolemux_gateway_peer_answers_total";
-        /// Bytes sent to peers, by their purpose.
+        /// Bytes sent to peers, by purpose.
         PeerBytes = "oriolemux_gateway_peer_bytes_total";
-        /// Datagrams, and answers over connections, sent to peers, by their purpose.
+        /// Datagrams and responses over connections sent to peers, by purpose.
         PeerMessages = "oriolemux_gateway_peer_messages_total";
-        /// Datagrams of peers that were dropped, by what is wrong with them.
+        /// Datagrams of peers that were dropped, by reason.
         DatagramsDropped = "oriolemux_gateway_datagrams_dropped_total";
-        /// Places at engines and for copies, by who decided: the `home`, or this instance `alone`.
+        /// Placements of generations and copies, by who decided: the `home`, or this instance
+        /// without a home (`alone`).
         Places = "oriolemux_gateway_places_total";
     }
 }
@@ -66,29 +67,29 @@
 meters! {
     /// A gauge.
     Gauge {
-        /// 1 while callers are taken, else 0.
+        /// 1 while the instance accepts callers, else 0.
         Ready = "oriolemux_gateway_ready";
         /// The version of the catalogue in force; 0 before the first.
         CatalogueVersion = "oriolemux_gateway_catalogue_version";
-        /// The store's revision up to which everything is known.
+        /// The store's revision up to which all records are known.
         StoreRevision = "oriolemux_gateway_store_revision";
-        /// Seconds since the store last answered this instance, if it ever did.
+        /// Seconds since the store last answered this instance, 0 if it never did.
         StoreAge = "oriolemux_gateway_store_age";
-        /// Endpoints that take work.
+        /// Endpoints that accept requests.
         EndpointsServing = "oriolemux_gateway_endpoints_serving";
-        /// Endpoints whose entry vanished around an outage of the store.
+        /// Endpoints whose records were removed around an outage of the store.
         EndpointsLapsed = "oriolemux_gateway_endpoints_lapsed";
-        /// Endpoints that leave.
+        /// Endpoints that are leaving.
         EndpointsLeaving = "oriolemux_gateway_endpoints_leaving";
-        /// Data centres that the operator closed to new work.
+        /// Data centres that the operator cordoned.
         DataCentresCordoned = "oriolemux_gateway_data_centres_cordoned";
-        /// Other instances that take part.
+        /// Other live instances.
         Peers = "oriolemux_gateway_peers";
         /// Connections of callers.
         Connections = "oriolemux_gateway_connections";
-        /// Generations that are passed on.
+        /// Generations that are being forwarded.
         Running = "oriolemux_gateway_generations_running";
-        /// Log lines that were above an event's bound, since the start.
+        /// Log lines that were dropped since the start because their event exceeded its rate limit.
         LinesLeftOut = "oriolemux_gateway_log_lines_left_out";
     }
 }
@@ -100,22 +101,22 @@
         FirstEvent = "oriolemux_gateway_first_event_seconds";
         /// The longest pause between two events of a generation.
         LongestPause = "oriolemux_gateway_longest_pause_seconds";
-        /// How long a generation waited here for room at an engine.
+        /// How long a generation was queued in this instance.
         Wait = "oriolemux_gateway_wait_seconds";
         /// From a generation's arrival to its end.
         Generation = "oriolemux_gateway_generation_seconds";
-        /// From a call's arrival to its answer.
+        /// From a call's arrival to its response.
         Call = "oriolemux_gateway_call_seconds";
     }
 }
 
 impl ByReason {
-    /// Counts one.
+    /// Adds one.
     pub fn add(self, reason: &str) {
         self.add_many(reason, 1);
     }
 
-    /// Counts so many.
+    /// Adds `count`.
     pub fn add_many(self, reason: &str, count: u64) {
         metrics::counter!(self.name(), "reason" => reason.to_owned()).increment(count);
     }
@@ -128,7 +129,7 @@
     }
 }
 
-/// Returns whole milliseconds, as lines and the state show times.
+/// Returns whole milliseconds, the unit of times in log lines and the status.
 pub fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
@@ -138,7 +139,7 @@
     metrics::counter!(EVENTS, "event" => name).increment(1);
 }
 
-/// Shows what the instance believes at the moment.
+/// Updates the gauges to the current state.
 pub fn publish_gauges<W: Wire>(cx: &Cx<W>) {
     let now = cx.now();
     let state = cx.state();
--- a/crates/gateway/src/page.rs
+++ b/crates/gateway/src/page.rs
@@ -1,4 +1,4 @@
-//! Small pages for the balancer, for operators and for whoever collects metrics.
+//! The HTTP pages for the balancer, for operators and for metrics collectors.
 
 use crate::cx::Cx;
 use crate::meters;
@@ -19,24 +19,24 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// How long one connection is kept. The balancer asks once a second.
+/// The maximum lifetime of a connection. The balancer sends one request a second.
 const CONNECTION_LIMIT: Duration = Duration::from_secs(60);
 
-/// The pause after an accept that failed, for example for lack of descriptors.
+/// The pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What is asked of a page.
+/// A request to a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PageRequest {
     /// The method.
     pub method: Method,
     /// The path.
     pub path: String,
-    /// Whether the question came from this machine, over an address of its own.
+    /// Whether the request came from this machine, over one of its own addresses.
     pub is_local: bool,
 }
 
-/// Answers each request with what `answer` returns, for good.
+/// Serves each request with what `handler` returns. Never returns.
 pub async fn serve<F>(listener: TcpListener, handler: F)
 where
     F: Fn(PageRequest) -> Response<ResponseBody> + Clone + Send + Sync + 'static,
@@ -45,7 +45,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("cannot accept a connection for a page: {error}");
+                log::warn!("cannot accept a page connection: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -63,14 +63,14 @@
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Ok(Err(error)) = timeout(CONNECTION_LIMIT, connection).await {
-                log::debug!("a connection for a page broke: {error}");
+                log::debug!("page connection failed: {error}");
             }
         });
     }
 }
 
-/// Returns whether both ends of a connection have one address. Nobody else can hold a
-/// connection from an address of this machine.
+/// Returns whether both ends of a connection have the same address. No other machine can hold a
+/// connection from an address of this one.
 fn is_local(stream: &TcpStream) -> bool {
     match (stream.local_addr(), stream.peer_addr()) {
         (Ok(local), Ok(peer)) => local.ip() == peer.ip(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns whether this instance takes callers.
+/// Responds whether this instance accepts callers.
 pub fn readiness<W: Wire>(cx: &Cx<W>) -> Response<ResponseBody> {
     match cx.state().is_ready() {
         true => plain(StatusCode::OK, ""),
@@ -86,24 +86,24 @@
     }
 }
 
-/// What operators ask of an instance: its metrics, its state, and its planned stop.
+/// The operators' page of an instance: its metrics, its status, and its planned stop.
 ///
-/// The planned stop is taken from this machine only: whoever may run programs here could
-/// signal the process as well, while anybody on the network may read the page.
+/// The planned stop is accepted from this machine only: whoever may run programs here could also
+/// signal the process, while anybody on the network can reach the page.
 #[derive(Clone)]
 pub struct OperatorsPage<W> {
-    /// What all tasks share.
+    /// The context that all tasks share.
     pub cx: Arc<Cx<W>>,
     /// The instance's name.
     pub instance: Arc<str>,
-    /// Returns the metrics as text.
+    /// Renders the metrics as text.
     pub metrics: fn() -> String,
     /// Cancelled to begin the planned stop.
     pub stop: CancellationToken,
 }
 
 impl<W: Wire> OperatorsPage<W> {
-    /// Answers one question.
+    /// Handles one request.
     pub fn handle(&self, request: &PageRequest) -> Response<ResponseBody> {
         match (&request.method, request.path.as_str()) {
             (&Method::GET, "/status") => self.status(),
@@ -113,7 +113,7 @@
             }
             (&Method::POST, "/drain") => plain(
                 StatusCode::FORBIDDEN,
-                "the planned stop is taken from the machine of the instance only\n",
+                "POST /drain is accepted only from the machine of the instance\n",
             ),
             (&Method::GET, _) => {
                 meters::publish_gauges(&self.cx);
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,7 +1,8 @@
-//! Places at engines, asked of the home of their service.
+//! Placement requests for engines, sent to the home of their service.
 //!
-//! The core decides whom to ask and what an answer means ([`core::gateway::ask`]); here a
-//! request waits for it.
+//! The home is the instance that decides for a service, chosen by rendezvous hashing. The core
+//! chooses whom to ask and interprets the decision ([`core::gateway::ask`]); this module makes a
+//! request wait for it.
 //!
 //! [`core::gateway::ask`]: oriolemux_core::gateway::ask
 
@@ -19,14 +20,14 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// How often a request that waits for a place looks again without being told to. It must see
+/// The interval at which a waiting request polls in addition to notifications. It must notice
 /// soon that no home answers.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The same once a home has said that it waits.
+/// The poll interval once a home has queued the request.
 const QUEUED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A placement request that a home knows of until it is dropped.
+/// Keeps a placement request open until dropped.
 struct PlacementGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     id: u64,
@@ -39,19 +40,19 @@
     }
 }
 
-/// What a request asks for.
+/// The parameters of a placement request.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementParams<'a> {
-    /// What it wants.
+    /// The kind of placement.
     pub kind: Want,
-    /// Tokens of memory that it is expected to take.
+    /// The KV tokens that the request is expected to need.
     pub tokens: u32,
-    /// Endpoints that are not to be chosen.
+    /// Endpoints that must not be chosen.
     pub exclude: &'a [EndpointKey],
 }
 
-/// Asks for a place until there is one or `until`, and gives it to `take` in the same moment
-/// in which the placement request ends: the home sees either the request or what became of it.
+/// Requests a place until there is one or `deadline` passes, and passes it to `on_granted` under
+/// the lock that closes the placement request: the home sees either the request or its usage.
 ///
 /// # Errors
 ///
@@ -99,7 +100,7 @@
                         ByReason::Places.add("home");
                         return Ok((place, granted));
                     }
-                    // It began to leave while the answer was under way.
+                    // The engine began to leave while the decision was on its way.
                     state.ask_again(now, id);
                     NoPlace::NoEndpoint
                 }
@@ -129,7 +130,7 @@
         if is_past_deadline {
             return Err(why);
         }
-        // Time that is over is not told by anybody, so the wait is bounded.
+        // Nothing notifies when a deadline passes, so the wait is bounded.
         let _ = tokio::time::timeout(poll_interval, decided).await;
     }
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -1,9 +1,8 @@
-//! What a broken connection says about its endpoint.
+//! Whether an endpoint crashed when a connection to it broke.
 //!
-//! A connection that ends is not yet an endpoint that ended: answers are lost, connections
-//! reset and bytes spoilt by endpoints that live on. Whether it ended decides whether the
-//! request is to blame, so that it is looked at once: a process that is gone refuses a
-//! connection.
+//! A broken connection does not prove a crash: endpoints that keep running lose responses, reset
+//! connections and corrupt bytes. Only a crash counts against the request, so the endpoint is
+//! probed immediately: the address of a process that has ended refuses connections.
 
 use crate::job::Job;
 use crate::log_event;
@@ -17,24 +16,23 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long an endpoint may take to accept the connection that shows that it lives. One round
-/// trip between data centres takes some 3 ms; a packet that is lost comes again after more
-/// than this, and then nothing is known.
+/// The timeout of the probe connection. One round trip between data centres takes some 3 ms; a lost
+/// packet is retransmitted after more than this timeout, and the result is then unknown.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What is found at the address of an endpoint.
+/// The result of probing the address of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Nobody: the process ended.
+    /// The connection was refused: the process ended.
     Refused,
-    /// Somebody who accepts connections.
+    /// A process accepts connections.
     Accepted,
-    /// Nothing that can be told.
+    /// Neither can be concluded.
     Unknown,
 }
 
 impl ProbeResult {
-    /// Returns a word for it, which log lines carry.
+    /// Returns the value that log lines carry.
     const fn label(self) -> &'static str {
         match self {
             ProbeResult::Refused => "nobody",
@@ -44,7 +42,7 @@
     }
 }
 
-/// Looks whether a process is at `address`.
+/// Checks whether a process listens at `address`.
 pub async fn probe(address: SocketAddr) -> ProbeResult {
     match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProbeResult::Accepted,
@@ -57,8 +55,8 @@
 }
 
 impl<W: Wire> Job<W> {
-    /// Finds out what became of the endpoint whose connection ended before its answer, which
-    /// had begun at `begun` if it had.
+    /// Probes the endpoint after its connection broke before the end of the response, which started
+    /// at `begun` if it did.
     pub async fn on_connection_broken(&self, place: &Place, response_started: Option<Instant>) {
         let response_started = response_started.map(|at| at.elapsed());
         if response_started.is_some_and(|it| it >= RAN_WELL_AFTER) {
@@ -80,7 +78,7 @@
         }
     }
 
-    /// Notes that an endpoint ended with the request.
+    /// Records that the request crashed an endpoint.
     fn on_endpoint_crash(&self, place: &Place) {
         let now = self.cx.now();
         let is_news = self.cx.state().ended_with(now, self.fingerprint, place);
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! The gateway's own answers to callers.
+//! The gateway's own error responses to callers.
 
 use bytes::Bytes;
 use core::convert::Infallible;
@@ -8,32 +8,31 @@
 use http_body_util::{BodyExt, Full};
 use oriolemux_core::gateway::choose::NoPlace;
 
-/// The body of an answer, whole or streamed. It fails when a stream is broken
-/// off, so that the connection ends without the mark of a complete answer.
+/// The body of a response, buffered or streamed. It fails when a stream is aborted, so that the
+/// connection ends without the terminator of a complete response.
 pub type ResponseBody = UnsyncBoxBody<Bytes, StreamAborted>;
 
-/// A stream ended before its end.
+/// A stream was aborted before its end.
 #[derive(Clone, Copy, Debug, displaydoc::Display, thiserror::Error)]
-/// the generation broke off
+/// the generation was aborted before its end
 pub struct StreamAborted;
 
-/// The part of the caller's remaining time after which it may be asked to come
-/// back. Callers honour up to a third; a quarter leaves room for what passes on
-/// the way.
+/// The share of the caller's remaining time that `Retry-After` may use. Callers honour up to a
+/// third; a quarter leaves room for network delays.
 const RETRY_SHARE: f64 = 0.25;
 
-/// The soonest that a caller is asked to come back.
+/// The shortest `Retry-After`.
 const RETRY_MIN: Duration = Duration::from_millis(50);
 
-/// The latest that a caller is asked to come back where another instance, or this one a moment
-/// later, can serve it.
+/// The longest `Retry-After` where another instance, or this one a moment later, can serve the
+/// request.
 const RETRY_MAX: Duration = Duration::from_secs(1);
 
-/// The same where no endpoint has room: a burst of callers lasts for seconds, and who comes back
-/// within it is refused again.
+/// The longest `Retry-After` where no endpoint has room: a burst of callers lasts for seconds, and
+/// a caller that returns within it is refused again.
 const RETRY_MAX_FULL: Duration = Duration::from_secs(8);
 
-/// Why the gateway answers itself.
+/// Why the gateway responds itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Reason {
     /// no_catalogue
@@ -81,8 +80,8 @@
 impl Reason {
     /// Returns the status. 429 and 503 promise that the request did not run.
     ///
-    /// A request that ends endpoints is answered as one that is at fault: a caller that is told
-    /// of a failure sends it again, and cannot mend it.
+    /// A request that crashes endpoints gets a client error: a caller that gets a server error
+    /// sends the request again, which cannot succeed.
     pub const fn status(self) -> StatusCode {
         match self {
             Reason::NoEntry => StatusCode::NOT_FOUND,
@@ -120,7 +119,7 @@
     }
 }
 
-/// Returns after which time a caller that waits for `left` more should come back.
+/// Returns the `Retry-After` for a caller that waits for `remaining` more.
 pub fn retry_after(reason: Reason, remaining: Duration) -> Duration {
     let latest = match reason {
         Reason::EndpointsFull | Reason::Cordoned => RETRY_MAX_FULL,
@@ -130,7 +129,7 @@
     share.clamp(RETRY_MIN, latest).min(share)
 }
 
-/// Returns the answer for `reason` to a caller that waits for `left` more.
+/// Returns the response for `reason` to a caller that waits for `remaining` more.
 pub fn refuse(reason: Reason, remaining: Duration) -> Response<ResponseBody> {
     let status = reason.status();
     let mut response = Response::builder().status(status);
@@ -145,7 +144,7 @@
         .unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
-/// Returns a body that is complete.
+/// Returns a buffered body.
 pub fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never: Infallible| match never {})
--- a/crates/gateway/src/run_lease.rs
+++ b/crates/gateway/src/run_lease.rs
@@ -1,7 +1,7 @@
-//! Whether a request may be sent to an endpoint, as far as it may end it.
+//! Whether a request that may crash endpoints may be sent to one.
 //!
-//! The core decides ([`core::gateway::suspects`]); here a request waits for its turn, and hears
-//! when it is refused.
+//! The core decides ([`core::gateway::suspects`]): a suspect needs a run lease, so that its
+//! attempts run one at a time. This module makes a request wait for that or be refused.
 //!
 //! [`core::gateway::suspects`]: oriolemux_core::gateway::suspects
 
@@ -17,21 +17,21 @@
 use std::time::Instant;
 use tokio::time::timeout;
 
-/// How often a request that waits for its turn looks again without being told to.
+/// The interval at which a waiting request polls in addition to notifications.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a generation that lost its engine may wait for its turn at the next one. A caller
-/// bears a pause of some 180 ms between events.
+/// How long a generation that lost its engine may wait for a run lease at the next one. Callers
+/// tolerate a pause of some 180 ms between events.
 const RESUME_ADMISSION_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A request that counts as running until it is dropped.
+/// Counts a request as running until dropped.
 pub struct RunGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     run: Turn,
 }
 
 impl<W: Wire> RunGuard<W> {
-    /// Counts a request from now on.
+    /// Starts to count a request.
     pub fn begin(cx: &Arc<Cx<W>>, fingerprint: Fingerprint) -> Self {
         RunGuard {
             cx: Arc::clone(cx),
@@ -55,18 +55,17 @@
 }
 
 impl<W: Wire> Job<W> {
-    /// Waits until the request may be sent to an endpoint, for as long as its caller waits for
-    /// a place.
+    /// Waits until the request may be sent to an endpoint, up to the entry's target.
     ///
     /// # Errors
     ///
-    /// Returns why it may not.
+    /// Returns why it may not be sent.
     pub async fn wait_until_admitted(&self) -> Result<(), Reason> {
         let deadline = (self.arrived + self.entry().target).min(self.deadline);
         self.admitted_until(deadline).await
     }
 
-    /// Waits until a generation may go on at another engine.
+    /// Waits until a generation may resume at another engine.
     ///
     /// # Errors
     ///
@@ -88,27 +87,27 @@
                 Admission::Wait if Instant::now() >= deadline => return Err(Reason::TurnTaken),
                 Admission::Wait => cx.gossip_due.notify_one(),
             }
-            // Time that is over is not told by anybody, so the wait is bounded.
+            // Nothing notifies when a deadline passes, so the wait is bounded.
             let _ = timeout(POLL_INTERVAL, decided).await;
         }
     }
 
-    /// Returns whether the request may be sent now. It may have become a suspect while it
-    /// waited for a place.
+    /// Returns whether the request may be sent now. It may have become a suspect while it was
+    /// queued.
     pub fn is_admitted(&self) -> bool {
         self.run.admission() == Admission::Go
     }
 
-    /// Returns whether the request is refused, because it ended too many endpoints.
+    /// Returns whether the request is refused because it crashed too many endpoints.
     pub fn is_refused(&self) -> bool {
         let now = self.cx.now();
         self.cx.state().is_refused(now, self.fingerprint)
     }
 
-    /// Waits until the request is refused; for good if it never is.
+    /// Waits until the request is refused; never returns if it is not.
     ///
-    /// What goes wrong otherwise: while the third endpoint ends, copies of the request wait
-    /// at others behind prompts that are read, and end these too.
+    /// While the third endpoint crashes, copies of the request may be queued at other endpoints
+    /// behind prompts that are prefilled. Unless they are cancelled, they crash these as well.
     pub async fn wait_until_refused(&self) {
         loop {
             let mut news = core::pin::pin!(self.cx.suspects_changed.notified());
@@ -120,13 +119,13 @@
         }
     }
 
-    /// Notes that the request ran well.
+    /// Records that the request ran successfully.
     pub fn on_run_succeeded(&self) {
         let now = self.cx.now();
         self.cx.state().ran_well(now, self.fingerprint);
     }
 
-    /// Notes that the request is refused; returns the reason.
+    /// Logs the refusal of the request and returns its reason.
     pub fn log_refusal(&self) -> Reason {
         let ended = self.cx.state().ended_by(self.fingerprint);
         log_event!(SuspectRefused, attempt = self.name(), request:% = self.fingerprint,
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -1,24 +1,23 @@
-//! Splits a stream of events at its blank lines.
+//! Splits a server-sent event stream at its blank lines.
 //!
-//! An engine that dies may cut its stream in the middle of an event. Only whole
-//! events are passed on, so that a generation that goes on elsewhere begins where
-//! the last whole event ended.
+//! An engine that dies may end its stream in the middle of an event. Only complete events are
+//! forwarded, so that a generation that resumes elsewhere starts after the last complete event.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event; a longer one is no event of an engine and ends the stream.
+/// The longest event in bytes; a longer one is not an engine's event and ends the stream.
 const MAX_EVENT: usize = 1024 * 1024;
 
-/// One whole event, with the blank line that ends it.
+/// One complete event, with the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, if it carries one.
+    /// Its `id` field, if it is a number.
     pub id: Option<u64>,
-    /// Its bytes as they came.
+    /// Its bytes as received.
     pub bytes: Bytes,
 }
 
-/// Collects bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
@@ -26,13 +25,13 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in. Returns whether they can be a stream of events.
+    /// Appends bytes. Returns whether they can still be an event stream.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
         self.buf.len() <= MAX_EVENT
     }
 
-    /// Returns the next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.find_end()?;
         let bytes = self.buf.split_to(end).freeze();
@@ -43,12 +42,12 @@
         })
     }
 
-    /// Returns whether bytes wait that are no whole event.
+    /// Returns whether an incomplete event is buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Drops what waits, because its stream broke.
+    /// Discards buffered bytes after the stream broke.
     pub fn clear(&mut self) {
         self.buf.clear();
         self.scanned = 0;
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,7 +1,7 @@
-//! What an instance believes at the moment, for operators.
+//! The current state of an instance, for operators.
 //!
-//! It is the answer of `/status` on the listener for metrics, and what
-//! `oriolemux status` prints. Its fields are stable; new ones may come.
+//! It is the response of `/status` on the metrics listener, and what `oriolemux status`
+//! prints. Existing fields are stable; new ones may be added.
 
 use crate::cx::{Cx, OpenKind};
 use crate::meters::millis;
@@ -18,17 +18,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Readiness {
-    /// No: no catalogue, or of a node no list of instances, is in force yet.
+    /// No: no catalogue, or for a node no list of instances, is in force yet.
     #[default]
     Starting,
     /// Yes.
     Ready,
-    /// No: a stop was asked for.
+    /// No: a stop was requested.
     Stopping,
 }
 
 impl Readiness {
-    /// Returns the name used in answers.
+    /// Returns the name that responses use.
     pub const fn as_str(self) -> &'static str {
         match self {
             Readiness::Starting => "starting",
@@ -38,146 +38,147 @@
     }
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Availability {
-    /// It does.
+    /// It accepts them.
     Work,
-    /// It failed several times in a row and is passed over for a while.
+    /// It is ejected for a while because several requests in a row failed.
     PassedOver,
-    /// Nothing while its data centre is closed to new work.
+    /// It accepts none while its data centre is cordoned.
     Cordoned,
-    /// Its entry vanished around an outage of the store; only if there is no other.
+    /// Its record was removed around an outage of the store; it is used only if there is no other.
     Lapsed,
-    /// Nothing, for good.
+    /// It accepts no more requests.
     Nothing,
 }
 
-/// What an instance believes.
+/// The state of an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayStatus {
     /// The instance's name.
     pub instance: String,
-    /// This life of it, in hexadecimal digits.
+    /// The incarnation of the instance, in hexadecimal digits.
     pub incarnation: String,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub readiness: Readiness,
-    /// The version of the catalogue in force; none before the first.
+    /// The version of the catalogue in force, `None` before the first.
     pub catalogue_version: Option<u64>,
-    /// What it knows of the store.
+    /// The state of its store connection.
     pub store: StoreStatus,
     /// Connections of callers.
     pub connections: usize,
-    /// Generations that are passed on.
+    /// Generations that are being forwarded.
     pub generations: usize,
     /// All endpoints, by name.
     pub endpoints: Vec<EndpointStatus>,
-    /// Other instances that take part, by address.
+    /// Other live instances, by address.
     pub peers: Vec<PeerStatus>,
-    /// The services whose engines have a home, by name.
+    /// The services whose engines are placed by a home, by name.
     #[serde(default)]
     pub homes: Vec<HomeStatus>,
-    /// Data centres that the operator closed to new work, by name.
+    /// Cordoned data centres, by name.
     #[serde(default)]
     pub cordons: Vec<CordonStatus>,
-    /// Requests that ended endpoints, those first that ended the most.
+    /// Requests that crashed endpoints, those with the most crashes first.
     #[serde(default)]
     pub suspects: Vec<SuspectStatus>,
-    /// What was sent to peers since the start, by purpose.
+    /// The totals of what was sent to peers since the start, by purpose.
     #[serde(default)]
     pub sent: Vec<SentStatus>,
 }
 
-/// A request that ended endpoints.
+/// A request that crashed endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SuspectStatus {
-    /// What makes two attempts the same request, as log lines have it.
+    /// The request's fingerprint, which is the same for all its attempts, as in log lines.
     pub request: String,
-    /// How many endpoints it is known to have ended.
+    /// How many endpoints it is known to have crashed.
     pub ended: usize,
     /// Whether it is refused.
     pub refused: bool,
-    /// Milliseconds since the last of them.
+    /// Milliseconds since the last crash.
     pub ended_ms_ago: u32,
 }
 
-/// A data centre that the operator closed to new work.
+/// A data centre that the operator cordoned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CordonStatus {
     /// The data centre.
     pub data_centre: String,
-    /// The store's revision that says so.
+    /// The store's revision of the cordon.
     pub revision: u64,
-    /// Milliseconds since this instance heard of it.
+    /// Milliseconds since this instance learned of it.
     pub heard_ms_ago: u64,
-    /// Endpoints that are there.
+    /// The number of its endpoints.
     pub endpoints: usize,
 }
 
-/// What an instance sent to its peers for one purpose.
+/// The totals of what an instance sent to its peers for one purpose.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SentStatus {
     /// The purpose.
     pub purpose: String,
-    /// Datagrams, or answers over a connection.
+    /// Datagrams, and responses over connections.
     pub messages: u64,
-    /// Their bytes, without those of the transport.
+    /// Their payload bytes, without transport headers.
     pub bytes: u64,
 }
 
-/// Who decides about the engines of a service, as this instance believes.
+/// The instances that place the requests of a service, from this instance's point of view. The home
+/// is chosen by rendezvous hashing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HomeStatus {
     /// The service.
     pub service: String,
     /// Its home.
     pub home: Option<SocketAddrV4>,
-    /// The next in rank, which is asked where the home does not answer.
+    /// The next in rank, which is asked if the home does not answer.
     pub next: Option<SocketAddrV4>,
-    /// Whether the home did not answer lately and is passed over.
+    /// Whether the home is skipped because it did not answer recently.
     pub passed_over: bool,
-    /// Requests that wait for a decision of this instance; above 0 at one instance.
+    /// Requests that wait for a decision of this instance; nonzero at one instance only.
     pub waiting_here: usize,
 }
 
 /// What an instance knows of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoreStatus {
-    /// The revision up to which everything is known.
+    /// The revision up to which all records are known.
     pub revision: u64,
-    /// Milliseconds since it last answered this instance; none if it never did.
+    /// Milliseconds since the store last answered this instance, `None` if it never did.
     pub answered_ms_ago: Option<u64>,
-    /// Whether this instance watches it for all.
+    /// Whether this instance watches the store for all others.
     pub watches: bool,
-    /// Whether entries may be missing and come back.
+    /// Whether records may be missing after an outage and come back.
     pub unsettled: bool,
 }
 
-/// What an instance believes of an endpoint, with the use of all instances.
+/// The state of an endpoint as this instance knows it, with the usage by all instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// The published name.
     pub name: String,
     /// The service.
     pub service: String,
-    /// Where it is reached.
+    /// The address.
     pub address: SocketAddrV4,
     /// Its data centre.
     pub data_centre: String,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub takes: Availability,
-    /// Whether the last that was seen of it here was a failure.
+    /// Whether the last request that this instance sent to it failed.
     pub failing: bool,
     /// Requests that run there.
     pub running: u16,
-    /// Tokens of memory that they take or are expected to take.
+    /// KV tokens that these requests use or are expected to use.
     pub tokens: u32,
-    /// Tokens of memory that standing copies take.
+    /// KV tokens that copies use.
     pub copied: u32,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that are not prefilled yet.
     pub unread: u32,
-    /// Requests a second that it says it takes from all instances, if it names a limit.
+    /// The rate limit that it reported, in requests a second from all instances together.
     #[serde(default)]
     pub limit: Option<f64>,
 }
@@ -185,18 +186,18 @@
 /// What an instance knows of a peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Where it answers peers.
+    /// The address for peers.
     pub address: SocketAddrV4,
-    /// Milliseconds since a datagram of its own came; none if only others told of it.
+    /// Milliseconds since its last datagram, `None` if it is only known through others.
     pub heard_ms_ago: Option<u64>,
-    /// The store's revision that it knows.
+    /// The store's revision that it has.
     pub revision: u64,
     /// Whether it is stopping.
     pub stopping: bool,
 }
 
 impl GatewayStatus {
-    /// Returns what the instance believes now.
+    /// Returns the current state of the instance.
     pub fn of<W: Wire>(cx: &Cx<W>, instance: &str) -> Self {
         let now = cx.now();
         let state = cx.state();
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,7 +1,7 @@
-//! Keeps up with what is published.
+//! Follows the store's records.
 //!
-//! The core says when to read and watch ([`StoreReader`]); here are the calls and
-//! what follows from their answers. Beside them a peer that knows more is asked:
+//! The core decides when to read and watch ([`StoreReader`]); this module makes the calls and
+//! applies their results. In addition, deltas are fetched from peers:
 //! [`catch_up`](crate::catch_up).
 //!
 //! [`StoreReader`]: oriolemux_core::gateway::reader::StoreReader
@@ -18,11 +18,10 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// How long one page may take to begin. A store that is slow takes up to some hundred
-/// milliseconds.
+/// The timeout for the head of one page. A slow store takes up to some hundred milliseconds.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reads and watches the store for good.
+/// Reads and watches the store. Never returns.
 pub async fn follow_store<W: Wire, S: Store>(cx: Arc<Cx<W>>, store: S) {
     loop {
         let step = cx.state().next_step(cx.now());
@@ -47,8 +46,8 @@
     let mut first_revision = None;
     loop {
         let page = store.page(after.as_deref(), PAGE_TIMEOUT).await?;
-        // Pages are no snapshot: what was written after the first one may be missing
-        // from the others, so that only the first page's revision is certain.
+        // Pages are not a snapshot: later pages may lack what was written after the first one, so
+        // only the first page's revision is certain.
         let first_revision = *first_revision.get_or_insert(page.revision);
         for record in &page.records {
             seen.insert(record.key.clone(), ());
@@ -71,7 +70,7 @@
     }
 }
 
-/// Ends a read of everything as of revision `began`: what `seen` does not name is gone.
+/// Completes a full read as of revision `first_revision`: records that `seen` lacks are removed.
 pub fn finish_full_read<W: Wire>(
     cx: &Cx<W>,
     from: Source,
@@ -85,8 +84,8 @@
     cx.replica_changed.notify_waiters();
 }
 
-/// Lifts cordons that peers told of and that were gone from the store at revision `began`: the
-/// records that closed and opened the data centre may both have been missed.
+/// Lifts cordons that came from peers and that the store did not hold at revision
+/// `first_revision`: the records that set and lifted the cordon may both have been missed.
 fn lift_missing_cordons<W: Wire>(cx: &Cx<W>, from: Source, first_revision: u64) {
     let now = cx.now();
     let mut lifted = Vec::new();
@@ -111,8 +110,8 @@
     }
 }
 
-/// Waits for changes. What a peer tells meanwhile does not end the watch: its answer may
-/// be large, on the way, and nearly here.
+/// Waits for changes. A delta from a peer does not end the watch, because the watch response may be
+/// large and nearly complete.
 async fn watch<W: Wire, S: Store>(cx: &Cx<W>, store: &S) {
     let after = cx.state().replica.revision();
     let response = store
@@ -137,7 +136,7 @@
     record_result(cx, result, answered);
 }
 
-/// Takes the result of a call into account.
+/// Reports the result of a call to the store reader.
 fn record_result<W: Wire>(
     cx: &Cx<W>,
     result: Result<(), CallFailure>,
@@ -160,26 +159,26 @@
                     failure = failure.as_str(),
                     revision = state.replica.revision()
                 );
-                // Whoever waits for a first catalogue need not wait any longer.
+                // Requests that wait for the first catalogue need not wait any longer.
                 cx.replica_changed.notify_waiters();
             }
         }
     }
 }
 
-/// Where records came from.
+/// The source of records or reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The store itself.
     Store,
-    /// A peer that had them from the store.
+    /// A peer.
     Peer,
-    /// An endpoint itself.
+    /// An endpoint's own response.
     Endpoint,
 }
 
 impl Source {
-    /// Returns a word for it, which lines carry.
+    /// Returns the value that log lines carry.
     pub const fn label(self) -> &'static str {
         match self {
             Source::Store => "store",
@@ -189,7 +188,7 @@
     }
 }
 
-/// Takes records in and does what follows from those that are news; returns whether any is.
+/// Applies records and the consequences of those that changed; returns whether any changed.
 pub fn apply<W: Wire>(cx: &Cx<W>, from: Source, records: Vec<Record>) -> bool {
     let mut left = Vec::new();
     let mut has_changes = false;
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,8 +1,8 @@
-//! Generations: finding a place, and the way of their events to the caller.
+//! Generations: their placement, and the stream of their events to the caller.
 //!
-//! A generation waits here and not at an engine until an engine has room, since
-//! what waits here can still go to any engine. It is sent with a standing copy
-//! where that pays, and its [`relay`](crate::relay) then has it to its end.
+//! A generation is queued in the gateway and not at an engine until an engine has room, because a
+//! queued generation can still go to any engine. It is sent with a standby copy where that is
+//! worthwhile; its [`relay`](crate::relay) then handles it to its end.
 
 use crate::attempts::Attempts;
 use crate::job::{Job, UsageGuard};
@@ -25,18 +25,18 @@
 use oriolemux_core::ids::EndpointKey;
 use tokio::sync::mpsc;
 
-/// Pieces of a stream that wait for the caller's connection.
+/// Chunks of a stream that may be buffered for the caller's connection.
 const STREAM_BUFFER_CHUNKS: usize = 64;
 
-/// How many times the target a generation waits for room. Later it could only be
-/// late, and the caller knows better what to do with its time.
+/// How many times the entry's target a generation may be queued. Later it could only be late, and
+/// the caller can use its time better.
 const WAIT_TARGET_FACTOR: f64 = 1.0;
 
-/// How long a token takes, as measured on engines with some five generations beside
-/// prompts that are read.
+/// The duration of one token on an engine that runs some five generations while it prefills
+/// prompts.
 const TOKEN_DURATION: Duration = Duration::from_millis(10);
 
-/// What goes to the caller's connection.
+/// A part of a streamed response.
 pub type Chunk = Result<Bytes, StreamAborted>;
 
 /// Serves a generation.
@@ -93,16 +93,16 @@
     }
 }
 
-/// Engines that may refuse a generation, which ran nothing, before its caller is told.
+/// Engines that may refuse a generation, which then did not run, before the caller is refused.
 const MAX_REFUSED_SENDS: usize = 3;
 
-/// A repeat with less time left than this would only be work in vain: a prompt is read
-/// in some 0.2 s.
+/// A generation is not retried with less time remaining than this: prefilling a prompt takes some
+/// 0.2 s.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(250);
 
-/// How a generation began.
+/// How a generation started.
 enum GenerationStart<W: Wire> {
-    /// There is an answer: events that come, or a final one without events.
+    /// There is a response: an event stream, or a final response without events.
     Ended(Response<ResponseBody>),
     /// The engine did not run it.
     NotRun {
@@ -110,13 +110,13 @@
         attempts: Attempts,
         reached_engine: bool,
     },
-    /// It failed and may have run.
+    /// The attempt failed and may have run.
     Failed {
         job: Box<Job<W>>,
         attempts: Attempts,
         response: Response<ResponseBody>,
     },
-    /// The relay ended without a word, which only a fault of it can cause.
+    /// The relay ended without a result, which only a bug can cause.
     Lost,
 }
 
@@ -162,7 +162,7 @@
     mut headers: HeaderMap,
     chunks: mpsc::Receiver<Chunk>,
 ) -> Response<ResponseBody> {
-    // The length of what an engine sent says nothing when another goes on.
+    // The length that one engine stated does not hold when another engine continues.
     headers.remove(header::CONTENT_LENGTH);
     let mut response = Response::new(ChunkBody { chunks }.boxed_unsync());
     *response.status_mut() = status;
@@ -187,13 +187,13 @@
         .map_err(Reason::from)
 }
 
-/// Answers a generation that has no place.
+/// Refuses a generation.
 fn refuse_generation<W: Wire>(
     job: &Job<W>,
     attempts: &Attempts,
     reason: Reason,
 ) -> Response<ResponseBody> {
-    // Where it may have run, "not run" would be untrue.
+    // The generation may have run, so the response must not promise that it did not.
     let reason = match reason {
         Reason::EndsEndpoints => reason,
         _ if attempts.may_have_run() => Reason::ResponseLost,
@@ -204,8 +204,8 @@
     job.refuse(reason)
 }
 
-/// The body of a streamed answer. When the caller leaves, it is dropped, and the
-/// relay learns of it by its closed channel.
+/// The body of a streamed response. It is dropped when the caller disconnects, which closes the
+/// relay's channel.
 struct ChunkBody {
     chunks: mpsc::Receiver<Chunk>,
 }
