--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -135,12 +135,15 @@
 
     /// Returns the timeout of the next attempt.
     fn attempt_timeout(&self) -> Duration {
-        let left = self.job.remaining();
+        let remaining = self.job.remaining();
         let entry = self.job.entry();
         if self.attempts.next_is_last(entry) {
-            return left;
+            return remaining;
         }
-        entry.target.mul_f64(FIRST_ATTEMPT_TARGET_FACTOR).min(left)
+        entry
+            .target
+            .mul_f64(FIRST_ATTEMPT_TARGET_FACTOR)
+            .min(remaining)
     }
 
     async fn exchange(&self, place: &Place) -> AttemptOutcome {
--- a/crates/gateway/src/catch_up.rs
+++ b/crates/gateway/src/catch_up.rs
@@ -84,14 +84,14 @@
 }
 
 async fn fetch_from<W: Wire>(cx: &Cx<W>, peer: SocketAddrV4) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let after = cx.state().replica.revision();
     let fetched = tokio::select! {
         fetched = fetch(peer, after) => fetched,
         // The store or another peer delivered the records meanwhile.
         () = no_longer_behind(cx) => return,
     };
-    let ms = millis(begun.elapsed());
+    let ms = millis(started.elapsed());
     let now = cx.now();
     match fetched {
         Ok(delta) => {
@@ -191,7 +191,7 @@
 }
 
 async fn serve_peer<W: Wire>(cx: &Arc<Cx<W>>, stream: TcpStream, from: SocketAddr) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let (how, bytes) = match timeout(TRANSFER_TIMEOUT, send_delta(cx, stream)).await {
         Ok(Ok(DeltaTransfer::Small)) => return,
         Ok(Ok(DeltaTransfer::Large(bytes))) => ("read", bytes),
@@ -206,7 +206,7 @@
         peer:% = from,
         how = how,
         bytes = bytes,
-        ms = millis(begun.elapsed()),
+        ms = millis(started.elapsed()),
         at_once = cx.open_count(OpenKind::LargeTransfer)
     );
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -183,7 +183,7 @@
         fingerprint,
         run,
         arrived: matched.arrived,
-        deadline: deadline,
+        deadline,
     })
 }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -82,7 +82,7 @@
 
 async fn on_datagram<W: Wire>(cx: &Cx<W>, socket: &UdpSocket, datagram: Datagram) {
     let now = cx.now();
-    let (from, life) = (datagram.from.address, datagram.from.life);
+    let (from, incarnation) = (datagram.from.address, datagram.from.life);
     let received = cx.state().hear(now, datagram);
     let received = match received {
         Ok(received) => received,
@@ -96,7 +96,7 @@
         cx.announce_limit(change, Source::Peer);
     }
     if received.is_new {
-        log_event!(PeerJoined, peer:% = from, incarnation = life.0);
+        log_event!(PeerJoined, peer:% = from, incarnation = incarnation.0);
     }
     for peer in received.gone {
         log_event!(PeerGone, peer:% = peer);
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -110,30 +110,30 @@
     pub fn try_spend_retry(&self, kind: RepeatKind) -> bool {
         let service = &self.service().name;
         let now = self.cx.now();
-        let spent = self.cx.state().spend_repeat(now, service, kind);
-        match spent.is_allowed {
+        let decision = self.cx.state().spend_repeat(now, service, kind);
+        match decision.is_allowed {
             true => log_event!(
                 RetryGranted,
                 attempt = self.name(),
                 service = service.as_str(),
                 kind:% = kind,
-                heard = spent.heard,
-                known = spent.known,
-                left = spent.left,
-                age_ms = millis(spent.age)
+                heard = decision.heard,
+                known = decision.known,
+                left = decision.left,
+                age_ms = millis(decision.age)
             ),
             false => log_event!(
                 RetryDenied,
                 attempt = self.name(),
                 service = service.as_str(),
                 kind:% = kind,
-                heard = spent.heard,
-                known = spent.known,
-                left = spent.left,
-                age_ms = millis(spent.age)
+                heard = decision.heard,
+                known = decision.known,
+                left = decision.left,
+                age_ms = millis(decision.age)
             ),
         }
-        spent.is_allowed
+        decision.is_allowed
     }
 
     /// Returns whether the fleet's retry budget allows a generation to resume.
@@ -150,8 +150,8 @@
         if let Some(load) = head.load {
             state.told(now, place.key, load);
         }
-        if let Some(left) = head.cold_for {
-            state.endpoints.told_cold(now, place.key, left);
+        if let Some(cold_for) = head.cold_for {
+            state.endpoints.told_cold(now, place.key, cold_for);
         }
         let limit = match head.wrong_endpoint {
             true => None,
@@ -210,9 +210,9 @@
         let now = self.cx.now();
         let mut state = self.cx.state();
         let place = state.place(now, &self.demand(0, exclude))?;
-        let begun = self.begin_use(&mut state, &place, 0);
+        let usage = self.begin_use(&mut state, &place, 0);
         drop(state);
-        Ok(self.placed(place, 0, begun))
+        Ok(self.placed(place, 0, usage))
     }
 
     /// Requests an engine until `deadline`, and counts the generation there as
@@ -228,9 +228,9 @@
     ) -> Result<(Place, UsageGuard<W>), NoPlace> {
         let begin =
             |state: &mut Gateway, place: &Place| self.begin_use(state, place, params.tokens);
-        let (place, begun) = request_placement(self, params, deadline, begin).await?;
+        let (place, usage) = request_placement(self, params, deadline, begin).await?;
         self.cx.gossip_due.notify_one();
-        Ok(self.placed(place, params.tokens, begun))
+        Ok(self.placed(place, params.tokens, usage))
     }
 
     /// Requests a place for a copy of the generation at `source`, and counts the copy there.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -118,7 +118,7 @@
         let pace = Pace::new(job.arrived.elapsed());
         let entry = job.entry();
         let silence = silence_limit(entry.target, entry.gap_target);
-        let held = job.last_event_id();
+        let last_event = job.last_event_id();
         let (source, in_use) = chosen;
         Relay {
             job,
@@ -128,7 +128,7 @@
             usage: in_use,
             length,
             reserved_tokens: tokens,
-            state: Relocation::new(silence).after(held),
+            state: Relocation::new(silence).after(last_event),
             standby: None,
             pre_copy: None,
             response_started: None,
@@ -149,14 +149,14 @@
     }
 
     async fn run(mut self, mut started: oneshot::Sender<StartOutcome<W>>) {
-        let begun = tokio::select! {
-            begun = self.start() => begun,
+        let start = tokio::select! {
+            start = self.start() => start,
             () = started.closed() => {
                 self.log_end("caller_left_early");
                 return;
             }
         };
-        let upstream = match begun {
+        let upstream = match start {
             AttemptStart::Stream {
                 upstream,
                 status,
@@ -253,7 +253,7 @@
                 }
             };
             let next = match next {
-                Some(begun @ AttemptStart::Stream { .. }) => Some(begun),
+                Some(start @ AttemptStart::Stream { .. }) => Some(start),
                 Some(AttemptStart::Failed(reason @ Reason::BudgetSpent)) => {
                     return self.abort_stream(&reason.to_string()).await;
                 }
@@ -358,13 +358,13 @@
     fn next_step(&self) -> Step {
         let cx = &self.job.cx;
         let now = cx.now();
-        let standing = self.standby.as_ref().map(|copy| copy.place.key);
-        let ahead = self.pre_copy.as_ref().map(|ahead| ahead.target.key);
+        let standby = self.standby.as_ref().map(|copy| copy.place.key);
+        let pre_copy = self.pre_copy.as_ref().map(|pre_copy| pre_copy.target.key);
         let mut state = cx.state();
-        let standing_takes_work = standing.is_some_and(|key| state.is_usable(key));
+        let standing_takes_work = standby.is_some_and(|key| state.is_usable(key));
         let target = match self.state.go_on_from(now, standing_takes_work) {
-            Some(GoOnFrom::Ahead) => ahead,
-            Some(GoOnFrom::Standing) => standing,
+            Some(GoOnFrom::Ahead) => pre_copy,
+            Some(GoOnFrom::Standing) => standby,
             None => None,
         };
         let leaving = state.leaving_since(self.engine.key);
@@ -408,8 +408,8 @@
 
     fn log_end(&self, how: &str) {
         let entry = self.job.entry();
-        let seen = self.pace.summary(self.job.arrived);
-        seen.record();
+        let timing = self.pace.summary(self.job.arrived);
+        timing.record();
         ByReason::Generations.add(how);
         Histogram::Generation.record(self.job.arrived.elapsed());
         log_event!(
@@ -419,10 +419,10 @@
             endpoint = self.engine.name.as_str(),
             events = self.state.events(),
             moves = self.state.moves(),
-            late = seen.is_late(entry),
-            wait_ms = seen.waited_ms,
-            first_ms = seen.first_ms,
-            pause_ms = seen.pause_ms,
+            late = timing.is_late(entry),
+            wait_ms = timing.waited_ms,
+            first_ms = timing.first_ms,
+            pause_ms = timing.pause_ms,
             ms = millis(self.job.arrived.elapsed()),
             how = how
         );
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -76,7 +76,7 @@
     /// cancelled before it is sent elsewhere.
     async fn send_and_wait(&self) -> SendOutcome<W> {
         let mut sent = core::pin::pin!(self.send(None));
-        let mut look = self.may_run_again().then(|| self.reassign_at());
+        let mut next_check = self.may_run_again().then(|| self.reassign_at());
         let cx = &self.job.cx;
         let mut is_cordoned = false;
         loop {
@@ -84,18 +84,18 @@
             departures.as_mut().enable();
             if !is_cordoned && cx.state().endpoints.is_cordoned(self.engine.key) {
                 is_cordoned = true;
-                look = look.map(|_| Instant::now());
+                next_check = next_check.map(|_| Instant::now());
             }
             tokio::select! {
                 sent = &mut sent => return SendOutcome::Sent(sent),
                 () = tokio::time::sleep_until(self.job.deadline.into()) => return SendOutcome::Timeout,
                 () = self.job.wait_until_refused() => return SendOutcome::Refused,
                 () = departures => {}
-                () = sleep_until(look) => {
+                () = sleep_until(next_check) => {
                     if let Some((place, in_use)) = self.engine_with_room().await {
                         return SendOutcome::Reassign(place, in_use);
                     }
-                    look = Some(Instant::now() + REASSIGN_RETRY_INTERVAL);
+                    next_check = Some(Instant::now() + REASSIGN_RETRY_INTERVAL);
                 }
             }
         }
--- a/crates/gateway/src/relay/pre_copy.rs
+++ b/crates/gateway/src/relay/pre_copy.rs
@@ -104,17 +104,17 @@
 
 /// Waits for the copy call in progress to end; never returns if there is none.
 pub(super) async fn wait_for_end<W: Wire, E: EngineCalls>(
-    ahead: &mut Option<PreCopy<W, E>>,
+    pre_copy: &mut Option<PreCopy<W, E>>,
 ) -> CopyOutcome {
     let Some(PreCopy {
         task: Some(task), ..
-    }) = ahead
+    }) = pre_copy
     else {
         return core::future::pending().await;
     };
     let moved = task.await.unwrap_or(CopyOutcome::NoAnswer);
-    if let Some(ahead) = ahead {
-        ahead.task = None;
+    if let Some(pre_copy) = pre_copy {
+        pre_copy.task = None;
     }
     moved
 }
--- a/crates/gateway/src/relay/resume.rs
+++ b/crates/gateway/src/relay/resume.rs
@@ -48,17 +48,19 @@
             let engines = self.engine_calls.clone();
             self.pre_copy = Some(PreCopy::new(engines, self.engine.address, target, in_use));
         }
-        if let Some(ahead) = &mut self.pre_copy {
-            ahead.start(self.job.name());
+        if let Some(pre_copy) = &mut self.pre_copy {
+            pre_copy.start(self.job.name());
             self.state.ahead_begun(self.job.cx.now());
         }
     }
 
     /// Drops a pre-copy in a data centre that was cordoned; another one can then be made.
     pub(super) fn drop_cordoned_pre_copy(&mut self) {
-        let Some(ahead) = &self.pre_copy else { return };
+        let Some(pre_copy) = &self.pre_copy else {
+            return;
+        };
         let state = self.job.cx.state();
-        let is_cordoned = state.endpoints.is_cordoned(ahead.target.key);
+        let is_cordoned = state.endpoints.is_cordoned(pre_copy.target.key);
         drop(state);
         if is_cordoned {
             self.pre_copy = None;
@@ -76,8 +78,8 @@
         );
         let now = self.job.cx.now();
         let complete = match (&mut self.pre_copy, moved) {
-            (Some(ahead), CopyOutcome::Complete { handle }) => {
-                ahead.complete(handle);
+            (Some(pre_copy), CopyOutcome::Complete { handle }) => {
+                pre_copy.complete(handle);
                 true
             }
             _ => false,
@@ -96,15 +98,15 @@
         self.drop_cordoned_pre_copy();
         let may_exist = self.state.standing_may_exist(self.job.cx.now());
         let is_cordoned = |key| self.job.cx.state().endpoints.is_cordoned(key);
-        let standing = self.standby.take();
-        let standing = standing.filter(|it| may_exist && !is_cordoned(it.place.key));
+        let standby = self.standby.take();
+        let standby = standby.filter(|it| may_exist && !is_cordoned(it.place.key));
         if let Some(
-            begun @ (AttemptStart::Stream { .. } | AttemptStart::Failed(Reason::BudgetSpent)),
+            start @ (AttemptStart::Stream { .. } | AttemptStart::Failed(Reason::BudgetSpent)),
         ) = self.resume_from_pre_copy().await
         {
-            return Some(begun);
+            return Some(start);
         }
-        self.standby = standing;
+        self.standby = standby;
         self.resume_from_standby().await
     }
 
@@ -120,10 +122,10 @@
             event_id = self.state.last_event()
         );
         let holder = self.engine.address;
-        let mut begun = self.resume_at(target, holder, &handle).await;
+        let mut start = self.resume_at(target, holder, &handle).await;
         for _ in 0..MAX_RESUME_RETRIES {
             if !matches!(
-                begun,
+                start,
                 AttemptStart::NotRun {
                     reached_engine: true
                 }
@@ -135,14 +137,14 @@
                 break;
             }
             let handle = &handle;
-            begun = self
+            start = self
                 .send_resume(Some(CopyLocation {
                     engine: holder,
                     handle,
                 }))
                 .await;
         }
-        Some(begun)
+        Some(start)
     }
 
     /// Resumes from the standby copy, if there is one.
@@ -223,7 +225,7 @@
         }
         let limit = self.job.remaining();
         let sent = tokio::time::timeout(limit, self.send(copy)).await;
-        let begun = match sent {
+        let start = match sent {
             Ok(Ok((link, response))) => self.read_head(link, response).await,
             Ok(Err(error)) => {
                 log::debug!("generation could not resume: {error}");
@@ -237,7 +239,7 @@
             }
             Err(_) => AttemptStart::Failed(Reason::Timeout),
         };
-        match &begun {
+        match &start {
             AttemptStart::Stream { .. } => {}
             AttemptStart::FinalResponse(response) => {
                 self.log_resume_failure(response.status.as_str())
@@ -245,7 +247,7 @@
             AttemptStart::NotRun { .. } => self.log_resume_failure("not_run"),
             AttemptStart::Failed(reason) => self.log_resume_failure(&reason.to_string()),
         }
-        begun
+        start
     }
 
     /// Spends one retry of the fleet's budget. If none is available, waits for one as long as
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -253,18 +253,21 @@
     callers: &TaskTracker,
     acceptor: &AbortHandle,
 ) {
-    let begun = Instant::now();
+    let started = Instant::now();
     cx.begin_stop(stop_plan(settings));
     sleep(settings.notice).await;
-    let door_closes = settings.grace.saturating_sub(LISTENER_CLOSE_MARGIN);
-    while cx.open_count(OpenKind::Generation) > 0 && begun.elapsed() < door_closes {
+    let listener_closes = settings.grace.saturating_sub(LISTENER_CLOSE_MARGIN);
+    while cx.open_count(OpenKind::Generation) > 0 && started.elapsed() < listener_closes {
         sleep(STOP_POLL_INTERVAL).await;
     }
     acceptor.abort();
     cx.closing.cancel();
     callers.close();
-    let left = settings.grace.saturating_sub(begun.elapsed());
-    if tokio::time::timeout(left, callers.wait()).await.is_err() {
+    let remaining = settings.grace.saturating_sub(started.elapsed());
+    if tokio::time::timeout(remaining, callers.wait())
+        .await
+        .is_err()
+    {
         let requests = cx.open_count(OpenKind::Request) + cx.open_count(OpenKind::Generation);
         log_event!(StoppedWithRequests, requests = requests);
     }
--- a/crates/gateway/src/run_lease.rs
+++ b/crates/gateway/src/run_lease.rs
@@ -110,12 +110,12 @@
     /// behind prompts that are prefilled. Unless they are cancelled, they crash these as well.
     pub async fn wait_until_refused(&self) {
         loop {
-            let mut news = core::pin::pin!(self.cx.suspects_changed.notified());
-            news.as_mut().enable();
+            let mut changed = core::pin::pin!(self.cx.suspects_changed.notified());
+            changed.as_mut().enable();
             if self.is_refused() {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -190,7 +190,7 @@
 
 /// Applies records and the consequences of those that changed; returns whether any changed.
 pub fn apply<W: Wire>(cx: &Cx<W>, from: Source, records: Vec<Record>) -> bool {
-    let mut left = Vec::new();
+    let mut leaving = Vec::new();
     let mut has_changes = false;
     for record in records {
         if !cx.state().replica.is_newer(&record) {
@@ -206,10 +206,10 @@
         match published {
             Published::Catalogue(source) => apply_catalogue(cx, from, source),
             Published::Endpoint(endpoint) => {
-                left.extend(cx.state().publish_endpoint(now, endpoint));
+                leaving.extend(cx.state().publish_endpoint(now, endpoint));
             }
             Published::EndpointGone(name) => {
-                left.extend(cx.state().endpoint_vanished(now, &name));
+                leaving.extend(cx.state().endpoint_vanished(now, &name));
             }
             Published::Cordon { cordon, why } => {
                 if let Some(why) = why {
@@ -226,7 +226,7 @@
             Published::Unreadable(why) => log_unreadable(&record, &why),
         }
     }
-    cx.announce_leaving(&left);
+    cx.announce_leaving(&leaving);
     if has_changes {
         cx.replica_changed.notify_waiters();
     }
--- a/crates/gateway/tests/catch_up_format.rs
+++ b/crates/gateway/tests/catch_up_format.rs
@@ -1,11 +1,11 @@
-//! The bytes in which instances tell each other what was published.
+//! The wire format of a delta of the store's records.
 
 use oriolemux_core::gateway::Record;
 use oriolemux_core::gateway::replica::News;
 use oriolemux_gateway::catch_up::format::{FormatError, MAX_DELTA_BYTES, decode, encode};
 use proptest::prelude::*;
 
-fn news(records: Vec<Record>) -> News {
+fn delta(records: Vec<Record>) -> News {
     News {
         revision: 70,
         whole: false,
@@ -24,20 +24,20 @@
 }
 
 #[test]
-fn a_large_catalogue_is_told_in_a_fraction_of_its_size() {
-    let told = news(vec![catalogue(1_400)]);
-    let size: usize = told.records.iter().map(Record::size).sum();
+fn a_large_catalogue_is_compressed() {
+    let sent = delta(vec![catalogue(1_400)]);
+    let size: usize = sent.records.iter().map(Record::size).sum();
 
-    let bytes = encode(&told).expect("it can be written");
+    let bytes = encode(&sent).expect("encodes");
 
     assert!(bytes.len() * 4 < size, "{} of {size}", bytes.len());
-    assert_eq!(decode(&bytes).expect("it can be read"), told);
+    assert_eq!(decode(&bytes).expect("decodes"), sent);
 }
 
-/// Symptom: an instance is ended for its use of memory. Sequence: a peer, or a stranger in
-/// its place, answers with a length of gigabytes. Cause: memory was taken as told.
+/// Guards against an instance that is killed for its memory use: a peer, or another process at its
+/// address, replies with a length of gigabytes, and memory is allocated for it.
 #[test]
-fn a_length_beyond_all_bounds_takes_no_memory() {
+fn an_excessive_length_is_rejected_without_allocation() {
     let mut bytes = vec![1];
     bytes.extend(u32::MAX.to_le_bytes());
     bytes.extend([0; 16]);
@@ -49,12 +49,12 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_decode_or_fail(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn what_was_written_is_read(
+    fn a_delta_survives_encoding(
         values in proptest::collection::vec(
             proptest::option::of(proptest::collection::vec(any::<u8>(), 0..3_000)), 0..6),
     ) {
@@ -63,10 +63,10 @@
             revision: at as u64,
             value,
         };
-        let told = news(values.into_iter().enumerate().map(record).collect());
+        let sent = delta(values.into_iter().enumerate().map(record).collect());
 
-        let bytes = encode(&told).expect("it can be written");
+        let bytes = encode(&sent).expect("encodes");
 
-        prop_assert_eq!(decode(&bytes).expect("it can be read"), told);
+        prop_assert_eq!(decode(&bytes).expect("decodes"), sent);
     }
 }
--- a/crates/gateway/tests/refusals.rs
+++ b/crates/gateway/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! When callers that were refused are asked to come back, and what they get then.
+//! The `Retry-After` of refused callers, and how they fare when they return.
 
 use core::time::Duration;
 use oriolemux_gateway::response::{Reason, retry_after};
@@ -6,57 +6,61 @@
 
 const PLAN: Duration = Duration::from_secs(39);
 
-/// Guards against callers that are asked to come back when their time is over, and against those
-/// that wait for seconds though another instance could serve them at once.
+/// Guards against a `Retry-After` beyond the caller's timeout, and against callers that wait for
+/// seconds although another instance could serve them at once.
 #[rstest]
 #[case::no_room(Reason::EndpointsFull, PLAN, 8_000)]
-#[case::closed(Reason::Cordoned, PLAN, 8_000)]
-#[case::stops(Reason::Stopping, PLAN, 1_000)]
-#[case::begins(Reason::NoCatalogue, PLAN, 1_000)]
-#[case::short(Reason::EndpointsFull, Duration::from_millis(1_200), 300)]
-#[case::nearly_over(Reason::EndpointsFull, Duration::from_millis(80), 20)]
-fn the_time_to_come_back(#[case] reason: Reason, #[case] left: Duration, #[case] millis: u128) {
-    assert_eq!(retry_after(reason, left).as_millis(), millis);
+#[case::cordoned(Reason::Cordoned, PLAN, 8_000)]
+#[case::stopping(Reason::Stopping, PLAN, 1_000)]
+#[case::starting(Reason::NoCatalogue, PLAN, 1_000)]
+#[case::short_timeout(Reason::EndpointsFull, Duration::from_millis(1_200), 300)]
+#[case::timeout_nearly_over(Reason::EndpointsFull, Duration::from_millis(80), 20)]
+fn retry_after_depends_on_reason_and_remaining_time(
+    #[case] reason: Reason,
+    #[case] remaining: Duration,
+    #[case] millis: u128,
+) {
+    assert_eq!(retry_after(reason, remaining).as_millis(), millis);
 }
 
-/// Engines that serve so many generations a second, and a burst of callers.
+/// Engines with a fixed throughput, and a burst of callers.
 struct Burst {
-    served_a_second: u64,
-    usual_a_second: u64,
-    burst_a_second: u64,
+    served_per_second: u64,
+    usual_per_second: u64,
+    burst_per_second: u64,
     burst: core::ops::Range<u64>,
-    /// How long a caller waits for room before it is refused.
-    patience_ms: u64,
+    /// How long a caller is queued before it is refused.
+    queue_timeout_ms: u64,
 }
 
 impl Burst {
-    /// Plays the burst in milliseconds; returns how many of those that were refused got room when
-    /// they came back, once, and how many were refused in all.
-    fn play(&self, pause: impl Fn(Duration) -> Duration) -> (usize, usize) {
+    /// Simulates the burst in steps of 1 ms. Returns how many refused callers were served when they
+    /// returned, which they do once, and how many were refused in all.
+    fn simulate(&self, pause: impl Fn(Duration) -> Duration) -> (usize, usize) {
         let mut waiting: Vec<(u64, bool)> = Vec::new();
         let mut returns: Vec<u64> = Vec::new();
         let (mut refused, mut served_later) = (0, 0);
         for now in 0..30_000_u64 {
             let rate = match self.burst.contains(&(now / 1_000)) {
-                true => self.burst_a_second,
-                false => self.usual_a_second,
+                true => self.burst_per_second,
+                false => self.usual_per_second,
             };
             if (now * rate) % 1_000 < rate {
                 waiting.push((now, true));
             }
             let back = returns.iter().filter(|&&at| at == now).count();
             waiting.extend((0..back).map(|_| (now, false)));
-            let is_free = (now * self.served_a_second) % 1_000 < self.served_a_second;
-            // Those that came last go first: they can still be in time.
+            let is_free = (now * self.served_per_second) % 1_000 < self.served_per_second;
+            // The latest callers are served first: they can still meet their deadline.
             if let Some((_, is_first)) = is_free.then(|| waiting.pop()).flatten() {
                 served_later += usize::from(!is_first);
             }
             waiting.retain(|&(since, is_first)| {
-                let gives_up = now - since >= self.patience_ms;
+                let gives_up = now - since >= self.queue_timeout_ms;
                 if gives_up && is_first {
                     refused += 1;
-                    let left = PLAN - Duration::from_millis(self.patience_ms);
-                    let pause = pause(left).as_millis();
+                    let remaining = PLAN - Duration::from_millis(self.queue_timeout_ms);
+                    let pause = pause(remaining).as_millis();
                     returns.push(now + u64::try_from(pause).expect("small"));
                 }
                 !gives_up
@@ -66,25 +70,26 @@
     }
 }
 
-/// Guards against callers that come back into the burst that they were refused in: they have no
-/// further try, and take the room of others.
+/// Guards against callers that return during the burst in which they were refused: they have no
+/// further retry, and take the room of others.
 #[test]
-fn callers_of_a_burst_come_back_after_it() {
+fn callers_refused_in_a_burst_return_after_it() {
     let burst = Burst {
-        served_a_second: 20,
-        usual_a_second: 12,
-        burst_a_second: 40,
+        served_per_second: 20,
+        usual_per_second: 12,
+        burst_per_second: 40,
         burst: 5..9,
-        patience_ms: 1_800,
+        queue_timeout_ms: 1_800,
     };
 
-    let (served, refused) = burst.play(|left| retry_after(Reason::EndpointsFull, left));
-    let (served_soon, refused_soon) = burst.play(|_| Duration::from_secs(1));
+    let (served, refused) =
+        burst.simulate(|remaining| retry_after(Reason::EndpointsFull, remaining));
+    let (served_soon, refused_soon) = burst.simulate(|_| Duration::from_secs(1));
 
     assert!(refused > 40, "{refused}");
     assert!(served * 3 >= refused * 2, "{served} of {refused}");
     assert!(
         served_soon * refused < served * refused_soon,
-        "{served} of {refused}, and after a second {served_soon} of {refused_soon}"
+        "{served} of {refused}, and with a fixed second {served_soon} of {refused_soon}"
     );
 }
--- a/crates/gateway/tests/senders.rs
+++ b/crates/gateway/tests/senders.rs
@@ -1,4 +1,4 @@
-//! Everything that is sent to an endpoint goes through the places that ask whether it may be.
+//! All requests to endpoints pass the code that checks whether the endpoint may be used.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
     }
 }
 
-/// The files whose code has `call`, comments left out.
+/// Returns the files whose code contains `call`; comments are ignored.
 fn files_with(call: &str) -> Vec<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = Vec::new();
@@ -31,17 +31,17 @@
     with
 }
 
-/// Guards against a new way to an endpoint that does not ask right before the first byte whether
-/// the endpoint leaves or its data centre was closed.
+/// Guards against a new code path to an endpoint that does not check right before the first byte
+/// whether the endpoint leaves or its data centre is cordoned.
 #[test]
 fn requests_are_sent_in_one_place() {
     assert_eq!(files_with("Link::connect("), ["job.rs"]);
     assert_eq!(files_with("link.send("), ["job.rs"]);
 }
 
-/// Guards against copies to an engine that may not be used.
+/// Guards against copies to an engine that must not be used.
 #[test]
-fn copies_are_begun_in_one_place() {
+fn copies_are_started_in_one_place() {
     assert_eq!(files_with(".copy_generation("), ["relay/pre_copy.rs"]);
     assert_eq!(files_with("copy_to: self"), ["relay/begin.rs"]);
 }
