--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,8 +1,8 @@
-//! Calls of plain services: forwarded, and answered whole.
+//! Calls of plain services: forwarded, with a buffered response.
 //!
-//! The answer is read to its end before the caller gets any of it. A call that
-//! may be repeated can so be repeated after an answer that broke off in the
-//! middle, and nothing that is half an answer ever reaches a caller.
+//! The response is read to its end before the caller gets any of it. A call that may be retried
+//! can therefore be retried after a response that broke off in the middle, and no caller ever
+//! receives a partial response.
 
 use crate::attempts::Attempts;
 use crate::job::Job;
@@ -19,40 +19,39 @@
 use oriolemux_core::gateway::state::Placement;
 use std::time::Instant;
 
-/// The largest answer of a plain service that is held.
+/// The largest response of a plain service that is buffered.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// How many times the target the first attempt of an idempotent call may take. An
-/// endpoint that hangs is given up then, while there is time for another one.
+/// How many times the entry's target the first attempt of an idempotent call may take. A hanging
+/// endpoint is abandoned while there is time for another one.
 const FIRST_ATTEMPT_TARGET_FACTOR: f64 = 3.0;
 
-/// A repeat with less time left than this would only be work in vain.
+/// Calls are not retried with less time remaining than this: the retry could not finish.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(30);
 
-/// Sends beyond the entry's attempts that may follow a definite refusal, which ran
-/// nothing.
+/// Attempts beyond the entry's maximum that may follow definite refusals, which ran nothing.
 const MAX_REFUSED_SENDS: usize = 2;
 
-/// What became of one attempt.
+/// The outcome of one attempt.
 enum AttemptOutcome {
-    /// The endpoint answered.
-    Answer(BufferedResponse),
+    /// The endpoint responded.
+    Response(BufferedResponse),
     /// The endpoint did not run the call.
     NotRun,
-    /// No connection could be made.
+    /// No connection could be opened.
     NoConnection,
     /// The endpoint was withdrawn before anything was sent.
     Withdrawn,
-    /// The connection or the answer broke; the call may have run.
+    /// The connection or the response broke; the call may have run.
     Lost {
-        /// When the answer had begun, if it had.
-        begun: Option<Instant>,
+        /// When the response started, if it did.
+        response_started: Option<Instant>,
     },
-    /// The answer was another request's; the call may have run.
+    /// The response belonged to another request; the call may have run.
     WrongAttempt,
-    /// The time was over.
+    /// The attempt timed out.
     Timeout,
-    /// The call was refused while it was there, because it ended too many endpoints.
+    /// The call was refused during the attempt because it crashed too many endpoints.
     Refused,
 }
 
@@ -73,40 +72,40 @@
         let attempt = calls.attempt(&place).await;
         drop(in_use);
         calls.record(&place, &attempt).await;
-        let repeat = calls.may_retry(&attempt);
+        let will_retry = calls.may_retry(&attempt);
         log_event!(
             CallAttempt,
             attempt = job.name(),
             endpoint = place.name.as_str(),
             entry = job.entry().name.as_str(),
-            repeat = repeat,
+            repeat = will_retry,
             what = attempt.label(),
             status = attempt.status(),
             ms = job.arrived.elapsed().as_millis() as u64
         );
         ByReason::Attempts.add(attempt.label());
-        if repeat {
+        if will_retry {
             ByReason::Repeats.add(attempt.label());
         }
-        if !repeat {
+        if !will_retry {
             return calls.finish(attempt, &place);
         }
     }
 }
 
 impl AttemptOutcome {
-    /// Returns the status of the endpoint's answer; 0 if there was none.
+    /// Returns the status of the endpoint's response; 0 if there was none.
     fn status(&self) -> u16 {
         match self {
-            AttemptOutcome::Answer(answer) => answer.status.as_u16(),
+            AttemptOutcome::Response(response) => response.status.as_u16(),
             _ => 0,
         }
     }
 
     fn label(&self) -> &'static str {
         match self {
-            AttemptOutcome::Answer(answer) if answer.status.is_server_error() => "failed",
-            AttemptOutcome::Answer(_) => "answered",
+            AttemptOutcome::Response(response) if response.status.is_server_error() => "failed",
+            AttemptOutcome::Response(_) => "answered",
             AttemptOutcome::NotRun => "not_run",
             AttemptOutcome::NoConnection => "no_connection",
             AttemptOutcome::Withdrawn => "withdrawn",
@@ -134,14 +133,17 @@
         }
     }
 
-    /// Returns how long this attempt may take.
+    /// Returns the timeout of the next attempt.
     fn attempt_timeout(&self) -> Duration {
-        let left = self.job.remaining();
+        let remaining = self.job.remaining();
         let entry = self.job.entry();
         if self.attempts.next_is_last(entry) {
-            return left;
+            return remaining;
         }
-        entry.target.mul_f64(FIRST_ATTEMPT_TARGET_FACTOR).min(left)
+        entry
+            .target
+            .mul_f64(FIRST_ATTEMPT_TARGET_FACTOR)
+            .min(remaining)
     }
 
     async fn exchange(&self, place: &Placement) -> AttemptOutcome {
@@ -152,17 +154,19 @@
             workspace: job.workspace_name(),
             ..ForwardHead::default()
         };
-        let (link, answer) = match job.send(place, &send).await {
+        let (link, response) = match job.send(place, &send).await {
             Ok(sent) => sent,
             Err(LinkError::Withdrawn) => return AttemptOutcome::Withdrawn,
             Err(error) if error.never_sent() => return AttemptOutcome::NoConnection,
             Err(error) => {
-                log::debug!("a call was lost: {error}");
-                return AttemptOutcome::Lost { begun: None };
+                log::debug!("connection of a call failed after sending: {error}");
+                return AttemptOutcome::Lost {
+                    response_started: None,
+                };
             }
         };
-        let begun = Some(Instant::now());
-        let (parts, body) = answer.into_parts();
+        let response_started = Some(Instant::now());
+        let (parts, body) = response.into_parts();
         let attempt = job.head.attempt.as_deref();
         let head = job
             .cx
@@ -176,31 +180,33 @@
             return AttemptOutcome::NotRun;
         }
         match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
-            Ok(body) => AttemptOutcome::Answer(BufferedResponse {
+            Ok(body) => AttemptOutcome::Response(BufferedResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body: body.to_bytes(),
             }),
             Err(error) => {
-                log::debug!("an answer of {} broke: {error}", place.name);
-                AttemptOutcome::Lost { begun }
+                log::debug!("response of {} broke off: {error}", place.name);
+                AttemptOutcome::Lost { response_started }
             }
         }
     }
 
     async fn record(&mut self, place: &Placement, attempt: &AttemptOutcome) {
         match attempt {
-            AttemptOutcome::Answer(answer) => {
+            AttemptOutcome::Response(response) => {
                 self.job.cx.state().endpoints.on_success(place.key);
-                if answer.status.is_success() {
+                if response.status.is_success() {
                     self.job.on_run_succeeded();
                 }
             }
             AttemptOutcome::NotRun | AttemptOutcome::Refused | AttemptOutcome::Withdrawn => {}
             AttemptOutcome::NoConnection => self.job.record_unreachable(place),
-            AttemptOutcome::Lost { begun } => {
+            AttemptOutcome::Lost { response_started } => {
                 self.job.record_failure(place);
-                self.job.on_connection_broken(place, *begun).await;
+                self.job
+                    .on_connection_broken(place, *response_started)
+                    .await;
             }
             AttemptOutcome::WrongAttempt | AttemptOutcome::Timeout => {
                 self.job.record_failure(place)
@@ -214,32 +220,33 @@
         }
     }
 
-    /// Returns whether the call is sent once more, and spends a repeat if so.
+    /// Returns whether the call is sent again, and spends a retry if necessary.
     fn may_retry(&self, attempt: &AttemptOutcome) -> bool {
         let job = self.job;
         if job.remaining() < MIN_RETRY_TIME || job.is_refused() {
             return false;
         }
-        let allowed = match attempt {
-            // Nothing arrived anywhere, so that nothing is repeated.
+        let may_retry = match attempt {
+            // Nothing reached any endpoint, so this is not a retry.
             AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn => {
                 return self.attempts.refused() <= MAX_REFUSED_SENDS;
             }
             AttemptOutcome::NotRun => self.attempts.refused() <= MAX_REFUSED_SENDS,
-            AttemptOutcome::Answer(answer) if !answer.status.is_server_error() => false,
+            AttemptOutcome::Response(response) if !response.status.is_server_error() => false,
             AttemptOutcome::Refused => false,
-            AttemptOutcome::Answer(_)
+            AttemptOutcome::Response(_)
             | AttemptOutcome::Lost { .. }
             | AttemptOutcome::WrongAttempt
             | AttemptOutcome::Timeout => self.attempts.may_run_again(job.entry()),
         };
-        allowed && job.try_spend_retry(RetryKind::Retry)
+        may_retry && job.try_spend_retry(RetryKind::Retry)
     }
 
     fn refuse_unadmitted(&self, reason: Reason) -> Response<ResponseBody> {
         let reason = match reason {
-            // An earlier attempt may have run, so that "not run" would be untrue.
-            Reason::TurnTaken if self.attempts.may_have_run() => Reason::AnswerLost,
+            // An earlier attempt may have run, so the response must not promise that the call did
+            // not run.
+            Reason::TurnTaken if self.attempts.may_have_run() => Reason::ResponseLost,
             reason => reason,
         };
         self.log_failure("-", reason);
@@ -254,7 +261,7 @@
 
     fn refuse_unplaced(&self, why: PlacementError) -> Response<ResponseBody> {
         let reason = match why {
-            _ if self.attempts.may_have_run() => Reason::AnswerLost,
+            _ if self.attempts.may_have_run() => Reason::ResponseLost,
             why => Reason::from(why),
         };
         self.log_failure("-", reason);
@@ -263,23 +270,27 @@
 
     fn finish(&self, attempt: AttemptOutcome, place: &Placement) -> Response<ResponseBody> {
         let reason = match attempt {
-            AttemptOutcome::Answer(mut answer) => {
+            AttemptOutcome::Response(mut response) => {
                 Histogram::Call.record(self.job.arrived.elapsed());
-                self.job.cx.wire.strip_response_headers(&mut answer.headers);
-                return answer.into_response();
+                self.job
+                    .cx
+                    .wire
+                    .strip_response_headers(&mut response.headers);
+                return response.into_response();
             }
             _ if self.job.is_refused() => self.job.log_refusal(),
-            // An earlier attempt may have run, so that "not run" would be untrue.
+            // An earlier attempt may have run, so the response must not promise that the call did
+            // not run.
             AttemptOutcome::NotRun | AttemptOutcome::NoConnection | AttemptOutcome::Withdrawn
                 if self.attempts.may_have_run() =>
             {
-                Reason::AnswerLost
+                Reason::ResponseLost
             }
             AttemptOutcome::NotRun => Reason::NotRunAtEndpoint,
             AttemptOutcome::NoConnection => Reason::NoConnection,
             AttemptOutcome::Withdrawn => Reason::NoEndpoint,
-            AttemptOutcome::Lost { .. } => Reason::AnswerLost,
-            AttemptOutcome::WrongAttempt => Reason::AnswerForeign,
+            AttemptOutcome::Lost { .. } => Reason::ResponseLost,
+            AttemptOutcome::WrongAttempt => Reason::WrongAttempt,
             AttemptOutcome::Timeout => Reason::Timeout,
             AttemptOutcome::Refused => Reason::EndsEndpoints,
         };
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' side: takes requests and judges them by the catalogue in force.
+//! The front for callers: accepts requests and matches them against the catalogue in force.
 
 mod connection;
 
@@ -23,37 +23,36 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The time that a caller is assumed to wait if nothing is known of it.
+/// The assumed timeout of a caller that states none.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a request waits for the first catalogue of an instance that has just started.
-/// It is read in some 10 ms; ten times as long covers a store that is slow.
+/// Reading it takes some 10 ms; the timeout covers a store that takes ten times as long.
 const FIRST_CATALOGUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The share of its caller's patience that a request waits for it at most.
+/// The maximum share of the caller's timeout that is spent waiting for the first catalogue.
 const FIRST_CATALOGUE_SHARE: f64 = 0.25;
 
 /// Returns the catalogue in force; an instance that has just started waits for it.
 ///
-/// What goes wrong otherwise: callers whose connections ended with an instance are back
-/// in the moment in which it listens, some 10 ms before it knows a catalogue. They are
-/// refused, have come back once already, and are lost: 16 to 31 of some 2,500 requests on
-/// a day whose instances all stop at once. Once the store is known not to answer, nobody
-/// waits.
-async fn first_catalogue<W: Wire>(cx: &Cx<W>, patience: Duration) -> Option<Arc<Catalogue>> {
-    let wait = FIRST_CATALOGUE_TIMEOUT.min(patience.mul_f64(FIRST_CATALOGUE_SHARE));
-    let until = tokio::time::Instant::now() + wait;
+/// Callers whose connections ended with an instance reconnect as soon as it listens, some 10 ms
+/// before it has a catalogue. They retry only once, so refusing them loses their requests: 16 to
+/// 31 of some 2,500 requests when all instances stop at once. Once the store is known to be
+/// unavailable, requests do not wait.
+async fn first_catalogue<W: Wire>(cx: &Cx<W>, caller_timeout: Duration) -> Option<Arc<Catalogue>> {
+    let wait = FIRST_CATALOGUE_TIMEOUT.min(caller_timeout.mul_f64(FIRST_CATALOGUE_SHARE));
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         let mut changed = core::pin::pin!(cx.replica_changed.notified());
         changed.as_mut().enable();
-        let (catalogue, store_is_away) = {
+        let (catalogue, store_is_unavailable) = {
             let state = cx.state();
             (state.servable().cloned(), state.reader.is_unavailable())
         };
         if catalogue.is_some() {
             return catalogue;
         }
-        if store_is_away || tokio::time::timeout_at(until, changed).await.is_err() {
+        if store_is_unavailable || tokio::time::timeout_at(deadline, changed).await.is_err() {
             return None;
         }
     }
@@ -67,18 +66,18 @@
 ) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let head = cx.wire.caller_head(req.headers());
-    let patience = head.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+    let caller_timeout = head.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let attempt = head.attempt.clone();
     let refused = |reason: Reason| {
         let attempt = attempt.as_deref().unwrap_or("-");
         ByReason::Refused.add(&reason.to_string());
         log_event!(RefusedAtFront, attempt = attempt, reason:% = reason);
-        refuse(reason, patience)
+        refuse(reason, caller_timeout)
     };
     if !cx.accepts_call() {
         return refused(Reason::Stopping);
     }
-    let Some(catalogue) = first_catalogue(&cx, patience).await else {
+    let Some(catalogue) = first_catalogue(&cx, caller_timeout).await else {
         return refused(Reason::NoCatalogue);
     };
     let host = host_of(&req);
@@ -89,14 +88,14 @@
             if !is_valid_last_event_id(catalogue.entry(entry).kind, &head) {
                 return refused(Reason::NoSuchEvent);
             }
-            let judged = MatchedRequest {
+            let matched = MatchedRequest {
                 catalogue,
                 entry,
                 workspace,
                 head,
                 arrived,
             };
-            match read_body(cx, judged, req).await {
+            match read_body(cx, matched, req).await {
                 Ok(job) => run(job, engines).await,
                 Err(reason) => refused(reason),
             }
@@ -104,12 +103,12 @@
     }
 }
 
-/// Returns whether what the caller says it holds can be a part of its generation. Where
-/// nothing may go on, it is not looked at: the caller gets a generation from its start.
+/// Returns whether the last event that the caller names can be part of its generation. For a
+/// generation that is not resumable, the event is ignored and the caller gets it from the start.
 fn is_valid_last_event_id(repeat: RequestKind, head: &CallerHead) -> bool {
     match head.last_event_id {
         LastEventId::Event(number) if repeat == RequestKind::ResumableStream => {
-            // An event holds a token or more.
+            // Each event holds at least one token.
             head.max_tokens == 0 || number <= u64::from(head.max_tokens)
         }
         LastEventId::Invalid => repeat != RequestKind::ResumableStream,
@@ -117,7 +116,7 @@
     }
 }
 
-/// A request's head with its judgement.
+/// The head of a request with the entry that it matches.
 struct MatchedRequest {
     catalogue: Arc<Catalogue>,
     entry: EntryId,
@@ -132,27 +131,28 @@
     named.or(req.uri().host()).unwrap_or("")
 }
 
-/// Reads the body whole. A request is sent on only when all of it is here, so
-/// that a caller that stalls in the middle of it holds no place at an endpoint.
+/// Reads the full body. The request is forwarded only after that, so that a caller that stalls
+/// in the middle of its body occupies no place at an endpoint.
 async fn read_body<W: Wire>(
     cx: Arc<Cx<W>>,
-    judged: MatchedRequest,
+    matched: MatchedRequest,
     req: Request<Incoming>,
 ) -> Result<Job<W>, Reason> {
-    let entry = judged.catalogue.entry(judged.entry);
-    let patience = judged.head.timeout.unwrap_or(entry.timeout);
-    let ends = judged.arrived + patience.min(entry.timeout);
+    let entry = matched.catalogue.entry(matched.entry);
+    let caller_timeout = matched.head.timeout.unwrap_or(entry.timeout);
+    let deadline = matched.arrived + caller_timeout.min(entry.timeout);
     let host = host_of(&req).to_owned();
     let (parts, body) = req.into_parts();
-    let limit = judged.catalogue.limits().max_body_bytes;
-    let collected = tokio::time::timeout_at(ends.into(), Limited::new(body, limit).collect()).await;
+    let limit = matched.catalogue.limits().max_body_bytes;
+    let collected =
+        tokio::time::timeout_at(deadline.into(), Limited::new(body, limit).collect()).await;
     let body: Bytes = match collected {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(Reason::BodyTooLarge),
         Ok(Err(_)) => return Err(Reason::BodyBroken),
         Err(_) => return Err(Reason::WaitTooLong),
     };
-    let workspace = judged.workspace.map(|id| judged.catalogue.workspace(id));
+    let workspace = matched.workspace.map(|id| matched.catalogue.workspace(id));
     let fingerprint = Fingerprint::of(&Identity {
         deployment: cx.state().deployment(),
         workspace: workspace.map(|it| it.name.as_str()),
@@ -165,29 +165,29 @@
     let now = cx.now();
     let mut state = cx.state();
     let draw = state.draw();
-    let service = judged.catalogue.pick_service(judged.entry, draw);
-    let name = &judged.catalogue.service(service).name;
+    let service = matched.catalogue.pick_service(matched.entry, draw);
+    let name = &matched.catalogue.service(service).name;
     state.budget.on_request(now, name);
     drop(state);
     Ok(Job {
         cx,
-        catalogue: judged.catalogue,
-        entry: judged.entry,
-        workspace: judged.workspace,
+        catalogue: matched.catalogue,
+        entry: matched.entry,
+        workspace: matched.workspace,
         service,
-        head: judged.head,
+        head: matched.head,
         method: parts.method,
         uri: origin_form(parts.uri),
         headers: parts.headers,
         body,
         fingerprint,
         run,
-        arrived: judged.arrived,
-        deadline: ends,
+        arrived: matched.arrived,
+        deadline,
     })
 }
 
-/// Returns path and query alone, as an endpoint expects them.
+/// Returns path and query only, as endpoints expect them.
 fn origin_form(uri: Uri) -> Uri {
     let path = uri.into_parts().path_and_query;
     path.map(Uri::from).unwrap_or_default()
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,7 +1,8 @@
-//! Places at engines, asked of the home of their service.
+//! Placement requests for engines, sent to the home of their service.
 //!
-//! The core decides whom to ask and what an answer means ([`core::gateway::placement`]); here a
-//! request waits for it.
+//! The home is the instance that decides for a service, chosen by rendezvous hashing. The core
+//! chooses whom to ask and interprets the decision ([`core::gateway::placement`]); this module makes a
+//! request wait for it.
 //!
 //! [`core::gateway::placement`]: oriolemux_core::gateway::placement
 
@@ -21,14 +22,14 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// How often a request that waits for a place looks again without being told to. It must see
+/// The interval at which a waiting request polls in addition to notifications. It must notice
 /// soon that no home answers.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The same once a home has said that it waits.
+/// The poll interval once a home has queued the request.
 const QUEUED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A placement request that a home knows of until it is dropped.
+/// Keeps a placement request open until dropped.
 struct PlacementGuard<W: Wire> {
     cx: Arc<Cx<W>>,
     id: u64,
@@ -41,36 +42,36 @@
     }
 }
 
-/// What a request asks for.
+/// The parameters of a placement request.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementParams<'a> {
-    /// What it wants.
+    /// The kind of placement.
     pub kind: PlacementKind,
-    /// Tokens of memory that it is expected to take.
+    /// The KV tokens that the request is expected to need.
     pub tokens: u32,
-    /// Endpoints that are not to be chosen.
+    /// Endpoints that must not be chosen.
     pub exclude: &'a [EndpointKey],
 }
 
-/// Asks for a place until there is one or `until`, and gives it to `take` in the same moment
-/// in which the placement request ends: the home sees either the request or what became of it.
+/// Requests a place until there is one or `deadline` passes, and passes it to `on_granted` under
+/// the lock that closes the placement request: the home sees either the request or its usage.
 ///
 /// # Errors
 ///
 /// Returns why there is no place.
 pub async fn request_placement<W: Wire, T>(
     job: &Job<W>,
-    asked: PlacementParams<'_>,
-    until: Instant,
-    take: impl Fn(&mut Gateway, &Placement) -> T,
+    params: PlacementParams<'_>,
+    deadline: Instant,
+    on_granted: impl Fn(&mut Gateway, &Placement) -> T,
 ) -> Result<(Placement, T), PlacementError> {
     let cx = &job.cx;
-    let waiter = job.queued_request(asked.tokens);
+    let waiter = job.queued_request(params.tokens);
     let (id, service) = (waiter.id, waiter.service);
     let request = PlacementRequest {
         queued: waiter,
-        kind: asked.kind,
-        exclude: asked.exclude.to_vec(),
+        kind: params.kind,
+        exclude: params.exclude.to_vec(),
     };
     cx.state().request_placement(cx.now(), request);
     cx.gossip_due.notify_one();
@@ -89,50 +90,50 @@
             return Err(PlacementError::Cordoned);
         }
         let now = cx.now();
-        let is_over = Instant::now() >= until;
-        let mut look = POLL_INTERVAL;
+        let is_past_deadline = Instant::now() >= deadline;
+        let mut poll_interval = POLL_INTERVAL;
         let why = {
             let mut state = cx.state();
             match state.verdict(now, id) {
                 PlacementStatus::Decided(PlacementDecision::Granted(key)) => {
                     if let Some(place) = state.place_at(key) {
-                        let taken = take(&mut state, &place);
+                        let granted = on_granted(&mut state, &place);
                         state.withdraw_placement(id);
                         ByReason::Places.add("home");
-                        return Ok((place, taken));
+                        return Ok((place, granted));
                     }
-                    // It began to leave while the answer was under way.
+                    // The engine began to leave while the decision was on its way.
                     state.retry_placement(now, id);
                     PlacementError::NoEndpoint
                 }
                 PlacementStatus::Decided(PlacementDecision::Denied(why)) => return Err(why),
                 PlacementStatus::Decided(PlacementDecision::Queued(why)) => {
-                    look = QUEUED_POLL_INTERVAL;
+                    poll_interval = QUEUED_POLL_INTERVAL;
                     why
                 }
                 PlacementStatus::Pending => PlacementError::Full,
                 PlacementStatus::TimedOut => {
                     state.on_home_timeout(now, service, id);
-                    let demand = job.demand(asked.tokens, asked.exclude);
-                    match state.place_without_home(now, &demand, asked.kind) {
+                    let demand = job.demand(params.tokens, params.exclude);
+                    match state.place_without_home(now, &demand, params.kind) {
                         Ok(place) => {
-                            let taken = take(&mut state, &place);
+                            let granted = on_granted(&mut state, &place);
                             state.withdraw_placement(id);
                             drop(state);
                             log_placed_without_home(job, &place);
-                            return Ok((place, taken));
+                            return Ok((place, granted));
                         }
-                        Err(why) if asked.kind != PlacementKind::Queued => return Err(why),
+                        Err(why) if params.kind != PlacementKind::Queued => return Err(why),
                         Err(why) => why,
                     }
                 }
             }
         };
-        if is_over {
+        if is_past_deadline {
             return Err(why);
         }
-        // Time that is over is not told by anybody, so the wait is bounded.
-        let _ = tokio::time::timeout(look, decided).await;
+        // Nothing notifies when a deadline passes, so the wait is bounded.
+        let _ = tokio::time::timeout(poll_interval, decided).await;
     }
 }
 
--- a/crates/gateway/src/relay/begin.rs
+++ b/crates/gateway/src/relay/begin.rs
@@ -1,4 +1,4 @@
-//! How a generation begins: until the head of an engine's answer is there.
+//! The start of a generation, up to the head of an engine's response.
 
 use super::upstream::{AttemptStart, Upstream, sleep_until};
 use super::{MAX_RESPONSE_BYTES, Relay};
@@ -19,34 +19,36 @@
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
-/// The pause before an engine with room is looked for again.
+/// The interval at which another engine with room is searched for.
 const REASSIGN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an engine that was sent the request did.
+/// The result of sending the request to an engine.
 enum SendOutcome<W: Wire> {
-    /// It answered, or its connection failed.
+    /// The engine responded, or the connection failed.
     Sent(Result<(Link, Response<Incoming>), LinkError>),
-    /// The time of the request was over.
+    /// The deadline of the request passed.
     Timeout,
-    /// It was refused while it was there, because it ended too many engines.
+    /// The request was refused meanwhile because it crashed too many engines.
     Refused,
-    /// It made the request wait, and another engine has room.
+    /// The engine queued the request, and another engine has room.
     Reassign(Placement, UsageGuard<W>),
 }
 
 impl<W: Wire, E: EngineCalls> Relay<W, E> {
-    /// Sends the request and waits for the head of its answer.
+    /// Sends the request and waits for the head of the response.
     ///
-    /// If its engine breaks before that, nothing is asked of the engine that is to keep its
-    /// copy. Memory is copied as it grows, so that there is none; and an engine that fails by
-    /// itself when it is asked would have run a second time what may run once.
+    /// If the engine fails before that, the engine of the standby copy is not asked. KV cache is
+    /// copied as it grows, so there is no copy yet; and if that engine failed on its own after
+    /// being asked, a request that may run only once would have run twice.
     pub(super) async fn start(&mut self) -> AttemptStart {
         self.choose_standby().await;
         let error = loop {
             match self.send_and_wait().await {
                 SendOutcome::Timeout => return AttemptStart::Failed(Reason::Timeout),
                 SendOutcome::Refused => return AttemptStart::Failed(self.job.log_refusal()),
-                SendOutcome::Sent(Ok((link, answer))) => return self.read_head(link, answer).await,
+                SendOutcome::Sent(Ok((link, response))) => {
+                    return self.read_head(link, response).await;
+                }
                 SendOutcome::Sent(Err(error)) => break error,
                 SendOutcome::Reassign(place, in_use) => self.reassign(place, in_use).await,
             }
@@ -61,20 +63,20 @@
         }
         self.job.record_failure(&self.engine);
         self.job.on_connection_broken(&self.engine, None).await;
-        log::debug!("a generation was lost before its first event: {error}");
+        log::debug!("generation failed before its first event: {error}");
         match self.job.is_refused() {
             true => AttemptStart::Failed(self.job.log_refusal()),
-            false => AttemptStart::Failed(Reason::AnswerLost),
+            false => AttemptStart::Failed(Reason::ResponseLost),
         }
     }
 
-    /// Sends the request to the present engine and waits for the head of its answer.
+    /// Sends the request to the current engine and waits for the head of the response.
     ///
-    /// Dropping the wait closes the connection, so that a request that is taken back is
+    /// Dropping the future closes the connection, so that a request that is reassigned is
     /// cancelled before it is sent elsewhere.
     async fn send_and_wait(&self) -> SendOutcome<W> {
         let mut sent = core::pin::pin!(self.send(None));
-        let mut look = self.may_run_again().then(|| self.reassign_at());
+        let mut next_check = self.may_run_again().then(|| self.reassign_at());
         let cx = &self.job.cx;
         let mut is_cordoned = false;
         loop {
@@ -82,18 +84,18 @@
             departures.as_mut().enable();
             if !is_cordoned && cx.state().endpoints.is_cordoned(self.engine.key) {
                 is_cordoned = true;
-                look = look.map(|_| Instant::now());
+                next_check = next_check.map(|_| Instant::now());
             }
             tokio::select! {
                 sent = &mut sent => return SendOutcome::Sent(sent),
                 () = tokio::time::sleep_until(self.job.deadline.into()) => return SendOutcome::Timeout,
                 () = self.job.wait_until_refused() => return SendOutcome::Refused,
                 () = departures => {}
-                () = sleep_until(look) => {
+                () = sleep_until(next_check) => {
                     if let Some((place, in_use)) = self.engine_with_room().await {
                         return SendOutcome::Reassign(place, in_use);
                     }
-                    look = Some(Instant::now() + REASSIGN_RETRY_INTERVAL);
+                    next_check = Some(Instant::now() + REASSIGN_RETRY_INTERVAL);
                 }
             }
         }
@@ -103,22 +105,22 @@
         Instant::now() + reassign_after(self.job.entry().target)
     }
 
-    /// Returns whether the generation may begin, or go on without a copy, at one engine more.
+    /// Returns whether the generation may start, or resume without a copy, at one more engine.
     pub(super) fn may_run_again(&self) -> bool {
         !self.attempts.next_is_last(self.job.entry())
     }
 
-    /// Returns an engine with room that was not tried, if the fleet's repeats allow it.
+    /// Returns an untried engine with room, if the fleet's retry budget allows the attempt.
     pub(super) async fn engine_with_room(&self) -> Option<(Placement, UsageGuard<W>)> {
         let mut tried = self.attempts.tried().to_vec();
         tried.push(self.engine.key);
-        let asked = PlacementParams {
+        let params = PlacementParams {
             kind: PlacementKind::Immediate,
             tokens: self.reserved_tokens,
             exclude: &tried,
         };
-        let until = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
-        let chosen = self.job.request_placement(asked, until).await.ok()?;
+        let deadline = Instant::now() + IMMEDIATE_PLACEMENT_TIMEOUT;
+        let chosen = self.job.request_placement(params, deadline).await.ok()?;
         self.job
             .try_spend_retry(RetryKind::Recompute)
             .then_some(chosen)
@@ -135,7 +137,7 @@
         self.switch_to(place, in_use).await;
     }
 
-    /// Makes `place` the present engine; the generation may have run at the one before.
+    /// Makes `place` the current engine; the generation may have run at the previous one.
     pub(super) async fn switch_to(&mut self, place: Placement, in_use: UsageGuard<W>) {
         self.attempts.record_run(self.engine.key);
         self.usage = in_use;
@@ -146,14 +148,14 @@
     pub(super) async fn read_head(
         &mut self,
         link: Link,
-        answer: Response<Incoming>,
+        response: Response<Incoming>,
     ) -> AttemptStart {
-        let (parts, body) = answer.into_parts();
+        let (parts, body) = response.into_parts();
         let attempt = self.job.head.attempt.as_deref();
         let wire = &self.job.cx.wire;
         let head = wire.response_head(parts.status, &parts.headers, attempt);
         if head.wrong_attempt {
-            return AttemptStart::Failed(Reason::AnswerForeign);
+            return AttemptStart::Failed(Reason::WrongAttempt);
         }
         self.job
             .observe_response_head(&self.engine, &head, link.sent);
@@ -179,11 +181,11 @@
                 headers,
                 body: body.to_bytes(),
             }),
-            _ => AttemptStart::Failed(Reason::AnswerLost),
+            _ => AttemptStart::Failed(Reason::ResponseLost),
         }
     }
 
-    /// Returns where the present engine is to keep a standing copy, unless that engine was
+    /// Returns where the current engine should keep a standby copy, unless that place was
     /// withdrawn since it was chosen.
     fn standby_address(&self) -> Option<SocketAddrV4> {
         let place = &self.standby.as_ref()?.place;
@@ -191,20 +193,20 @@
         state.is_usable(place.key).then_some(place.address)
     }
 
-    /// Sends the request to the present engine, to go on from `copy` if there is one.
+    /// Sends the request to the current engine, to resume from `copy` if there is one.
     pub(super) async fn send(
         &self,
         copy: Option<CopyLocation<'_>>,
     ) -> Result<(Link, Response<Incoming>), LinkError> {
         let last_event = self.state.last_event();
-        let goes_on = copy.is_some() || last_event.is_some();
+        let is_resume = copy.is_some() || last_event.is_some();
         let send = ForwardHead {
             timeout: self.job.remaining(),
             endpoint: &self.engine.name,
             workspace: self.job.workspace_name(),
             priority: Some(self.job.priority()),
             copy_to: self.standby_address(),
-            resume: goes_on.then(|| Resume {
+            resume: is_resume.then(|| Resume {
                 copy,
                 last_event: last_event.unwrap_or(0),
             }),
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,7 +1,7 @@
-//! Keeps up with what is published.
+//! Follows the store's records.
 //!
-//! The core says when to read and watch ([`StoreReader`]); here are the calls and
-//! what follows from their answers. Beside them a peer that knows more is asked:
+//! The core decides when to read and watch ([`StoreReader`]); this module makes the calls and
+//! applies their results. In addition, deltas are fetched from peers:
 //! [`catch_up`](crate::catch_up).
 //!
 //! [`StoreReader`]: oriolemux_core::gateway::reader::StoreReader
@@ -20,11 +20,10 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// How long one page may take to begin. A store that is slow takes up to some hundred
-/// milliseconds.
+/// The timeout for the head of one page. A slow store takes up to some hundred milliseconds.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reads and watches the store for good.
+/// Reads and watches the store. Never returns.
 pub async fn follow_store<W: Wire, S: Store>(cx: Arc<Cx<W>>, store: S) {
     loop {
         let step = cx.state().next_step(cx.now());
@@ -46,12 +45,12 @@
 async fn read_all<W: Wire, S: Store>(cx: &Cx<W>, store: &S) -> Result<(), CallFailure> {
     let mut seen = BTreeMap::new();
     let mut after: Option<String> = None;
-    let mut began = None;
+    let mut first_revision = None;
     loop {
         let page = store.page(after.as_deref(), PAGE_TIMEOUT).await?;
-        // Pages are no snapshot: what was written after the first one may be missing
-        // from the others, so that only the first page's revision is certain.
-        let began = *began.get_or_insert(page.revision);
+        // Pages are not a snapshot: later pages may lack what was written after the first one, so
+        // only the first page's revision is certain.
+        let first_revision = *first_revision.get_or_insert(page.revision);
         for record in &page.records {
             seen.insert(record.key.clone(), ());
         }
@@ -64,7 +63,7 @@
         match page.next {
             Some(next) => after = Some(next),
             None => {
-                finish_full_read(cx, Source::Store, &seen, began);
+                finish_full_read(cx, Source::Store, &seen, first_revision);
                 let now = cx.now();
                 cx.state().update_behind(now);
                 return Ok(());
@@ -73,32 +72,32 @@
     }
 }
 
-/// Ends a read of everything as of revision `began`: what `seen` does not name is gone.
+/// Completes a full read as of revision `first_revision`: records that `seen` lacks are removed.
 pub fn finish_full_read<W: Wire>(
     cx: &Cx<W>,
     from: Source,
     seen: &BTreeMap<String, ()>,
-    began: u64,
+    first_revision: u64,
 ) {
-    let missing = cx.state().replica.removals_after_read(seen, began);
+    let missing = cx.state().replica.removals_after_read(seen, first_revision);
     apply(cx, from, missing);
-    cx.state().replica.finish_full_read(began);
-    lift_missing_cordons(cx, from, began);
+    cx.state().replica.finish_full_read(first_revision);
+    lift_missing_cordons(cx, from, first_revision);
     cx.replica_changed.notify_waiters();
 }
 
-/// Lifts cordons that peers told of and that were gone from the store at revision `began`: the
-/// records that closed and opened the data centre may both have been missed.
-fn lift_missing_cordons<W: Wire>(cx: &Cx<W>, from: Source, began: u64) {
+/// Lifts cordons that came from peers and that the store did not hold at revision
+/// `first_revision`: the records that set and lifted the cordon may both have been missed.
+fn lift_missing_cordons<W: Wire>(cx: &Cx<W>, from: Source, first_revision: u64) {
     let now = cx.now();
     let mut lifted = Vec::new();
     let mut state = cx.state();
     for (data_centre, revision, _) in state.endpoints.cordons().closed() {
         let is_there = state.replica.has(&cx.wire.cordon_key(data_centre));
-        if revision < began && !is_there {
+        if revision < first_revision && !is_there {
             lifted.push(Cordon {
                 data_centre: data_centre.to_owned(),
-                revision: began,
+                revision: first_revision,
                 is_closed: false,
             });
         }
@@ -113,24 +112,24 @@
     }
 }
 
-/// Waits for changes. What a peer tells meanwhile does not end the watch: its answer may
-/// be large, on the way, and nearly here.
+/// Waits for changes. A delta from a peer does not end the watch, because the watch response may be
+/// large and nearly complete.
 async fn watch<W: Wire, S: Store>(cx: &Cx<W>, store: &S) {
     let after = cx.state().replica.revision();
-    let answer = store
+    let response = store
         .watch(after, WATCH_WAIT, WATCH_WAIT + WATCH_TIMEOUT_MARGIN)
         .await;
     let mut answered: fn(&mut StoreReader, Time) -> bool = StoreReader::on_answer;
-    let result = answer.map(|changes| {
+    let result = response.map(|changes| {
         if !changes.records.is_empty() {
             answered = StoreReader::on_changes;
         }
-        let has_news = apply(cx, Source::Store, changes.records);
+        let has_changes = apply(cx, Source::Store, changes.records);
         let now = cx.now();
         let mut state = cx.state();
         state.replica.advance_to(changes.revision);
         state.update_behind(now);
-        if has_news {
+        if has_changes {
             state.announce();
             drop(state);
             cx.gossip_due.notify_one();
@@ -139,7 +138,7 @@
     record_result(cx, result, answered);
 }
 
-/// Takes the result of a call into account.
+/// Reports the result of a call to the store reader.
 fn record_result<W: Wire>(
     cx: &Cx<W>,
     result: Result<(), CallFailure>,
@@ -162,26 +161,26 @@
                     failure = failure.as_str(),
                     revision = state.replica.revision()
                 );
-                // Whoever waits for a first catalogue need not wait any longer.
+                // Requests that wait for the first catalogue need not wait any longer.
                 cx.replica_changed.notify_waiters();
             }
         }
     }
 }
 
-/// Where records came from.
+/// The source of records or reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The store itself.
     Store,
-    /// A peer that had them from the store.
+    /// A peer.
     Peer,
-    /// An endpoint itself.
+    /// An endpoint's own response.
     Endpoint,
 }
 
 impl Source {
-    /// Returns a word for it, which lines carry.
+    /// Returns the value that log lines carry.
     pub const fn label(self) -> &'static str {
         match self {
             Source::Store => "store",
@@ -191,10 +190,10 @@
     }
 }
 
-/// Takes records in and does what follows from those that are news; returns whether any is.
+/// Applies records and the consequences of those that changed; returns whether any changed.
 pub fn apply<W: Wire>(cx: &Cx<W>, from: Source, records: Vec<Record>) -> bool {
-    let mut left = Vec::new();
-    let mut has_news = false;
+    let mut leaving = Vec::new();
+    let mut has_changes = false;
     for record in records {
         if !cx.state().replica.is_newer(&record) {
             continue;
@@ -204,15 +203,15 @@
         if cx.state().replica.apply(record.clone(), mark) != Applied::Changed {
             continue;
         }
-        has_news = true;
+        has_changes = true;
         let now = cx.now();
         match published {
             Published::Catalogue(source) => apply_catalogue(cx, from, source),
             Published::Endpoint(endpoint) => {
-                left.extend(cx.state().publish_endpoint(now, endpoint));
+                leaving.extend(cx.state().publish_endpoint(now, endpoint));
             }
             Published::EndpointGone(name) => {
-                left.extend(cx.state().endpoint_vanished(now, &name));
+                leaving.extend(cx.state().endpoint_vanished(now, &name));
             }
             Published::Cordon { cordon, why } => {
                 if let Some(why) = why {
@@ -229,11 +228,11 @@
             Published::Unreadable(why) => log_unreadable(&record, &why),
         }
     }
-    cx.announce_leaving(&left);
-    if has_news {
+    cx.announce_leaving(&leaving);
+    if has_changes {
         cx.replica_changed.notify_waiters();
     }
-    has_news
+    has_changes
 }
 
 fn log_unreadable(record: &Record, why: &str) {
