--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -21,14 +21,14 @@
 const HELD_SHARE: f64 = 0.35;
 
 /// The part of the allowance that is earned within each window.
-const ALLOWANCE_EARNED: f64 = 0.3;
+const ALLOWANCE_EARNED_SHARE: f64 = 0.3;
 
 /// The part of the allowance that may be held.
-const ALLOWANCE_HELD: f64 = 0.6;
+const ALLOWANCE_HELD_SHARE: f64 = 0.6;
 
 /// Repeats that are kept for generations that go on, where so many may be held: their callers hold
 /// a part of the answer already.
-const KEPT_FOR_MOVES: f64 = 1.0;
+const RESERVED_FOR_RESUMES: f64 = 1.0;
 
 /// The fleet's bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -44,7 +44,7 @@
 impl BudgetConfig {
     /// Returns the allowance of one of so many instances. One that does not know how many there
     /// are has none.
-    fn part(&self, known: Option<usize>) -> f64 {
+    fn allowance_share(&self, known: Option<usize>) -> f64 {
         known.map_or(0.0, |it| self.allowance / it.max(1) as f64)
     }
 }
@@ -164,13 +164,13 @@
         now: Time,
         service: &str,
         kind: RetryKind,
-        has_moves: bool,
+        has_generations: bool,
     ) -> bool {
         let (cfg, known) = (self.cfg, self.known);
         let account = self.account(service);
         account.settle(now, &cfg, known);
-        let needed = match has_moves && !kind.is_resume() {
-            true => (1.0 + KEPT_FOR_MOVES).min(account.limit(&cfg, known).max(1.0)),
+        let needed = match has_generations && !kind.is_resume() {
+            true => (1.0 + RESERVED_FOR_RESUMES).min(account.limit(&cfg, known).max(1.0)),
             false => 1.0,
         };
         let is_held = account.held >= needed;
@@ -212,13 +212,13 @@
         }
         let windows = now.since(self.earned_at).as_secs_f64() / cfg.window.as_secs_f64();
         self.earned_at = now;
-        self.held += ALLOWANCE_EARNED * cfg.part(known) * windows;
+        self.held += ALLOWANCE_EARNED_SHARE * cfg.allowance_share(known) * windows;
         self.held = self.held.min(self.limit(cfg, known));
     }
 
     /// Returns how many repeats may be held.
     fn limit(&self, cfg: &BudgetConfig, known: Option<usize>) -> f64 {
         let requests = HELD_SHARE * cfg.ratio * self.requests.len() as f64;
-        requests + ALLOWANCE_HELD * cfg.part(known)
+        requests + ALLOWANCE_HELD_SHARE * cfg.allowance_share(known)
     }
 }
--- a/crates/core/src/gateway/catalogue.rs
+++ b/crates/core/src/gateway/catalogue.rs
@@ -350,7 +350,7 @@
         path: &str,
         key_digest: Option<&[u8; 32]>,
     ) -> RequestMatch {
-        let Some(entry) = self.find(host, path) else {
+        let Some(entry) = self.find_entry(host, path) else {
             return RequestMatch::NoEntry;
         };
         let workspace = key_digest
@@ -364,7 +364,7 @@
     }
 
     /// Finds the entry with the longest prefix of `path`. A host may carry a port.
-    fn find(&self, host: &str, path: &str) -> Option<EntryId> {
+    fn find_entry(&self, host: &str, path: &str) -> Option<EntryId> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = match self.by_host.get(host) {
             Some(prefixes) => prefixes,
--- a/crates/core/src/gateway/choose.rs
+++ b/crates/core/src/gateway/choose.rs
@@ -17,46 +17,46 @@
 /// where more is given away than there is, an engine preempts one and reads its prompt again,
 /// and first events wait inside engines; where less is, requests wait here though there is
 /// room.
-const MEMORY_SHARE: f64 = 0.98;
+const KV_CACHE_SHARE: f64 = 0.98;
 
 /// The share of an engine's memory up to which standing copies are put there. What
 /// lies above is left to generations that run: a copy is of use only to those
 /// whose engine leaves, and those can be copied at the notice as well.
-const COPY_SHARE: f64 = 0.5;
+const STANDBY_SHARE: f64 = 0.5;
 
 /// The share of an engine's memory up to which copies of generations whose engine leaves
 /// are put there. They go before what is new: without a copy a generation is lost.
-const AHEAD_SHARE: f64 = 0.92;
+const PRE_COPY_SHARE: f64 = 0.92;
 
 /// The cost of a prompt token that waits to be read, in running generations. A new
 /// request waits for all of them, and what runs takes twice as long meanwhile:
 /// 3,000 tokens take some 430 ms beside others.
-const UNREAD_COST: f64 = 10.0 / 3_000.0;
+const PENDING_PREFILL_COST: f64 = 10.0 / 3_000.0;
 
 /// The width of the draw that parts instances with the same view, in running
 /// generations. Two requests that arrive within some milliseconds at two instances
 /// would otherwise both go to the one engine that looks best.
-const DRAW_WIDTH: f64 = 1.0;
+const JITTER_WIDTH: f64 = 1.0;
 
 /// The cost of a full memory, in running generations.
-const MEMORY_COST: f64 = 12.0;
+const KV_CACHE_COST: f64 = 12.0;
 
 /// The cost of another data centre at an engine, in running generations: some
 /// milliseconds and the bytes that cross.
-const AWAY_COST: f64 = 0.5;
+const REMOTE_COST: f64 = 0.5;
 
 /// The cost of another data centre for a copy ahead, in running generations: it takes
 /// twice as long, and copies of one engine queue on its link while its notice runs.
-const AWAY_AHEAD_COST: f64 = 3.0;
+const REMOTE_PRE_COPY_COST: f64 = 3.0;
 
 /// The width of the draw between engines for a copy ahead, in running generations.
 /// All generations of an engine that leaves choose in the same moment; without it
 /// they all go to the one engine that looked best and overfill it.
-const AHEAD_DRAW_WIDTH: f64 = 10.0;
+const PRE_COPY_JITTER_WIDTH: f64 = 10.0;
 
 /// The cost of another data centre at a plain endpoint, in requests: a round
 /// trip of some 3 ms against calls of some 15 ms and more.
-const AWAY_PLAIN_COST: f64 = 0.5;
+const REMOTE_PLAIN_COST: f64 = 0.5;
 
 /// The cost of an engine that has just started and is still slow.
 const COLD_COST: f64 = 8.0;
@@ -69,7 +69,7 @@
 
 /// Prompt tokens that may wait before one engine; more would wait as well here,
 /// where they can still go elsewhere. So many take some 0.9 s.
-const MAX_UNREAD: u32 = 6_000;
+const MAX_PENDING_PREFILL: u32 = 6_000;
 
 /// What a request needs at an endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -127,37 +127,37 @@
 ///
 /// Returns why there is none.
 pub fn choose(
-    world: PlacementContext<'_>,
+    context: PlacementContext<'_>,
     demand: &Demand<'_>,
     mut jitter: impl FnMut() -> f64,
 ) -> Result<EndpointKey, PlacementError> {
     let mut full = false;
-    let trusted = |endpoint: &Endpoint| is_trusted(world, endpoint);
-    let chosen = cheapest(candidates(world, demand, trusted), |endpoint| {
-        let used = world.used(endpoint);
+    let trusted = |endpoint: &Endpoint| is_trusted(context, endpoint);
+    let chosen = cheapest(candidates(context, demand, trusted), |endpoint| {
+        let used = context.used(endpoint);
         let (cost, away) = match demand.engine {
             Some(limits) => {
-                let room = fits(used, demand.tokens, limits, MEMORY_SHARE);
-                if !room || used.pending_prefill >= MAX_UNREAD {
+                let room = fits(used, demand.tokens, limits, KV_CACHE_SHARE);
+                if !room || used.pending_prefill >= MAX_PENDING_PREFILL {
                     full = true;
                     return None;
                 }
-                (engine_cost(used, limits), AWAY_COST)
+                (engine_cost(used, limits), REMOTE_COST)
             }
-            None => (plain_cost(world, endpoint, used), AWAY_PLAIN_COST),
+            None => (plain_cost(context, endpoint, used), REMOTE_PLAIN_COST),
         };
-        Some(cost + state_cost(world, endpoint, away) + DRAW_WIDTH * jitter())
+        Some(cost + state_cost(context, endpoint, away) + JITTER_WIDTH * jitter())
     });
     match chosen {
         Some(key) => Ok(key),
         None if full => Err(PlacementError::Full),
-        None => Err(why_none(world, demand.service)),
+        None => Err(why_none(context, demand.service)),
     }
 }
 
 /// Returns why a service has no endpoint that may be chosen.
-fn why_none(world: PlacementContext<'_>, service: &str) -> PlacementError {
-    match world.endpoints.is_service_cordoned(service) {
+fn why_none(context: PlacementContext<'_>, service: &str) -> PlacementError {
+    match context.endpoints.is_service_cordoned(service) {
         true => PlacementError::Cordoned,
         false => PlacementError::NoEndpoint,
     }
@@ -178,9 +178,9 @@
     /// What the state of the engine costs beside its load.
     state_cost: f64,
     /// Whether its room is kept for somebody.
-    is_kept: bool,
+    is_held: bool,
     /// How many requests it may still get, if it bears a bounded rate.
-    bounded_left: Option<u32>,
+    rate_remaining: Option<u32>,
 }
 
 /// Returns the room at the engines that `demand` may go to.
@@ -189,24 +189,24 @@
 ///
 /// Returns why there is no engine.
 pub(super) fn capacities<'a>(
-    world: PlacementContext<'a>,
+    context: PlacementContext<'a>,
     demand: &Demand<'_>,
-    bounded_left: impl Fn(EndpointKey) -> Option<u32>,
+    rate_remaining: impl Fn(EndpointKey) -> Option<u32>,
 ) -> Result<EngineCapacities<'a>, PlacementError> {
     let limits = demand.engine.ok_or(PlacementError::NoEndpoint)?;
-    let trusted = |endpoint: &Endpoint| is_trusted(world, endpoint);
-    let engines: Vec<EngineCapacity<'_>> = candidates(world, demand, trusted)
+    let trusted = |endpoint: &Endpoint| is_trusted(context, endpoint);
+    let engines: Vec<EngineCapacity<'_>> = candidates(context, demand, trusted)
         .map(|endpoint| EngineCapacity {
             key: endpoint.key,
             data_centre: &endpoint.record.data_centre,
-            used: world.used(endpoint),
-            state_cost: state_cost(world, endpoint, 0.0),
-            is_kept: false,
-            bounded_left: bounded_left(endpoint.key),
+            used: context.used(endpoint),
+            state_cost: state_cost(context, endpoint, 0.0),
+            is_held: false,
+            rate_remaining: rate_remaining(endpoint.key),
         })
         .collect();
     if engines.is_empty() {
-        return Err(why_none(world, demand.service));
+        return Err(why_none(context, demand.service));
     }
     Ok(EngineCapacities { limits, engines })
 }
@@ -219,46 +219,48 @@
     /// Returns why there is none.
     pub(super) fn reserve(
         &mut self,
-        asking: &QueuedPlacement,
+        placement: &QueuedPlacement,
     ) -> Result<EndpointKey, PlacementError> {
-        let tried = |capacity: &EngineCapacity<'_>| asking.request.exclude.contains(&capacity.key);
+        let tried =
+            |capacity: &EngineCapacity<'_>| placement.request.exclude.contains(&capacity.key);
         if self.engines.iter().all(tried) {
             return Err(PlacementError::NoEndpoint);
         }
-        let avoided =
-            |capacity: &EngineCapacity<'_>| tried(capacity) || asking.avoid.contains(&capacity.key);
+        let avoided = |capacity: &EngineCapacity<'_>| {
+            tried(capacity) || placement.avoid.contains(&capacity.key)
+        };
         match self.engines.iter().all(avoided) {
-            true => self.give_unless(asking, tried),
-            false => self.give_unless(asking, avoided),
+            true => self.reserve_unless(placement, tried),
+            false => self.reserve_unless(placement, avoided),
         }
     }
 
-    fn give_unless(
+    fn reserve_unless(
         &mut self,
-        asking: &QueuedPlacement,
+        placement: &QueuedPlacement,
         excluded: impl Fn(&EngineCapacity<'_>) -> bool,
     ) -> Result<EndpointKey, PlacementError> {
-        let QueuedRequest { tokens, prompt, .. } = asking.request.queued;
-        let data_centre = asking.data_centre.as_str();
+        let QueuedRequest { tokens, prompt, .. } = placement.request.queued;
+        let data_centre = placement.data_centre.as_str();
         let limits = self.limits;
         let fitting = self.engines.iter_mut().filter(|capacity| {
-            !capacity.is_kept
-                && capacity.bounded_left != Some(0)
+            !capacity.is_held
+                && capacity.rate_remaining != Some(0)
                 && !excluded(capacity)
-                && capacity.used.pending_prefill < MAX_UNREAD
-                && fits(capacity.used, tokens, limits, MEMORY_SHARE)
+                && capacity.used.pending_prefill < MAX_PENDING_PREFILL
+                && fits(capacity.used, tokens, limits, KV_CACHE_SHARE)
         });
         let cost = |capacity: &EngineCapacity<'_>| {
             let away = if capacity.data_centre == data_centre {
                 0.0
             } else {
-                AWAY_COST
+                REMOTE_COST
             };
             engine_cost(capacity.used, limits) + capacity.state_cost + away
         };
         let capacity = fitting.min_by(|a, b| cost(a).total_cmp(&cost(b)));
         let capacity = capacity.ok_or(PlacementError::Full)?;
-        capacity.bounded_left = capacity.bounded_left.map(|it| it.saturating_sub(1));
+        capacity.rate_remaining = capacity.rate_remaining.map(|it| it.saturating_sub(1));
         capacity.used.running = capacity.used.running.saturating_add(1);
         capacity.used.tokens = capacity.used.tokens.saturating_add(tokens);
         capacity.used.pending_prefill = capacity.used.pending_prefill.saturating_add(prompt);
@@ -273,9 +275,9 @@
                 .tokens
                 .saturating_add(capacity.used.copy_tokens)
         };
-        let free = self.engines.iter_mut().filter(|capacity| !capacity.is_kept);
+        let free = self.engines.iter_mut().filter(|capacity| !capacity.is_held);
         if let Some(capacity) = free.min_by_key(|capacity| taken(capacity)) {
-            capacity.is_kept = true;
+            capacity.is_held = true;
         }
     }
 }
@@ -291,31 +293,31 @@
 
 /// Returns the engine with the most room for a copy of a generation that runs at `source`.
 pub fn choose_copy_target(
-    world: PlacementContext<'_>,
+    context: PlacementContext<'_>,
     demand: &Demand<'_>,
     source: &Endpoint,
     kind: CopyKind,
     mut jitter: impl FnMut() -> f64,
 ) -> Option<EndpointKey> {
     let limits = demand.engine?;
-    let (share, away_cost, draw_width) = match kind {
-        CopyKind::Standby => (COPY_SHARE, AWAY_COST, DRAW_WIDTH),
-        CopyKind::PreCopy => (AHEAD_SHARE, AWAY_AHEAD_COST, AHEAD_DRAW_WIDTH),
+    let (share, remote_cost, jitter_width) = match kind {
+        CopyKind::Standby => (STANDBY_SHARE, REMOTE_COST, JITTER_WIDTH),
+        CopyKind::PreCopy => (PRE_COPY_SHARE, REMOTE_PRE_COPY_COST, PRE_COPY_JITTER_WIDTH),
     };
     let exclude = [demand.exclude, &[source.key]].concat();
     let elsewhere = Demand {
         exclude: &exclude,
         ..*demand
     };
-    let trusted = |endpoint: &Endpoint| keeps_copies(world, endpoint);
-    cheapest(candidates(world, &elsewhere, trusted), |endpoint| {
-        let used = world.used(endpoint);
+    let trusted = |endpoint: &Endpoint| accepts_copies(context, endpoint);
+    cheapest(candidates(context, &elsewhere, trusted), |endpoint| {
+        let used = context.used(endpoint);
         if !fits(used, demand.tokens, limits, share) {
             return None;
         }
         let away = endpoint.record.data_centre != source.record.data_centre;
-        let away = if away { away_cost } else { 0.0 };
-        Some(engine_cost(used, limits) + away + draw_width * jitter())
+        let away = if away { remote_cost } else { 0.0 };
+        Some(engine_cost(used, limits) + away + jitter_width * jitter())
     })
 }
 
@@ -337,8 +339,8 @@
 }
 
 /// Returns whether an endpoint is believed to serve, by what is seen here and elsewhere.
-fn is_trusted(world: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
-    !endpoint.is_ejected(world.now) && !world.others.ejected.contains(&endpoint.key)
+fn is_trusted(context: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
+    !endpoint.is_ejected(context.now) && !context.others.ejected.contains(&endpoint.key)
 }
 
 /// Returns whether an engine is believed to keep a copy.
@@ -346,20 +348,20 @@
 /// What goes wrong otherwise: while the store is away, an engine that died still has its
 /// entry. It looks empty, draws all copies to itself, and the generations that lean on
 /// them are lost with their engines. Whoever had work there has seen it fail, and says so.
-fn keeps_copies(world: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
-    let failing = endpoint.is_failing() || world.others.failing.contains(&endpoint.key);
-    !failing && is_trusted(world, endpoint)
+fn accepts_copies(context: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
+    let failing = endpoint.is_failing() || context.others.failing.contains(&endpoint.key);
+    !failing && is_trusted(context, endpoint)
 }
 
 /// Returns the endpoints that may be chosen; those that are not `trusted` only if
 /// there are no others.
 fn candidates<'w>(
-    world: PlacementContext<'w>,
+    context: PlacementContext<'w>,
     demand: &Demand<'_>,
     trusted: impl Fn(&Endpoint) -> bool,
 ) -> impl Iterator<Item = &'w Endpoint> {
     let fitting = move |endpoint: &&Endpoint| !demand.exclude.contains(&endpoint.key);
-    let usable = || world.endpoints.usable_of(demand.service).filter(fitting);
+    let usable = || context.endpoints.usable_of(demand.service).filter(fitting);
     let any_trusted = usable().any(&trusted);
     usable().filter(move |endpoint| !any_trusted || trusted(endpoint))
 }
@@ -374,22 +376,24 @@
 fn engine_cost(used: Usage, limits: EngineLimits) -> f64 {
     let taken = f64::from(used.tokens) + f64::from(used.copy_tokens);
     let memory = taken / f64::from(limits.kv_cache_tokens.max(1));
-    f64::from(used.running) + UNREAD_COST * f64::from(used.pending_prefill) + MEMORY_COST * memory
+    f64::from(used.running)
+        + PENDING_PREFILL_COST * f64::from(used.pending_prefill)
+        + KV_CACHE_COST * memory
 }
 
-fn plain_cost(world: PlacementContext<'_>, endpoint: &Endpoint, used: Usage) -> f64 {
+fn plain_cost(context: PlacementContext<'_>, endpoint: &Endpoint, used: Usage) -> f64 {
     let counted = f64::from(used.running);
-    let told = world.usage.recent_load(world.now, endpoint.key);
-    let told = told.map_or(0.0, |load| f64::from(load.running + load.waiting));
-    counted.max(told)
+    let reported = context.usage.recent_load(context.now, endpoint.key);
+    let reported = reported.map_or(0.0, |load| f64::from(load.running + load.waiting));
+    counted.max(reported)
 }
 
-fn state_cost(world: PlacementContext<'_>, endpoint: &Endpoint, away: f64) -> f64 {
+fn state_cost(context: PlacementContext<'_>, endpoint: &Endpoint, away: f64) -> f64 {
     let mut cost = FAILURE_COST * endpoint.failure_share();
-    if endpoint.record.data_centre != world.data_centre {
+    if endpoint.record.data_centre != context.data_centre {
         cost += away;
     }
-    if world.now < endpoint.cold_until {
+    if context.now < endpoint.cold_until {
         cost += COLD_COST;
     }
     if let EndpointState::Lapsed { .. } = endpoint.state {
--- a/crates/core/src/gateway/cold.rs
+++ b/crates/core/src/gateway/cold.rs
@@ -42,14 +42,14 @@
 
 /// An instance that has just started, or was paused, sends nothing without a home for so long:
 /// others do not count it among those that have a share yet.
-const SETTLES_IN: Duration = Duration::from_secs(2);
+const SETTLING_TIME: Duration = Duration::from_secs(2);
 
 /// A pause between two looks that is longer than this means that the process was paused.
-const PAUSE: Duration = Duration::from_millis(1_000);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
 
 /// How long endpoints of a data centre that is open again count as cold beyond the usual time,
 /// unless they say otherwise: the store's word and theirs arrive one after the other.
-const RETURN_MARGIN: Duration = Duration::from_millis(1_000);
+const UNCORDON_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// What a service's endpoints bear while they are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,7 +63,7 @@
 impl ColdLimits {
     /// Returns how long an endpoint of a data centre that is open again counts as cold.
     pub fn after_uncordon(&self) -> Duration {
-        self.duration + RETURN_MARGIN
+        self.duration + UNCORDON_MARGIN
     }
 }
 
@@ -109,9 +109,9 @@
 /// What this instance may send to endpoints that bear a bounded rate, and what it sent.
 #[derive(Clone, Debug)]
 pub struct RateShares {
-    looked: Time,
+    ticked_at: Time,
     /// Since when this instance runs without a pause.
-    runs_since: Time,
+    running_since: Time,
     sent: SlidingWindowCounter,
 }
 
@@ -119,18 +119,18 @@
     /// Returns the shares of an instance that begins now.
     pub fn new(now: Time) -> Self {
         RateShares {
-            looked: now,
-            runs_since: now,
+            ticked_at: now,
+            running_since: now,
             sent: SlidingWindowCounter::default(),
         }
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Time) {
-        if now.since(self.looked) >= PAUSE {
-            self.runs_since = now;
+        if now.since(self.ticked_at) >= PAUSE_THRESHOLD {
+            self.running_since = now;
         }
-        self.looked = now;
+        self.ticked_at = now;
         self.sent.tick(now);
     }
 
@@ -144,7 +144,9 @@
         endpoint: EndpointKey,
         rate: f64,
     ) -> u32 {
-        if now.since(self.runs_since) < SETTLES_IN || now.since(self.looked) >= PAUSE {
+        if now.since(self.running_since) < SETTLING_TIME
+            || now.since(self.ticked_at) >= PAUSE_THRESHOLD
+        {
             return 0;
         }
         self.sent
@@ -163,18 +165,18 @@
     endpoint: EndpointKey,
     endpoints: &EndpointTable,
     cold: Option<&ColdLimits>,
-    named: &RateLimits,
+    reported: &RateLimits,
 ) -> Option<f64> {
     let cold = cold.filter(|it| endpoints.is_cold(now, endpoint, it));
     let cold = cold.map(|it| it.per_second);
-    match (cold, named.of(endpoint)) {
-        (Some(cold), Some(named)) => Some(cold.min(named)),
-        (cold, named) => cold.or(named),
+    match (cold, reported.of(endpoint)) {
+        (Some(cold), Some(reported)) => Some(cold.min(reported)),
+        (cold, reported) => cold.or(reported),
     }
 }
 
 /// Instances that there may be, for one that knows a part of the fleet only.
-const ASSUMED_FLEET: u64 = 128;
+const ASSUMED_FLEET_SIZE: u64 = 128;
 
 /// Returns how many of the other instances go before the one at `own` at an endpoint; a draw where
 /// it may know a part of the fleet only.
@@ -182,7 +184,7 @@
     let score = |it: SocketAddrV4| (rendezvous::score(endpoint.0, address_hash(it)), it);
     let mine = score(own);
     if fleet.settled().is_none() {
-        return (mine.0 % ASSUMED_FLEET) as usize;
+        return (mine.0 % ASSUMED_FLEET_SIZE) as usize;
     }
     fleet.others().filter(|it| score(*it) > mine).count()
 }
--- a/crates/core/src/gateway/endpoints.rs
+++ b/crates/core/src/gateway/endpoints.rs
@@ -19,7 +19,7 @@
 
 /// How long an endpoint that left is remembered, so that news of it that travels
 /// slowly does not bring it back.
-const REMEMBER_GONE: Duration = Duration::from_secs(60);
+const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 /// Failures in a row after which an endpoint is passed over. One failure may be
 /// the request's; three in a row are rarely.
@@ -27,10 +27,10 @@
 
 /// The first time for which an endpoint is passed over; it doubles with each
 /// further failure.
-const EJECT_FIRST: Duration = Duration::from_millis(500);
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
 /// The longest time for which an endpoint is passed over.
-const EJECT_LONGEST: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// The weight of the newest result in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.1;
@@ -61,7 +61,7 @@
     /// Returns the key of this life.
     pub fn key(&self) -> EndpointKey {
         match self.started_unix_ms {
-            Some(born) => EndpointKey::of(&format!("{}@{born}", self.name)),
+            Some(started_unix_ms) => EndpointKey::of(&format!("{}@{started_unix_ms}", self.name)),
             None => EndpointKey::of(&self.name),
         }
     }
@@ -72,7 +72,7 @@
     pub fn canonical_form(&self) -> String {
         let EndpointRecord {
             name,
-            started_unix_ms: born,
+            started_unix_ms,
             service,
             address,
             data_centre,
@@ -82,7 +82,7 @@
         } = self;
         let is_cold = !cold.is_zero();
         format!(
-            "{name:?} {born:?} {service:?} {address} {data_centre:?} {slots} {leaving} {is_cold}"
+            "{name:?} {started_unix_ms:?} {service:?} {address} {data_centre:?} {slots} {leaving} {is_cold}"
         )
     }
 }
@@ -119,7 +119,7 @@
     /// Until when it is slow after its start.
     pub cold_until: Time,
     /// When it said so last.
-    said_at: Time,
+    cold_reported_at: Time,
     /// Failures since the last success.
     failures: u32,
     /// It is passed over until then.
@@ -131,7 +131,7 @@
 impl Endpoint {
     /// Returns whether it takes new work by its own state. Whether its data centre is closed is
     /// for the table to say: [`EndpointTable::is_usable`].
-    fn takes_work(&self) -> bool {
+    fn accepts_work(&self) -> bool {
         matches!(
             self.state,
             EndpointState::Serving | EndpointState::Lapsed { .. }
@@ -182,24 +182,29 @@
     /// news that its former life left keeps it from its callers for good.
     pub fn apply_record(&mut self, now: Time, record: EndpointRecord) -> Vec<EndpointKey> {
         let key = record.key();
-        let mut began = Vec::new();
-        if let Some(&(born, before)) = self.newest.get(&record.name) {
-            if born > record.started_unix_ms {
-                return began;
+        let mut started_leaving = Vec::new();
+        if let Some(&(started_unix_ms, before)) = self.newest.get(&record.name) {
+            if started_unix_ms > record.started_unix_ms {
+                return started_leaving;
             }
             if before != key && self.mark_leaving(now, before) {
-                began.push(before);
+                started_leaving.push(before);
             }
         }
         self.newest
             .insert(record.name.clone(), (record.started_unix_ms, key));
-        if self.publish_life(now, key, record) {
-            began.push(key);
+        if self.apply_to_incarnation(now, key, record) {
+            started_leaving.push(key);
         }
-        began
+        started_leaving
     }
 
-    fn publish_life(&mut self, now: Time, key: EndpointKey, record: EndpointRecord) -> bool {
+    fn apply_to_incarnation(
+        &mut self,
+        now: Time,
+        key: EndpointKey,
+        record: EndpointRecord,
+    ) -> bool {
         let leaving = record.leaving || self.left.contains_key(&key);
         let cold_until = now + record.cold_for;
         let endpoint = self.endpoints.entry(key).or_insert_with(|| Endpoint {
@@ -207,14 +212,14 @@
             record: record.clone(),
             state: EndpointState::Serving,
             cold_until,
-            said_at: now,
+            cold_reported_at: now,
             failures: 0,
             ejected_until: Time::ZERO,
             failure_share: 0.0,
         });
         endpoint.record = record;
         endpoint.cold_until = cold_until;
-        endpoint.said_at = now;
+        endpoint.cold_reported_at = now;
         if leaving {
             return self.mark_leaving(now, key);
         }
@@ -247,7 +252,7 @@
     pub fn mark_unreadable(&mut self, name: &str) {
         let newest = self.newest.get(name);
         let endpoint = newest.and_then(|(_, key)| self.endpoints.get_mut(key));
-        if let Some(endpoint) = endpoint.filter(|it| it.takes_work()) {
+        if let Some(endpoint) = endpoint.filter(|it| it.accepts_work()) {
             endpoint.state = EndpointState::Unreadable;
         }
     }
@@ -284,7 +289,7 @@
             self.mark_leaving(now, key);
         }
         self.left
-            .retain(|_, since| now.since(*since) < REMEMBER_GONE);
+            .retain(|_, since| now.since(*since) < GONE_RETENTION);
         let left = &self.left;
         self.endpoints
             .retain(|key, endpoint| endpoint.leaving_since().is_none() || left.contains_key(key));
@@ -314,7 +319,7 @@
     pub fn observe_cold(&mut self, now: Time, key: EndpointKey, left: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.cold_until = now + left;
-            endpoint.said_at = now;
+            endpoint.cold_reported_at = now;
         }
     }
 
@@ -325,8 +330,9 @@
             return false;
         };
         let lifted = self.cordons.lifted_at(&endpoint.record.data_centre);
-        let may_have_cooled = lifted
-            .is_some_and(|at| endpoint.said_at <= at && now.since(at) < limits.after_uncordon());
+        let may_have_cooled = lifted.is_some_and(|at| {
+            endpoint.cold_reported_at <= at && now.since(at) < limits.after_uncordon()
+        });
         may_have_cooled || now < endpoint.cold_until
     }
 
@@ -339,27 +345,27 @@
     /// Returns an endpoint if new work may be sent to it.
     pub fn usable(&self, key: EndpointKey) -> Option<&Endpoint> {
         let endpoint = self.endpoints.get(&key)?;
-        (endpoint.takes_work() && !self.is_cordoned(key)).then_some(endpoint)
+        (endpoint.accepts_work() && !self.is_cordoned(key)).then_some(endpoint)
     }
 
     /// Returns the endpoints of a service to which new work may be sent.
     pub fn usable_of(&self, service: &str) -> impl Iterator<Item = &Endpoint> {
-        let taking = self.taking_of(service);
-        taking.filter(|it| !self.cordons.is_closed(&it.record.data_centre))
+        let accepting = self.accepting_of(service);
+        accepting.filter(|it| !self.cordons.is_closed(&it.record.data_centre))
     }
 
     /// Returns whether nothing but cordons keeps a service from being used. Every request that
     /// waits asks this with each look, so that it costs nothing while no data centre is closed.
     pub fn is_service_cordoned(&self, service: &str) -> bool {
         self.cordons.closed().next().is_some()
-            && self.taking_of(service).next().is_some()
+            && self.accepting_of(service).next().is_some()
             && self.usable_of(service).next().is_none()
     }
 
     /// Returns the endpoints of a service that would take new work if no data centre were closed.
-    fn taking_of(&self, service: &str) -> impl Iterator<Item = &Endpoint> {
+    fn accepting_of(&self, service: &str) -> impl Iterator<Item = &Endpoint> {
         let all = self.endpoints.values();
-        all.filter(move |it| it.record.service == service && it.takes_work())
+        all.filter(move |it| it.record.service == service && it.accepts_work())
     }
 
     /// Returns an endpoint.
@@ -388,7 +394,7 @@
     pub fn failing(&self) -> impl Iterator<Item = EndpointKey> {
         let failing = self.endpoints.values();
         failing
-            .filter(|endpoint| endpoint.takes_work() && endpoint.is_failing())
+            .filter(|endpoint| endpoint.accepts_work() && endpoint.is_failing())
             .map(|endpoint| endpoint.key)
     }
 
@@ -396,7 +402,7 @@
     pub fn ejected(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
         let endpoints = self.endpoints.values();
         endpoints
-            .filter(move |endpoint| endpoint.takes_work() && endpoint.is_ejected(now))
+            .filter(move |endpoint| endpoint.accepts_work() && endpoint.is_ejected(now))
             .map(|endpoint| endpoint.key)
     }
 
@@ -421,16 +427,16 @@
     /// What goes wrong without it: an endpoint that fails at once is always the
     /// least loaded one, and so draws all requests to itself.
     pub fn on_failure(&mut self, now: Time, key: EndpointKey) -> bool {
-        self.failed(now, key, 1)
+        self.record_failure(now, key, 1)
     }
 
     /// Notes that no connection to the endpoint could be made; returns whether it is now
     /// passed over. That is never the fault of a request, so that one is enough.
     pub fn on_unreachable(&mut self, now: Time, key: EndpointKey) -> bool {
-        self.failed(now, key, EJECT_AFTER)
+        self.record_failure(now, key, EJECT_AFTER)
     }
 
-    fn failed(&mut self, now: Time, key: EndpointKey, at_least: u32) -> bool {
+    fn record_failure(&mut self, now: Time, key: EndpointKey, at_least: u32) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
         };
@@ -440,7 +446,7 @@
             return false;
         }
         let doublings = (endpoint.failures - EJECT_AFTER).min(8);
-        let time = (EJECT_FIRST * (1 << doublings)).min(EJECT_LONGEST);
+        let time = (FIRST_EJECTION * (1 << doublings)).min(MAX_EJECTION);
         endpoint.ejected_until = now + time;
         true
     }
--- a/crates/core/src/gateway/fleet_size.rs
+++ b/crates/core/src/gateway/fleet_size.rs
@@ -14,10 +14,10 @@
 use std::net::SocketAddrV4;
 
 /// How long an instance that was lost is counted: as long as regions lose each other.
-const REMEMBER_LOST: Duration = Duration::from_secs(600);
+const LOST_RETENTION: Duration = Duration::from_secs(600);
 
 /// The time between two looks at who takes part.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What an instance tells its peers of the fleet's size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,9 +33,9 @@
 pub struct FleetSize {
     /// When each other instance was last known to take part.
     seen: BTreeMap<SocketAddrV4, Time>,
-    looked: Option<Time>,
+    scanned_at: Option<Time>,
     /// The largest fleet that a peer told of, and when it was seen.
-    told: Option<(u32, Time)>,
+    reported: Option<(u32, Time)>,
     is_settled: bool,
 }
 
@@ -48,28 +48,36 @@
         &mut self,
         now: Time,
         live: impl Iterator<Item = SocketAddrV4>,
-        heard_most_seeds: bool,
+        has_most_seeds: bool,
     ) {
-        self.is_settled |= heard_most_seeds;
-        if self.looked.is_some_and(|at| now.since(at) < LOOK_INTERVAL) {
+        self.is_settled |= has_most_seeds;
+        if self
+            .scanned_at
+            .is_some_and(|at| now.since(at) < SCAN_INTERVAL)
+        {
             return;
         }
-        self.looked = Some(now);
+        self.scanned_at = Some(now);
         self.seen.extend(live.map(|it| (it, now)));
-        self.seen.retain(|_, at| now.since(*at) < REMEMBER_LOST);
-        self.told = self.told.filter(|(_, at)| now.since(*at) < REMEMBER_LOST);
+        self.seen.retain(|_, at| now.since(*at) < LOST_RETENTION);
+        self.reported = self
+            .reported
+            .filter(|(_, at)| now.since(*at) < LOST_RETENTION);
     }
 
     /// Takes in what a peer tells.
-    pub fn on_report(&mut self, now: Time, told: FleetSizeReport) {
-        if told.count == 0 {
+    pub fn on_report(&mut self, now: Time, reported: FleetSizeReport) {
+        if reported.count == 0 {
             return;
         }
         self.is_settled = true;
-        let age = Duration::from_secs(told.age_s.into());
+        let age = Duration::from_secs(reported.age_s.into());
         let seen = now.before(age).unwrap_or(Time::ZERO);
-        if self.told.is_none_or(|(count, _)| count <= told.count) {
-            self.told = Some((told.count, seen));
+        if self
+            .reported
+            .is_none_or(|(count, _)| count <= reported.count)
+        {
+            self.reported = Some((reported.count, seen));
         }
     }
 
@@ -79,7 +87,7 @@
             return FleetSizeReport::default();
         }
         let own = u32::try_from(self.seen()).unwrap_or(u32::MAX);
-        match self.told {
+        match self.reported {
             Some((count, at)) if count > own => FleetSizeReport {
                 count,
                 age_s: u16::try_from(now.since(at).as_secs()).unwrap_or(u16::MAX),
@@ -93,8 +101,8 @@
 
     /// Returns how many instances there are, this one and those that were lost lately included.
     pub fn count(&self) -> usize {
-        let told = self.told.map_or(0, |(count, _)| count as usize);
-        self.seen().max(told)
+        let reported = self.reported.map_or(0, |(count, _)| count as usize);
+        self.seen().max(reported)
     }
 
     /// Returns the same, or nothing while this instance may know a part of the fleet only.
--- a/crates/core/src/gateway/lengths.rs
+++ b/crates/core/src/gateway/lengths.rs
@@ -21,7 +21,7 @@
 const PRIOR_WEIGHT: f64 = 4.0;
 
 /// Answers after which an entry forgets.
-const WINDOW: f64 = 400.0;
+const OBSERVATION_WINDOW: f64 = 400.0;
 
 /// Midpoints of eight equally likely parts of the standard normal distribution.
 const QUANTILES: [f64; 8] = [-1.534, -0.887, -0.489, -0.157, 0.157, 0.489, 0.887, 1.534];
@@ -37,29 +37,29 @@
 
 impl LengthEstimate {
     /// Returns how many tokens are expected beyond `age`.
-    pub fn remaining(&self, age: u32) -> u32 {
-        let age = f64::from(age);
+    pub fn remaining(&self, generated: u32) -> u32 {
+        let generated = f64::from(generated);
         let mut sum = 0.0;
         let mut longer = 0.0;
         for quantile in QUANTILES {
             let length = (self.log_mean + self.log_deviation * quantile).exp();
             let length = length.min(self.cap);
-            if length > age {
-                sum += length - age;
+            if length > generated {
+                sum += length - generated;
                 longer += 1.0;
             }
         }
         // Past all of them it is one of the longest, of which nothing is known but the cap.
         let rest = match longer > 0.0 {
             true => sum / longer,
-            false => 0.5 * (self.cap - age).max(0.0),
+            false => 0.5 * (self.cap - generated).max(0.0),
         };
         rest as u32
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Learnt {
+struct LengthStats {
     weight: f64,
     log_sum: f64,
     square_sum: f64,
@@ -71,15 +71,15 @@
 
 /// Returns how many tokens of memory a generation is expected to take that has read a
 /// prompt of `prompt` tokens and made `made`.
-pub fn expected_kv_tokens(prompt: u32, length: LengthEstimate, made: u32) -> u32 {
-    let rest = (f64::from(length.remaining(made)) * OUTPUT_SHARE) as u32;
-    prompt.saturating_add(made).saturating_add(rest).max(1)
+pub fn expected_kv_tokens(prompt: u32, length: LengthEstimate, generated: u32) -> u32 {
+    let rest = (f64::from(length.remaining(generated)) * OUTPUT_SHARE) as u32;
+    prompt.saturating_add(generated).saturating_add(rest).max(1)
 }
 
 /// The lengths of all entries' answers, by the entry's name.
 #[derive(Clone, Debug, Default)]
 pub struct LengthTable {
-    entries: BTreeMap<String, Learnt>,
+    entries: BTreeMap<String, LengthStats>,
 }
 
 impl LengthTable {
@@ -87,13 +87,14 @@
     pub fn record(&mut self, entry: &str, tokens: u32) {
         let log = f64::from(tokens.max(1)).ln();
         if !self.entries.contains_key(entry) {
-            self.entries.insert(entry.to_owned(), Learnt::default());
+            self.entries
+                .insert(entry.to_owned(), LengthStats::default());
         }
-        if let Some(learnt) = self.entries.get_mut(entry) {
-            let keep = 1.0 - 1.0 / WINDOW;
-            learnt.weight = learnt.weight * keep + 1.0;
-            learnt.log_sum = learnt.log_sum * keep + log;
-            learnt.square_sum = learnt.square_sum * keep + log * log;
+        if let Some(stats) = self.entries.get_mut(entry) {
+            let keep = 1.0 - 1.0 / OBSERVATION_WINDOW;
+            stats.weight = stats.weight * keep + 1.0;
+            stats.log_sum = stats.log_sum * keep + log;
+            stats.square_sum = stats.square_sum * keep + log * log;
         }
     }
 
@@ -102,13 +103,13 @@
     pub fn estimate(&self, entry: &str, cap: u32, hint: Option<u32>) -> LengthEstimate {
         let cap = f64::from(cap.max(1));
         let prior = (cap * PRIOR_SHARE).ln();
-        let learnt = self.entries.get(entry).copied().unwrap_or_default();
-        let weight = learnt.weight + PRIOR_WEIGHT;
-        let mean = (learnt.log_sum + PRIOR_WEIGHT * prior) / weight;
+        let stats = self.entries.get(entry).copied().unwrap_or_default();
+        let weight = stats.weight + PRIOR_WEIGHT;
+        let mean = (stats.log_sum + PRIOR_WEIGHT * prior) / weight;
         let square = PRIOR_WEIGHT * (PRIOR_VARIANCE + prior * prior);
-        let variance = ((learnt.square_sum + square) / weight - mean * mean).max(0.01);
+        let variance = ((stats.square_sum + square) / weight - mean * mean).max(0.01);
         let (mean, variance) = match hint {
-            Some(hint) => weigh(mean, variance, f64::from(hint.max(1)).ln()),
+            Some(hint) => combine(mean, variance, f64::from(hint.max(1)).ln()),
             None => (mean, variance),
         };
         LengthEstimate {
@@ -120,9 +121,9 @@
 }
 
 /// Weighs what was learnt and a hint by their precision.
-fn weigh(mean: f64, variance: f64, hint: f64) -> (f64, f64) {
-    let learnt = 1.0 / variance;
+fn combine(mean: f64, variance: f64, hint: f64) -> (f64, f64) {
+    let stats = 1.0 / variance;
     let hinted = 1.0 / HINT_VARIANCE;
-    let precision = learnt + hinted;
-    ((mean * learnt + hint * hinted) / precision, 1.0 / precision)
+    let precision = stats + hinted;
+    ((mean * stats + hint * hinted) / precision, 1.0 / precision)
 }
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -32,10 +32,10 @@
 
 /// How long a home that said "wait" is believed without a word: two of its answers may be
 /// lost.
-const WAITING_PATIENCE: Duration = Duration::from_millis(300);
+const QUEUED_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a home that did not answer is passed over.
-const PASSED_OVER: Duration = Duration::from_millis(1_000);
+const UNRESPONSIVE_FOR: Duration = Duration::from_millis(1_000);
 
 /// What a request wants at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -87,19 +87,19 @@
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct OpenRequest {
     request: PlacementRequest,
     /// Since when a home may answer.
     since: Time,
     /// What it said last, and when.
-    said: Option<(Time, PlacementDecision)>,
+    decided: Option<(Time, PlacementDecision)>,
 }
 
 /// All placement requests of an instance that are open, and what it knows of homes.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementTable {
-    asked: BTreeMap<u64, Asked>,
-    passed_over: BTreeMap<SocketAddrV4, Time>,
+    open: BTreeMap<u64, OpenRequest>,
+    unresponsive: BTreeMap<SocketAddrV4, Time>,
     /// What others run, as a home told last, by service.
     views: BTreeMap<u64, (Time, PeerUsage)>,
 }
@@ -107,89 +107,89 @@
 impl PlacementTable {
     /// Takes a placement request in.
     pub fn insert(&mut self, now: Time, request: PlacementRequest) {
-        let asked = Asked {
+        let open = OpenRequest {
             request,
             since: now,
-            said: None,
+            decided: None,
         };
-        self.asked.insert(asked.request.queued.id, asked);
+        self.open.insert(open.request.queued.id, open);
     }
 
     /// Takes a placement request out, because it has what it wants or gave up.
     pub fn remove(&mut self, id: u64) {
-        self.asked.remove(&id);
+        self.open.remove(&id);
     }
 
     /// Returns the placement requests for `service`.
     pub fn of(&self, service: u64) -> impl Iterator<Item = &PlacementRequest> {
-        let asked = self.asked.values().map(|it| &it.request);
-        asked.filter(move |it| it.queued.service == service)
+        let open = self.open.values().map(|it| &it.request);
+        open.filter(move |it| it.queued.service == service)
     }
 
     /// Returns whether a placement request for `service` was not answered yet, if there are any.
     pub fn is_unanswered(&self, service: u64) -> Option<bool> {
-        let asked = self.asked.values();
-        let mut of = asked
+        let open = self.open.values();
+        let mut of = open
             .filter(|it| it.request.queued.service == service)
             .peekable();
         of.peek()?;
-        Some(of.any(|it| it.said.is_none()))
+        Some(of.any(|it| it.decided.is_none()))
     }
 
     /// Returns whether any placement request was not answered yet.
     pub fn any_unanswered(&self) -> bool {
-        self.asked.values().any(|it| it.said.is_none())
+        self.open.values().any(|it| it.decided.is_none())
     }
 
     /// Returns the services for which placement requests are open.
     pub fn services(&self) -> impl Iterator<Item = u64> {
-        self.asked.values().map(|it| it.request.queued.service)
+        self.open.values().map(|it| it.request.queued.service)
     }
 
     /// Returns whether a home is passed over at the moment.
     pub fn is_unresponsive(&self, now: Time, home: SocketAddrV4) -> bool {
-        self.passed_over
+        self.unresponsive
             .get(&home)
             .is_some_and(|&until| now < until)
     }
 
     /// Passes over a home that did not answer.
     pub fn mark_unresponsive(&mut self, now: Time, home: SocketAddrV4) {
-        self.passed_over.retain(|_, until| now < *until);
-        self.passed_over.insert(home, now + PASSED_OVER);
+        self.unresponsive.retain(|_, until| now < *until);
+        self.unresponsive.insert(home, now + UNRESPONSIVE_FOR);
     }
 
     /// Returns what an open placement request goes by.
     pub fn status(&self, now: Time, id: u64) -> PlacementStatus {
-        let Some(asked) = self.asked.get(&id) else {
+        let Some(open) = self.open.get(&id) else {
             return PlacementStatus::TimedOut;
         };
-        match asked.said {
-            Some((at, PlacementDecision::Queued(_))) if now.since(at) >= WAITING_PATIENCE => {
+        match open.decided {
+            Some((at, PlacementDecision::Queued(_))) if now.since(at) >= QUEUED_TIMEOUT => {
                 PlacementStatus::TimedOut
             }
             Some((_, decision)) => PlacementStatus::Decided(decision),
-            None if now.since(asked.since) >= HOME_TIMEOUT => PlacementStatus::TimedOut,
+            None if now.since(open.since) >= HOME_TIMEOUT => PlacementStatus::TimedOut,
             None => PlacementStatus::Pending,
         }
     }
 
     /// Asks anew for a placement request that was not answered, or was given what cannot be taken.
     pub fn reset(&mut self, now: Time, id: u64) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.since = now;
-            asked.said = None;
+        if let Some(open) = self.open.get_mut(&id) {
+            open.since = now;
+            open.decided = None;
         }
     }
 
     /// Takes in what a home decided about a placement request.
     pub fn on_decision(&mut self, now: Time, id: u64, decision: PlacementDecision) {
-        let Some(asked) = self.asked.get_mut(&id) else {
+        let Some(open) = self.open.get_mut(&id) else {
             return;
         };
         // What was granted stays granted: the home keeps the room until it hears of it.
-        if !matches!(asked.said, Some((_, PlacementDecision::Granted(_)))) {
-            asked.said = Some((now, decision));
+        if !matches!(open.decided, Some((_, PlacementDecision::Granted(_)))) {
+            open.decided = Some((now, decision));
         }
     }
 
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -17,7 +17,7 @@
 
 /// The share of its target after which a request that waits counts as late. Its prompt is
 /// still to be read, which takes some 0.7 s at an engine with neighbours.
-const IN_TIME_TARGETS: f64 = 0.6;
+const LATE_AFTER_TARGETS: f64 = 0.6;
 
 /// The most placement requests of one instance that a home takes in. Those beyond are placed by
 /// that instance's own view once nobody answers them.
@@ -96,8 +96,8 @@
     /// newest goes first: where more wait than can be served, going by age or deadline
     /// makes all of them late one after the other. Of those that are late the oldest goes
     /// first, so that they come to their turn.
-    fn order(&self, now: Time) -> (bool, u8, u64, u64) {
-        let is_late = now.since(self.arrived) >= self.target.mul_f64(IN_TIME_TARGETS);
+    fn sort_key(&self, now: Time) -> (bool, u8, u64, u64) {
+        let is_late = now.since(self.arrived) >= self.target.mul_f64(LATE_AFTER_TARGETS);
         let arrived = self.arrived.as_micros();
         let rank = if is_late { arrived } else { u64::MAX - arrived };
         (is_late, self.priority, rank, self.id)
@@ -126,31 +126,31 @@
 /// with the most room is kept, so that large requests come to their turn and small ones use
 /// what is left elsewhere. `bounded_left` says how many more requests an engine may get that bears a bounded rate.
 pub fn assign<'a>(
-    world: PlacementContext<'_>,
+    context: PlacementContext<'_>,
     engines: Engines<'_>,
-    bounded_left: impl Fn(EndpointKey) -> Option<u32>,
+    rate_remaining: impl Fn(EndpointKey) -> Option<u32>,
     waiting: impl Iterator<Item = &'a QueuedPlacement>,
 ) -> Vec<Result<EndpointKey, PlacementError>> {
     let all: Vec<&QueuedPlacement> = waiting.collect();
-    let mut order: Vec<usize> = (0..all.len()).collect();
-    order.sort_by_key(|&at| all[at].request.queued.order(world.now));
+    let mut sort_key: Vec<usize> = (0..all.len()).collect();
+    sort_key.sort_by_key(|&at| all[at].request.queued.sort_key(context.now));
     let demand = Demand {
         service: engines.service,
         engine: Some(engines.limits),
         tokens: 0,
         exclude: &[],
     };
-    let mut capacities = match capacities(world, &demand, bounded_left) {
+    let mut capacities = match capacities(context, &demand, rate_remaining) {
         Ok(capacities) => capacities,
         Err(why) => return vec![Err(why); all.len()],
     };
     let mut places = vec![Err(PlacementError::NoEndpoint); all.len()];
-    let mut is_kept = false;
-    for at in order {
+    let mut is_held = false;
+    for at in sort_key {
         places[at] = capacities.reserve(all[at]);
-        if places[at] == Err(PlacementError::Full) && !is_kept {
+        if places[at] == Err(PlacementError::Full) && !is_held {
             capacities.hold_largest();
-            is_kept = true;
+            is_held = true;
         }
     }
     places
--- a/crates/core/src/gateway/rate_limits.rs
+++ b/crates/core/src/gateway/rate_limits.rs
@@ -21,13 +21,13 @@
 
 /// How long the end of a limit is remembered, so that an earlier word that travels slowly does not
 /// bring it back.
-const REMEMBER_ENDED: Duration = Duration::from_secs(60);
+const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
 /// How long an instance without a part of a limit hears nothing of it before it asks.
-const QUIET: Duration = Duration::from_secs(4);
+const PROBE_AFTER: Duration = Duration::from_secs(4);
 
 /// The part of a limit that all such questions take, one instance after the other.
-const ASKED_AGAIN_SHARE: f64 = 0.25;
+const PROBE_SHARE: f64 = 0.25;
 
 /// What the head of an answer says about the endpoint's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -65,20 +65,20 @@
 
 /// The last word about an endpoint.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct KnownLimit {
     per_second: Option<f64>,
     /// When the endpoint said so.
-    said: Time,
+    reported_at: Time,
     /// Since when this instance holds to a limit.
     since: Time,
     /// When this instance last sent a request there.
-    asked: Time,
+    requested_at: Time,
 }
 
 /// All limits known.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimits {
-    words: BTreeMap<EndpointKey, Word>,
+    limits: BTreeMap<EndpointKey, KnownLimit>,
 }
 
 impl RateLimits {
@@ -94,9 +94,9 @@
             ResponseLimit::Unreadable => return None,
             ResponseLimit::PerSecond(rate) => Some(rate.clamp(MIN_PER_SECOND, MAX_PER_SECOND)),
             ResponseLimit::None => {
-                let word = self.words.get(&endpoint)?;
-                let was_sent_before = sent <= word.said;
-                if word.per_second.is_none() || was_sent_before {
+                let known = self.limits.get(&endpoint)?;
+                let was_sent_before = sent <= known.reported_at;
+                if known.per_second.is_none() || was_sent_before {
                     return None;
                 }
                 None
@@ -108,14 +108,14 @@
     /// Takes in what a peer tells; returns what that changed.
     pub fn on_report(&mut self, now: Time, told: LimitReport) -> Option<LimitChange> {
         let age = Duration::from_millis(told.age_ms.into());
-        let said = now.before(age).unwrap_or(Time::ZERO);
-        let is_older = |word: &Word| said <= word.said;
-        if self.words.get(&told.endpoint).is_some_and(is_older) {
+        let reported_at = now.before(age).unwrap_or(Time::ZERO);
+        let is_older = |known: &KnownLimit| reported_at <= known.reported_at;
+        if self.limits.get(&told.endpoint).is_some_and(is_older) {
             return None;
         }
         let per_second = told.per_1000_s.map(|it| f64::from(it) / 1_000.0);
         let per_second = per_second.map(|it| it.clamp(MIN_PER_SECOND, MAX_PER_SECOND));
-        self.set(now, told.endpoint, per_second, said)
+        self.set(now, told.endpoint, per_second, reported_at)
     }
 
     fn set(
@@ -123,21 +123,21 @@
         now: Time,
         endpoint: EndpointKey,
         per_second: Option<f64>,
-        said: Time,
+        reported_at: Time,
     ) -> Option<LimitChange> {
-        let before = self.words.get(&endpoint).copied();
+        let before = self.limits.get(&endpoint).copied();
         let limit_before = before.and_then(|it| it.per_second);
         let since = match before {
-            Some(word) if word.per_second.is_some() => word.since,
+            Some(known) if known.per_second.is_some() => known.since,
             _ => now,
         };
-        let word = Word {
+        let known = KnownLimit {
             per_second,
-            said,
+            reported_at,
             since,
-            asked: before.map_or(Time::ZERO, |it| it.asked),
+            requested_at: before.map_or(Time::ZERO, |it| it.requested_at),
         };
-        self.words.insert(endpoint, word);
+        self.limits.insert(endpoint, known);
         (limit_before != per_second).then_some(LimitChange {
             endpoint,
             before: limit_before,
@@ -147,24 +147,24 @@
 
     /// Returns the limit of an endpoint, in requests a second.
     pub fn of(&self, endpoint: EndpointKey) -> Option<f64> {
-        self.words.get(&endpoint)?.per_second
+        self.limits.get(&endpoint)?.per_second
     }
 
     /// Returns since when this instance holds to a limit of an endpoint.
     pub fn since(&self, endpoint: EndpointKey) -> Option<Time> {
-        let word = self.words.get(&endpoint)?;
-        word.per_second.is_some().then_some(word.since)
+        let known = self.limits.get(&endpoint)?;
+        known.per_second.is_some().then_some(known.since)
     }
 
     /// Returns whether no endpoint has a limit.
     pub fn is_empty(&self) -> bool {
-        self.words.values().all(|it| it.per_second.is_none())
+        self.limits.values().all(|it| it.per_second.is_none())
     }
 
     /// Notes that a request is sent to an endpoint.
     pub fn on_request(&mut self, now: Time, endpoint: EndpointKey) {
-        if let Some(word) = self.words.get_mut(&endpoint) {
-            word.asked = now;
+        if let Some(known) = self.limits.get_mut(&endpoint) {
+            known.requested_at = now;
         }
     }
 
@@ -174,31 +174,34 @@
     /// Those that have a part hear each answer and tell when the limit is over. They may be gone,
     /// or cut off.
     pub fn may_probe(&self, now: Time, endpoint: EndpointKey, rank: usize) -> bool {
-        let Some(word) = self.words.get(&endpoint) else {
+        let Some(known) = self.limits.get(&endpoint) else {
             return false;
         };
-        word.per_second.is_some_and(|rate| {
-            let turn = rank as f64 / (ASKED_AGAIN_SHARE * rate);
-            let pause = QUIET.as_secs_f64() + turn;
-            now.since(word.said.max(word.asked)).as_secs_f64() >= pause
+        known.per_second.is_some_and(|rate| {
+            let turn = rank as f64 / (PROBE_SHARE * rate);
+            let pause = PROBE_AFTER.as_secs_f64() + turn;
+            now.since(known.reported_at.max(known.requested_at))
+                .as_secs_f64()
+                >= pause
         })
     }
 
     /// Returns what is told of an endpoint now.
     pub fn report(&self, now: Time, endpoint: EndpointKey) -> Option<LimitReport> {
-        let word = self.words.get(&endpoint)?;
-        let age = now.since(word.said).as_millis();
+        let known = self.limits.get(&endpoint)?;
+        let age = now.since(known.reported_at).as_millis();
         Some(LimitReport {
             endpoint,
-            per_1000_s: word.per_second.map(|it| (it * 1_000.0) as u32),
+            per_1000_s: known.per_second.map(|it| (it * 1_000.0) as u32),
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         })
     }
 
     /// Forgets limits of endpoints that are not there any more, and ends that are long ago.
     pub fn tick(&mut self, now: Time, exists: impl Fn(EndpointKey) -> bool) {
-        self.words.retain(|key, word| {
-            exists(*key) && (word.per_second.is_some() || now.since(word.said) < REMEMBER_ENDED)
+        self.limits.retain(|key, known| {
+            exists(*key)
+                && (known.per_second.is_some() || now.since(known.reported_at) < ENDED_RETENTION)
         });
     }
 }
--- a/crates/core/src/gateway/usage.rs
+++ b/crates/core/src/gateway/usage.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether anything is at an engine: memory of generations or copies.
-    fn takes_memory(self) -> bool {
+    fn uses_kv_cache(self) -> bool {
         self.tokens > 0 || self.copy_tokens > 0
     }
 }
@@ -74,7 +74,7 @@
 
 /// A load that an endpoint told longer ago than this says nothing any more. A
 /// plain call takes some 15 to 60 ms, so that the queue has turned over by then.
-const TOLD_FRESH: Duration = Duration::from_millis(250);
+const REPORTED_LOAD_TTL: Duration = Duration::from_millis(250);
 
 /// How full an endpoint said it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,46 +91,46 @@
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
     own: BTreeMap<EndpointKey, Usage>,
-    told: BTreeMap<EndpointKey, (Time, ReportedLoad)>,
+    reported: BTreeMap<EndpointKey, (Time, ReportedLoad)>,
     /// Counts the changes that a home is to hear of.
     changes: u64,
 }
 
 impl UsageTable {
     /// Counts a request that is sent.
-    pub fn begin(&mut self, endpoint: EndpointKey, tokens: u32, unread: u32) {
+    pub fn begin(&mut self, endpoint: EndpointKey, tokens: u32, prompt_tokens: u32) {
         let used = self.own.entry(endpoint).or_default();
         used.running = used.running.saturating_add(1);
-        used.pending_prefill = used.pending_prefill.saturating_add(unread);
+        used.pending_prefill = used.pending_prefill.saturating_add(prompt_tokens);
         used.tokens = used.tokens.saturating_add(tokens);
         self.changes += u64::from(tokens > 0);
     }
 
     /// Counts the first byte of a request's answer: its prompt was read.
-    pub fn on_first_byte(&mut self, endpoint: EndpointKey, unread: u32) {
+    pub fn on_first_byte(&mut self, endpoint: EndpointKey, prompt_tokens: u32) {
         if let Some(used) = self.own.get_mut(&endpoint) {
-            used.pending_prefill = used.pending_prefill.saturating_sub(unread);
-            self.changes += u64::from(unread > 0);
+            used.pending_prefill = used.pending_prefill.saturating_sub(prompt_tokens);
+            self.changes += u64::from(prompt_tokens > 0);
         }
     }
 
     /// Counts the end of a request, of which `unread` prompt tokens were not read.
-    pub fn end(&mut self, endpoint: EndpointKey, tokens: u32, unread: u32) {
+    pub fn end(&mut self, endpoint: EndpointKey, tokens: u32, prompt_tokens: u32) {
         let Some(used) = self.own.get_mut(&endpoint) else {
             debug_assert!(false, "a request at {endpoint} ends that did not begin");
             return;
         };
         used.running = used.running.saturating_sub(1);
         used.tokens = used.tokens.saturating_sub(tokens);
-        used.pending_prefill = used.pending_prefill.saturating_sub(unread);
+        used.pending_prefill = used.pending_prefill.saturating_sub(prompt_tokens);
         self.changes += u64::from(tokens > 0);
         self.drop_if_unused(endpoint);
     }
 
     /// Counts anew what a generation is expected to take.
-    pub fn adjust(&mut self, endpoint: EndpointKey, was: u32, tokens: u32) {
+    pub fn adjust(&mut self, endpoint: EndpointKey, previous: u32, tokens: u32) {
         if let Some(used) = self.own.get_mut(&endpoint) {
-            used.tokens = used.tokens.saturating_sub(was).saturating_add(tokens);
+            used.tokens = used.tokens.saturating_sub(previous).saturating_add(tokens);
         }
     }
 
@@ -152,17 +152,17 @@
 
     /// Notes what an endpoint told.
     pub fn observe_load(&mut self, now: Time, endpoint: EndpointKey, load: ReportedLoad) {
-        self.told.insert(endpoint, (now, load));
+        self.reported.insert(endpoint, (now, load));
     }
 
     /// Forgets what an endpoint told, because it is gone.
     pub fn forget(&mut self, endpoint: EndpointKey) {
-        self.told.remove(&endpoint);
+        self.reported.remove(&endpoint);
     }
 
     /// Returns what this instance runs at engines, to tell their home.
     pub fn engine_usage(&self) -> impl Iterator<Item = (EndpointKey, Usage)> {
-        let own = self.own.iter().filter(|(_, used)| used.takes_memory());
+        let own = self.own.iter().filter(|(_, used)| used.uses_kv_cache());
         own.map(|(key, used)| (*key, *used))
     }
 
@@ -178,8 +178,8 @@
 
     /// Returns what the endpoint told lately.
     pub fn recent_load(&self, now: Time, endpoint: EndpointKey) -> Option<ReportedLoad> {
-        let (at, load) = self.told.get(&endpoint)?;
-        (now.since(*at) < TOLD_FRESH).then_some(*load)
+        let (at, load) = self.reported.get(&endpoint)?;
+        (now.since(*at) < REPORTED_LOAD_TTL).then_some(*load)
     }
 
     fn drop_if_unused(&mut self, endpoint: EndpointKey) {
