--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,33 +1,33 @@
-//! Decisions for HTTP entries: requests that are passed on as they came.
+//! Decisions for HTTP entries, whose requests are forwarded unchanged.
 //!
-//! An HTTP entry is found by host and longest path prefix. Its requests go to an
-//! endpoint of a service, whose answer is returned unchanged. Engines and plain
-//! services are served alike; what differs is how a place is chosen and what may
-//! be repeated. `docs/design/platform.md` weighs the design.
+//! The entry of a request is found by its host and the longest matching path prefix. Its requests
+//! are sent to an endpoint of a service, and the response is returned unchanged. Engines and plain
+//! services are handled alike, except for how an endpoint is chosen and what may be retried. See
+//! `docs/design/platform.md` for the design.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`catalogue`] | entries, services, workspaces and bounds of callers; finds the entry of a request |
-//! | [`replica`] | what the store published, merged by revision from reads and peers |
+//! | [`catalogue`] | entries, services, workspaces and limits of callers; finds the entry of a request |
+//! | [`replica`] | the published records, merged by revision from reads and peers |
 //! | [`cordons`] | data centres that the operator closed to new work |
-//! | [`cold`] | endpoints that bear few requests a second, because they are cold |
-//! | [`rate_limits`] | rates that endpoints named for themselves |
-//! | [`endpoints`] | which endpoints exist, which of them leave, which are not trusted |
-//! | [`lengths`] | how long a generation will still be |
-//! | [`usage`] | what this instance runs at each endpoint, and what others run as far as is known |
-//! | [`placement`] | what an instance asks of the home of a service's engines, and does without one |
-//! | [`home`] | what a home knows, and how it gives away the room of its engines |
-//! | [`queue`] | in which order requests that wait get room |
-//! | [`choose`] | the endpoint for a request, and the one that holds its standing copy |
+//! | [`cold`] | rate limits of endpoints, in particular of cold ones |
+//! | [`rate_limits`] | rate limits that endpoints report for themselves |
+//! | [`endpoints`] | which endpoints exist, which are leaving, which are ejected |
+//! | [`lengths`] | the remaining length of a generation |
+//! | [`usage`] | usage of each endpoint by this instance, and by others as far as known |
+//! | [`placement`] | placement requests to the home of a service, and the fallback without a home |
+//! | [`home`] | the state of a home, and how it assigns the room of its engines |
+//! | [`queue`] | the order in which queued requests get room |
+//! | [`choose`] | the endpoint for a request, and the engine for a standby copy |
 //! | [`relocation`] | when a generation leaves its engine, and which events its caller gets |
-//! | [`budget`] | how many repeats this instance may spend |
-//! | [`suspects`] | requests that end the endpoints that begin them |
-//! | [`members`] | which instances there are |
-//! | [`fleet_size`] | how many there are, those included that were lost lately |
-//! | [`gossip`] | what instances send each other, and how news reaches all |
-//! | [`beacons`] | what those say that watch the store, and who watches |
+//! | [`budget`] | how many retries this instance may spend |
+//! | [`suspects`] | requests that crash the endpoints that run them |
+//! | [`members`] | which instances exist |
+//! | [`fleet_size`] | the number of instances, including recently lost ones |
+//! | [`gossip`] | the messages between instances and their dissemination |
+//! | [`beacons`] | beacons of the instances that watch the store, and who watches |
 //! | [`reader`] | when to read and watch the store |
-//! | [`catch_up`] | how an instance that missed something gets it |
+//! | [`catch_up`] | how an instance gets updates that it missed |
 //! | [`state`] | all of the above behind one type |
 
 pub mod beacons;
--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -1,49 +1,50 @@
-//! The fleet's repeats that this instance may spend.
+//! The share of the fleet's retry budget that this instance may spend.
 //!
-//! The fleet's bound is a share of the service's requests and an allowance on top, over a sliding
-//! window. Instances cannot ask each other before each repeat, so each spends what it has earned:
-//! a part of a repeat with each of its own requests, and its part of the allowance over time. What
-//! was earned may be held for later, up to a limit.
+//! The fleet's bound is a ratio of the service's requests plus a fixed allowance, over a sliding
+//! window. Instances cannot coordinate before each retry, so each one spends what it has earned
+//! itself: a fraction of a retry with each of its own requests, and its share of the allowance over
+//! time. Earned retries may be held for later, up to a limit.
 //!
-//! An instance starts with nothing. The lives at one address together then spend what one life may:
-//! what the first one held at the beginning of a window, and what all of them earn within it.
+//! An instance starts with an empty account. All incarnations at one address together can therefore
+//! spend as much as a single one: what the first one held at the start of a window, and what all of
+//! them earn within it.
 //!
-//! `docs/design/budget.md` does the arithmetic.
+//! See `docs/design/budget.md` for the arithmetic.
 
 use crate::time::Time;
 use core::time::Duration;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The part of the ratio that each request earns.
+/// Share of the ratio that each request earns.
 const EARNED_SHARE: f64 = 0.55;
 
-/// The part of the ratio, for the requests of the last window, that may be held.
+/// Share of the ratio that may be held, for the requests of the last window.
 const HELD_SHARE: f64 = 0.35;
 
-/// The part of the allowance that is earned within each window.
+/// Share of the allowance that is earned within each window.
 const ALLOWANCE_EARNED_SHARE: f64 = 0.3;
 
-/// The part of the allowance that may be held.
+/// Share of the allowance that may be held.
 const ALLOWANCE_HELD_SHARE: f64 = 0.6;
 
-/// Repeats that are kept for generations that go on, where so many may be held: their callers hold
-/// a part of the answer already.
+/// Retries that are reserved for generations that resume, if that many may be held: their callers
+/// have already received part of the output.
 const RESERVED_FOR_RESUMES: f64 = 1.0;
 
-/// The fleet's bound.
+/// The retry bound of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
     /// Repeats allowed for each request.
     pub ratio: f64,
-    /// Repeats allowed on top, over all instances.
+    /// Retries allowed in addition, over all instances.
     pub allowance: f64,
-    /// The sliding window.
+    /// The length of the sliding window.
     pub window: Duration,
 }
 
 impl BudgetConfig {
-    /// Returns the allowance of one of so many instances. One that does not know how many there
-    /// are has none.
+    /// Returns the allowance of one of `known` instances. While the size of the fleet is not known,
+    /// an instance has no allowance.
     fn allowance_share(&self, known: Option<usize>) -> f64 {
         known.map_or(0.0, |it| self.allowance / it.max(1) as f64)
     }
@@ -59,7 +60,7 @@
     }
 }
 
-/// Why a request is sent to one endpoint more.
+/// Why a request is sent to one more endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum RetryKind {
     /// retry
@@ -73,52 +74,52 @@
 }
 
 impl RetryKind {
-    /// Returns whether a generation goes on that its caller holds a part of.
+    /// Returns whether a generation resumes whose caller has received part of the output.
     pub fn is_resume(self) -> bool {
         matches!(self, RetryKind::Resume | RetryKind::ResumeAgain)
     }
 }
 
-/// Whether a request may be sent to one endpoint more, and what that was decided by.
+/// Whether a request may be sent to one more endpoint, and the state that this was decided from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryDecision {
-    /// Whether it may.
+    /// Whether the retry is allowed.
     pub is_allowed: bool,
-    /// Instances that are heard, this one included.
+    /// Instances that are alive, this one included.
     pub live_instances: usize,
-    /// Instances that are known, this one and those that were lost lately included; 0 while this
-    /// instance may know a part of the fleet only.
+    /// Known instances, including this one and recently lost ones; 0 while this instance may know
+    /// only part of the fleet.
     pub known_instances: usize,
-    /// For how long this instance has run.
+    /// Time since the start of this instance.
     pub uptime: Duration,
-    /// Repeats that are left.
+    /// Retries that remain.
     pub remaining: f64,
 }
 
-/// What this instance has earned for one service and not spent.
+/// The balance of one service.
 #[derive(Clone, Debug)]
 struct Account {
-    /// Repeats that may be spent.
+    /// Retries that may be spent.
     held: f64,
-    /// When what is earned over time was last added.
+    /// When the earnings over time were last added.
     earned_at: Time,
-    /// The service's requests of the last window.
+    /// The service's requests within the last window.
     requests: VecDeque<Time>,
 }
 
-/// What this instance may spend on repeats, by service.
+/// The retry budget of this instance, by service.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     cfg: BudgetConfig,
-    /// Since when `known` is what it is. Accounts that are opened later have earned since then.
+    /// When `known` last changed. New accounts are credited with earnings since then.
     known_since: Time,
-    /// How many instances share the allowance; nothing while that is not known.
+    /// How many instances share the allowance; `None` while that is not known.
     known: Option<usize>,
     accounts: BTreeMap<String, Account>,
 }
 
 impl SharedRetryBudget {
-    /// Returns the budget of an instance that begins now, which has earned nothing.
+    /// Returns the empty budget of an instance that starts now.
     pub fn new(now: Time, cfg: BudgetConfig) -> Self {
         SharedRetryBudget {
             cfg,
@@ -128,18 +129,17 @@
         }
     }
 
-    /// Changes the fleet's bound; what was earned by the former one stays within the limits of
-    /// the new one.
+    /// Changes the fleet's bound. Earned retries are reduced to the limits of the new bound.
     pub fn set_bound(&mut self, cfg: BudgetConfig) {
         self.cfg = cfg;
     }
 
-    /// Notes how many instances share the allowance; nothing if that is not known.
+    /// Sets how many instances share the allowance; `None` if that is not known.
     pub fn set_fleet_size(&mut self, now: Time, known: Option<usize>) {
         if known == self.known {
             return;
         }
-        // What was earned so far was earned by the former number.
+        // Earnings until now are based on the former number of instances.
         let (cfg, before) = (self.cfg, self.known);
         for account in self.accounts.values_mut() {
             account.settle(now, &cfg, before);
@@ -148,7 +148,7 @@
         self.known = known;
     }
 
-    /// Notes a caller's request.
+    /// Records a request of a caller, which earns part of a retry.
     pub fn on_request(&mut self, now: Time, service: &str) {
         let (cfg, known) = (self.cfg, self.known);
         let account = self.account(service);
@@ -157,8 +157,8 @@
         account.settle(now, &cfg, known);
     }
 
-    /// Spends one repeat if this instance holds one. Where generations may have to go on, other
-    /// repeats leave them a part of what may be held.
+    /// Spends one retry if the account holds one. If the service has generations that may need to
+    /// resume (`has_generations`), other retries leave a reserve for them.
     pub fn try_spend(
         &mut self,
         now: Time,
@@ -180,7 +180,7 @@
         is_held
     }
 
-    /// Returns how many repeats are left.
+    /// Returns how many retries remain.
     pub fn remaining(&mut self, now: Time, service: &str) -> f64 {
         let (cfg, known) = (self.cfg, self.known);
         let account = self.account(service);
@@ -201,7 +201,7 @@
 }
 
 impl Account {
-    /// Adds what was earned over time, and drops what may not be held.
+    /// Adds the earnings over time, and drops what exceeds the limit.
     fn settle(&mut self, now: Time, cfg: &BudgetConfig, known: Option<usize>) {
         while self
             .requests
@@ -216,7 +216,7 @@
         self.held = self.held.min(self.limit(cfg, known));
     }
 
-    /// Returns how many repeats may be held.
+    /// Returns how many retries may be held.
     fn limit(&self, cfg: &BudgetConfig, known: Option<usize>) -> f64 {
         let requests = HELD_SHARE * cfg.ratio * self.requests.len() as f64;
         requests + ALLOWANCE_HELD_SHARE * cfg.allowance_share(known)
--- a/crates/core/src/gateway/catalogue.rs
+++ b/crates/core/src/gateway/catalogue.rs
@@ -1,9 +1,9 @@
 //! The catalogue of HTTP entries.
 //!
-//! A [`CatalogueSource`] is what was published, decoded but not checked.
-//! [`Catalogue::compile`] checks all of it, reports every finding together, and
-//! makes the tables by which requests are judged. A catalogue is never changed
-//! after that: a request keeps the one that it was judged by to its end.
+//! A [`CatalogueSource`] is a published catalogue, decoded but not validated.
+//! [`Catalogue::compile`] validates it, reports all findings together, and builds the lookup
+//! tables. A catalogue is immutable: a request uses the catalogue with which it was matched until
+//! it ends.
 
 use super::cold::ColdLimits;
 use core::time::Duration;
@@ -25,18 +25,17 @@
 pub struct WorkspaceId(u32);
 entity_impl!(WorkspaceId, "workspace");
 
-/// What may be repeated.
+/// How a request is run, and whether it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// A call that is idempotent.
+    /// An idempotent call; it may be retried.
     Idempotent,
-    /// A call that runs at most once.
+    /// A call that must run at most once.
     AtMostOnce,
-    /// A generation, streamed as events, that runs at most once.
+    /// A generation, streamed as events, that must run at most once.
     Stream,
-    /// A generation, streamed as events, that any engine may go on with after the last
-    /// event that its caller holds. It is idempotent: before its first event it may begin
-    /// anew anywhere.
+    /// A generation, streamed as events, that any engine can resume after the last event that its
+    /// caller has. It is idempotent: before its first event it may be restarted at any engine.
     ResumableStream,
 }
 
@@ -46,67 +45,67 @@
         matches!(self, RequestKind::Idempotent | RequestKind::ResumableStream)
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, RequestKind::Stream | RequestKind::ResumableStream)
     }
 }
 
-/// A share of an entry's requests that goes to one service.
+/// A service of an entry with its share of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService<S> {
     /// The service.
     pub service: S,
-    /// Its weight among the entry's services.
+    /// Its weight relative to the entry's other services.
     pub weight: u32,
 }
 
-/// An entry: what requests it covers and what they may take.
+/// An entry: the requests that it covers, and their limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpEntry<S = ServiceId> {
     /// The published name.
     pub name: String,
-    /// The host that requests name.
+    /// The value of the host header of its requests, without a port.
     pub host: String,
-    /// The path prefix; it begins and ends with a slash.
+    /// The path prefix, which begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How its requests are run, and whether they may be retried.
     pub kind: RequestKind,
-    /// The longest that a request may be kept.
+    /// Upper bound of the time to serve a request.
     pub timeout: Duration,
-    /// Within which time an answer, or a stream's first event, is wanted.
+    /// Latency target for a response, or for the first event of a stream.
     pub target: Duration,
-    /// The longest pause between events of a stream that is wanted; zero if not given.
+    /// Target for the longest gap between events of a stream; zero if there is none.
     pub gap_target: Duration,
-    /// The rank among entries; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// The most endpoints to which one request may be sent.
+    /// Upper bound of endpoints to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Where its requests go.
+    /// The services that handle its requests.
     pub services: Vec<WeightedService<S>>,
 }
 
-/// What an engine's memory and links bear.
+/// The limits of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Generations that run at once.
+    /// Generations that it runs at once.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of its KV cache, in tokens.
     pub kv_cache_tokens: u32,
-    /// Whether a generation's memory can be kept at a second engine as it grows.
+    /// Whether a second engine can keep a copy of a generation's KV cache while it grows.
     pub standby_copies: bool,
 }
 
-/// A service: endpoints that do the same work.
+/// A service: a group of equivalent endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// The published name.
     pub name: String,
-    /// Given if its endpoints are engines.
+    /// The limits of its endpoints if they are engines.
     pub engine: Option<EngineLimits>,
-    /// Given if its endpoints bear less while they are cold.
+    /// The limits of its endpoints while they are cold, if they are lower then.
     pub cold: Option<ColdLimits>,
 }
 
@@ -117,20 +116,20 @@
     pub name: String,
     /// SHA-256 of each key.
     pub key_digests: Vec<[u8; 32]>,
-    /// Its rank, which goes before the entry's.
+    /// Its priority, which overrides the entry's.
     pub priority: Option<u8>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits of requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub max_body_bytes: usize,
-    /// A head must be complete within this time of its first byte.
+    /// Time from its first byte within which a head must be complete.
     pub head_timeout: Duration,
-    /// A connection may be idle for this long.
+    /// How long a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -145,22 +144,22 @@
     }
 }
 
-/// A catalogue as it was published, decoded and not yet checked.
+/// A published catalogue, decoded but not validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CatalogueSource {
     /// The publisher's version.
     pub version: u64,
-    /// The entries; services by name.
+    /// The entries, which refer to services by name.
     pub entries: Vec<HttpEntry<String>>,
     /// The services.
     pub services: Vec<Service>,
-    /// The workspaces; without any, no key is asked for.
+    /// The workspaces; if there are none, no key is required.
     pub workspaces: Vec<Workspace>,
-    /// What callers may send.
+    /// Limits of requests and connections of callers.
     pub limits: CallerLimits,
 }
 
-/// A mistake in a catalogue.
+/// An error in a catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum CatalogueFinding {
     /// entry `{0}`: the prefix must begin and end with a slash
@@ -171,7 +170,7 @@
     UnknownService {
         /// The entry.
         entry: String,
-        /// The service that it names.
+        /// The undefined service.
         service: String,
     },
     /// entry `{0}`: no service has a weight above zero
@@ -182,14 +181,14 @@
     DuplicateKey(String),
 }
 
-/// How a request is judged by a catalogue.
+/// The result of matching a request against a catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestMatch {
-    /// It may be served.
+    /// The request may be served.
     Serve {
-        /// Under this entry.
+        /// The entry that covers it.
         entry: EntryId,
-        /// For this workspace.
+        /// The workspace of its key, if it has a known key.
         workspace: Option<WorkspaceId>,
     },
     /// No entry covers it.
@@ -198,10 +197,10 @@
     UnknownKey,
 }
 
-/// A catalogue that was checked.
+/// A validated catalogue.
 ///
-/// Invariant: every id in `entries`, `by_host` and `by_key` is valid here, and
-/// each entry has a service with a weight above zero.
+/// Invariant: every id in `entries`, `by_host` and `by_key` is valid here, and each entry has a
+/// service with a weight above zero.
 #[derive(Clone, Debug, Default)]
 pub struct Catalogue {
     version: u64,
@@ -215,11 +214,11 @@
 }
 
 impl Catalogue {
-    /// Checks a published catalogue and makes its tables.
+    /// Validates a published catalogue and builds its lookup tables.
     ///
     /// # Errors
     ///
-    /// Returns every finding; the catalogue in force then stays in force.
+    /// Returns all findings; the current catalogue then stays in force.
     pub fn compile(source: CatalogueSource) -> Result<Self, Vec<CatalogueFinding>> {
         let mut findings = Vec::new();
         let mut catalogue = Catalogue {
@@ -308,7 +307,7 @@
         self.version
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits of requests and connections of callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -318,7 +317,7 @@
         &self.entries[id]
     }
 
-    /// Returns how many entries there are.
+    /// Returns the number of entries.
     pub fn entries(&self) -> usize {
         self.entries.len()
     }
@@ -333,7 +332,7 @@
         self.services.values()
     }
 
-    /// Returns what the endpoints of a service bear while they are cold, if that is less.
+    /// Returns the limits of a service's endpoints while they are cold, if they are lower then.
     pub fn cold_limits(&self, service: &str) -> Option<ColdLimits> {
         self.services[*self.by_service.get(service)?].cold
     }
@@ -343,7 +342,7 @@
         &self.workspaces[id]
     }
 
-    /// Judges a request by its host, path and the digest of the key it carries.
+    /// Matches a request by its host, its path and the digest of its key.
     pub fn match_request(
         &self,
         host: &str,
@@ -363,7 +362,7 @@
         RequestMatch::Serve { entry, workspace }
     }
 
-    /// Finds the entry with the longest prefix of `path`. A host may carry a port.
+    /// Finds the entry with the longest prefix of `path`. `host` may include a port.
     fn find_entry(&self, host: &str, path: &str) -> Option<EntryId> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = match self.by_host.get(host) {
@@ -380,7 +379,7 @@
         None
     }
 
-    /// Returns the service for a request of `entry`; `draw` is uniform below one.
+    /// Returns a service of `entry`, chosen by weight; `draw` is uniform in `[0, 1)`.
     pub fn pick_service(&self, entry: EntryId, draw: f64) -> ServiceId {
         let services = &self.entries[entry].services;
         let total: u64 = services.iter().map(|it| u64::from(it.weight)).sum();
--- a/crates/core/src/gateway/choose.rs
+++ b/crates/core/src/gateway/choose.rs
@@ -1,9 +1,9 @@
-//! The endpoint for a request, and the one that holds its standing copy.
+//! Chooses the endpoint for a request, and the engine for a copy of a generation.
 //!
-//! Where a plain endpoint is wanted, or no home answers, each instance chooses by itself, from
-//! its own use and from what it was told; the home of a service chooses engines from what all
-//! of them report (`docs/design/platform.md`). An engine is chosen by the memory and the
-//! prompts that wait before it, a plain endpoint by its queue.
+//! For plain endpoints, and for engines while no home answers, each instance chooses on its own,
+//! from its own usage and the last reported usage of its peers. Otherwise the home of a service
+//! chooses engines, from the reports of all instances (`docs/design/platform.md`). An engine is
+//! chosen by its KV cache usage and pending prefill, a plain endpoint by its queue.
 
 use super::catalogue::EngineLimits;
 use super::endpoints::{Endpoint, EndpointState, EndpointTable};
@@ -13,87 +13,86 @@
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 
-/// The share of an engine's memory that is given away. What generations take is an estimate:
-/// where more is given away than there is, an engine preempts one and reads its prompt again,
-/// and first events wait inside engines; where less is, requests wait here though there is
-/// room.
+/// Share of an engine's KV cache that may be reserved. The need of a generation is an estimate:
+/// with a larger share an engine preempts a generation and prefills it again, and first events are
+/// delayed inside engines; with a smaller one requests are queued although there is room.
 const KV_CACHE_SHARE: f64 = 0.98;
 
-/// The share of an engine's memory up to which standing copies are put there. What
-/// lies above is left to generations that run: a copy is of use only to those
-/// whose engine leaves, and those can be copied at the notice as well.
+/// Share of an engine's KV cache up to which standby copies are placed. The rest is left for
+/// running generations: a copy only helps a generation whose engine leaves, and that one can also
+/// be copied after the notice.
 const STANDBY_SHARE: f64 = 0.5;
 
-/// The share of an engine's memory up to which copies of generations whose engine leaves
-/// are put there. They go before what is new: without a copy a generation is lost.
+/// Share of an engine's KV cache up to which pre-copies are placed. They take precedence over new
+/// requests, because a generation without a copy is lost with its engine.
 const PRE_COPY_SHARE: f64 = 0.92;
 
-/// The cost of a prompt token that waits to be read, in running generations. A new
-/// request waits for all of them, and what runs takes twice as long meanwhile:
-/// 3,000 tokens take some 430 ms beside others.
+/// Cost of a pending prefill token, in running generations. A new request waits for all of them,
+/// and running generations take twice as long meanwhile: 3,000 tokens take about 430 ms on a shared
+/// engine.
 const PENDING_PREFILL_COST: f64 = 10.0 / 3_000.0;
 
-/// The width of the draw that parts instances with the same view, in running
-/// generations. Two requests that arrive within some milliseconds at two instances
-/// would otherwise both go to the one engine that looks best.
+/// Amplitude of the random tie-break between instances with the same view, in running generations.
+/// Otherwise two requests that arrive at two instances within milliseconds would both choose the
+/// same engine.
 const JITTER_WIDTH: f64 = 1.0;
 
-/// The cost of a full memory, in running generations.
+/// Cost of a full KV cache, in running generations.
 const KV_CACHE_COST: f64 = 12.0;
 
-/// The cost of another data centre at an engine, in running generations: some
-/// milliseconds and the bytes that cross.
+/// Cost of an engine in another data centre, in running generations: a few milliseconds of latency
+/// and the traffic between data centres.
 const REMOTE_COST: f64 = 0.5;
 
-/// The cost of another data centre for a copy ahead, in running generations: it takes
-/// twice as long, and copies of one engine queue on its link while its notice runs.
+/// Cost of another data centre for a pre-copy, in running generations: the transfer takes twice as
+/// long, and the copies of one engine share its link during the notice period.
 const REMOTE_PRE_COPY_COST: f64 = 3.0;
 
-/// The width of the draw between engines for a copy ahead, in running generations.
-/// All generations of an engine that leaves choose in the same moment; without it
-/// they all go to the one engine that looked best and overfill it.
+/// Amplitude of the jitter for pre-copies, in running generations. All generations of a leaving
+/// engine choose at the same moment; without the jitter they would all choose and overfill the same
+/// engine.
 const PRE_COPY_JITTER_WIDTH: f64 = 10.0;
 
-/// The cost of another data centre at a plain endpoint, in requests: a round
-/// trip of some 3 ms against calls of some 15 ms and more.
+/// Cost of a plain endpoint in another data centre, in requests: a round trip of about 3 ms,
+/// compared with calls of 15 ms and more.
 const REMOTE_PLAIN_COST: f64 = 0.5;
 
-/// The cost of an engine that has just started and is still slow.
+/// Cost of a cold engine, which is still slow after its start.
 const COLD_COST: f64 = 8.0;
 
-/// The cost of an entry that may have vanished for good.
+/// Cost of an endpoint whose record disappeared and may not return.
 const LAPSED_COST: f64 = 30.0;
 
-/// The cost of an endpoint at which all requests fail, in requests.
+/// Cost of an endpoint at which all requests fail, in requests.
 const FAILURE_COST: f64 = 20.0;
 
-/// Prompt tokens that may wait before one engine; more would wait as well here,
-/// where they can still go elsewhere. So many take some 0.9 s.
+/// Upper bound of pending prefill tokens at one engine, which take about 0.9 s. Further requests
+/// would wait just as long here, where they can still go to another engine.
 const MAX_PENDING_PREFILL: u32 = 6_000;
 
-/// What a request needs at an endpoint.
+/// The requirements of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
-    /// The service.
+    /// The name of the service.
     pub service: &'a str,
-    /// What its engines bear, if they are engines.
+    /// The limits of its engines; `None` for a plain service.
     pub engine: Option<EngineLimits>,
-    /// Tokens of memory that the request is expected to take.
+    /// KV cache tokens that the request is expected to need.
     pub tokens: u32,
-    /// Endpoints that are not to be chosen, because they were tried.
+    /// Endpoints that must not be chosen because they were tried already.
     pub exclude: &'a [EndpointKey],
 }
 
-/// The tables that a choice looks at.
+/// The state from which an endpoint is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementContext<'a> {
-    /// The time.
+    /// The current time.
     pub now: Time,
     /// All endpoints.
     pub endpoints: &'a EndpointTable,
-    /// What this instance runs where.
+    /// Usage by this instance.
     pub usage: &'a UsageTable,
-    /// What others run.
+    /// Usage by other instances.
     pub others: &'a PeerUsage,
     /// The data centre of this instance.
     pub data_centre: &'a str,
@@ -107,25 +106,25 @@
     }
 }
 
-/// Why there is no endpoint for a request.
+/// Why no endpoint was chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementError {
-    /// There is none, or all that there are fail or leave.
+    /// There is none, or all of them are failing or leaving.
     NoEndpoint,
     /// All are full.
     Full,
-    /// All that there are lie in data centres that the operator closed to new work.
+    /// All are in data centres that the operator closed to new work.
     Cordoned,
-    /// All that there are have named a limit, and take no more for now.
+    /// All have reached the rate limit that they reported.
     RateLimited,
 }
 
-/// Returns the endpoint with the least cost. `jitter` draws a number below one
-/// for each candidate, so that instances with the same view part at a tie.
+/// Returns the endpoint with the lowest cost. `jitter` returns a random number below one for each
+/// candidate, as a tie-break between instances with the same view.
 ///
 /// # Errors
 ///
-/// Returns why there is none.
+/// Returns why no endpoint can be chosen.
 pub fn choose(
     context: PlacementContext<'_>,
     demand: &Demand<'_>,
@@ -155,7 +154,7 @@
     }
 }
 
-/// Returns why a service has no endpoint that may be chosen.
+/// Returns why a service has no candidate.
 fn why_none(context: PlacementContext<'_>, service: &str) -> PlacementError {
     match context.endpoints.is_service_cordoned(service) {
         true => PlacementError::Cordoned,
@@ -163,7 +162,7 @@
     }
 }
 
-/// The room at all engines of a service, as it is given away in turn.
+/// The free capacity of all engines of a service, reduced by each reservation.
 #[derive(Clone, Debug)]
 pub(super) struct EngineCapacities<'a> {
     limits: EngineLimits,
@@ -175,15 +174,15 @@
     key: EndpointKey,
     data_centre: &'a str,
     used: Usage,
-    /// What the state of the engine costs beside its load.
+    /// The part of the cost that does not depend on load.
     state_cost: f64,
-    /// Whether its room is kept for somebody.
+    /// Whether its free capacity is held for a large request.
     is_held: bool,
-    /// How many requests it may still get, if it bears a bounded rate.
+    /// How many more requests it may get if its rate is limited.
     rate_remaining: Option<u32>,
 }
 
-/// Returns the room at the engines that `demand` may go to.
+/// Returns the capacities of the engines that can serve `demand`.
 ///
 /// # Errors
 ///
@@ -212,11 +211,11 @@
 }
 
 impl EngineCapacities<'_> {
-    /// Gives room to a request at the engine with the least cost, and returns it.
+    /// Reserves capacity for a request at the engine with the lowest cost, and returns the engine.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns why no engine has room.
     pub(super) fn reserve(
         &mut self,
         placement: &QueuedPlacement,
@@ -267,7 +266,7 @@
         Ok(capacity.key)
     }
 
-    /// Keeps the engine with the most room for a request that fits nowhere yet.
+    /// Holds the engine with the most free capacity for a request that does not fit anywhere yet.
     pub(super) fn hold_largest(&mut self) {
         let taken = |capacity: &EngineCapacity<'_>| {
             capacity
@@ -282,16 +281,16 @@
     }
 }
 
-/// What a copy is for.
+/// The purpose of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyKind {
-    /// It is kept up to date as the generation grows, in case its engine leaves.
+    /// Kept up to date while the generation runs, in case its engine leaves.
     Standby,
-    /// Its engine leaves; the generation will go on from it.
+    /// Made after the notice that the engine leaves; the generation will resume from it.
     PreCopy,
 }
 
-/// Returns the engine with the most room for a copy of a generation that runs at `source`.
+/// Returns the engine with the lowest cost for a copy of a generation that runs at `source`.
 pub fn choose_copy_target(
     context: PlacementContext<'_>,
     demand: &Demand<'_>,
@@ -321,7 +320,7 @@
     })
 }
 
-/// Returns the endpoint with the least cost; one without a cost cannot be chosen.
+/// Returns the endpoint with the lowest cost; an endpoint whose cost is `None` is never chosen.
 fn cheapest<'a>(
     endpoints: impl Iterator<Item = &'a Endpoint>,
     mut cost: impl FnMut(&Endpoint) -> Option<f64>,
@@ -338,23 +337,24 @@
     best.map(|(_, key)| key)
 }
 
-/// Returns whether an endpoint is believed to serve, by what is seen here and elsewhere.
+/// Returns whether neither this instance nor its peers have ejected an endpoint.
 fn is_trusted(context: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
     !endpoint.is_ejected(context.now) && !context.others.ejected.contains(&endpoint.key)
 }
 
-/// Returns whether an engine is believed to keep a copy.
+/// Returns whether copies may be placed at an engine.
 ///
-/// What goes wrong otherwise: while the store is away, an engine that died still has its
-/// entry. It looks empty, draws all copies to itself, and the generations that lean on
-/// them are lost with their engines. Whoever had work there has seen it fail, and says so.
+/// During a store outage the record of a crashed engine remains. The engine looks empty and would
+/// attract all copies, and the generations that depend on them would be lost with their engines. An
+/// instance with work there has seen it fail and reports it, so one failure is enough to exclude an
+/// engine here.
 fn accepts_copies(context: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
     let failing = endpoint.is_failing() || context.others.failing.contains(&endpoint.key);
     !failing && is_trusted(context, endpoint)
 }
 
-/// Returns the endpoints that may be chosen; those that are not `trusted` only if
-/// there are no others.
+/// Returns the candidates for a demand. Endpoints that are not `trusted` are included only if there
+/// are no others.
 fn candidates<'w>(
     context: PlacementContext<'w>,
     demand: &Demand<'_>,
--- a/crates/core/src/gateway/cold.rs
+++ b/crates/core/src/gateway/cold.rs
@@ -1,20 +1,21 @@
-//! Endpoints that bear few requests a second: they have just started, or were taken back, or named
-//! a limit for themselves ([`rate_limits`](super::rate_limits)). Where both bind, the lower holds.
+//! Rate limits of cold endpoints, which have just started or were returned to service, and of
+//! endpoints that reported a limit ([`rate_limits`](super::rate_limits)). If both apply, the lower
+//! one holds.
 //!
-//! A cold endpoint that gets more than its service says crashes, whoever sent them: the bound
-//! holds for the sum over all instances, also while they cannot hear each other. So what each may
-//! send follows from the instances that it knows, those included that it lost lately:
+//! A cold endpoint crashes if it gets more requests than its service states, whoever sent them. The
+//! limit therefore holds for the sum over all instances, also during a network partition. Each
+//! instance derives its share from the instances that it knows, including recently lost ones:
 //!
-//! * the requests that a plain service bears in one second are divided among all known instances,
-//!   by rendezvous hashing, without a message; of less than one a second the first in rank has all;
-//! * generations are granted by the home of their service, within its part of the bound
-//!   ([`HOME_SHARE`]) times the part of all known instances that it hears. Homes on two sides of a
-//!   cut hear disjoint parts.
+//! * Requests to a plain service are divided among all known instances by rendezvous hashing,
+//!   without messages. Of a rate below one request per second, the first in rank gets everything.
+//! * Generations are granted by the home of their service, within its share of the limit
+//!   ([`HOME_SHARE`]) times the fraction of all known instances that are alive to it. Homes on both
+//!   sides of a partition see disjoint fractions.
 //!
-//! The bound is the rate itself. What the operator allows above it is left to requests that were
-//! held up on the way, and to instances that do not know each other yet.
+//! The limit is the rate itself. The overshoot that the operator tolerates is left for requests
+//! that were delayed on their way, and for instances that do not know each other yet.
 //!
-//! `docs/design/shifted-work.md` weighs the ways and does the arithmetic.
+//! See `docs/design/shifted-work.md` for the alternatives and the arithmetic.
 
 use super::endpoints::EndpointTable;
 use super::fleet_size::FleetSize;
@@ -26,63 +27,63 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// The part of the bound that a home may grant: the home of a service and the next in rank may
-/// both be asked while one of them is silent to some.
+/// Share of the limit that a home may grant. The home of a service and the next in rank may both
+/// receive requests while one of them is unreachable for some instances.
 pub const HOME_SHARE: f64 = 0.375;
 
-/// The part of the bound of an engine that instances may use without a home, each its share: for
-/// generations that go on there.
+/// Share of an engine's limit that all instances together may use without a home, for generations
+/// that resume there.
 pub const LOCAL_SHARE: f64 = 0.25;
 
 /// The window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The longest window, of rates far below one request a second.
+/// Upper bound of the window, for rates far below one request per second.
 const MAX_WINDOW: Duration = Duration::from_secs(60);
 
-/// An instance that has just started, or was paused, sends nothing without a home for so long:
-/// others do not count it among those that have a share yet.
+/// How long an instance that has just started or was paused sends nothing without a home: the
+/// others do not count it yet when they compute their shares.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
 
-/// A pause between two looks that is longer than this means that the process was paused.
+/// If the time between two ticks is longer than this, the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// How long endpoints of a data centre that is open again count as cold beyond the usual time,
-/// unless they say otherwise: the store's word and theirs arrive one after the other.
+/// How much longer than usual endpoints of a reopened data centre count as cold, unless they report
+/// otherwise. The cordon's removal and the endpoints' own reports arrive independently.
 const UNCORDON_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// What a service's endpoints bear while they are cold.
+/// The limits of a service's endpoints while they are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimits {
-    /// Requests a second at one endpoint, above zero.
+    /// Requests per second at one endpoint, above zero.
     pub per_second: f64,
     /// How long an endpoint is cold after its start.
     pub duration: Duration,
 }
 
 impl ColdLimits {
-    /// Returns how long an endpoint of a data centre that is open again counts as cold.
+    /// Returns how long endpoints of a reopened data centre count as cold.
     pub fn after_uncordon(&self) -> Duration {
         self.duration + UNCORDON_MARGIN
     }
 }
 
-/// Requests to cold endpoints, counted in a sliding window.
+/// Requests to rate-limited endpoints, counted in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingWindowCounter {
     sent: BTreeMap<EndpointKey, VecDeque<Time>>,
 }
 
 impl SlidingWindowCounter {
-    /// Returns how many more requests may be sent now where `rate` a second are allowed. Below
-    /// one a second the window is as long as one request takes.
+    /// Returns how many more requests may be sent now at `rate` requests per second. For rates
+    /// below one per second the window is long enough for one request.
     pub fn remaining(&self, now: Time, endpoint: EndpointKey, rate: f64) -> u32 {
         if rate <= 0.0 {
             return 0;
         }
         let seconds = (1.0 / rate).clamp(WINDOW.as_secs_f64(), MAX_WINDOW.as_secs_f64());
         let window = Duration::from_secs_f64(seconds);
-        // A product that is a hair below a whole number is that number.
+        // The tolerance compensates for floating-point error just below an integer.
         let allowed = (rate * seconds + 1e-9) as u32;
         let sent = self.sent.get(&endpoint);
         let within = |at: &&Time| now.since(**at) < window;
@@ -95,7 +96,7 @@
         self.sent.entry(endpoint).or_default().push_back(now);
     }
 
-    /// Forgets what no window reaches any more.
+    /// Drops requests that are older than the longest window.
     pub fn tick(&mut self, now: Time) {
         for sent in self.sent.values_mut() {
             while sent.front().is_some_and(|at| now.since(*at) >= MAX_WINDOW) {
@@ -106,17 +107,18 @@
     }
 }
 
-/// What this instance may send to endpoints that bear a bounded rate, and what it sent.
+/// The share of this instance in the rate of rate-limited endpoints, and the requests it sent to
+/// them.
 #[derive(Clone, Debug)]
 pub struct RateShares {
     ticked_at: Time,
-    /// Since when this instance runs without a pause.
+    /// When this instance last started or resumed after a pause.
     running_since: Time,
     sent: SlidingWindowCounter,
 }
 
 impl RateShares {
-    /// Returns the shares of an instance that begins now.
+    /// Returns the shares of an instance that starts now.
     pub fn new(now: Time) -> Self {
         RateShares {
             ticked_at: now,
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Detects pauses and drops old requests; call it regularly.
     pub fn tick(&mut self, now: Time) {
         if now.since(self.ticked_at) >= PAUSE_THRESHOLD {
             self.running_since = now;
@@ -134,8 +136,8 @@
         self.sent.tick(now);
     }
 
-    /// Returns how many more requests of `rate` a second in all the instance at `own` may send to
-    /// an endpoint now without asking anybody.
+    /// Returns how many more requests the instance at `own` may send to an endpoint now without a
+    /// home, if all instances together may send `rate` requests per second.
     pub fn remaining(
         &self,
         now: Time,
@@ -159,7 +161,8 @@
     }
 }
 
-/// Returns how many requests a second an endpoint bears from all instances, if that is bounded.
+/// Returns the limit of an endpoint in requests per second over all instances, or `None` if there
+/// is none: the lower of its cold limit and the limit that it reported.
 pub fn rate_limit(
     now: Time,
     endpoint: EndpointKey,
@@ -175,11 +178,11 @@
     }
 }
 
-/// Instances that there may be, for one that knows a part of the fleet only.
+/// Assumed fleet size while an instance may know only part of the fleet.
 const ASSUMED_FLEET_SIZE: u64 = 128;
 
-/// Returns how many of the other instances go before the one at `own` at an endpoint; a draw where
-/// it may know a part of the fleet only.
+/// Returns how many of the other instances precede the one at `own` in the ranking for an endpoint.
+/// While the instance may know only part of the fleet, the rank is pseudo-random.
 pub fn rank(own: SocketAddrV4, fleet: &FleetSize, endpoint: EndpointKey) -> usize {
     let score = |it: SocketAddrV4| (rendezvous::score(endpoint.0, address_hash(it)), it);
     let mine = score(own);
@@ -189,10 +192,10 @@
     fleet.others().filter(|it| score(*it) > mine).count()
 }
 
-/// Returns the part of `rate` requests a second of the instance at `own`. The parts of all
-/// instances that know each other add up to it, or to the whole number below it.
+/// Returns the share of the instance at `own` in `rate` requests per second. The shares of all
+/// instances that know each other add up to `rate`, or to the integer below it.
 fn share(own: SocketAddrV4, fleet: &FleetSize, endpoint: EndpointKey, rate: f64) -> f64 {
-    // Who may know a part of the fleet only would take the parts of all others for its own.
+    // An instance that knows only part of the fleet would take the shares of the others as well.
     let Some(known) = fleet.settled() else {
         return 0.0;
     };
--- a/crates/core/src/gateway/cordons.rs
+++ b/crates/core/src/gateway/cordons.rs
@@ -1,32 +1,32 @@
 //! Data centres that the operator closed to new work.
 //!
-//! A cordon is one small value for each data centre and not a change of the records of its
-//! endpoints: an endpoint that registers a second later is covered as well, and lifting it writes
-//! nothing anew. The store's revision orders the operator's words; the last one is remembered
-//! also when it lifted the cordon, so that an older one that travels slowly changes nothing.
+//! A cordon is one small value per data centre, not a change of its endpoints' records. Endpoints
+//! that register later are covered as well, and lifting the cordon rewrites no records. Cordons are
+//! ordered by the store's revision. The last one is remembered even if it was lifted, so that a
+//! delayed older one has no effect.
 //!
-//! `docs/design/shifted-work.md` weighs the design.
+//! See `docs/design/shifted-work.md` for the design.
 
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Data centres that are remembered at most. Beyond it the lifted cordon with the lowest
-/// revision is forgotten: operators may write any name.
+/// Upper bound of remembered data centres. Beyond it the lifted cordon with the lowest revision is
+/// dropped, since operators may write any name.
 const MAX_REMEMBERED: usize = 256;
 
-/// The operator's last word about a data centre, as it travels.
+/// The state of one data centre as set by the operator and sent between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cordon {
     /// The name of the data centre.
     pub data_centre: String,
-    /// The store's revision that wrote or removed it.
+    /// The store's revision at which it was written or removed.
     pub revision: u64,
     /// Whether the data centre is closed to new work.
     pub is_closed: bool,
 }
 
-/// What is known of one data centre.
+/// The last known state of one data centre.
 #[derive(Clone, Copy, Debug)]
 struct Known {
     revision: u64,
@@ -34,25 +34,25 @@
     since: Time,
 }
 
-/// The operator's last words about all data centres.
+/// The last known cordons of all data centres.
 #[derive(Clone, Debug, Default)]
 pub struct Cordons {
     known: BTreeMap<String, Known>,
 }
 
-/// What a word of the operator is to an instance that hears it.
+/// The effect of a cordon on the state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CordonEffect {
-    /// A later word is known already, or this one.
+    /// The same or a newer revision is already known.
     Outdated,
-    /// It is later than what was known, and says the same.
+    /// Its revision is newer, but its state is the same.
     Unchanged,
-    /// The data centre is closed now, or open again.
+    /// The data centre is now closed, or open again.
     Changed,
 }
 
 impl Cordons {
-    /// Takes in a word of the operator.
+    /// Applies a cordon unless it is outdated.
     pub fn apply(&mut self, now: Time, cordon: &Cordon) -> CordonEffect {
         let known = self.known.get(&cordon.data_centre);
         if known.is_some_and(|it| it.revision >= cordon.revision) {
@@ -81,13 +81,14 @@
         self.known.get(data_centre).is_some_and(|it| it.is_closed)
     }
 
-    /// Returns since when a data centre is open again, if a cordon of it was lifted.
+    /// Returns when the cordon of a data centre was lifted, or `None` if it is closed or never had
+    /// one.
     pub fn lifted_at(&self, data_centre: &str) -> Option<Time> {
         let known = self.known.get(data_centre)?;
         (!known.is_closed).then_some(known.since)
     }
 
-    /// Returns the data centres that are closed, with the revision and since when.
+    /// Returns the closed data centres with the revision and the time since when each is closed.
     pub fn closed(&self) -> impl Iterator<Item = (&str, u64, Time)> {
         let closed = self.known.iter().filter(|(_, it)| it.is_closed);
         closed.map(|(name, it)| (name.as_str(), it.revision, it.since))
--- a/crates/core/src/gateway/endpoints.rs
+++ b/crates/core/src/gateway/endpoints.rs
@@ -1,9 +1,9 @@
-//! Which endpoints exist, which of them leave, and which are not trusted.
+//! State of all endpoints: which exist, which are leaving, and which are ejected after failures.
 //!
-//! An endpoint is one life of a process of a service. A process may start again under
-//! its published name; it then holds and knows nothing of before, so that belief is keyed
-//! by name and start. That makes leaving final: whoever hears of it first, from the
-//! store, a peer or the endpoint itself, is right for good about that life.
+//! An endpoint is one incarnation of a process of a service. A process may restart under its
+//! published name and then has none of its former state, so everything known here is keyed by name
+//! and start time. Leaving is therefore final for an incarnation, whether the store, a peer or the
+//! endpoint itself reported it first.
 
 use super::cold::ColdLimits;
 use super::cordons::{Cordon, CordonEffect, Cordons};
@@ -13,52 +13,50 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How long an entry that vanished around an outage of the store may come back.
-/// The publisher promises about two seconds.
+/// How long a record that disappeared around a store outage may return before its endpoint counts
+/// as leaving. The publisher promises to write records again within about two seconds.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
 
-/// How long an endpoint that left is remembered, so that news of it that travels
-/// slowly does not bring it back.
+/// How long an endpoint that left is remembered, so that a delayed update does not restore it.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Failures in a row after which an endpoint is passed over. One failure may be
-/// the request's; three in a row are rarely.
+/// Consecutive failures after which an endpoint is ejected. A single failure may be caused by the
+/// request; three in a row rarely are.
 const EJECT_AFTER: u32 = 3;
 
-/// The first time for which an endpoint is passed over; it doubles with each
-/// further failure.
+/// Duration of the first ejection; it doubles with each further failure.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
-/// The longest time for which an endpoint is passed over.
+/// Upper bound of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
-/// The weight of the newest result in the share of failures.
+/// Weight of the newest result in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// What is published about an endpoint.
+/// The published record of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRecord {
-    /// The published name, under which the process may start again.
+    /// The published name, which a restarted process keeps.
     pub name: String,
-    /// The Unix millisecond of its start, which tells its lives apart. A process that
-    /// tells none has one life.
+    /// Unix time in milliseconds at which the process started, which distinguishes its
+    /// incarnations. A process that reports no start time has a single incarnation.
     pub started_unix_ms: Option<u64>,
-    /// The service.
+    /// The name of its service.
     pub service: String,
-    /// Where it is reached.
+    /// The address at which it receives requests.
     pub address: SocketAddrV4,
     /// Its data centre.
     pub data_centre: String,
-    /// Requests that it runs at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is leaving.
     pub leaving: bool,
-    /// For how long it will be slow after its start.
+    /// How long it will still be cold, that is, slow after its start.
     pub cold_for: Duration,
 }
 
 impl EndpointRecord {
-    /// Returns the key of this life.
+    /// Returns the key of this incarnation.
     pub fn key(&self) -> EndpointKey {
         match self.started_unix_ms {
             Some(started_unix_ms) => EndpointKey::of(&format!("{}@{started_unix_ms}", self.name)),
@@ -66,9 +64,9 @@
         }
     }
 
-    /// Returns what the record means to this product, as the parts of a
-    /// [`Mark`](super::replica::Mark). The time that is left until it is warm falls with
-    /// each heartbeat, so that only whether there is any counts.
+    /// Returns the content that is compared in a [`Mark`](super::replica::Mark), as text. The
+    /// remaining cold time decreases with each heartbeat, so only whether it is zero is part of the
+    /// text.
     pub fn canonical_form(&self) -> String {
         let EndpointRecord {
             name,
@@ -87,50 +85,47 @@
     }
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It does.
+    /// It accepts new work.
     Serving,
-    /// Its entry vanished around an outage of the store; it may come back.
+    /// Its record disappeared around a store outage and may return; until then it accepts new work.
     Lapsed {
-        /// Since when.
+        /// When the record disappeared.
         since: Time,
     },
-    /// Its entry cannot be read any more, so that it names no endpoint to use. It may be
-    /// written again.
+    /// Its record can no longer be parsed. It gets no new work until a readable record is written.
     Unreadable,
-    /// It takes nothing new, for good.
+    /// It never accepts new work again.
     Leaving {
-        /// Since when that is known.
+        /// When this instance learned that it is leaving.
         since: Time,
     },
 }
 
-/// An endpoint as this instance believes it to be.
+/// An endpoint as this instance knows it.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// Its key.
     pub key: EndpointKey,
-    /// What was published last.
+    /// Its last published record.
     pub record: EndpointRecord,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: EndpointState,
-    /// Until when it is slow after its start.
+    /// Until when it is cold.
     pub cold_until: Time,
-    /// When it said so last.
+    /// When the endpoint last reported its cold time.
     cold_reported_at: Time,
-    /// Failures since the last success.
     failures: u32,
-    /// It is passed over until then.
     ejected_until: Time,
-    /// Share of requests that failed lately, from 0 to 1.
+    /// Moving average of failed requests, from 0 to 1.
     failure_share: f64,
 }
 
 impl Endpoint {
-    /// Returns whether it takes new work by its own state. Whether its data centre is closed is
-    /// for the table to say: [`EndpointTable::is_usable`].
+    /// Returns whether its own state allows new work. Cordons are not considered here: see
+    /// [`EndpointTable::is_usable`].
     fn accepts_work(&self) -> bool {
         matches!(
             self.state,
@@ -138,22 +133,22 @@
         )
     }
 
-    /// Returns whether it is passed over because it failed.
+    /// Returns whether it is ejected after failures.
     pub fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until
     }
 
-    /// Returns whether the last that was seen of it here was a failure.
+    /// Returns whether the last result observed by this instance was a failure.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Returns the share of requests that failed lately, from 0 to 1.
+    /// Returns the moving average of failed requests, from 0 to 1.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
 
-    /// Returns since when it is known to leave.
+    /// Returns when it was first known to be leaving.
     pub fn leaving_since(&self) -> Option<Time> {
         match self.state {
             EndpointState::Leaving { since } => Some(since),
@@ -162,33 +157,33 @@
     }
 }
 
-/// All endpoints known.
+/// All known endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
     endpoints: BTreeMap<EndpointKey, Endpoint>,
-    /// The newest life known under each published name, with its start.
+    /// The newest incarnation known under each published name, with its start time.
     newest: BTreeMap<String, (Option<u64>, EndpointKey)>,
-    /// Endpoints that are known to leave and of which nothing else is known.
-    left: BTreeMap<EndpointKey, Time>,
+    /// Endpoints known to be leaving, with or without a known record.
+    known_leaving: BTreeMap<EndpointKey, Time>,
     cordons: Cordons,
 }
 
 impl EndpointTable {
-    /// Takes in what was published; returns the endpoints that began to leave: this one, or
-    /// the life before it.
+    /// Applies a published record. Returns the endpoints that started leaving: this one, or its
+    /// previous incarnation.
     ///
-    /// What goes wrong where lives are not told apart: an engine that started again looks
-    /// as full as it was and as broken, copies that it lost are gone on from, and the
-    /// news that its former life left keeps it from its callers for good.
+    /// If incarnations were not distinguished, a restarted engine would keep the load and the
+    /// failures of its predecessor, generations would resume from copies that the restart lost, and
+    /// the leaving state of the predecessor would exclude it for good.
     pub fn apply_record(&mut self, now: Time, record: EndpointRecord) -> Vec<EndpointKey> {
         let key = record.key();
         let mut started_leaving = Vec::new();
-        if let Some(&(started_unix_ms, before)) = self.newest.get(&record.name) {
-            if started_unix_ms > record.started_unix_ms {
+        if let Some(&(newest_start, previous)) = self.newest.get(&record.name) {
+            if newest_start > record.started_unix_ms {
                 return started_leaving;
             }
-            if before != key && self.mark_leaving(now, before) {
-                started_leaving.push(before);
+            if previous != key && self.mark_leaving(now, previous) {
+                started_leaving.push(previous);
             }
         }
         self.newest
@@ -205,7 +200,7 @@
         key: EndpointKey,
         record: EndpointRecord,
     ) -> bool {
-        let leaving = record.leaving || self.left.contains_key(&key);
+        let leaving = record.leaving || self.known_leaving.contains_key(&key);
         let cold_until = now + record.cold_for;
         let endpoint = self.endpoints.entry(key).or_insert_with(|| Endpoint {
             key,
@@ -229,13 +224,12 @@
         false
     }
 
-    /// Takes in that an entry vanished. Around an outage of the store
-    /// (`unsettled`) it may come back.
+    /// Applies the removal of a record. Around a store outage (`unsettled`) the record may return.
     ///
-    /// Returns the endpoint if it began to leave.
+    /// Returns the endpoint if it started leaving.
     pub fn remove_record(&mut self, now: Time, name: &str, unsettled: bool) -> Option<EndpointKey> {
         let Some(&(_, key)) = self.newest.get(name) else {
-            self.left.insert(EndpointKey::of(name), now);
+            self.known_leaving.insert(EndpointKey::of(name), now);
             return None;
         };
         match self.endpoints.get_mut(&key) {
@@ -247,8 +241,8 @@
         }
     }
 
-    /// Takes in that an entry cannot be read any more. What runs there goes on; nothing
-    /// new is sent until the entry is written again.
+    /// Applies a record that can no longer be parsed. Running requests continue; new ones are sent
+    /// again once a readable record is written.
     pub fn mark_unreadable(&mut self, name: &str) {
         let newest = self.newest.get(name);
         let endpoint = newest.and_then(|(_, key)| self.endpoints.get_mut(key));
@@ -257,9 +251,9 @@
         }
     }
 
-    /// Notes that an endpoint leaves; returns whether that is news.
+    /// Marks an endpoint as leaving; returns whether that was new for a known endpoint.
     pub fn mark_leaving(&mut self, now: Time, key: EndpointKey) -> bool {
-        self.left.entry(key).or_insert(now);
+        self.known_leaving.entry(key).or_insert(now);
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
         };
@@ -270,10 +264,10 @@
         true
     }
 
-    /// Ends the time that lapsed entries had to come back, unless the store is still
-    /// unsettled, and forgets who left long ago.
+    /// Marks lapsed endpoints as leaving after [`LAPSE_GRACE`], unless the store is still
+    /// unsettled, and drops endpoints that left long ago.
     ///
-    /// Returns the endpoints that began to leave.
+    /// Returns the endpoints that started leaving.
     pub fn tick(&mut self, now: Time, unsettled: bool) -> Vec<EndpointKey> {
         let lapsed = |endpoint: &&Endpoint| match endpoint.state {
             EndpointState::Lapsed { since } => !unsettled && now.since(since) >= LAPSE_GRACE,
@@ -288,23 +282,24 @@
         for &key in &gone {
             self.mark_leaving(now, key);
         }
-        self.left
+        self.known_leaving
             .retain(|_, since| now.since(*since) < GONE_RETENTION);
-        let left = &self.left;
-        self.endpoints
-            .retain(|key, endpoint| endpoint.leaving_since().is_none() || left.contains_key(key));
+        let known_leaving = &self.known_leaving;
+        self.endpoints.retain(|key, endpoint| {
+            endpoint.leaving_since().is_none() || known_leaving.contains_key(key)
+        });
         let endpoints = &self.endpoints;
         self.newest
             .retain(|_, (_, key)| endpoints.contains_key(key));
         gone
     }
 
-    /// Takes in the operator's word about a data centre.
+    /// Applies the operator's cordon of a data centre.
     pub fn apply_cordon(&mut self, now: Time, cordon: &Cordon) -> CordonEffect {
         self.cordons.apply(now, cordon)
     }
 
-    /// Returns the operator's words about data centres.
+    /// Returns the cordons of all data centres.
     pub fn cordons(&self) -> &Cordons {
         &self.cordons
     }
@@ -315,16 +310,16 @@
         endpoint.is_some_and(|it| self.cordons.is_closed(&it.record.data_centre))
     }
 
-    /// Takes in for how long an endpoint says that it will still be cold.
-    pub fn observe_cold(&mut self, now: Time, key: EndpointKey, left: Duration) {
+    /// Applies the remaining cold time that an endpoint reported.
+    pub fn observe_cold(&mut self, now: Time, key: EndpointKey, remaining: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            endpoint.cold_until = now + left;
+            endpoint.cold_until = now + remaining;
             endpoint.cold_reported_at = now;
         }
     }
 
-    /// Returns whether an endpoint bears no more than `limits`: it said so, or its data centre is
-    /// open again and it said nothing since.
+    /// Returns whether an endpoint is limited to `limits`: it reported that it is cold, or its data
+    /// centre was reopened and it has reported nothing since.
     pub fn is_cold(&self, now: Time, key: EndpointKey, limits: &ColdLimits) -> bool {
         let Some(endpoint) = self.endpoints.get(&key) else {
             return false;
@@ -336,8 +331,8 @@
         may_have_cooled || now < endpoint.cold_until
     }
 
-    /// Returns whether new work may be sent to an endpoint. Whoever sends, reserves or copies
-    /// something asks this, and asks again right before the first byte.
+    /// Returns whether new work may be sent to an endpoint. Check this before sending, reserving or
+    /// copying, and again right before the first byte.
     pub fn is_usable(&self, key: EndpointKey) -> bool {
         self.usable(key).is_some()
     }
@@ -354,15 +349,16 @@
         accepting.filter(|it| !self.cordons.is_closed(&it.record.data_centre))
     }
 
-    /// Returns whether nothing but cordons keeps a service from being used. Every request that
-    /// waits asks this with each look, so that it costs nothing while no data centre is closed.
+    /// Returns whether cordons are the only reason why a service has no usable endpoint. Each
+    /// queued request checks this whenever it is looked at, so it returns early if no data centre
+    /// is closed.
     pub fn is_service_cordoned(&self, service: &str) -> bool {
         self.cordons.closed().next().is_some()
             && self.accepting_of(service).next().is_some()
             && self.usable_of(service).next().is_none()
     }
 
-    /// Returns the endpoints of a service that would take new work if no data centre were closed.
+    /// Returns the endpoints of a service that accept new work, without regard to cordons.
     fn accepting_of(&self, service: &str) -> impl Iterator<Item = &Endpoint> {
         let all = self.endpoints.values();
         all.filter(move |it| it.record.service == service && it.accepts_work())
@@ -373,7 +369,7 @@
         self.endpoints.get(&key)
     }
 
-    /// Returns the newest life known under a published name.
+    /// Returns the newest incarnation known under a published name.
     pub fn newest(&self, name: &str) -> Option<EndpointKey> {
         self.newest.get(name).map(|(_, key)| *key)
     }
@@ -389,8 +385,8 @@
         endpoints.filter(move |it| it.record.data_centre == data_centre)
     }
 
-    /// Returns the endpoints of which the last that was seen here was a failure, to
-    /// tell peers.
+    /// Returns the endpoints whose last result observed here was a failure; peers are notified of
+    /// them.
     pub fn failing(&self) -> impl Iterator<Item = EndpointKey> {
         let failing = self.endpoints.values();
         failing
@@ -398,7 +394,7 @@
             .map(|endpoint| endpoint.key)
     }
 
-    /// Returns the endpoints that are passed over here, to tell the home of their service.
+    /// Returns the endpoints that are ejected here; the home of their service is notified of them.
     pub fn ejected(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
         let endpoints = self.endpoints.values();
         endpoints
@@ -406,7 +402,7 @@
             .map(|endpoint| endpoint.key)
     }
 
-    /// Notes that an endpoint began to answer, so that it is there.
+    /// Records that an endpoint started to respond, which ends its ejection.
     pub fn on_response(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.failures = 0;
@@ -414,7 +410,7 @@
         }
     }
 
-    /// Notes that a request went well.
+    /// Records a successful request.
     pub fn on_success(&mut self, key: EndpointKey) {
         self.on_response(key);
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
@@ -422,16 +418,16 @@
         }
     }
 
-    /// Notes that a request failed at the endpoint; returns whether it is now passed over.
+    /// Records a request that failed at the endpoint; returns whether the endpoint is now ejected.
     ///
-    /// What goes wrong without it: an endpoint that fails at once is always the
-    /// least loaded one, and so draws all requests to itself.
+    /// Without ejection, an endpoint that fails immediately would always be the least loaded one
+    /// and attract all requests.
     pub fn on_failure(&mut self, now: Time, key: EndpointKey) -> bool {
         self.record_failure(now, key, 1)
     }
 
-    /// Notes that no connection to the endpoint could be made; returns whether it is now
-    /// passed over. That is never the fault of a request, so that one is enough.
+    /// Records a failed connection attempt; returns whether the endpoint is now ejected. A single
+    /// one is enough, since a request cannot cause it.
     pub fn on_unreachable(&mut self, now: Time, key: EndpointKey) -> bool {
         self.record_failure(now, key, EJECT_AFTER)
     }
--- a/crates/core/src/gateway/fleet_size.rs
+++ b/crates/core/src/gateway/fleet_size.rs
@@ -1,11 +1,12 @@
-//! How many instances there are, those included that were lost lately.
+//! The number of instances, including recently lost ones.
 //!
-//! Bounds that the fleet keeps without asking anybody are divided by this number. Dividing by the
-//! instances that are heard would give each side of a cut the whole bound. An instance that has
-//! just started has heard few others, so that peers tell it what they know. One that heard nobody
-//! who knows does not know either: [`FleetSize::settled`].
+//! Limits that the fleet enforces without coordination are divided by this number. If they were
+//! divided by the number of live instances, each side of a network partition would use the full
+//! limit. An instance that has just started knows few others, so its peers report the size to it.
+//! Until it has received such a report, or heard from most of its seeds, it does not know the size:
+//! see [`FleetSize::settled`].
 //!
-//! `docs/design/budget.md` does the arithmetic.
+//! See `docs/design/budget.md` for the arithmetic.
 
 use crate::time::Time;
 use core::time::Duration;
@@ -13,37 +14,37 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How long an instance that was lost is counted: as long as regions lose each other.
+/// How long a lost instance is counted: as long as partitions between regions may last.
 const LOST_RETENTION: Duration = Duration::from_secs(600);
 
-/// The time between two looks at who takes part.
+/// Minimum time between two scans of the live instances.
 const SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What an instance tells its peers of the fleet's size.
+/// The size of the fleet as reported to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSizeReport {
-    /// How many instances there are; 0 while the sender does not know.
+    /// Number of instances; 0 while the sender does not know it.
     pub count: u32,
-    /// For how many seconds that was not seen by anybody.
+    /// Seconds since any instance last saw a fleet of this size.
     pub age_s: u16,
 }
 
-/// All instances known lately.
+/// The instances that were alive recently.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSize {
-    /// When each other instance was last known to take part.
+    /// When each other instance was last alive.
     seen: BTreeMap<SocketAddrV4, Time>,
     scanned_at: Option<Time>,
-    /// The largest fleet that a peer told of, and when it was seen.
+    /// The largest fleet that a peer reported, and when it was last seen.
     reported: Option<(u32, Time)>,
     is_settled: bool,
 }
 
 impl FleetSize {
-    /// Takes in who takes part, and whether this instance has heard most of its seeds.
+    /// Records the live instances, and whether this instance has heard from most of its seeds.
     ///
-    /// Of the sides of a cut, one at most has most of the seeds. So of all sides on which every
-    /// instance started during the cut, one at most gets to know how many there are.
+    /// Of the sides of a partition, at most one has most of the seeds. So even if every instance
+    /// restarts during the partition, at most one side settles on a size.
     pub fn tick(
         &mut self,
         now: Time,
@@ -65,7 +66,7 @@
             .filter(|(_, at)| now.since(*at) < LOST_RETENTION);
     }
 
-    /// Takes in what a peer tells.
+    /// Applies the report of a peer.
     pub fn on_report(&mut self, now: Time, reported: FleetSizeReport) {
         if reported.count == 0 {
             return;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Returns what this instance tells its peers.
+    /// Returns the report that is sent to peers.
     pub fn report(&self, now: Time) -> FleetSizeReport {
         if !self.is_settled {
             return FleetSizeReport::default();
@@ -99,18 +100,18 @@
         }
     }
 
-    /// Returns how many instances there are, this one and those that were lost lately included.
+    /// Returns the number of instances, including this one and recently lost ones.
     pub fn count(&self) -> usize {
         let reported = self.reported.map_or(0, |(count, _)| count as usize);
         self.seen().max(reported)
     }
 
-    /// Returns the same, or nothing while this instance may know a part of the fleet only.
+    /// Returns the same, or `None` while this instance may know only part of the fleet.
     pub fn settled(&self) -> Option<usize> {
         self.is_settled.then(|| self.count())
     }
 
-    /// Returns the other instances that were seen lately.
+    /// Returns the other instances that were alive recently.
     pub fn others(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.seen.keys().copied()
     }
--- a/crates/core/src/gateway/lengths.rs
+++ b/crates/core/src/gateway/lengths.rs
@@ -1,33 +1,33 @@
-//! How long a generation will still be.
+//! Estimates the remaining length of generations.
 //!
-//! Lengths of an entry's answers are learnt as mean and spread of their
-//! logarithm. A caller's hint is one more observation of the logarithm, right in
-//! the middle and wide, so that both are weighed by their precision. What counts
-//! for memory is the rest that is expected of a generation that has come so far:
-//! one that is past the usual length is likely to be one of the long ones.
+//! The output lengths of an entry are modelled by the mean and the variance of their logarithm. A
+//! hint of the caller is treated as one more observation of the logarithm, unbiased but with a high
+//! variance, so that both are weighted by their precision. KV cache usage depends on the remaining
+//! length, given the length so far: a generation beyond the usual length is likely to be one of the
+//! long ones.
 
 use std::collections::BTreeMap;
 
-/// Variance of the logarithm of a hint's error: a spread of a factor of three either way.
+/// Variance of the logarithm of a hint's error: a factor of three in either direction.
 const HINT_VARIANCE: f64 = 1.4;
 
-/// Variance of the logarithm before anything was learnt.
+/// Variance of the logarithm before any observation.
 const PRIOR_VARIANCE: f64 = 1.0;
 
-/// The share of the most tokens allowed that is expected before anything was learnt.
+/// Expected length before any observation, as a share of the maximum.
 const PRIOR_SHARE: f64 = 0.4;
 
-/// Answers for which the prior counts.
+/// Weight of the prior, in observations.
 const PRIOR_WEIGHT: f64 = 4.0;
 
-/// Answers after which an entry forgets.
+/// Number of observations after which older ones have decayed.
 const OBSERVATION_WINDOW: f64 = 400.0;
 
-/// Midpoints of eight equally likely parts of the standard normal distribution.
+/// Midpoints of eight equally probable intervals of the standard normal distribution.
 const QUANTILES: [f64; 8] = [-1.534, -0.887, -0.489, -0.157, 0.157, 0.489, 0.887, 1.534];
 
-/// What is expected of one generation: mean and variance of the logarithm of its
-/// length in tokens, and the most tokens allowed.
+/// The estimated length of one generation: mean and standard deviation of the logarithm of its
+/// length in tokens, and the maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LengthEstimate {
     log_mean: f64,
@@ -36,7 +36,7 @@
 }
 
 impl LengthEstimate {
-    /// Returns how many tokens are expected beyond `age`.
+    /// Returns the expected number of tokens beyond the first `generated`.
     pub fn remaining(&self, generated: u32) -> u32 {
         let generated = f64::from(generated);
         let mut sum = 0.0;
@@ -49,7 +49,7 @@
                 longer += 1.0;
             }
         }
-        // Past all of them it is one of the longest, of which nothing is known but the cap.
+        // Beyond all quantiles nothing but the maximum is known.
         let rest = match longer > 0.0 {
             true => sum / longer,
             false => 0.5 * (self.cap - generated).max(0.0),
@@ -65,25 +65,25 @@
     square_sum: f64,
 }
 
-/// The share of the output still expected that counts as memory: a generation takes
-/// its prompt from the start and its output only at the end.
+/// Share of the expected remaining output that counts as KV cache usage: a generation uses space
+/// for its prompt from the start, but for all of its output only at the end.
 const OUTPUT_SHARE: f64 = 0.6;
 
-/// Returns how many tokens of memory a generation is expected to take that has read a
-/// prompt of `prompt` tokens and made `made`.
+/// Returns the KV cache tokens that a generation is expected to use, with a prompt of `prompt`
+/// tokens and `generated` output tokens so far.
 pub fn expected_kv_tokens(prompt: u32, length: LengthEstimate, generated: u32) -> u32 {
     let rest = (f64::from(length.remaining(generated)) * OUTPUT_SHARE) as u32;
     prompt.saturating_add(generated).saturating_add(rest).max(1)
 }
 
-/// The lengths of all entries' answers, by the entry's name.
+/// The observed output lengths of all entries, by entry name.
 #[derive(Clone, Debug, Default)]
 pub struct LengthTable {
     entries: BTreeMap<String, LengthStats>,
 }
 
 impl LengthTable {
-    /// Learns the length of an answer that ended by itself.
+    /// Records the output length of a generation that ended normally.
     pub fn record(&mut self, entry: &str, tokens: u32) {
         let log = f64::from(tokens.max(1)).ln();
         if !self.entries.contains_key(entry) {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns what is expected of a generation of `entry` with at most `cap` tokens,
-    /// of which its caller expects `hint`.
+    /// Returns the estimate for a generation of `entry` with at most `cap` tokens; `hint` is the
+    /// length that its caller expects.
     pub fn estimate(&self, entry: &str, cap: u32, hint: Option<u32>) -> LengthEstimate {
         let cap = f64::from(cap.max(1));
         let prior = (cap * PRIOR_SHARE).ln();
@@ -120,7 +120,7 @@
     }
 }
 
-/// Weighs what was learnt and a hint by their precision.
+/// Combines the observed distribution and a hint, weighted by their precision.
 fn combine(mean: f64, variance: f64, hint: f64) -> (f64, f64) {
     let stats = 1.0 / variance;
     let hinted = 1.0 / HINT_VARIANCE;
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -1,14 +1,16 @@
-//! What an instance asks of the home of a service's engines, and what it does without one.
+//! Placement requests that this instance sends to the home of a service, and the fallback without a
+//! home.
 //!
-//! A generation is placed by the *home* of its service: one instance, the same for all by
-//! rendezvous hashing, that knows what runs at each engine and who waits. The instance reports
-//! its whole use and all it waits for to the home and to the next in rank, so that a lost or
-//! doubled report does no harm, and the next in rank can decide at once when the home is gone.
-//! One placement costs a handful of datagrams, however many instances there are.
+//! Generations are placed by the *home* of their service: the instance that decides for it, chosen
+//! by rendezvous hashing so that all instances agree. The home knows the usage of each engine and
+//! all queued requests. Every instance reports its complete usage and all its open placement
+//! requests, both to the home and to the next in rank. Lost or duplicated reports are therefore
+//! harmless, and the next in rank can decide immediately if the home fails. A placement takes a few
+//! datagrams, regardless of the size of the fleet.
 //!
-//! A home that does not answer holds nobody up: the instance asks the next in rank and places by
-//! its own view meanwhile, from what it runs itself and what a home last told it. Both may
-//! then give away the same room, for as long as a report is under way.
+//! If a home does not answer, the instance sends its requests to the next in rank, and meanwhile
+//! places them itself from its own usage and the last usage reported by a home. Both may then
+//! assign the same capacity until the next report arrives.
 
 use super::choose::{CopyKind, PlacementError};
 use super::queue::QueuedRequest;
@@ -20,92 +22,92 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How long a home may take to answer. A round trip between data centres takes some 3 ms and
-/// the sender gathers changes for 2 ms; the rest is for a home that is short of processor.
+/// How long a home may take to answer. A round trip between data centres takes about 3 ms and the
+/// sender collects changes for 2 ms; the rest covers a home that is short of CPU time.
 pub const HOME_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// How often an instance reports while it waits for a home that has not answered.
+/// Interval of reports while a home has not answered.
 pub const UNANSWERED_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often an instance reports while its requests wait for room.
+/// Interval of reports while requests are queued.
 pub const QUEUED_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a home that said "wait" is believed without a word: two of its answers may be
-/// lost.
+/// How long a "queued" answer of a home is valid without a newer one. Two of its answers may be
+/// lost within this time.
 const QUEUED_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a home that did not answer is passed over.
+/// How long a home that did not answer is skipped.
 const UNRESPONSIVE_FOR: Duration = Duration::from_millis(1_000);
 
-/// What a request wants at an engine.
+/// What kind of placement is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementKind {
-    /// A place; it waits for one.
+    /// Room at an engine; the request is queued until there is some.
     Queued,
-    /// A place at once, where nobody waits: it has an engine already.
+    /// Room at an engine without queueing, for a generation that already runs at another one.
     Immediate,
-    /// A place for a copy of what runs at `source`, at once.
+    /// Room for a copy of the generation that runs at `source`, without queueing.
     Copy {
         /// The engine at which the generation runs.
         source: EndpointKey,
-        /// What the copy is for.
+        /// The purpose of the copy.
         kind: CopyKind,
     },
 }
 
-/// A request for a place.
+/// A request for room at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementRequest {
-    /// The request.
+    /// The request that is to be placed.
     pub queued: QueuedRequest,
-    /// What it wants.
+    /// The kind of placement.
     pub kind: PlacementKind,
-    /// Endpoints that are not to be chosen, because they were tried.
+    /// Endpoints that must not be chosen because they were tried already.
     pub exclude: Vec<EndpointKey>,
 }
 
-/// What a home decided about a placement request.
+/// The answer of a home to a placement request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementDecision {
-    /// It has a place.
+    /// The request has room at this engine.
     Granted(EndpointKey),
-    /// It has none and waits.
+    /// There is no room yet; the request is queued.
     Queued(PlacementError),
-    /// It has none.
+    /// There is no room, and the request is not queued.
     Denied(PlacementError),
 }
 
-/// What an instance goes by.
+/// The state of a placement request at the instance that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementStatus {
-    /// A home decided.
+    /// A home has decided.
     Decided(PlacementDecision),
     /// A home may still answer.
     Pending,
-    /// No home answered in time: the instance decides by itself.
+    /// No home answered in time: the instance decides itself.
     TimedOut,
 }
 
 #[derive(Clone, Debug)]
 struct OpenRequest {
     request: PlacementRequest,
-    /// Since when a home may answer.
+    /// Start of the time within which a home may answer.
     since: Time,
-    /// What it said last, and when.
+    /// The last decision and when it was received.
     decided: Option<(Time, PlacementDecision)>,
 }
 
-/// All placement requests of an instance that are open, and what it knows of homes.
+/// The open placement requests of this instance, and what it knows of homes.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementTable {
     open: BTreeMap<u64, OpenRequest>,
     unresponsive: BTreeMap<SocketAddrV4, Time>,
-    /// What others run, as a home told last, by service.
+    /// Usage by other instances as last reported by a home, by service.
     views: BTreeMap<u64, (Time, PeerUsage)>,
 }
 
 impl PlacementTable {
-    /// Takes a placement request in.
+    /// Adds a placement request.
     pub fn insert(&mut self, now: Time, request: PlacementRequest) {
         let open = OpenRequest {
             request,
@@ -115,18 +117,19 @@
         self.open.insert(open.request.queued.id, open);
     }
 
-    /// Takes a placement request out, because it has what it wants or gave up.
+    /// Removes a placement request that was placed or given up.
     pub fn remove(&mut self, id: u64) {
         self.open.remove(&id);
     }
 
-    /// Returns the placement requests for `service`.
+    /// Returns the open placement requests for `service`.
     pub fn of(&self, service: u64) -> impl Iterator<Item = &PlacementRequest> {
         let open = self.open.values().map(|it| &it.request);
         open.filter(move |it| it.queued.service == service)
     }
 
-    /// Returns whether a placement request for `service` was not answered yet, if there are any.
+    /// Returns whether any placement request for `service` has no answer yet; `None` if there are
+    /// no open requests for it.
     pub fn is_unanswered(&self, service: u64) -> Option<bool> {
         let open = self.open.values();
         let mut of = open
@@ -136,30 +139,30 @@
         Some(of.any(|it| it.decided.is_none()))
     }
 
-    /// Returns whether any placement request was not answered yet.
+    /// Returns whether any placement request has no answer yet.
     pub fn any_unanswered(&self) -> bool {
         self.open.values().any(|it| it.decided.is_none())
     }
 
-    /// Returns the services for which placement requests are open.
+    /// Returns the services with open placement requests; a service may appear more than once.
     pub fn services(&self) -> impl Iterator<Item = u64> {
         self.open.values().map(|it| it.request.queued.service)
     }
 
-    /// Returns whether a home is passed over at the moment.
+    /// Returns whether a home is currently skipped because it did not answer.
     pub fn is_unresponsive(&self, now: Time, home: SocketAddrV4) -> bool {
         self.unresponsive
             .get(&home)
             .is_some_and(|&until| now < until)
     }
 
-    /// Passes over a home that did not answer.
+    /// Skips a home that did not answer, for a limited time.
     pub fn mark_unresponsive(&mut self, now: Time, home: SocketAddrV4) {
         self.unresponsive.retain(|_, until| now < *until);
         self.unresponsive.insert(home, now + UNRESPONSIVE_FOR);
     }
 
-    /// Returns what an open placement request goes by.
+    /// Returns the state of a placement request.
     pub fn status(&self, now: Time, id: u64) -> PlacementStatus {
         let Some(open) = self.open.get(&id) else {
             return PlacementStatus::TimedOut;
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Asks anew for a placement request that was not answered, or was given what cannot be taken.
+    /// Reopens a placement request that was not answered, or whose placement cannot be used.
     pub fn reset(&mut self, now: Time, id: u64) {
         if let Some(open) = self.open.get_mut(&id) {
             open.since = now;
@@ -182,28 +185,29 @@
         }
     }
 
-    /// Takes in what a home decided about a placement request.
+    /// Applies the decision of a home.
     pub fn on_decision(&mut self, now: Time, id: u64, decision: PlacementDecision) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        // What was granted stays granted: the home keeps the room until it hears of it.
+        // A granted placement remains granted: the home reserves the room until this instance
+        // reports that it was used or given up.
         if !matches!(open.decided, Some((_, PlacementDecision::Granted(_)))) {
             open.decided = Some((now, decision));
         }
     }
 
-    /// Takes in what others run at the engines of a service.
+    /// Records the usage of a service's engines by other instances, as reported by a home.
     pub fn set_view(&mut self, now: Time, service: u64, others: PeerUsage) {
         self.views.insert(service, (now, others));
     }
 
-    /// Returns what others run at the engines of a service, as a home told last.
+    /// Returns the usage of a service's engines by other instances, as last reported by a home.
     pub fn view(&self, service: u64) -> Option<&PeerUsage> {
         self.views.get(&service).map(|(_, others)| others)
     }
 
-    /// Returns the same if it is at most so old.
+    /// Returns the same as [`view`](Self::view) if it is no older than `age`.
     pub fn fresh_view(&self, now: Time, service: u64, age: Duration) -> Option<&PeerUsage> {
         let (at, others) = self.views.get(&service)?;
         (now.since(*at) <= age).then_some(others)
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -1,11 +1,11 @@
-//! The order in which requests that wait get room at engines.
+//! The order in which queued requests get room at engines.
 //!
-//! The home of a service ([`home`](super::home)) knows all that wait, and gives away room in
-//! one order, each request at the cheapest engine.
+//! The home of a service ([`home`](super::home)) knows all queued requests and assigns free room in
+//! one global order, each request to the engine with the lowest cost.
 //!
-//! What goes wrong where each instance decides alone: one generation ends, all that wait
-//! anywhere hear of the room within the same few milliseconds, all take it, and all but one wait
-//! inside an engine that is overfull (`docs/design/policy.md`).
+//! If each instance decided on its own, all of them would learn of a finished generation within the
+//! same few milliseconds and use its room at once; all but one request would then wait inside an
+//! overfull engine (`docs/design/policy.md`).
 
 use super::choose::{Demand, PlacementContext, PlacementError, capacities};
 use super::home::Engines;
@@ -15,54 +15,54 @@
 use core::time::Duration;
 use serde::{Deserialize, Serialize};
 
-/// The share of its target after which a request that waits counts as late. Its prompt is
-/// still to be read, which takes some 0.7 s at an engine with neighbours.
+/// Share of its latency target after which a queued request counts as late. Its prompt still has to
+/// be prefilled, which takes about 0.7 s on a shared engine.
 const LATE_AFTER_TARGETS: f64 = 0.6;
 
-/// The most placement requests of one instance that a home takes in. Those beyond are placed by
-/// that instance's own view once nobody answers them.
+/// Upper bound of placement requests that a home accepts from one instance. The sender places
+/// further ones itself once they time out.
 pub const MAX_QUEUED_PER_INSTANCE: usize = 64;
 
-/// A request that waits for room, as a home is told of it.
+/// A queued request as reported to a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueuedRequestReport {
-    /// Tells requests of one moment apart.
+    /// Identifies the request at its instance.
     pub id: u64,
-    /// The hash of its service's name.
+    /// The hash of the service name.
     pub service: u64,
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// Milliseconds since it arrived.
+    /// Milliseconds since its arrival.
     pub age_ms: u32,
-    /// Milliseconds from its arrival within which its first event is wanted.
+    /// Latency target for its first event, in milliseconds from its arrival.
     pub target_ms: u32,
-    /// Tokens of memory that it is expected to take.
+    /// KV cache tokens that it is expected to need.
     pub tokens: u32,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
 }
 
-/// A request that waits, by this instance's clock.
+/// A queued request, with times of the local clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Tells requests of one moment apart.
+    /// Identifies the request at its instance.
     pub id: u64,
-    /// The hash of its service's name.
+    /// The hash of the service name.
     pub service: u64,
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
     /// When it arrived.
     pub arrived: Time,
-    /// The time from its arrival within which its first event is wanted.
+    /// Latency target for its first event, counted from its arrival.
     pub target: Duration,
-    /// Tokens of memory that it is expected to take.
+    /// KV cache tokens that it is expected to need.
     pub tokens: u32,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
 }
 
 impl QueuedRequest {
-    /// Returns what an instance told at `now`.
+    /// Converts a report that was received at `now`.
     pub fn from_report(now: Time, waiting: &QueuedRequestReport) -> Self {
         let age = Duration::from_millis(waiting.age_ms.into());
         QueuedRequest {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns what a home is told at `now`.
+    /// Converts to a report that is sent at `now`.
     pub fn to_report(&self, now: Time) -> QueuedRequestReport {
         let millis = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
         QueuedRequestReport {
@@ -90,12 +90,11 @@
         }
     }
 
-    /// Returns the place in the order at `now`; the lowest is next.
+    /// Returns the sort key at `now`; the lowest is served first.
     ///
-    /// One that can only be late gives way to all that can still be in time. Of these the
-    /// newest goes first: where more wait than can be served, going by age or deadline
-    /// makes all of them late one after the other. Of those that are late the oldest goes
-    /// first, so that they come to their turn.
+    /// Late requests yield to all that can still meet their target. Among those in time the newest
+    /// is served first: under overload, an order by age or deadline would make all of them late,
+    /// one after the other. Among the late ones the oldest is served first, so that none starves.
     fn sort_key(&self, now: Time) -> (bool, u8, u64, u64) {
         let is_late = now.since(self.arrived) >= self.target.mul_f64(LATE_AFTER_TARGETS);
         let arrived = self.arrived.as_micros();
@@ -104,27 +103,28 @@
     }
 }
 
-/// Returns the hash by which instances name a service to each other.
+/// Returns the hash that identifies a service in messages between instances.
 pub fn service_hash(name: &str) -> u64 {
     stable_hash(&[b"service", name.as_bytes()])
 }
 
-/// A request that asks for a place, and where.
+/// A placement request with its origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedPlacement {
-    /// What it wants.
+    /// The placement request.
     pub request: PlacementRequest,
-    /// The data centre of its instance.
+    /// The data centre of the instance that sent it.
     pub data_centre: String,
-    /// Engines that its instance cannot use at the moment; they are taken if there is no other.
+    /// Engines that its instance cannot use at the moment; chosen only if there is no other.
     pub avoid: Vec<EndpointKey>,
 }
 
-/// Returns the place of each of `waiting`.
+/// Assigns engines to all of `waiting`, and returns the results in the order of `waiting`.
 ///
-/// All that go before one are given room first. For the first that fits nowhere the engine
-/// with the most room is kept, so that large requests come to their turn and small ones use
-/// what is left elsewhere. `bounded_left` says how many more requests an engine may get that bears a bounded rate.
+/// Requests are served in queue order. For the first one that does not fit anywhere, the engine
+/// with the most room is held, so that large requests do not starve while small ones use the room
+/// at other engines. `rate_remaining` returns how many more requests an engine with a limited rate
+/// may get; `None` if its rate is not limited.
 pub fn assign<'a>(
     context: PlacementContext<'_>,
     engines: Engines<'_>,
--- a/crates/core/src/gateway/rate_limits.rs
+++ b/crates/core/src/gateway/rate_limits.rs
@@ -1,10 +1,10 @@
-//! Rates that endpoints named for themselves: so many requests a second from all instances.
+//! Rate limits that endpoints report for themselves, in requests per second over all instances.
 //!
-//! An endpoint names its limit in each answer for as long as it needs it. Answers overtake each
-//! other, so that one without a limit ends it only if its request was sent after the limit was
-//! last named. Between instances the later word goes before the earlier one; each carries its age.
+//! An endpoint includes its limit in each response for as long as it needs it. Responses may be
+//! reordered, so a response without a limit ends the limit only if its request was sent after the
+//! limit was last reported. Between instances the newer report wins; each report carries its age.
 //!
-//! `docs/design/limits-of-endpoints.md` does the arithmetic.
+//! See `docs/design/limits-of-endpoints.md` for the arithmetic.
 
 use crate::ids::EndpointKey;
 use crate::time::Time;
@@ -12,85 +12,86 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The least rate, in requests a second: an endpoint that gets nothing cannot say that its limit
-/// is over.
+/// Lower bound of a limit, in requests per second. An endpoint that gets no requests could not
+/// report the end of its limit.
 const MIN_PER_SECOND: f64 = 0.1;
 
-/// The largest rate. What an endpoint names beyond it is no limit in practice.
+/// Upper bound of a limit, in requests per second. Higher limits have no effect in practice.
 const MAX_PER_SECOND: f64 = 1_000_000.0;
 
-/// How long the end of a limit is remembered, so that an earlier word that travels slowly does not
-/// bring it back.
+/// How long the end of a limit is remembered, so that a delayed older report does not restore it.
 const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long an instance without a part of a limit hears nothing of it before it asks.
+/// How long an instance without a share of a limit receives no report of it before it probes the
+/// endpoint.
 const PROBE_AFTER: Duration = Duration::from_secs(4);
 
-/// The part of a limit that all such questions take, one instance after the other.
+/// Share of a limit that the probes of all such instances together use; they probe one after the
+/// other.
 const PROBE_SHARE: f64 = 0.25;
 
-/// What the head of an answer says about the endpoint's limit.
+/// The rate limit in the head of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ResponseLimit {
-    /// It names none.
+    /// The response has no limit.
     #[default]
     None,
-    /// Requests a second, zero or more.
+    /// Requests per second, zero or more.
     PerSecond(f64),
-    /// It cannot be read: not a number, negative or infinite. What was said before holds.
+    /// The value is invalid: not a number, negative or infinite. The previous limit stays in force.
     Unreadable,
 }
 
-/// What is known of an endpoint's limit, as it travels.
+/// The limit of an endpoint as sent between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Requests in a thousand seconds; nothing if the limit is over.
+    /// Requests in 1,000 seconds; `None` if the limit has ended.
     pub per_1000_s: Option<u32>,
-    /// Milliseconds since the endpoint said so.
+    /// Milliseconds since the endpoint reported it.
     pub age_ms: u32,
 }
 
-/// What a word changed.
+/// A change of an endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Its limit until now.
+    /// The previous limit.
     pub before: Option<f64>,
-    /// Its limit from now on.
+    /// The new limit.
     pub after: Option<f64>,
 }
 
-/// The last word about an endpoint.
+/// The last report about an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     per_second: Option<f64>,
-    /// When the endpoint said so.
+    /// When the endpoint reported it.
     reported_at: Time,
-    /// Since when this instance holds to a limit.
+    /// Since when this instance has enforced a limit without interruption.
     since: Time,
-    /// When this instance last sent a request there.
+    /// When this instance last sent a request to the endpoint.
     requested_at: Time,
 }
 
-/// All limits known.
+/// The rate limits of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimits {
     limits: BTreeMap<EndpointKey, KnownLimit>,
 }
 
 impl RateLimits {
-    /// Takes in what an answer to a request sent at `sent` says; returns what that changed.
+    /// Applies the limit in the response to a request that was sent at `sent`; returns the change.
     pub fn observe_limit(
         &mut self,
         now: Time,
         endpoint: EndpointKey,
         sent: Time,
-        told: ResponseLimit,
+        limit: ResponseLimit,
     ) -> Option<LimitChange> {
-        let per_second = match told {
+        let per_second = match limit {
             ResponseLimit::Unreadable => return None,
             ResponseLimit::PerSecond(rate) => Some(rate.clamp(MIN_PER_SECOND, MAX_PER_SECOND)),
             ResponseLimit::None => {
@@ -105,17 +106,17 @@
         self.set(now, endpoint, per_second, now)
     }
 
-    /// Takes in what a peer tells; returns what that changed.
-    pub fn on_report(&mut self, now: Time, told: LimitReport) -> Option<LimitChange> {
-        let age = Duration::from_millis(told.age_ms.into());
+    /// Applies the report of a peer; returns the change.
+    pub fn on_report(&mut self, now: Time, report: LimitReport) -> Option<LimitChange> {
+        let age = Duration::from_millis(report.age_ms.into());
         let reported_at = now.before(age).unwrap_or(Time::ZERO);
         let is_older = |known: &KnownLimit| reported_at <= known.reported_at;
-        if self.limits.get(&told.endpoint).is_some_and(is_older) {
+        if self.limits.get(&report.endpoint).is_some_and(is_older) {
             return None;
         }
-        let per_second = told.per_1000_s.map(|it| f64::from(it) / 1_000.0);
+        let per_second = report.per_1000_s.map(|it| f64::from(it) / 1_000.0);
         let per_second = per_second.map(|it| it.clamp(MIN_PER_SECOND, MAX_PER_SECOND));
-        self.set(now, told.endpoint, per_second, reported_at)
+        self.set(now, report.endpoint, per_second, reported_at)
     }
 
     fn set(
@@ -145,12 +146,12 @@
         })
     }
 
-    /// Returns the limit of an endpoint, in requests a second.
+    /// Returns the limit of an endpoint, in requests per second.
     pub fn of(&self, endpoint: EndpointKey) -> Option<f64> {
         self.limits.get(&endpoint)?.per_second
     }
 
-    /// Returns since when this instance holds to a limit of an endpoint.
+    /// Returns since when this instance has enforced a limit of an endpoint.
     pub fn since(&self, endpoint: EndpointKey) -> Option<Time> {
         let known = self.limits.get(&endpoint)?;
         known.per_second.is_some().then_some(known.since)
@@ -161,32 +162,32 @@
         self.limits.values().all(|it| it.per_second.is_none())
     }
 
-    /// Notes that a request is sent to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn on_request(&mut self, now: Time, endpoint: EndpointKey) {
         if let Some(known) = self.limits.get_mut(&endpoint) {
             known.requested_at = now;
         }
     }
 
-    /// Returns whether an instance that has no part of an endpoint's limit may ask there whether
-    /// it still holds, with `rank` others before it.
+    /// Returns whether an instance without a share of an endpoint's limit may send a request there
+    /// to probe whether the limit still holds. `rank` other instances probe before it.
     ///
-    /// Those that have a part hear each answer and tell when the limit is over. They may be gone,
-    /// or cut off.
+    /// Instances with a share see every response and report the end of the limit, but they may have
+    /// stopped or be on the other side of a partition.
     pub fn may_probe(&self, now: Time, endpoint: EndpointKey, rank: usize) -> bool {
         let Some(known) = self.limits.get(&endpoint) else {
             return false;
         };
         known.per_second.is_some_and(|rate| {
-            let turn = rank as f64 / (PROBE_SHARE * rate);
-            let pause = PROBE_AFTER.as_secs_f64() + turn;
+            let offset = rank as f64 / (PROBE_SHARE * rate);
+            let delay = PROBE_AFTER.as_secs_f64() + offset;
             now.since(known.reported_at.max(known.requested_at))
                 .as_secs_f64()
-                >= pause
+                >= delay
         })
     }
 
-    /// Returns what is told of an endpoint now.
+    /// Returns the report about an endpoint that is sent to peers.
     pub fn report(&self, now: Time, endpoint: EndpointKey) -> Option<LimitReport> {
         let known = self.limits.get(&endpoint)?;
         let age = now.since(known.reported_at).as_millis();
@@ -197,7 +198,7 @@
         })
     }
 
-    /// Forgets limits of endpoints that are not there any more, and ends that are long ago.
+    /// Drops limits of endpoints that no longer exist, and ended limits that are old enough.
     pub fn tick(&mut self, now: Time, exists: impl Fn(EndpointKey) -> bool) {
         self.limits.retain(|key, known| {
             exists(*key)
--- a/crates/core/src/gateway/relocation.rs
+++ b/crates/core/src/gateway/relocation.rs
@@ -1,51 +1,51 @@
-//! When a generation leaves its engine, and which of its events its caller gets.
+//! Decides when a generation leaves its engine, and which of its events are forwarded to its
+//! caller.
 //!
-//! [`Relocation`] is the state of one generation across engines. It is told what
-//! happens and asked what to do; the relay of the shell moves bytes and makes calls.
-//! `docs/design/relocation.md` weighs the ways.
+//! [`Relocation`] is the state of one generation across engines. It receives what happens and
+//! returns the next step; the relay in the shell transfers bytes and makes calls. See
+//! `docs/design/relocation.md` for the alternatives.
 //!
-//! Invariants, which `crates/core/tests/gateway_relocation.rs` holds under random
-//! histories:
+//! Invariants, which `crates/core/tests/gateway_relocation.rs` checks under random histories:
 //!
-//! - [`Step::Relocate`] is returned only while a copy ahead is complete and not being
-//!   brought up to date, [`Step::FailOver`] only while a copy to go on from is there or believed to be,
-//!   [`Step::Recompute`] only where the generation needs no copy;
-//! - events are passed on with numbers that follow each other, each once;
-//! - a generation is carried through at most [`MAX_RELOCATIONS`] further engines.
+//! - [`Step::Relocate`] is returned only while a pre-copy is complete and not being refreshed,
+//!   [`Step::FailOver`] only while there is a copy to resume from, or one is assumed to exist, and
+//!   [`Step::Recompute`] only if the generation needs no copy.
+//! - Events are forwarded with consecutive numbers, each one once.
+//! - A generation is relocated at most [`MAX_RELOCATIONS`] times.
 
 use crate::time::Time;
 use core::time::Duration;
 
-/// How long after the notice a generation leaves its engine. Many end by then, and
-/// those that began shortly before it have a copy by then; an engine goes 1.5 s
-/// after its notice at the soonest.
+/// How long after the notice a generation leaves its engine. Many generations end by then, and
+/// those that started shortly before the notice have a copy by then; an engine stops 1.5 s after
+/// its notice at the earliest.
 pub const RELOCATE_AFTER: Duration = Duration::from_millis(1_100);
 
-/// How much sooner a generation may leave, if no prompt waits where it goes on: one
-/// that is read there at the same time delays it by its whole length.
+/// How much earlier a generation may leave if no prefill is pending at its target. A prefill that
+/// runs there at the same time would delay the generation by its whole duration.
 pub const EARLY_RELOCATION: Duration = Duration::from_millis(400);
 
-/// How often a generation that may leave looks whether its target is quiet.
+/// How often a generation that may leave checks whether a prefill is pending at its target.
 const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An engine that is known to leave, or whose entry vanished, and is silent for this
-/// long is given up, if there is a copy to go on from.
+/// How long an engine that is leaving, or whose record disappeared, may be silent before its
+/// generation resumes elsewhere, if there is a copy to resume from.
 pub const LEAVING_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The shortest gap after which callers leave a stream.
+/// Lower bound of the gap after which callers abandon a stream.
 const MIN_TOLERATED_GAP: Duration = Duration::from_secs(2);
 
-/// Times the target, and times the wanted pause, after which callers leave a stream.
+/// Multiples of the latency target and of the gap target after which callers abandon a stream.
 const TOLERATED_TARGETS: u32 = 4;
 const TOLERATED_GAP_TARGETS: u32 = 8;
 
-/// The share of the callers' patience after which a silent engine is given up.
+/// Share of that gap after which a silent engine is abandoned.
 const TOLERATED_GAP_SHARE: f64 = 0.6;
 
-/// Returns how long an engine that stays may be silent before its generation goes on
-/// from a standing copy. Whether that copy is there is not known before it is asked,
-/// and then the engine's stream is closed; an engine that preempted a generation is
-/// silent, too, and at work. So the silence must be one that callers hardly bear.
+/// Returns how long an engine that is not leaving may be silent before its generation resumes from
+/// a standby copy. Only a request to resume shows whether that copy exists, and it closes the
+/// stream of the first engine; yet an engine that preempted a generation is silent as well although
+/// it still works on it. The silence must therefore be one that callers would hardly tolerate.
 pub fn silence_timeout(target: Duration, gap_target: Duration) -> Duration {
     let tolerated_gap = MIN_TOLERATED_GAP
         .max(target * TOLERATED_TARGETS)
@@ -53,141 +53,142 @@
     tolerated_gap.mul_f64(TOLERATED_GAP_SHARE)
 }
 
-/// How long after an engine's first event a standing copy is believed to be there: the
-/// memory of the prompt takes some 0.4 s on the link, behind that of others.
+/// How long after the first event of an engine a standby copy is assumed to exist: the KV cache of
+/// the prompt takes about 0.4 s on the link, behind those of other generations.
 pub const STANDBY_READY_AFTER: Duration = Duration::from_millis(1_300);
 
-/// How soon after an engine's first event a standing copy can be there at all: the memory
-/// of a prompt of 3,000 tokens takes some 170 ms on the link, and is sent some times a second.
+/// How long after the first event of an engine a standby copy can exist at the earliest: the KV
+/// cache of a prompt of 3,000 tokens takes about 170 ms on the link, and is sent a few times per
+/// second.
 const STANDBY_EARLIEST: Duration = Duration::from_millis(300);
 
-/// How old a copy ahead may be before it is brought up to date. What it lacks is
-/// read anew where the generation goes on: some 40 tokens, or 3 ms, for this time.
+/// Age at which a pre-copy is refreshed. What it lacks is recomputed at the target: for this age
+/// about 40 tokens, or 3 ms.
 pub const REFRESH_AFTER: Duration = Duration::from_millis(300);
 
-/// How long after the notice a copy ahead is brought up to date for the last time, so
-/// that it is whole when the generation leaves for it.
+/// How long after the notice a pre-copy is refreshed for the last time, so that it is complete when
+/// the generation leaves for it.
 const LAST_REFRESH: Duration = Duration::from_millis(450);
 
-/// How long after the notice a generation is copied ahead that has a standing copy.
-/// Nobody says whether that is there, and without room for it there is none; those
-/// that have no other go first, as copies queue on the link of the engine.
+/// How long after the notice a generation with a standby copy is pre-copied. Nothing confirms that
+/// the standby copy exists, and if there was no room for it, it does not. Generations without one
+/// go first, since copies share the link of the engine.
 const PRE_COPY_DELAY: Duration = Duration::from_millis(300);
 
-/// The pause before a copy ahead is tried again, for example because the
-/// generation had not begun.
+/// Delay before a failed pre-copy is tried again. It fails, for example, if the generation has not
+/// started yet.
 const PRE_COPY_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Copies ahead that are tried one soon after the other. A notice of 1.5 s allows no more.
+/// Pre-copies that are tried with the short delay. A notice of 1.5 s allows no more.
 const QUICK_PRE_COPIES: u32 = 8;
 
-/// The pause before each further try. An engine that leaves in a planned way stays for
-/// seconds; where nobody had room at first, somebody has it then.
+/// Delay before each further try. An engine that leaves as planned stays for seconds, and room that
+/// was missing at first may be free then.
 const LATER_PRE_COPY_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Copies ahead that one generation tries at one engine: with the pauses between them they
-/// last for some 13 s.
+/// Upper bound of pre-copies that one generation tries at one engine: with the delays they last for
+/// about 13 s.
 const MAX_PRE_COPIES: u32 = 40;
 
-/// How many further engines one generation may go through.
+/// How often one generation may be relocated.
 pub const MAX_RELOCATIONS: u32 = 8;
 
-/// Generations expected to be shorter than this have no standing copy: they end
-/// within the notice of an engine that leaves.
+/// Generations that are expected to be shorter than this get no standby copy: they end within the
+/// notice period of a leaving engine.
 pub const STANDBY_MIN_TOKENS: u32 = 64;
 
-/// Tokens that an engine puts into one event.
+/// Output tokens per event of an engine.
 const TOKENS_PER_EVENT: u32 = 4;
 
-/// An engine that is silent for this long is given up by a generation that any engine may
-/// go on with. Its prompt is read again there in some 0.3 s; a generation that an engine
-/// preempted is silent for about as long.
+/// How long an engine may be silent before a generation that any engine can resume is recomputed
+/// elsewhere. Prefilling its prompt again takes about 0.3 s there; a generation that was preempted
+/// is silent for about as long.
 pub const RESUMABLE_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How many times its target a generation waits inside an engine before it is taken back,
-/// if it may run again and another engine has room. One that is taken back sooner loses
-/// its place and waits anew.
+/// Multiple of its latency target that a generation waits in the queue of an engine before it is
+/// reassigned, if it may run again and another engine has room. If it is reassigned earlier, it
+/// loses its position and queues again.
 const REASSIGN_TARGETS: f64 = 1.5;
 
-/// Returns how long a generation with such a target waits inside an engine before it is
-/// taken back. A queue inside an engine is one that nobody can leave.
+/// Returns how long a generation with this latency target waits in the queue of an engine before it
+/// is reassigned. A request cannot move to another engine by itself once it is in such a queue.
 pub fn reassign_after(target: Duration) -> Duration {
     target.mul_f64(REASSIGN_TARGETS)
 }
 
-/// The pause before an engine is looked for again that could read a generation anew.
+/// Delay before the next search for an engine that could recompute a generation.
 const RECOMPUTE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What is to become of one event.
+/// What to do with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventDelivery {
-    /// The caller gets it.
+    /// Forward it to the caller.
     Forward,
-    /// The caller holds it already.
+    /// Drop it: the caller has it already.
     Duplicate,
-    /// One before it is missing, so that the stream must end.
+    /// End the stream: an earlier event is missing.
     Gap,
 }
 
-/// Which copy a generation would go on from.
+/// The copy from which a generation would resume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumeFrom {
-    /// The copy that was made since the notice.
+    /// The copy made after the notice.
     PreCopy,
     /// The copy that its engine kept up to date.
     Standby,
 }
 
-/// What is known of the engines at the moment.
+/// The current state of the engines as far as it concerns one generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineView {
-    /// For how long the present engine is known to leave.
+    /// How long the current engine has been leaving; `None` if it is not.
     pub leaving_for: Option<Duration>,
-    /// Whether the engine of the standing copy is there and takes work.
+    /// Whether the engine with the standby copy exists and accepts work.
     pub standby_is_usable: bool,
-    /// Whether no prompt waits where the generation would go on.
+    /// Whether no prefill is pending where the generation would resume.
     pub target_is_quiet: bool,
-    /// Whether any engine may go on with it without a copy, and attempts are left.
+    /// Whether any engine can resume it without a copy, and attempts remain.
     pub may_recompute: bool,
-    /// Whether the fleet's budget of repeats has none left for it.
+    /// Whether the retry budget has nothing left for it.
     pub is_budget_spent: bool,
 }
 
-/// What to do now.
+/// The next step for a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Begin a copy ahead, or bring it up to date.
+    /// Start a pre-copy, or refresh it.
     PreCopy,
-    /// Close the connection and go on from the copy.
+    /// Close the connection and resume from the pre-copy.
     Relocate,
-    /// The engine has fallen silent: go on from the copy.
+    /// The engine is silent: resume from the copy.
     FailOver,
-    /// The engine has fallen silent and there is no copy: go on at another engine that
-    /// reads prompt and events anew.
+    /// The engine is silent and there is no copy: resume at another engine, which prefills the
+    /// prompt and the previous output again.
     Recompute,
-    /// Nothing until this time, unless something happens before.
+    /// Do nothing until this time, unless something happens earlier.
     Wait(Time),
 }
 
-/// A copy that is made while the engine leaves.
+/// The state of the pre-copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct PreCopyState {
     in_progress: bool,
     complete_since: Option<Time>,
 }
 
-/// One generation across engines.
+/// The state of one generation across its engines.
 #[derive(Clone, Debug, Default)]
 pub struct Relocation {
     last_event: Option<u64>,
     events: u64,
-    /// When the first event of the present engine came. Its standing copy began then,
-    /// also where the generation went on from another engine.
+    /// When the first event of the current engine arrived. Its standby copy was started then, also
+    /// if the generation was relocated to that engine.
     first_event_here: Option<Time>,
     last_bytes_at: Time,
-    /// How long an engine that stays may be silent.
+    /// How long an engine that is not leaving may be silent.
     silence_timeout: Duration,
-    /// Not before this time is another engine looked for that could read it anew.
+    /// Earliest time of the next search for an engine that could recompute it.
     recompute_not_before: Time,
     has_standby: bool,
     pre_copy: PreCopyState,
@@ -197,8 +198,8 @@
 }
 
 impl Relocation {
-    /// Returns a generation that has not begun, of which an engine that stays may be
-    /// silent for so long ([`silence_timeout`]).
+    /// Returns the state of a generation that has not started. `silence_timeout` is how long an engine
+    /// that is not leaving may be silent ([`silence_timeout`]).
     pub fn new(silence_timeout: Duration) -> Self {
         Relocation {
             silence_timeout,
@@ -206,46 +207,46 @@
         }
     }
 
-    /// Begins after the event that the caller holds, if it has come back with one.
+    /// Sets the last event that a reconnected caller already has.
     #[must_use]
     pub fn after(mut self, held: Option<u64>) -> Self {
         self.last_event = held;
         self
     }
 
-    /// Returns the number of the last event that the caller holds.
+    /// Returns the number of the last event that the caller has.
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Returns how many events were passed on to the caller.
+    /// Returns how many events were forwarded to the caller.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Returns whether an event of the present engine was passed on.
+    /// Returns whether an event of the current engine was forwarded.
     pub fn has_event_here(&self) -> bool {
         self.first_event_here.is_some()
     }
 
-    /// Returns how often the generation went on at another engine.
+    /// Returns how often the generation was relocated.
     pub fn relocations(&self) -> u32 {
         self.relocations
     }
 
-    /// Returns about how many tokens were made. Only the number of events is seen
-    /// here; the scale is the same for all generations.
+    /// Returns the approximate number of generated tokens. It is derived from the number of events,
+    /// and the scale is the same for all generations.
     pub fn tokens(&self) -> u32 {
         let events = u32::try_from(self.events).unwrap_or(u32::MAX);
         events.saturating_mul(TOKENS_PER_EVENT)
     }
 
-    /// Takes in that bytes came from the engine.
+    /// Records that bytes arrived from the engine.
     pub fn on_bytes(&mut self, now: Time) {
         self.last_bytes_at = now;
     }
 
-    /// Takes in one whole event, and says what is to become of it.
+    /// Applies a complete event and returns what to do with it.
     pub fn on_event(&mut self, now: Time, number: Option<u64>) -> EventDelivery {
         if let (Some(number), Some(last)) = (number, self.last_event) {
             if number <= last {
@@ -261,41 +262,41 @@
         EventDelivery::Forward
     }
 
-    /// Notes whether the present engine keeps a standing copy elsewhere.
+    /// Records whether the current engine keeps a standby copy at another one.
     pub fn set_standby(&mut self, has_standby: bool) {
         self.has_standby = has_standby;
     }
 
-    /// Notes that a copy ahead was begun.
+    /// Records the start of a pre-copy.
     pub fn pre_copy_started(&mut self, now: Time) {
-        debug_assert!(!self.pre_copy.in_progress, "two copies pre_copy at once");
+        debug_assert!(!self.pre_copy.in_progress, "two pre-copies at once");
         self.pre_copy.in_progress = true;
         self.pre_copy_tries += 1;
-        let pause = match self.pre_copy_tries {
+        let delay = match self.pre_copy_tries {
             0..=QUICK_PRE_COPIES => PRE_COPY_RETRY_DELAY,
             _ => LATER_PRE_COPY_RETRY_DELAY,
         };
-        self.pre_copy_not_before = now + pause;
+        self.pre_copy_not_before = now + delay;
     }
 
-    /// Notes that the copy ahead cannot be used, because its engine was withdrawn.
+    /// Records that the pre-copy is lost because its engine was withdrawn.
     pub fn pre_copy_lost(&mut self) {
         self.pre_copy = PreCopyState::default();
         self.pre_copy_not_before = Time::ZERO;
     }
 
-    /// Notes that no engine has room for a copy ahead.
+    /// Records that no engine has room for a pre-copy.
     pub fn pre_copy_refused(&mut self, now: Time) {
         self.pre_copy_not_before = now + PRE_COPY_RETRY_DELAY;
     }
 
-    /// Notes that no engine has room to read the generation anew.
+    /// Records that no engine has room to recompute the generation.
     pub fn recompute_refused(&mut self, now: Time) {
         self.recompute_not_before = now + RECOMPUTE_RETRY_DELAY;
     }
 
-    /// Notes how a copy ahead ended; returns whether one is there. One that was
-    /// complete stays usable when it could not be brought up to date.
+    /// Records the end of a pre-copy; returns whether a usable one exists. A complete one remains
+    /// usable if its refresh fails.
     pub fn pre_copy_ended(&mut self, now: Time, complete: bool) -> bool {
         self.pre_copy.in_progress = false;
         if complete || self.pre_copy.complete_since.is_some() {
@@ -304,7 +305,7 @@
         self.pre_copy.complete_since.is_some()
     }
 
-    /// Notes that the generation is asked for at another engine.
+    /// Records that the generation is resumed at another engine.
     pub fn on_relocated(&mut self, now: Time) {
         self.relocations += 1;
         self.first_event_here = None;
@@ -314,26 +315,26 @@
         self.last_bytes_at = now;
     }
 
-    /// Returns whether a standing copy can be there, though it may not be believed yet.
+    /// Returns whether a standby copy can exist, even if it is not assumed to exist yet.
     ///
-    /// What goes wrong otherwise: an engine is asked for a copy of which nothing can have
-    /// arrived, fails by itself, and counts as having run the generation a second time.
+    /// An engine that is asked to resume from a copy that cannot have arrived fails, and that
+    /// attempt would count as a second run of the generation.
     pub fn standby_may_exist(&self, now: Time) -> bool {
         let first = self.first_event_here;
         self.has_standby && first.is_some_and(|first| now.since(first) >= STANDBY_EARLIEST)
     }
 
-    /// Returns what the generation would go on from if it left now.
-    pub fn resume_from(&self, now: Time, standing_takes_work: bool) -> Option<ResumeFrom> {
+    /// Returns the copy from which the generation would resume now.
+    pub fn resume_from(&self, now: Time, standby_is_usable: bool) -> Option<ResumeFrom> {
         if self.pre_copy.complete_since.is_some() {
             return Some(ResumeFrom::PreCopy);
         }
         let first = self.first_event_here?;
-        let settled = now.since(first) >= STANDBY_READY_AFTER;
-        (self.has_standby && settled && standing_takes_work).then_some(ResumeFrom::Standby)
+        let ready = now.since(first) >= STANDBY_READY_AFTER;
+        (self.has_standby && ready && standby_is_usable).then_some(ResumeFrom::Standby)
     }
 
-    /// Returns what to do now.
+    /// Returns the next step.
     pub fn next(&self, now: Time, view: &EngineView) -> Step {
         if self.events == 0 {
             return Step::Wait(Time::NEVER);
@@ -346,29 +347,29 @@
                 None => wait = Time::NEVER,
             }
         }
-        if let Some(anew) = self.recompute_at(from, view) {
-            if anew <= now {
+        if let Some(recompute) = self.recompute_at(from, view) {
+            if recompute <= now {
                 return Step::Recompute;
             }
-            wait = wait.min(anew);
+            wait = wait.min(recompute);
         }
-        let leaves_for = view
+        let leaving_for = view
             .leaving_for
             .filter(|_| self.relocations < MAX_RELOCATIONS);
-        let Some(leaves_for) = leaves_for else {
+        let Some(leaving_for) = leaving_for else {
             return Step::Wait(wait);
         };
-        // A copy that is being brought up to date is refused by the engine that keeps it.
+        // The engine that holds a pre-copy refuses to resume from it during a refresh.
         if from == Some(ResumeFrom::PreCopy) && !self.pre_copy.in_progress {
-            let leave = relocate_at(now, leaves_for, view.target_is_quiet);
+            let leave = relocate_at(now, leaving_for, view.target_is_quiet);
             match (leave <= now, view.is_budget_spent) {
                 (true, false) => return Step::Relocate,
-                // Its engine is there for some time yet.
+                // The current engine stays for a while, so the generation can wait for a retry.
                 (true, true) => wait = wait.min(now + QUIET_CHECK_INTERVAL),
                 (false, _) => wait = wait.min(leave),
             }
         }
-        if let Some(copy) = self.pre_copy_at(now, leaves_for, from) {
+        if let Some(copy) = self.pre_copy_at(now, leaving_for, from) {
             if copy <= now {
                 return Step::PreCopy;
             }
@@ -377,8 +378,8 @@
         Step::Wait(wait)
     }
 
-    /// Returns when the engine is given up; never while there is nothing to go on from.
-    /// A standing copy that settles later is looked at then.
+    /// Returns when a silent engine is abandoned; never if there is no copy to resume from. If the
+    /// standby copy is only assumed to exist later, the result is not before that time.
     fn fail_over_at(&self, from: Option<ResumeFrom>, is_leaving: bool) -> Time {
         let silence_timeout = if is_leaving {
             LEAVING_SILENCE_TIMEOUT.min(self.silence_timeout)
@@ -393,7 +394,7 @@
         }
     }
 
-    /// Returns when a silent engine is left for one that reads the generation anew.
+    /// Returns when a silent engine is abandoned for one that recomputes the generation.
     fn recompute_at(&self, from: Option<ResumeFrom>, view: &EngineView) -> Option<Time> {
         let silent = self.last_bytes_at + RESUMABLE_SILENCE_TIMEOUT.min(self.silence_timeout);
         let needs_it = view.may_recompute && from.is_none();
@@ -403,17 +404,17 @@
     fn pre_copy_at(
         &self,
         now: Time,
-        leaves_for: Duration,
+        leaving_for: Duration,
         from: Option<ResumeFrom>,
     ) -> Option<Time> {
         if self.pre_copy.in_progress || self.pre_copy_tries >= MAX_PRE_COPIES {
             return None;
         }
         match (self.pre_copy.complete_since, from) {
-            (Some(_), _) if leaves_for > LAST_REFRESH => None,
+            (Some(_), _) if leaving_for > LAST_REFRESH => None,
             (Some(since), _) => Some((since + REFRESH_AFTER).max(self.pre_copy_not_before)),
             (None, Some(ResumeFrom::Standby)) => {
-                let wait = PRE_COPY_DELAY.saturating_sub(leaves_for);
+                let wait = PRE_COPY_DELAY.saturating_sub(leaving_for);
                 Some((now + wait).max(self.pre_copy_not_before))
             }
             (None, _) => Some(self.pre_copy_not_before),
@@ -421,13 +422,13 @@
     }
 }
 
-fn relocate_at(now: Time, leaves_for: Duration, target_is_quiet: bool) -> Time {
+fn relocate_at(now: Time, leaving_for: Duration, target_is_quiet: bool) -> Time {
     let early = RELOCATE_AFTER - EARLY_RELOCATION;
-    if leaves_for < early {
-        return now + (early - leaves_for);
+    if leaving_for < early {
+        return now + (early - leaving_for);
     }
-    if target_is_quiet || leaves_for >= RELOCATE_AFTER {
+    if target_is_quiet || leaving_for >= RELOCATE_AFTER {
         return now;
     }
-    now + QUIET_CHECK_INTERVAL.min(RELOCATE_AFTER - leaves_for)
+    now + QUIET_CHECK_INTERVAL.min(RELOCATE_AFTER - leaving_for)
 }
--- a/crates/core/src/gateway/usage.rs
+++ b/crates/core/src/gateway/usage.rs
@@ -1,8 +1,8 @@
-//! What runs at each endpoint, as far as this instance knows.
+//! The load of each endpoint as far as this instance knows it.
 //!
-//! Own requests are counted exactly. What others run at engines is the home's to know
-//! ([`home`](super::home)), which tells it now and then. A service may also say in its
-//! answers how full it is; that is used where it says more than the count.
+//! Its own requests are counted exactly. The home of a service knows the usage of its engines by
+//! other instances ([`home`](super::home)) and reports it regularly. A service may also report its
+//! load in its responses, which is used if it is higher than the count.
 
 use crate::ids::EndpointKey;
 use crate::time::Time;
@@ -10,21 +10,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one instance runs at one endpoint.
+/// The usage of one endpoint by one or more instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     pub running: u16,
-    /// Prompt tokens of those that were not answered with a first byte.
+    /// Prompt tokens of requests whose first response byte has not arrived.
     pub pending_prefill: u32,
-    /// Tokens of memory that generations take or are expected to take.
+    /// KV cache tokens that generations use or are expected to use.
     pub tokens: u32,
-    /// Tokens of memory that standing copies take.
+    /// KV cache tokens of standby copies.
     pub copy_tokens: u32,
 }
 
 impl Usage {
-    /// Returns both together.
+    /// Returns the sum of both.
     pub fn plus(self, other: Usage) -> Usage {
         Usage {
             running: self.running.saturating_add(other.running),
@@ -34,24 +34,24 @@
         }
     }
 
-    /// Returns whether anything is at an engine: memory of generations or copies.
+    /// Returns whether KV cache is used, by generations or copies.
     fn uses_kv_cache(self) -> bool {
         self.tokens > 0 || self.copy_tokens > 0
     }
 }
 
-/// What other instances run at endpoints, and where they saw failures.
+/// Usage by other instances, and the endpoints at which they saw failures.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerUsage {
     used: BTreeMap<EndpointKey, Usage>,
-    /// Endpoints of which the last that somebody saw was a failure.
+    /// Endpoints whose last result at any other instance was a failure.
     pub failing: BTreeSet<EndpointKey>,
-    /// Endpoints that several of them cannot use.
+    /// Endpoints that several other instances have ejected.
     pub ejected: BTreeSet<EndpointKey>,
 }
 
 impl PeerUsage {
-    /// Returns what is known where nothing is.
+    /// Returns the usage of a fleet with no other instances.
     pub const fn empty() -> Self {
         PeerUsage {
             used: BTreeMap::new(),
@@ -60,44 +60,45 @@
         }
     }
 
-    /// Counts what one more runs at an endpoint.
+    /// Adds the usage of an endpoint by one more instance.
     pub fn add(&mut self, endpoint: EndpointKey, used: Usage) {
         let sum = self.used.entry(endpoint).or_default();
         *sum = sum.plus(used);
     }
 
-    /// Returns what is run at an endpoint.
+    /// Returns the usage of an endpoint.
     pub fn of(&self, endpoint: EndpointKey) -> Usage {
         self.used.get(&endpoint).copied().unwrap_or_default()
     }
 }
 
-/// A load that an endpoint told longer ago than this says nothing any more. A
-/// plain call takes some 15 to 60 ms, so that the queue has turned over by then.
+/// Lifetime of a load report from an endpoint. A plain call takes about 15 to 60 ms, so the queue
+/// has been replaced completely by then.
 const REPORTED_LOAD_TTL: Duration = Duration::from_millis(250);
 
-/// How full an endpoint said it is.
+/// The load that an endpoint reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that may run at once.
+    /// Requests that can run at once.
     pub slots: u32,
 }
 
-/// Own use of every endpoint, and what endpoints told.
+/// The usage of all endpoints by this instance, and the loads that endpoints reported.
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
     own: BTreeMap<EndpointKey, Usage>,
     reported: BTreeMap<EndpointKey, (Time, ReportedLoad)>,
-    /// Counts the changes that a home is to hear of.
+    /// Counts the changes that are reported to a home immediately.
     changes: u64,
 }
 
 impl UsageTable {
-    /// Counts a request that is sent.
+    /// Adds a request that is sent with `prompt_tokens` and is expected to use `tokens` of KV
+    /// cache.
     pub fn begin(&mut self, endpoint: EndpointKey, tokens: u32, prompt_tokens: u32) {
         let used = self.own.entry(endpoint).or_default();
         used.running = used.running.saturating_add(1);
@@ -106,7 +107,7 @@
         self.changes += u64::from(tokens > 0);
     }
 
-    /// Counts the first byte of a request's answer: its prompt was read.
+    /// Records the first response byte of a request: its `prompt_tokens` have been prefilled.
     pub fn on_first_byte(&mut self, endpoint: EndpointKey, prompt_tokens: u32) {
         if let Some(used) = self.own.get_mut(&endpoint) {
             used.pending_prefill = used.pending_prefill.saturating_sub(prompt_tokens);
@@ -114,10 +115,10 @@
         }
     }
 
-    /// Counts the end of a request, of which `unread` prompt tokens were not read.
+    /// Removes a request that ended; `prompt_tokens` of it were still pending.
     pub fn end(&mut self, endpoint: EndpointKey, tokens: u32, prompt_tokens: u32) {
         let Some(used) = self.own.get_mut(&endpoint) else {
-            debug_assert!(false, "a request at {endpoint} ends that did not begin");
+            debug_assert!(false, "a request ended at {endpoint} that was not counted");
             return;
         };
         used.running = used.running.saturating_sub(1);
@@ -127,21 +128,21 @@
         self.drop_if_unused(endpoint);
     }
 
-    /// Counts anew what a generation is expected to take.
+    /// Replaces the expected KV cache usage of a generation.
     pub fn adjust(&mut self, endpoint: EndpointKey, previous: u32, tokens: u32) {
         if let Some(used) = self.own.get_mut(&endpoint) {
             used.tokens = used.tokens.saturating_sub(previous).saturating_add(tokens);
         }
     }
 
-    /// Counts a standing copy.
+    /// Adds a standby copy.
     pub fn begin_copy(&mut self, endpoint: EndpointKey, tokens: u32) {
         let used = self.own.entry(endpoint).or_default();
         used.copy_tokens = used.copy_tokens.saturating_add(tokens);
         self.changes += 1;
     }
 
-    /// Counts the end of a standing copy.
+    /// Removes a standby copy.
     pub fn end_copy(&mut self, endpoint: EndpointKey, tokens: u32) {
         if let Some(used) = self.own.get_mut(&endpoint) {
             used.copy_tokens = used.copy_tokens.saturating_sub(tokens);
@@ -150,33 +151,33 @@
         }
     }
 
-    /// Notes what an endpoint told.
+    /// Records the load that an endpoint reported.
     pub fn observe_load(&mut self, now: Time, endpoint: EndpointKey, load: ReportedLoad) {
         self.reported.insert(endpoint, (now, load));
     }
 
-    /// Forgets what an endpoint told, because it is gone.
+    /// Drops the reported load of an endpoint that no longer exists.
     pub fn forget(&mut self, endpoint: EndpointKey) {
         self.reported.remove(&endpoint);
     }
 
-    /// Returns what this instance runs at engines, to tell their home.
+    /// Returns the usage of engines by this instance, for the report to their home.
     pub fn engine_usage(&self) -> impl Iterator<Item = (EndpointKey, Usage)> {
         let own = self.own.iter().filter(|(_, used)| used.uses_kv_cache());
         own.map(|(key, used)| (*key, *used))
     }
 
-    /// Returns a number that grows with each change that a home is to hear of at once.
+    /// Returns a counter that increases with each change that is reported to a home immediately.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Returns what this instance runs at an endpoint.
+    /// Returns the usage of an endpoint by this instance.
     pub fn own(&self, endpoint: EndpointKey) -> Usage {
         self.own.get(&endpoint).copied().unwrap_or_default()
     }
 
-    /// Returns what the endpoint told lately.
+    /// Returns the load that an endpoint reported, if it is recent.
     pub fn recent_load(&self, now: Time, endpoint: EndpointKey) -> Option<ReportedLoad> {
         let (at, load) = self.reported.get(&endpoint)?;
         (now.since(*at) < REPORTED_LOAD_TTL).then_some(*load)
