--- a/crates/core/tests/gateway_budget.rs
+++ b/crates/core/tests/gateway_budget.rs
@@ -1,4 +1,4 @@
-//! Repeats stay within the fleet's bound.
+//! Retries stay within the bound of the fleet.
 
 use core::time::Duration;
 use oriolemux_core::Time;
@@ -16,10 +16,10 @@
 
 const INSTANCES: usize = 6;
 
-/// Long enough to earn all that may be held.
+/// Long enough to earn everything that may be held.
 const LONG: Duration = Duration::from_secs(60);
 
-/// Returns the budget of one of so many instances, which has run for long.
+/// Returns the full budget of one of this many instances.
 fn rested(instances: usize) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(START, FLEET);
     budget.set_fleet_size(START, Some(instances));
@@ -34,7 +34,7 @@
     spent
 }
 
-/// Guards against instances that each take the whole bound for their own.
+/// Guards against instances that each use the bound of the whole fleet.
 #[rstest]
 #[case::even(&[50, 50, 50, 50, 50, 50])]
 #[case::uneven(&[300, 0, 0, 0, 0, 0])]
@@ -57,7 +57,7 @@
     assert!(f64::from(spent) >= 0.4 * bound, "{spent} of {bound}");
 }
 
-/// Guards against more than the bound in any window, whatever was held before it.
+/// Guards against exceeding the bound in any window, including what was held before the window.
 #[test]
 fn the_window_slides() {
     let mut budget = rested(INSTANCES);
@@ -69,7 +69,7 @@
             budget.on_request(now, "desk");
             requests.push(now);
         }
-        // It fails for 15 s, rests, and fails again.
+        // It fails for 15 s, pauses, and fails again.
         if !(150..250).contains(&step) {
             let count = spend_all(&mut budget, now, "desk");
             spent.extend((0..count).map(|_| now));
@@ -87,7 +87,7 @@
     }
 }
 
-/// Guards against an instance that spends anew what the life before it has spent.
+/// Guards against a restarted instance that spends again what its previous incarnation has spent.
 #[test]
 fn an_instance_starts_with_nothing() {
     let mut budget = SharedRetryBudget::new(START, FLEET);
@@ -100,7 +100,7 @@
     );
 }
 
-/// Guards against an allowance that an instance takes whole because it knows nobody else.
+/// Guards against an instance that uses the full allowance because it knows no others.
 #[test]
 fn who_does_not_know_the_fleet_has_no_part_of_the_allowance() {
     let mut budget = SharedRetryBudget::new(START, FLEET);
@@ -115,7 +115,8 @@
     );
 }
 
-/// Guards against retries that leave nothing to generations whose callers hold half of an answer.
+/// Guards against retries that leave no budget for generations whose callers have received part of
+/// the output.
 #[test]
 fn retries_leave_room_for_generations_that_go_on() {
     let mut budget = rested(INSTANCES);
--- a/crates/core/tests/gateway_budget_fleet.rs
+++ b/crates/core/tests/gateway_budget_fleet.rs
@@ -1,4 +1,4 @@
-//! What a whole fleet spends on repeats, whoever hears whom and whoever starts again.
+//! What a whole fleet spends on retries during partitions and restarts.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -19,34 +19,34 @@
 const RATIO: f64 = 0.2;
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Repeats allowed on top of the ratio, for each instance.
+/// Retries allowed in addition to the ratio, per instance.
 const ALLOWANCE_EACH: f64 = 2.6;
 
-/// Requests a second at each instance, all of which fail.
+/// Requests per second at each instance, all of which fail.
 const REQUESTS_EACH: f64 = 1.5;
 
-/// How many times each request is to be sent again.
+/// How often each request is retried.
 const TRIES: usize = 3;
 
-/// Generations a second at each instance that are to go on at another engine, where many engines
-/// are lost.
+/// Generations per second at each instance that need to resume at another engine, while many
+/// engines are lost.
 const MOVES_EACH: f64 = 0.8;
 
-/// How long a generation waits for a repeat.
+/// How long a generation waits for a retry.
 const MOVES_WAIT: Duration = Duration::from_secs(1);
 
-/// A fleet whose requests fail all the time.
+/// A fleet whose requests all fail.
 struct Scene {
     fleet: Fleet,
     budget: BudgetConfig,
     rng: SmallRng,
-    /// When a request came.
+    /// Arrival times of requests.
     requests: Vec<Time>,
-    /// When one was sent to one endpoint more.
+    /// Times of retries.
     repeats: Vec<Time>,
-    /// Generations a second at each instance that are to go on at another engine.
+    /// Generations per second at each instance that need to resume at another engine.
     moves_each: f64,
-    /// Generations that have still to go on, by instance, and since when.
+    /// Generations that still need to resume: their instance, and since when.
     to_move: Vec<(usize, Time)>,
     moves: usize,
 }
@@ -73,7 +73,7 @@
         for index in 0..size {
             scene.configure(index);
         }
-        // What a fleet may spend comes to it over time.
+        // Instances earn their budgets over time.
         scene.fleet.run(Duration::from_secs(15));
         scene
     }
@@ -93,7 +93,7 @@
         self.configure(index);
     }
 
-    /// Lets time pass in which requests fail and generations lose their engines.
+    /// Advances time while requests fail and generations lose their engines.
     fn fail(&mut self, time: Duration) {
         let step = Duration::from_millis(50);
         let ends = self.fleet.now + time;
@@ -141,7 +141,7 @@
         spent.is_allowed
     }
 
-    /// Returns the most repeats that were above the bound in any window, below zero if none were.
+    /// Returns by how many retries the worst window exceeds the bound; negative if no window does.
     fn most_above_bound(&self) -> f64 {
         let above = self.repeats.iter().map(|&from| {
             let repeats = count(&self.repeats, from, WINDOW);
@@ -188,8 +188,7 @@
     from % 2 == to % 2
 }
 
-/// Guards against parts of the allowance that add up to more than it while instances do not hear
-/// each other.
+/// Guards against shares of the allowance that exceed it in total during a partition.
 #[rstest]
 #[case::few(6, two_sides)]
 #[case::few_alone(6, nobody)]
@@ -210,7 +209,7 @@
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against instances that spend a new part of the allowance each time that they start.
+/// Guards against instances that spend a new share of the allowance after each restart.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
@@ -231,8 +230,8 @@
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against instances that start while they hear few others, or none, and take the
-/// allowance of all for their own.
+/// Guards against instances that start while they reach few others or none, and use the full
+/// allowance.
 #[rstest]
 #[case::few(6, two_sides)]
 #[case::few_alone(6, nobody)]
@@ -261,7 +260,8 @@
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against a fleet that starts on two sides of a cut and spends the allowance on each.
+/// Guards against a fleet that starts during a partition and spends the full allowance on each
+/// side.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
@@ -279,7 +279,7 @@
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against generations that go on without asking, however many they are.
+/// Guards against resumed generations that exceed the bound when there are many of them.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
@@ -293,8 +293,8 @@
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against a bound that is kept by sending nothing: what it allows is spent, and plain
-/// repeats leave room for generations that go on.
+/// Guards against a bound that is kept by sending nothing: most of it is spent, and plain retries
+/// leave room for generations that resume.
 #[test]
 fn a_whole_fleet_spends_most_of_the_bound() {
     let mut scene = Scene::new(64);
--- a/crates/core/tests/gateway_catalogue.rs
+++ b/crates/core/tests/gateway_catalogue.rs
@@ -1,4 +1,4 @@
-//! How a request is judged by the catalogue of HTTP entries.
+//! How requests are matched against the catalogue of HTTP entries.
 
 use core::time::Duration;
 use oriolemux_core::gateway::catalogue::{
--- a/crates/core/tests/gateway_choose.rs
+++ b/crates/core/tests/gateway_choose.rs
@@ -1,4 +1,4 @@
-//! Where requests, generations and their copies go.
+//! Where requests, generations and their copies are placed.
 
 use core::time::Duration;
 use oriolemux_core::gateway::catalogue::EngineLimits;
@@ -27,7 +27,7 @@
     EndpointKey::of(name)
 }
 
-/// Endpoints by name and data centre, all of one service.
+/// Endpoints of one service, by name and data centre.
 fn tables(endpoints: &[(&str, &str)]) -> Tables {
     let mut table = EndpointTable::default();
     for (name, data_centre) in endpoints {
@@ -71,13 +71,13 @@
     }
 }
 
-/// No draw, so that the cost alone decides.
+/// No jitter, so that the cost alone decides.
 fn no_draw() -> f64 {
     0.0
 }
 
-/// Symptom: two instances send long prompts to one engine while others idle. Cause:
-/// an instance counted only its own.
+/// Guards against two instances that send long prompts to one engine while others idle, because
+/// each counts only its own requests.
 #[test]
 fn what_others_run_counts() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
@@ -104,8 +104,8 @@
     );
 }
 
-/// Symptom: engines preempt. Cause: memory was given away twice, to generations and
-/// to standing copies.
+/// Guards against preemption at engines whose KV cache is assigned twice, to generations and to
+/// standby copies.
 #[test]
 fn copies_count_as_memory() {
     let mut tables = tables(&[("e-1", "north")]);
@@ -157,9 +157,8 @@
     assert_eq!(ahead, Some(key("e-2")));
 }
 
-/// Symptom: generations stand still for two seconds after their engine left.
-/// Sequence: all of them go on at one engine. Cause: all chose the same one, in the
-/// same moment and with the same view.
+/// Guards against generations that stall for two seconds after their engine left, because all of
+/// them chose the same target at the same moment and with the same view.
 #[test]
 fn copies_ahead_of_one_engine_part() {
     let names = ["e-1", "e-2", "e-3", "e-4", "e-5"];
@@ -178,11 +177,10 @@
     assert!(chosen.len() >= 3, "{chosen:?}");
 }
 
-/// Symptom: while the store is away, generations are lost with their engines although
-/// each had a standing copy. Sequence: an engine dies and its entry stays; it looks
-/// empty and draws all copies to itself, also those of instances that had no work there.
-/// Cause: an instance knew only its own failures, and passed over an endpoint only after
-/// three of them.
+/// Guards against generations that are lost with their engine although they have a standby copy.
+/// During a store outage the record of a crashed engine remains; the engine looks empty and
+/// attracts all copies, also from instances without work there. Three own failures, which eject an
+/// endpoint, are too late.
 #[rstest]
 #[case::seen_here(true)]
 #[case::seen_by_others(false)]
@@ -203,9 +201,8 @@
     }
 }
 
-/// Symptom: a generation whose engines failed one after the other has no copy at the
-/// last one, and is lost with it. Cause: the engine that it ran at counted as one that
-/// could keep the copy.
+/// Guards against a generation without a copy at the last engine that is left: an engine at which
+/// the generation failed may hold the copy if there is no other.
 #[test]
 fn an_engine_that_fails_keeps_a_copy_if_there_is_no_other() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -1,4 +1,4 @@
-//! Endpoints that bear few requests a second while they are cold: what a fleet sends them in all.
+//! Rate limits of cold endpoints: what a whole fleet sends them.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -22,7 +22,7 @@
 
 const SEEDS: usize = 3;
 
-/// Engines with room for all that the tests send, so that nothing but the bound holds requests back.
+/// Engines with enough capacity for the tests, so that only the rate limit restricts requests.
 const ENGINE: EngineLimits = EngineLimits {
     slots: 10_000,
     kv_cache_tokens: 10_000_000,
@@ -34,7 +34,7 @@
     duration: Duration::from_secs(1),
 };
 
-/// What an operator allows above the rate, as a factor and a number of requests.
+/// The overshoot that an operator tolerates, as a factor and a number of requests.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// A settled fleet before endpoints, and what it sends them.
+/// A settled fleet in front of endpoints, and the requests that it sent.
 struct Scene {
     fleet: Fleet,
     rng: SmallRng,
@@ -109,7 +109,7 @@
         self.fleet.nodes[index].core.as_mut().expect("it is there")
     }
 
-    /// Some instance that is there.
+    /// Returns a random running instance.
     fn any(&mut self) -> usize {
         let size = self.fleet.nodes.len();
         loop {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Lets time pass in which so many calls and generations a second are wanted.
+    /// Advances time while calls and generations arrive at these rates per second.
     fn want(&mut self, time: Duration, calls: f64, generations: f64) {
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
@@ -205,7 +205,7 @@
         self.waiting = still;
     }
 
-    /// Returns the most requests that an endpoint got within a second.
+    /// Returns the most requests that an endpoint got within one second.
     fn busiest_second(&self, name: &str) -> usize {
         let key = EndpointKey::of(name);
         let sent = self.sent.iter().filter(|it| it.1 == key);
@@ -224,8 +224,8 @@
     (COLD.per_second * OVERSHOOT + SLACK) as usize
 }
 
-/// Guards against a cold endpoint that crashes because each instance sends it what it would bear
-/// from one; the others are warm, and take what it may not have.
+/// Guards against a cold endpoint that crashes because each instance uses the whole limit. Warm
+/// endpoints take the remaining requests.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
@@ -246,13 +246,13 @@
         scene.busiest_second("d-cold"),
     );
     assert!((1..=bound()).contains(&engine), "{engine}");
-    // Calls of one instance are too few to make the warm endpoint look busy.
+    // Each instance makes too few calls for the warm endpoint to look busy.
     assert!(desk <= bound(), "{desk}");
     assert!(scene.waiting.len() < 20, "{} wait", scene.waiting.len());
 }
 
-/// Guards against a bound that holds on each side of a cut and not for both together, beside an
-/// instance that has just started and knows one side only.
+/// Guards against a limit that each side of a partition uses in full, with an instance that has
+/// just started and knows only one side.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
@@ -277,8 +277,7 @@
     }
 }
 
-/// Guards against instances that all were paused, or have just started, and send at once what
-/// would be the share of one alone.
+/// Guards against instances that use more than their share right after all of them started.
 #[test]
 fn a_fleet_that_starts_at_once_keeps_the_bound() {
     let endpoints = [
@@ -300,7 +299,7 @@
     }
 }
 
-/// Guards against a service that is not used at all because its last endpoint is cold.
+/// Guards against a service that becomes unusable because its last endpoint is cold.
 #[test]
 fn the_last_endpoint_is_used_though_it_is_cold() {
     let endpoints = [
@@ -337,8 +336,7 @@
     }
 }
 
-/// Guards against endpoints that became cold while their data centre was closed, and that are
-/// sent what they bore before.
+/// Guards against full load on endpoints that became cold while their data centre was closed.
 #[test]
 fn endpoints_of_a_data_centre_that_is_open_again_count_as_cold() {
     let mut one = one_with(&[record("d-1", "desk", Duration::ZERO)]);
@@ -356,7 +354,7 @@
     assert!(!is_cold(&one, word), "its own word is fresher");
 }
 
-/// Guards against an endpoint that says it is cold again and is not believed.
+/// Guards against an endpoint that reports that it is cold again and is ignored.
 #[test]
 fn an_endpoint_may_become_cold_at_any_moment() {
     let mut one = one_with(&[record("d-1", "desk", Duration::ZERO)]);
@@ -376,7 +374,7 @@
     );
 }
 
-/// Guards against copies at an engine that may not be asked to go on with them.
+/// Guards against copies at an engine that may not be asked to resume from them.
 #[rstest]
 #[case(CopyKind::Standby)]
 #[case(CopyKind::PreCopy)]
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -1,4 +1,5 @@
-//! Data centres that the operator closed to new work: how the word spreads, and who obeys it.
+//! Data centres that the operator closed to new work: how cordons spread, and which decisions
+//! respect them.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -21,10 +22,10 @@
 
 const SEEDS: usize = 3;
 
-/// From the store's acknowledgement until a cordon is in force everywhere.
+/// Time from the store's acknowledgement until a cordon is in force everywhere.
 const IN_FORCE: Duration = Duration::from_millis(500);
 
-/// The slowest answer of a store that is not in trouble.
+/// The slowest response of a healthy store.
 const STORE_ANSWER: Duration = Duration::from_millis(10);
 
 const ENGINE: EngineLimits = EngineLimits {
@@ -57,7 +58,7 @@
     fleet
 }
 
-/// Returns how many instances believe that a data centre is closed.
+/// Returns how many instances consider a data centre closed.
 fn believers(fleet: &Fleet, data_centre: &str) -> usize {
     let cores = fleet.nodes.iter().filter_map(|it| it.core.as_ref());
     cores
@@ -65,8 +66,8 @@
         .count()
 }
 
-/// Guards against instances that go on sending to a closed data centre, and against one that
-/// stays closed where it was opened, at the size that is designed for.
+/// Guards against instances that keep sending to a closed data centre, and against one for which it
+/// stays closed after it was reopened, up to the fleet size of the design.
 #[rstest]
 #[case::few(6, 0.0)]
 #[case::some(64, 0.02)]
@@ -74,7 +75,7 @@
 #[case::planned(390, 0.02)]
 fn a_cordon_is_in_force_everywhere_within_half_a_second(#[case] size: usize, #[case] loss: f64) {
     let mut fleet = settled(size, loss);
-    // What watches the store hears of a change that late.
+    // A watcher learns of a change with this delay.
     let left = IN_FORCE - WATCH_PAUSE - STORE_ANSWER;
 
     fleet.tell_cordon(0, &cordon("north", 10, true));
@@ -87,7 +88,7 @@
     assert_eq!((closed, open), (size, size));
 }
 
-/// Guards against news of a cordon that costs more where there are more instances.
+/// Guards against cordons whose cost per instance grows with the fleet.
 #[rstest]
 #[case::few(6)]
 #[case::large(195)]
@@ -110,8 +111,8 @@
     assert!(busiest <= usual + 2_048, "{usual} bytes, then {busiest}");
 }
 
-/// Guards against an instance that was away while a data centre was closed and opened, and that
-/// old news closes it to for good.
+/// Guards against a delayed cordon that closes a reopened data centre for good at an instance that
+/// missed both changes.
 #[test]
 fn an_older_word_changes_nothing() {
     let mut one = instances::gateway(1);
@@ -141,13 +142,13 @@
 }
 
 proptest! {
-    /// Guards against a belief that depends on the order in which words arrive, or on how often.
+    /// Guards against a state that depends on the order or the number of cordons received.
     #[test]
     fn the_last_word_holds_in_any_order(
         words in proptest::collection::vec((0u8..3, 1u64..40), 1..30),
         order in proptest::collection::vec(0usize..1_000, 60),
     ) {
-        // A revision says one thing: the even ones close, the odd ones open.
+        // Each revision has one state: even ones close, odd ones open.
         let words: Vec<Cordon> = words
             .iter()
             .map(|(place, revision)| cordon(&format!("dc-{place}"), *revision, revision % 2 == 0))
@@ -175,8 +176,8 @@
     }
 }
 
-/// An instance alone that knows an engine of `model` and an endpoint of `desk` in each of two
-/// data centres.
+/// A single instance that knows an engine of `model` and an endpoint of `desk` in each of two data
+/// centres.
 fn two_places() -> Gateway {
     let mut one = instances::gateway(1);
     let now = Time::from_secs(1);
@@ -233,7 +234,7 @@
     }
 }
 
-/// Each way by which something is sent to an engine.
+/// All kinds of placements at engines.
 fn all_wants() -> Vec<PlacementKind> {
     let source = EndpointKey::of("e-south");
     let copy = |kind| PlacementKind::Copy { source, kind };
@@ -245,7 +246,7 @@
     ]
 }
 
-/// Asks for a place at an instance that is its own home.
+/// Requests a placement from an instance that is its own home.
 fn granted(one: &mut Gateway, now: Time, want: PlacementKind) -> PlacementStatus {
     one.ask(now, request(1, want));
     one.tick(now);
@@ -255,7 +256,7 @@
     verdict
 }
 
-/// Guards against a sender that does not ask whether a data centre is closed.
+/// Guards against a sender that does not check whether a data centre is closed.
 #[test]
 fn no_sender_chooses_a_closed_data_centre() {
     let mut one = two_places();
@@ -283,8 +284,8 @@
     assert!(closed.iter().all(|&it| one.place_at(it).is_none()));
 }
 
-/// Guards against a place that was granted before its data centre was closed and is taken
-/// after it.
+/// Guards against a placement that was granted before its data centre was closed, and is used
+/// afterwards.
 #[test]
 fn a_place_that_was_granted_before_is_not_taken() {
     let mut one = two_places();
@@ -314,7 +315,7 @@
     assert_ne!(other, key);
 }
 
-/// Guards against an endpoint that registers after its data centre was closed and is used.
+/// Guards against using an endpoint that registers after its data centre was closed.
 #[test]
 fn an_endpoint_that_comes_later_is_covered() {
     let mut one = two_places();
@@ -326,7 +327,7 @@
     assert!(!one.is_usable(EndpointKey::of("e-west")));
 }
 
-/// Guards against requests that wait for a data centre that nobody will open.
+/// Guards against requests that are queued for closed data centres without saying so.
 #[test]
 fn with_all_closed_there_is_no_place_and_the_reason_says_so() {
     let mut one = two_places();
@@ -352,7 +353,7 @@
 }
 
 /// Guards against an instance that serves before it knows which data centres are closed, and
-/// against one that waits for thousands of endpoints though it could serve with those it knows.
+/// against one that waits for thousands of endpoints although it could serve with those it knows.
 #[test]
 fn an_instance_is_ready_once_it_knows_the_cordons() {
     let mut one = two_places();
--- a/crates/core/tests/gateway_endpoints.rs
+++ b/crates/core/tests/gateway_endpoints.rs
@@ -1,4 +1,4 @@
-//! Which endpoints take work.
+//! Which endpoints accept new work.
 
 use core::time::Duration;
 use oriolemux_core::gateway::EndpointRecord;
@@ -28,9 +28,8 @@
     table.is_usable(key)
 }
 
-/// Symptom: an endpoint that leaves is sent new work. Sequence: its entry is written
-/// once more after a peer told that it leaves. Cause: the store's word went before
-/// the endpoint's own.
+/// Guards against new work for a leaving endpoint: its record was written once more after a peer
+/// had reported that it leaves, and the record took precedence over the endpoint's own state.
 #[test]
 fn leaving_is_final() {
     let (mut table, key) = table();
@@ -53,8 +52,8 @@
     assert!(!takes_work(&table, key));
 }
 
-/// Symptom: all endpoints are gone after an outage of the store. Sequence: entries
-/// lapsed while it was away, and are written again within two seconds.
+/// Guards against losing all endpoints in a store outage: their records lapse while the store is
+/// down, and are written again within two seconds of its return.
 #[test]
 fn entries_that_lapsed_in_an_outage_may_come_back() {
     let (mut table, key) = table();
@@ -91,8 +90,8 @@
     assert!(!takes_work(&table, key));
 }
 
-/// Symptom: an endpoint that fails at once draws all requests. Cause: it is always
-/// the least loaded one.
+/// Guards against an endpoint that fails immediately and attracts all requests, because it is
+/// always the least loaded one.
 #[test]
 fn failures_in_a_row_make_an_endpoint_be_passed_over_for_a_while() {
     let (mut table, key) = table();
@@ -108,8 +107,7 @@
     assert!(!table.get(key).expect("it is there").is_ejected(now));
 }
 
-/// An engine answers for many seconds before a generation ends; its first event shows
-/// that it is there.
+/// A generation takes many seconds to end, so its first event already shows that the engine works.
 #[test]
 fn an_endpoint_that_begins_to_answer_no_longer_fails() {
     let (mut table, key) = table();
@@ -132,8 +130,8 @@
     assert_eq!(table.failing().count(), 0);
 }
 
-/// An endpoint that takes no connections is passed over at once; one request that fails
-/// there may be the request's own fault.
+/// An endpoint that accepts no connections is ejected immediately. A failed request may be caused
+/// by the request itself.
 #[test]
 fn an_endpoint_that_cannot_be_reached_is_passed_over_at_once() {
     let (mut table, key) = table();
@@ -145,7 +143,7 @@
     assert!(table.get(key).is_some_and(|it| it.is_ejected(now)));
 }
 
-/// A life of the endpoint `e-1`.
+/// An incarnation of the endpoint `e-1`.
 fn life(born: u64, leaving: bool) -> EndpointRecord {
     EndpointRecord {
         started_unix_ms: Some(born),
@@ -153,9 +151,8 @@
     }
 }
 
-/// Symptom: an engine that started again is passed over, and the news that it left keeps it
-/// away for good. Sequence: it fails, is told to leave, and starts again under its name.
-/// Cause: what was believed was keyed by the name alone.
+/// Guards against a restarted engine that inherits the state of its predecessor, which failed and
+/// was leaving: state that is keyed by name alone would exclude the new incarnation for good.
 #[test]
 fn a_new_life_begins_without_what_is_known_of_the_one_before() {
     let mut table = EndpointTable::default();
@@ -173,9 +170,8 @@
     assert!(!takes_work(&table, first.key()));
 }
 
-/// Symptom: generations wait for an engine that holds nothing of them. Sequence: it starts
-/// again behind a cut; its new entry is the first that is heard. Cause: the life before
-/// counted as there for as long as its name did.
+/// Guards against generations that wait for a restarted engine, which has lost their state. If the
+/// engine restarts behind a partition, its new record is the first sign of the restart.
 #[test]
 fn the_life_before_leaves_when_a_new_one_is_published() {
     let mut table = EndpointTable::default();
@@ -187,8 +183,8 @@
     assert_eq!(began, [life(1_000, false).key()]);
 }
 
-/// Symptom: an old life is used again. Sequence: an entry that was read before the restart
-/// arrives after the one that was written behind it. Cause: what came last was believed.
+/// Guards against a previous incarnation that is used again, because its record was read before the
+/// restart and arrives after the new one.
 #[test]
 fn an_older_record_brings_no_old_life_back() {
     let mut table = EndpointTable::default();
@@ -202,7 +198,7 @@
     assert!(table.get(life(1_000, false).key()).is_none());
 }
 
-/// A vanished entry means the newest life under its name.
+/// The removal of a record applies to the newest incarnation under its name.
 #[test]
 fn the_newest_life_vanishes_with_the_entry() {
     let mut table = EndpointTable::default();
@@ -215,7 +211,7 @@
     assert_eq!(gone, Some(life(2_000, false).key()));
 }
 
-/// Around an outage an entry that was written over, and one that vanished, may both be back.
+/// Around a store outage, both an unreadable record and a removed one may be written again.
 #[test]
 fn an_entry_that_can_be_read_again_names_its_endpoint_again() {
     let (mut table, key) = table();
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -1,4 +1,4 @@
-//! Endpoints that name how many requests a second they take: what a fleet sends them in all.
+//! Rate limits that endpoints report: what a whole fleet sends them.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -21,21 +21,21 @@
 const SERVICE: &str = "desk";
 const IN_NEED: &str = "d-need";
 
-/// The rate that the endpoint in need names, in requests a second.
+/// The limit that the endpoint reports, in requests per second.
 const RATE: f64 = 3.3;
 
-/// Calls a second of the whole fleet.
+/// Calls per second of the whole fleet.
 const CALLS: f64 = 200.0;
 
-/// How long an answer takes.
+/// Response time of all endpoints.
 const ANSWERS_IN: Duration = Duration::from_millis(15);
 
-/// What an operator allows above the rate: a factor and a number of requests in each window.
+/// The overshoot that an operator tolerates: a factor and a number of requests per window.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// How long after an instance was told its requests count.
+/// How long after an instance learned of the limit its requests are counted.
 const TOLD_FOR: Duration = Duration::from_millis(500);
 
 fn record(name: &str) -> EndpointRecord {
@@ -66,18 +66,18 @@
     }
 }
 
-/// A fleet before endpoints of which some name a limit.
+/// A fleet in front of endpoints, some of which report a limit.
 struct Scene {
     fleet: Fleet,
     rng: SmallRng,
     names: Vec<&'static str>,
-    /// What endpoints name.
+    /// The limits that endpoints report.
     limits: BTreeMap<EndpointKey, f64>,
-    /// Answers under way: when they arrive, at whom, from whom, and when the call was sent.
+    /// Pending responses: when they arrive, the instance, the endpoint, and when the call was sent.
     answers: Vec<(Time, usize, EndpointKey, Time)>,
-    /// When an instance was first told in its present life.
+    /// When the current incarnation of an instance first received a limit.
     told: BTreeMap<usize, Time>,
-    /// Calls that count: sent by an instance that had been told.
+    /// Counted calls: those of instances that know the limit.
     counted: Vec<(Time, EndpointKey)>,
     sent: BTreeMap<EndpointKey, usize>,
     refused: usize,
@@ -128,7 +128,7 @@
         self.learn(index);
     }
 
-    /// Lets time pass in which calls come.
+    /// Advances time while calls arrive.
     fn call_for(&mut self, time: Duration) {
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
@@ -207,7 +207,7 @@
     false
 }
 
-/// Guards against an endpoint in need that each instance sends what it takes from all.
+/// Guards against instances that each use the whole limit of an endpoint.
 #[rstest]
 #[case::few(6, everybody)]
 #[case::few_cut(6, two_sides)]
@@ -233,8 +233,8 @@
     assert_eq!(scene.refused, 0, "the other endpoint takes the rest");
 }
 
-/// Guards against instances that start again beside a limit and know nothing of it, or take the
-/// rate for their own because they hear nobody.
+/// Guards against restarted instances that do not know the limit, or use all of it because they are
+/// cut off from the others.
 #[rstest]
 #[case::few(6, everybody)]
 #[case::few_cut(6, two_sides)]
@@ -263,8 +263,8 @@
     assert!(most <= bound(RATE), "{most} of {}", bound(RATE));
 }
 
-/// Guards against a rate below one request a second that becomes none, so that the endpoint can
-/// never say that it is over.
+/// Guards against a limit below one request per second that becomes zero, so that the endpoint can
+/// never report its end.
 #[rstest]
 #[case::below_one(0.3)]
 #[case::zero(0.0)]
@@ -281,8 +281,8 @@
     assert!(scene.busiest(IN_NEED) <= bound(rate));
 }
 
-/// Guards against a limit that some instances hold to for good because they send too little to
-/// hear its end.
+/// Guards against a limit that some instances enforce for good, because they send too few requests
+/// to learn of its end.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
@@ -304,7 +304,7 @@
     assert_eq!(all_know(&scene, None), size);
 }
 
-/// Guards against a limit that outlives the process that named it.
+/// Guards against a limit that outlives the process that reported it.
 #[test]
 fn another_life_of_an_endpoint_has_no_limit() {
     let mut one = instances::gateway(1);
@@ -322,8 +322,8 @@
     assert_eq!(one.limits.of(new_key), None);
 }
 
-/// Guards against callers that wait until their time is over for a service all of whose endpoints
-/// take no more.
+/// Guards against callers that wait until they time out for a service whose endpoints have all
+/// reached their limit.
 #[test]
 fn callers_are_refused_at_once_where_all_endpoints_are_at_their_limit() {
     let names = ["d-1", "d-2", "d-3"];
@@ -345,8 +345,8 @@
     }
 }
 
-/// Guards against answers that overtake each other: one that was asked for before the limit was
-/// named does not end it.
+/// Guards against reordered responses: a response to a request from before the limit was reported
+/// does not end it.
 #[rstest]
 #[case::sent_before(Duration::from_millis(900), Some(RATE))]
 #[case::sent_after(Duration::from_millis(1_100), None)]
@@ -365,7 +365,7 @@
     assert_eq!(limits.of(key), expected);
 }
 
-/// Guards against a word of a peer that is older than what is known and brings it back.
+/// Guards against an older report of a peer that restores a limit which has ended.
 #[test]
 fn the_later_word_about_a_limit_holds() {
     let mut limits = RateLimits::default();
@@ -390,7 +390,7 @@
     assert_eq!(limits.of(key), None);
 }
 
-/// Guards against values that no rate can be made of.
+/// Guards against values that cannot be used as a rate.
 #[rstest]
 #[case::unreadable(ResponseLimit::Unreadable, None)]
 #[case::zero(ResponseLimit::PerSecond(0.0), Some(0.1))]
--- a/crates/core/tests/gateway_queue.rs
+++ b/crates/core/tests/gateway_queue.rs
@@ -1,4 +1,4 @@
-//! Who is next when room at engines is short.
+//! The order in which queued requests get room at engines.
 
 #[path = "fixtures/gateway.rs"]
 mod instances;
@@ -23,7 +23,7 @@
     standby_copies: true,
 };
 
-/// What the home of all engines knows.
+/// The state of the home of all engines.
 struct Fleet {
     endpoints: EndpointTable,
     usage: UsageTable,
@@ -35,7 +35,7 @@
     EndpointKey::of(&format!("e-{number}"))
 }
 
-/// Returns engines, of which each has so many tokens of memory taken.
+/// Returns a fleet of engines with this many KV cache tokens in use.
 fn fleet(taken: &[u32]) -> Fleet {
     let mut fleet = Fleet {
         endpoints: EndpointTable::default(),
@@ -97,7 +97,7 @@
     }
 }
 
-/// A request that has waited for so many milliseconds.
+/// Returns a request that was queued this long ago.
 fn waiter(id: u64, age_ms: u64, tokens: u32) -> QueuedRequest {
     QueuedRequest {
         id,
@@ -110,9 +110,9 @@
     }
 }
 
-/// Symptom: engines are a third over their memory, and generations wait inside them for
-/// seconds. Sequence: one generation ends; twenty requests wait at as many instances, all
-/// hear of it within milliseconds and all go there. Cause: each instance decided alone.
+/// Guards against overfull engines, in which generations wait for seconds: when one generation
+/// ends, all instances learn of it within milliseconds, and if each decides alone, all their queued
+/// requests go there.
 #[test]
 fn room_for_one_goes_to_one_of_all_that_wait() {
     let mut fleet = fleet(&[16_000, 19_000, 19_000]);
@@ -140,9 +140,8 @@
     assert_ne!(one, other);
 }
 
-/// Symptom: under a load that is a tenth too high nearly all generations are late. Sequence:
-/// each waits until it is the oldest, and then has no time left for its prompt. Cause: the
-/// oldest went first.
+/// Guards against nearly all generations being late under slight overload. If the oldest request
+/// goes first, each waits until it is the oldest, and then has no time left for its prefill.
 #[test]
 fn what_can_only_be_late_gives_way() {
     let mut fleet = fleet(&[16_000]);
@@ -167,8 +166,8 @@
     assert_eq!(fleet.turn(&urgent), Ok(engine(0)));
 }
 
-/// Symptom: generations with long prompts are served half as often as others. Sequence:
-/// room comes in small pieces, and a smaller request takes each. Cause: what fitted went.
+/// Guards against starvation of long prompts: room becomes free in small pieces, and smaller
+/// requests would take each of them.
 #[test]
 fn room_is_kept_for_a_large_request() {
     let mut fleet = fleet(&[14_500, 16_500]);
@@ -184,7 +183,7 @@
     );
 }
 
-/// What a home is told of a request means the same there.
+/// Guards against a request whose age is lost in the report to a home.
 #[test]
 fn a_request_keeps_its_age_when_it_is_told() {
     let one = waiter(7, 1_234, 3_000);
@@ -197,7 +196,7 @@
 }
 
 proptest! {
-    /// Whoever waits: all that go at once fit, engine by engine, since all know the same.
+    /// For any queue: all requests that are placed at once fit into their engines.
     #[test]
     fn all_that_go_at_once_fit(
         taken in prop::collection::vec(0_u32..20_000, 1..12),
--- a/crates/core/tests/gateway_relocation.rs
+++ b/crates/core/tests/gateway_relocation.rs
@@ -12,10 +12,10 @@
 
 const START: Time = Time::from_secs(10);
 
-/// How long an engine that stays may be silent, in these tests.
+/// How long an engine that is not leaving may be silent, in these tests.
 const LIMIT: Duration = Duration::from_secs(4);
 
-/// A generation whose first event came at [`START`].
+/// A generation whose first event arrived at [`START`].
 fn begun(has_standing: bool) -> Relocation {
     let mut one = Relocation::new(LIMIT);
     one.set_standby(has_standing);
@@ -34,7 +34,7 @@
     }
 }
 
-/// An engine that stays, and a generation that any engine may go on with.
+/// An engine that is not leaving, and a generation that any engine can resume.
 fn resumable() -> EngineView {
     EngineView {
         may_recompute: true,
@@ -92,10 +92,9 @@
     );
 }
 
-/// Symptom: a stream is cut 1.4 s after its first event, while its engine is at work
-/// on it. Sequence: the engine preempts the generation and reads it in again, which
-/// takes longer than usual; no copy of it stands anywhere. Cause: silence alone ended
-/// the stream.
+/// Guards against a stream that ends while its engine still works on it: the engine preempts the
+/// generation and prefills it again, which takes longer than usual, and no copy of it exists.
+/// Silence alone must not end a stream.
 #[rstest]
 #[case::no_copy(false, true)]
 #[case::engine_of_the_copy_leaves(true, false)]
@@ -121,9 +120,8 @@
     );
 }
 
-/// Symptom: a short note stands still until its caller leaves. Sequence: its engine hangs
-/// after an event; there is no copy, since short generations have none. Cause: nothing
-/// went on without a copy, although any engine may go on with such a note.
+/// Guards against a short resumable generation that stalls until its caller leaves: its engine
+/// hangs after an event, and short generations have no copy. It must resume without one.
 #[test]
 fn a_resumable_generation_needs_no_copy_to_leave_a_silent_engine() {
     let one = begun(false);
@@ -139,7 +137,7 @@
     );
 }
 
-/// What is silent and cannot go on anywhere is not looked at again and again.
+/// A silent generation that cannot resume anywhere does not search for an engine continuously.
 #[test]
 fn an_engine_with_room_is_not_looked_for_at_every_moment() {
     let mut one = begun(false);
@@ -154,8 +152,8 @@
     );
 }
 
-/// Symptom: a caller that comes back gets events twice. Sequence: its connection broke
-/// after event 7; it names that event. Cause: what the caller holds was not known.
+/// Guards against duplicate events for a reconnected caller, which reports the last event that it
+/// has.
 #[test]
 fn a_caller_that_comes_back_gets_what_it_lacks() {
     let mut one = Relocation::new(LIMIT).after(Some(7));
@@ -166,9 +164,9 @@
     assert_eq!(one.events(), 1);
 }
 
-/// Symptom: a stream is cut 0.94 s after it came to its second engine. Sequence: it
-/// leaves its first engine when it is 9 s old; the second one leaves 0.2 s later.
-/// Cause: the new standing copy was believed because the generation was old enough.
+/// Guards against a stream that ends shortly after its relocation: the second engine leaves as
+/// well, and the new standby copy is assumed to exist because of the age of the generation, not of
+/// the copy.
 #[test]
 fn a_standing_copy_settles_anew_at_each_engine() {
     let mut one = begun(true);
@@ -189,9 +187,9 @@
     );
 }
 
-/// Symptom: a generation that may run once runs twice. Sequence: its engine dies some
-/// milliseconds after the first event; the engine that is to keep its copy has nothing of
-/// it yet, fails by itself, and counts as having run it. Cause: it was asked nevertheless.
+/// Guards against a second run of a generation that must run at most once: its engine crashes some
+/// milliseconds after the first event, and the engine for its standby copy has received nothing
+/// yet. That engine fails if it is asked to resume, and the attempt counts as a run.
 #[test]
 fn a_copy_of_which_nothing_can_have_arrived_is_not_asked_for() {
     let young = begun(true);
@@ -225,8 +223,7 @@
     assert_eq!(one.next(now, &both_leave), Step::PreCopy);
 }
 
-/// Symptom: streams are broken off at the time to leave. Cause: a generation left with
-/// nothing to go on from, where staying would have cost nothing.
+/// Guards against a generation that leaves a running engine without a copy to resume from.
 #[test]
 fn a_generation_without_a_copy_stays() {
     let mut one = begun(false);
@@ -258,7 +255,8 @@
     assert_eq!(one.next(START, &view) == Step::Relocate, leaves);
 }
 
-/// Guards against a generation that closes its stream before its engine ends, and may not go on.
+/// Guards against a generation that closes its stream before its engine ends, and has no retry left
+/// to resume.
 #[test]
 fn a_generation_stays_while_it_may_not_be_sent_elsewhere() {
     let mut one = begun(false);
@@ -291,11 +289,10 @@
     assert_eq!(one.resume_from(later, false), Some(ResumeFrom::PreCopy));
 }
 
-/// Symptom: a stream is cut at a planned departure, while its engine is at work on it.
-/// Sequence: the generation leaves for its standing copy, with a copy ahead under way or
-/// without room for one, and the engine of the standing copy has none. Cause: what is
-/// only believed went before an engine that was still there. An engine that goes ends
-/// the stream by itself, and the standing copy is asked for then.
+/// Guards against a stream that ends at a planned departure while its engine still works on it. The
+/// generation must not leave for its standby copy, with a pre-copy in progress or without room for
+/// one, since that copy is only assumed to exist. When the engine stops, it ends the stream itself,
+/// and the standby copy is tried then.
 #[rstest]
 #[case::under_way(true)]
 #[case::failed(false)]
@@ -319,10 +316,9 @@
     assert_eq!(one.next(now, &leaving(RELOCATE_AFTER)), Step::Relocate);
 }
 
-/// Symptom: a stream is cut at a planned departure of four seconds. Sequence: no engine has
-/// room for its copy in the first second after the notice; it has later, when nobody asks
-/// any more; the engine of its standing copy had no room for that either. Cause: the tries
-/// were spent in a row, within 0.7 s.
+/// Guards against a stream that ends at a planned departure of four seconds: no engine has room for
+/// the pre-copy or the standby copy at first, and all tries are used up within 0.7 s, before room
+/// becomes free.
 #[test]
 fn copies_ahead_are_tried_for_as_long_as_an_engine_leaves() {
     let mut one = begun(false);
@@ -349,10 +345,8 @@
     );
 }
 
-/// Symptom: a stream is cut at a planned departure, although its copy ahead was complete
-/// 0.3 s before. Sequence: bringing the copy up to date begins; some milliseconds later
-/// the generation leaves for it, and the engine that keeps it refuses. Cause: a copy that
-/// is being written counted as one to go on from.
+/// Guards against a stream that ends at a planned departure although its pre-copy was complete: the
+/// generation leaves for it during a refresh, and the engine that holds the copy refuses.
 #[test]
 fn a_generation_leaves_for_no_copy_that_is_being_written() {
     let mut one = begun(false);
@@ -371,7 +365,7 @@
     assert_eq!(then, Step::Relocate);
 }
 
-/// A copy ahead that is about to be used is not written again.
+/// A pre-copy is not refreshed shortly before it is used.
 #[test]
 fn a_copy_ahead_is_not_brought_up_to_date_just_before_it_is_used() {
     let mut one = begun(false);
@@ -411,8 +405,8 @@
 }
 
 proptest! {
-    /// Under any history: what is passed on has numbers that follow each other, a
-    /// generation leaves only with a copy, and its moves are bounded.
+    /// Under any history: forwarded events have consecutive numbers, a generation leaves only with
+    /// a copy, and the number of relocations is bounded.
     #[test]
     fn histories_keep_the_invariants(
         history in prop::collection::vec(happening(), 1..200),
