--- a/crates/core/tests/gateway_budget.rs
+++ b/crates/core/tests/gateway_budget.rs
@@ -17,10 +17,10 @@
 const INSTANCES: usize = 6;
 
 /// Long enough to earn everything that may be held.
-const LONG: Duration = Duration::from_secs(60);
+const TIME_TO_FILL: Duration = Duration::from_secs(60);
 
 /// Returns the full budget of one of this many instances.
-fn rested(instances: usize) -> SharedRetryBudget {
+fn full_budget(instances: usize) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(START, FLEET);
     budget.set_fleet_size(START, Some(instances));
     budget
@@ -39,11 +39,11 @@
 #[case::even(&[50, 50, 50, 50, 50, 50])]
 #[case::uneven(&[300, 0, 0, 0, 0, 0])]
 #[case::idle(&[0, 0, 0, 0, 0, 0])]
-fn all_instances_together_keep_to_the_bound(#[case] requests: &[u32]) {
-    let now = START + LONG;
+fn all_instances_together_keep_the_bound(#[case] requests: &[u32]) {
+    let now = START + TIME_TO_FILL;
     let mut spent = 0;
     for &count in requests {
-        let mut budget = rested(requests.len());
+        let mut budget = full_budget(requests.len());
         for _ in 0..count {
             budget.on_request(now, "desk");
             spent += spend_all(&mut budget, now, "desk");
@@ -59,12 +59,12 @@
 
 /// Guards against exceeding the bound in any window, including what was held before the window.
 #[test]
-fn the_window_slides() {
-    let mut budget = rested(INSTANCES);
+fn the_bound_holds_in_every_sliding_window() {
+    let mut budget = full_budget(INSTANCES);
     let mut spent = Vec::new();
     let mut requests = Vec::new();
     for step in 0..400 {
-        let now = START + LONG + Duration::from_millis(100) * step;
+        let now = START + TIME_TO_FILL + Duration::from_millis(100) * step;
         if step % 3 == 0 {
             budget.on_request(now, "desk");
             requests.push(now);
@@ -89,38 +89,38 @@
 
 /// Guards against a restarted instance that spends again what its previous incarnation has spent.
 #[test]
-fn an_instance_starts_with_nothing() {
+fn an_instance_starts_with_an_empty_budget() {
     let mut budget = SharedRetryBudget::new(START, FLEET);
     budget.set_fleet_size(START, Some(INSTANCES));
 
     assert!(!budget.try_spend(START, "desk", RetryKind::Retry, false));
     assert!(
-        budget.try_spend(START + LONG, "desk", RetryKind::Retry, false),
+        budget.try_spend(START + TIME_TO_FILL, "desk", RetryKind::Retry, false),
         "it earns over time"
     );
 }
 
 /// Guards against an instance that uses the full allowance because it knows no others.
 #[test]
-fn who_does_not_know_the_fleet_has_no_part_of_the_allowance() {
+fn an_instance_that_does_not_know_the_fleet_has_no_allowance() {
     let mut budget = SharedRetryBudget::new(START, FLEET);
 
-    assert!(!budget.try_spend(START + LONG, "desk", RetryKind::Retry, false));
+    assert!(!budget.try_spend(START + TIME_TO_FILL, "desk", RetryKind::Retry, false));
     for _ in 0..50 {
-        budget.on_request(START + LONG, "desk");
+        budget.on_request(START + TIME_TO_FILL, "desk");
     }
     assert!(
-        budget.try_spend(START + LONG, "desk", RetryKind::Retry, false),
-        "requests earn repeats"
+        budget.try_spend(START + TIME_TO_FILL, "desk", RetryKind::Retry, false),
+        "requests earn retries"
     );
 }
 
 /// Guards against retries that leave no budget for generations whose callers have received part of
 /// the output.
 #[test]
-fn retries_leave_room_for_generations_that_go_on() {
-    let mut budget = rested(INSTANCES);
-    let now = START + LONG;
+fn retries_leave_budget_for_generations_that_resume() {
+    let mut budget = full_budget(INSTANCES);
+    let now = START + TIME_TO_FILL;
     while budget.try_spend(now, "model", RetryKind::Retry, true) {}
 
     assert!(budget.try_spend(now, "model", RetryKind::Resume, true));
@@ -128,8 +128,8 @@
 
 #[test]
 fn services_have_budgets_of_their_own() {
-    let mut budget = rested(INSTANCES);
-    let now = START + LONG;
+    let mut budget = full_budget(INSTANCES);
+    let now = START + TIME_TO_FILL;
     spend_all(&mut budget, now, "desk");
 
     assert!(!budget.try_spend(now, "desk", RetryKind::Retry, false));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_rest_of_a_generation_follows_what_was_learnt() {
+fn the_estimated_length_follows_the_observations() {
     let mut lengths = LengthTable::default();
     for _ in 0..200 {
         lengths.record("short", 8);
--- a/crates/core/tests/gateway_budget_fleet.rs
+++ b/crates/core/tests/gateway_budget_fleet.rs
@@ -26,14 +26,14 @@
 const REQUESTS_EACH: f64 = 1.5;
 
 /// How often each request is retried.
-const TRIES: usize = 3;
+const RETRIES_PER_REQUEST: usize = 3;
 
 /// Generations per second at each instance that need to resume at another engine, while many
 /// engines are lost.
-const MOVES_EACH: f64 = 0.8;
+const RESUMES_EACH: f64 = 0.8;
 
 /// How long a generation waits for a retry.
-const MOVES_WAIT: Duration = Duration::from_secs(1);
+const RESUME_WAIT: Duration = Duration::from_secs(1);
 
 /// A fleet whose requests all fail.
 struct Scene {
@@ -43,12 +43,12 @@
     /// Arrival times of requests.
     requests: Vec<Time>,
     /// Times of retries.
-    repeats: Vec<Time>,
+    retries: Vec<Time>,
     /// Generations per second at each instance that need to resume at another engine.
-    moves_each: f64,
+    resumes_each: f64,
     /// Generations that still need to resume: their instance, and since when.
-    to_move: Vec<(usize, Time)>,
-    moves: usize,
+    to_resume: Vec<(usize, Time)>,
+    resumes: usize,
 }
 
 impl Scene {
@@ -65,10 +65,10 @@
             },
             rng: SmallRng::seed_from_u64(31),
             requests: Vec::new(),
-            repeats: Vec::new(),
-            moves_each: 0.0,
-            to_move: Vec::new(),
-            moves: 0,
+            retries: Vec::new(),
+            resumes_each: 0.0,
+            to_resume: Vec::new(),
+            resumes: 0,
         };
         for index in 0..size {
             scene.configure(index);
@@ -94,7 +94,7 @@
     }
 
     /// Advances time while requests fail and generations lose their engines.
-    fn fail(&mut self, time: Duration) {
+    fn advance_with_failures(&mut self, time: Duration) {
         let step = Duration::from_millis(50);
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
@@ -103,16 +103,16 @@
                 if self.rng.random_bool(REQUESTS_EACH * step.as_secs_f64()) {
                     self.request(index);
                 }
-                if self.rng.random_bool(self.moves_each * step.as_secs_f64()) {
-                    self.to_move.push((index, self.fleet.now));
+                if self.rng.random_bool(self.resumes_each * step.as_secs_f64()) {
+                    self.to_resume.push((index, self.fleet.now));
                 }
             }
             let now = self.fleet.now;
-            for (index, since) in core::mem::take(&mut self.to_move) {
-                if self.repeat(index, RetryKind::Resume) {
-                    self.moves += 1;
-                } else if now.since(since) < MOVES_WAIT {
-                    self.to_move.push((index, since));
+            for (index, since) in core::mem::take(&mut self.to_resume) {
+                if self.retry(index, RetryKind::Resume) {
+                    self.resumes += 1;
+                } else if now.since(since) < RESUME_WAIT {
+                    self.to_resume.push((index, since));
                 }
             }
         }
@@ -124,34 +124,34 @@
             core.budget.on_request(now, SERVICE);
         }
         self.requests.push(now);
-        for _ in 0..TRIES {
-            self.repeat(index, RetryKind::Retry);
+        for _ in 0..RETRIES_PER_REQUEST {
+            self.retry(index, RetryKind::Retry);
         }
     }
 
-    fn repeat(&mut self, index: usize, kind: RetryKind) -> bool {
+    fn retry(&mut self, index: usize, kind: RetryKind) -> bool {
         let now = self.fleet.now;
         let Some(core) = &mut self.fleet.nodes[index].core else {
             return false;
         };
         let spent = core.spend_repeat(now, SERVICE, kind);
         if spent.is_allowed {
-            self.repeats.push(now);
+            self.retries.push(now);
         }
         spent.is_allowed
     }
 
     /// Returns by how many retries the worst window exceeds the bound; negative if no window does.
-    fn most_above_bound(&self) -> f64 {
-        let above = self.repeats.iter().map(|&from| {
-            let repeats = count(&self.repeats, from, WINDOW);
+    fn max_above_bound(&self) -> f64 {
+        let above = self.retries.iter().map(|&from| {
+            let retries = count(&self.retries, from, WINDOW);
             let before = |by: Duration| {
                 let begins = from.before(by).unwrap_or(Time::ZERO);
                 count(&self.requests, begins, WINDOW)
             };
             let requests = [Duration::ZERO, WINDOW / 2, WINDOW].map(before);
             let requests = requests.into_iter().max().unwrap_or(0);
-            repeats as f64 - RATIO * requests as f64 - self.budget.allowance
+            retries as f64 - RATIO * requests as f64 - self.budget.allowance
         });
         above.fold(f64::NEG_INFINITY, f64::max)
     }
@@ -180,7 +180,7 @@
     ends - begins
 }
 
-fn nobody(_: usize, _: usize) -> bool {
+fn all_isolated(_: usize, _: usize) -> bool {
     false
 }
 
@@ -191,21 +191,21 @@
 /// Guards against shares of the allowance that exceed it in total during a partition.
 #[rstest]
 #[case::few(6, two_sides)]
-#[case::few_alone(6, nobody)]
+#[case::few_isolated(6, all_isolated)]
 #[case::some(64, two_sides)]
-#[case::some_alone(64, nobody)]
+#[case::some_isolated(64, all_isolated)]
 #[case::planned(390, two_sides)]
-fn a_fleet_that_is_cut_keeps_the_bound(
+fn a_partitioned_fleet_keeps_the_bound(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
     let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
+    scene.advance_with_failures(Duration::from_secs(4));
     scene.fleet.passes = passes;
 
-    scene.fail(Duration::from_secs(14));
+    scene.advance_with_failures(Duration::from_secs(14));
 
-    let above = scene.most_above_bound();
+    let above = scene.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -214,19 +214,19 @@
 #[case::few(6)]
 #[case::some(64)]
 #[case::planned(390)]
-fn instances_that_start_again_in_series_keep_the_bound(#[case] size: usize) {
+fn instances_that_restart_repeatedly_keep_the_bound(#[case] size: usize) {
     let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
+    scene.advance_with_failures(Duration::from_secs(4));
 
     for _ in 0..4 {
         for index in (0..size).step_by(3) {
             scene.restart(index);
         }
-        scene.fail(Duration::from_secs(2));
+        scene.advance_with_failures(Duration::from_secs(2));
     }
-    scene.fail(Duration::from_secs(4));
+    scene.advance_with_failures(Duration::from_secs(4));
 
-    let above = scene.most_above_bound();
+    let above = scene.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -234,29 +234,29 @@
 /// allowance.
 #[rstest]
 #[case::few(6, two_sides)]
-#[case::few_alone(6, nobody)]
+#[case::few_isolated(6, all_isolated)]
 #[case::some(64, two_sides)]
-#[case::some_alone(64, nobody)]
+#[case::some_isolated(64, all_isolated)]
 #[case::planned(390, two_sides)]
-#[case::planned_alone(390, nobody)]
-fn instances_that_start_while_cut_off_keep_the_bound(
+#[case::planned_isolated(390, all_isolated)]
+fn instances_that_start_during_a_partition_keep_the_bound(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
     let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
+    scene.advance_with_failures(Duration::from_secs(4));
     scene.fleet.passes = passes;
-    scene.fail(Duration::from_secs(4));
+    scene.advance_with_failures(Duration::from_secs(4));
 
     for _ in 0..3 {
         for index in (0..size).step_by(3) {
             scene.restart(index);
         }
-        scene.fail(Duration::from_secs(2));
+        scene.advance_with_failures(Duration::from_secs(2));
     }
-    scene.fail(Duration::from_secs(12));
+    scene.advance_with_failures(Duration::from_secs(12));
 
-    let above = scene.most_above_bound();
+    let above = scene.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -265,17 +265,17 @@
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
-fn a_fleet_that_starts_while_it_is_cut_keeps_the_bound(#[case] size: usize) {
+fn a_fleet_that_starts_during_a_partition_keeps_the_bound(#[case] size: usize) {
     let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
+    scene.advance_with_failures(Duration::from_secs(4));
     scene.fleet.passes = two_sides;
     for index in 0..size {
         scene.restart(index);
     }
 
-    scene.fail(Duration::from_secs(16));
+    scene.advance_with_failures(Duration::from_secs(16));
 
-    let above = scene.most_above_bound();
+    let above = scene.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -283,13 +283,13 @@
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
-fn generations_that_go_on_keep_the_bound(#[case] size: usize) {
+fn generations_that_resume_keep_the_bound(#[case] size: usize) {
     let mut scene = Scene::new(size);
-    scene.moves_each = MOVES_EACH;
+    scene.resumes_each = RESUMES_EACH;
 
-    scene.fail(Duration::from_secs(14));
+    scene.advance_with_failures(Duration::from_secs(14));
 
-    let above = scene.most_above_bound();
+    let above = scene.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -298,20 +298,20 @@
 #[test]
 fn a_whole_fleet_spends_most_of_the_bound() {
     let mut scene = Scene::new(64);
-    scene.moves_each = 0.1;
+    scene.resumes_each = 0.1;
 
-    scene.fail(Duration::from_secs(20));
+    scene.advance_with_failures(Duration::from_secs(20));
 
     let bound = RATIO * REQUESTS_EACH * 64.0 * 20.0;
     assert!(
-        scene.repeats.len() as f64 > 0.7 * bound,
-        "{} repeats, {bound} requests' worth",
-        scene.repeats.len()
+        scene.retries.len() as f64 > 0.7 * bound,
+        "{} retries of {bound}",
+        scene.retries.len()
     );
-    let wanted = scene.moves_each * 64.0 * 20.0;
+    let wanted = scene.resumes_each * 64.0 * 20.0;
     assert!(
-        scene.moves as f64 > 0.8 * wanted,
+        scene.resumes as f64 > 0.8 * wanted,
         "{} moves of {wanted}",
-        scene.moves
+        scene.resumes
     );
 }
--- a/crates/core/tests/gateway_catalogue.rs
+++ b/crates/core/tests/gateway_catalogue.rs
@@ -72,9 +72,9 @@
         entry("long", "/a/b/", "desk"),
     ]);
 
-    let judged = catalogue.match_request("desk.example", path, Some(&KEY));
+    let matched = catalogue.match_request("desk.example", path, Some(&KEY));
 
-    let name = match judged {
+    let name = match matched {
         RequestMatch::Serve { entry, .. } => Some(catalogue.entry(entry).name.as_str()),
         _ => None,
     };
@@ -85,16 +85,16 @@
 #[case("desk.example", true)]
 #[case("DESK.example:8740", true)]
 #[case("other.example", false)]
-fn hosts_are_told_apart_without_case_or_port(#[case] host: &str, #[case] known: bool) {
+fn hosts_are_matched_without_case_or_port(#[case] host: &str, #[case] known: bool) {
     let catalogue = compiled(vec![entry("a", "/a/", "desk")]);
 
-    let judged = catalogue.match_request(host, "/a/1", Some(&KEY));
+    let matched = catalogue.match_request(host, "/a/1", Some(&KEY));
 
-    assert_eq!(judged != RequestMatch::NoEntry, known);
+    assert_eq!(matched != RequestMatch::NoEntry, known);
 }
 
 #[test]
-fn a_key_is_asked_for_unless_the_entry_is_public() {
+fn a_key_is_required_unless_the_entry_is_public() {
     let public = HttpEntry {
         public: true,
         ..entry("open", "/open/", "desk")
--- a/crates/core/tests/gateway_choose.rs
+++ b/crates/core/tests/gateway_choose.rs
@@ -51,7 +51,7 @@
 }
 
 impl Tables {
-    fn world(&self) -> PlacementContext<'_> {
+    fn context(&self) -> PlacementContext<'_> {
         PlacementContext {
             now: Time::from_secs(10),
             endpoints: &self.endpoints,
@@ -72,14 +72,14 @@
 }
 
 /// No jitter, so that the cost alone decides.
-fn no_draw() -> f64 {
+fn no_jitter() -> f64 {
     0.0
 }
 
 /// Guards against two instances that send long prompts to one engine while others idle, because
 /// each counts only its own requests.
 #[test]
-fn what_others_run_counts() {
+fn usage_by_others_counts() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
     let used = Usage {
         running: 1,
@@ -89,17 +89,17 @@
     };
     tables.others.add(key("e-1"), used);
 
-    let chosen = choose(tables.world(), &demand(3_000, &[]), no_draw);
+    let chosen = choose(tables.context(), &demand(3_000, &[]), no_jitter);
 
     assert_eq!(chosen, Ok(key("e-2")));
 }
 
 #[test]
-fn the_own_data_centre_is_preferred_among_equals() {
+fn the_own_data_centre_is_preferred_at_equal_cost() {
     let tables = tables(&[("e-1", "south"), ("e-2", "north")]);
 
     assert_eq!(
-        choose(tables.world(), &demand(3_000, &[]), no_draw),
+        choose(tables.context(), &demand(3_000, &[]), no_jitter),
         Ok(key("e-2"))
     );
 }
@@ -107,70 +107,82 @@
 /// Guards against preemption at engines whose KV cache is assigned twice, to generations and to
 /// standby copies.
 #[test]
-fn copies_count_as_memory() {
+fn copies_count_as_kv_cache_usage() {
     let mut tables = tables(&[("e-1", "north")]);
     tables.usage.begin(key("e-1"), 20_000, 0);
     tables.usage.begin_copy(key("e-1"), 10_000);
 
     assert_eq!(
-        choose(tables.world(), &demand(4_000, &[]), no_draw),
+        choose(tables.context(), &demand(4_000, &[]), no_jitter),
         Err(PlacementError::Full)
     );
     tables.usage.end_copy(key("e-1"), 10_000);
     assert_eq!(
-        choose(tables.world(), &demand(4_000, &[]), no_draw),
+        choose(tables.context(), &demand(4_000, &[]), no_jitter),
         Ok(key("e-1"))
     );
 }
 
 #[test]
-fn an_empty_engine_takes_what_would_never_fit() {
+fn an_empty_engine_accepts_a_request_larger_than_its_kv_cache() {
     let tables = tables(&[("e-1", "north")]);
 
     assert_eq!(
-        choose(tables.world(), &demand(50_000, &[]), no_draw),
+        choose(tables.context(), &demand(50_000, &[]), no_jitter),
         Ok(key("e-1"))
     );
 }
 
 #[test]
-fn endpoints_that_leave_or_were_tried_are_not_chosen() {
+fn endpoints_that_are_leaving_or_were_tried_are_not_chosen() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
     tables.endpoints.mark_leaving(Time::ZERO, key("e-1"));
 
-    let chosen = choose(tables.world(), &demand(3_000, &[key("e-2")]), no_draw);
+    let chosen = choose(tables.context(), &demand(3_000, &[key("e-2")]), no_jitter);
 
     assert_eq!(chosen, Err(PlacementError::NoEndpoint));
 }
 
 #[test]
-fn standing_copies_leave_room_that_copies_ahead_may_use() {
+fn standby_copies_leave_room_for_pre_copies() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
     tables.usage.begin(key("e-2"), 25_000, 0);
     let source = tables.endpoints.get(key("e-1")).expect("it is there");
     let demand = demand(3_000, &[]);
 
-    let standing = choose_copy_target(tables.world(), &demand, source, CopyKind::Standby, no_draw);
-    let ahead = choose_copy_target(tables.world(), &demand, source, CopyKind::PreCopy, no_draw);
+    let standby = choose_copy_target(
+        tables.context(),
+        &demand,
+        source,
+        CopyKind::Standby,
+        no_jitter,
+    );
+    let pre_copy = choose_copy_target(
+        tables.context(),
+        &demand,
+        source,
+        CopyKind::PreCopy,
+        no_jitter,
+    );
 
-    assert_eq!(standing, None);
-    assert_eq!(ahead, Some(key("e-2")));
+    assert_eq!(standby, None);
+    assert_eq!(pre_copy, Some(key("e-2")));
 }
 
 /// Guards against generations that stall for two seconds after their engine left, because all of
 /// them chose the same target at the same moment and with the same view.
 #[test]
-fn copies_ahead_of_one_engine_part() {
+fn pre_copies_of_one_engine_spread_over_targets() {
     let names = ["e-1", "e-2", "e-3", "e-4", "e-5"];
     let tables = tables(&names.map(|name| (name, "north")));
     let source = tables.endpoints.get(key("e-1")).expect("it is there");
     let demand = demand(3_000, &[]);
-    let mut draws = (0_u32..).map(|n| f64::from(n * 7 % 11) / 11.0);
+    let mut jitters = (0_u32..).map(|n| f64::from(n * 7 % 11) / 11.0);
 
     let chosen: std::collections::BTreeSet<_> = (0..8)
         .filter_map(|_| {
-            let draw = || draws.next().unwrap_or(0.0);
-            choose_copy_target(tables.world(), &demand, source, CopyKind::PreCopy, draw)
+            let jitter = || jitters.next().unwrap_or(0.0);
+            choose_copy_target(tables.context(), &demand, source, CopyKind::PreCopy, jitter)
         })
         .collect();
 
@@ -184,7 +196,7 @@
 #[rstest]
 #[case::seen_here(true)]
 #[case::seen_by_others(false)]
-fn no_copy_is_put_at_an_engine_that_fails(#[case] seen_here: bool) {
+fn no_copy_is_placed_at_a_failing_engine(#[case] seen_here: bool) {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north"), ("e-3", "north")]);
     let now = Time::from_secs(10);
     tables.usage.begin(key("e-3"), 9_000, 0);
@@ -196,7 +208,13 @@
     let source = tables.endpoints.get(key("e-1")).expect("an endpoint");
 
     for kind in [CopyKind::Standby, CopyKind::PreCopy] {
-        let chosen = choose_copy_target(tables.world(), &demand(3_000, &[]), source, kind, no_draw);
+        let chosen = choose_copy_target(
+            tables.context(),
+            &demand(3_000, &[]),
+            source,
+            kind,
+            no_jitter,
+        );
         assert_eq!(chosen, Some(key("e-3")), "{kind:?}");
     }
 }
@@ -204,17 +222,17 @@
 /// Guards against a generation without a copy at the last engine that is left: an engine at which
 /// the generation failed may hold the copy if there is no other.
 #[test]
-fn an_engine_that_fails_keeps_a_copy_if_there_is_no_other() {
+fn a_failing_engine_holds_a_copy_if_there_is_no_other() {
     let mut tables = tables(&[("e-1", "north"), ("e-2", "north")]);
     tables.endpoints.on_failure(Time::from_secs(10), key("e-2"));
     let source = tables.endpoints.get(key("e-1")).expect("an endpoint");
 
     let chosen = choose_copy_target(
-        tables.world(),
+        tables.context(),
         &demand(3_000, &[]),
         source,
         CopyKind::Standby,
-        no_draw,
+        no_jitter,
     );
 
     assert_eq!(chosen, Some(key("e-2")));
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -39,7 +39,7 @@
 const SLACK: f64 = 5.0;
 
 /// Longer than any test runs.
-const FOR_GOOD: Duration = Duration::from_secs(100);
+const FOREVER: Duration = Duration::from_secs(100);
 
 fn record(name: &str, service: &str, cold: Duration) -> EndpointRecord {
     EndpointRecord {
@@ -72,8 +72,8 @@
 struct Scene {
     fleet: Fleet,
     rng: SmallRng,
-    asked: u64,
-    waiting: Vec<(usize, u64)>,
+    requested: u64,
+    pending: Vec<(usize, u64)>,
     sent: Vec<(Time, EndpointKey)>,
 }
 
@@ -86,17 +86,17 @@
         let mut scene = Scene {
             fleet,
             rng: SmallRng::seed_from_u64(9),
-            asked: 0,
-            waiting: Vec::new(),
+            requested: 0,
+            pending: Vec::new(),
             sent: Vec::new(),
         };
         for index in 0..size {
-            scene.learn(index, endpoints);
+            scene.publish_all(index, endpoints);
         }
         scene
     }
 
-    fn learn(&mut self, index: usize, endpoints: &[EndpointRecord]) {
+    fn publish_all(&mut self, index: usize, endpoints: &[EndpointRecord]) {
         let now = self.fleet.now;
         let core = self.core(index);
         for endpoint in endpoints {
@@ -110,7 +110,7 @@
     }
 
     /// Returns a random running instance.
-    fn any(&mut self) -> usize {
+    fn random_index(&mut self) -> usize {
         let size = self.fleet.nodes.len();
         loop {
             let index = self.rng.random_range(0..size);
@@ -121,7 +121,7 @@
     }
 
     /// Advances time while calls and generations arrive at these rates per second.
-    fn want(&mut self, time: Duration, calls: f64, generations: f64) {
+    fn advance_with_load(&mut self, time: Duration, calls: f64, generations: f64) {
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
             self.fleet.run(Duration::from_millis(1));
@@ -129,14 +129,14 @@
                 self.call();
             }
             if self.rng.random_bool(generations / 1_000.0) {
-                self.ask();
+                self.request_generation();
             }
-            self.look();
+            self.poll_requests();
         }
     }
 
     fn call(&mut self) {
-        let (index, now) = (self.any(), self.fleet.now);
+        let (index, now) = (self.random_index(), self.fleet.now);
         let demand = Demand {
             service: "desk",
             engine: None,
@@ -148,9 +148,9 @@
         }
     }
 
-    fn ask(&mut self) {
-        self.asked += 1;
-        let (id, now, index) = (self.asked, self.fleet.now, self.any());
+    fn request_generation(&mut self) {
+        self.requested += 1;
+        let (id, now, index) = (self.requested, self.fleet.now, self.random_index());
         let waiter = QueuedRequest {
             id,
             service: service_hash("model"),
@@ -167,13 +167,13 @@
         };
         self.core(index).ask(now, request);
         self.fleet.hurry(index);
-        self.waiting.push((index, id));
+        self.pending.push((index, id));
     }
 
-    fn look(&mut self) {
+    fn poll_requests(&mut self) {
         let now = self.fleet.now;
-        let mut still = Vec::new();
-        for (index, id) in core::mem::take(&mut self.waiting) {
+        let mut unresolved = Vec::new();
+        for (index, id) in core::mem::take(&mut self.pending) {
             let Some(core) = self.fleet.nodes[index].core.as_mut() else {
                 continue;
             };
@@ -187,8 +187,8 @@
                 PlacementStatus::Decided(PlacementDecision::Granted(key)) => Some(key),
                 PlacementStatus::TimedOut => {
                     core.home_unanswered(now, service_hash("model"), id);
-                    let alone = core.place_alone(now, &demand, PlacementKind::Queued);
-                    alone.ok().map(|it| it.key)
+                    let placed = core.place_alone(now, &demand, PlacementKind::Queued);
+                    placed.ok().map(|it| it.key)
                 }
                 _ => None,
             };
@@ -199,14 +199,14 @@
                     self.sent.push((now, key));
                     self.fleet.hurry(index);
                 }
-                None => still.push((index, id)),
+                None => unresolved.push((index, id)),
             }
         }
-        self.waiting = still;
+        self.pending = unresolved;
     }
 
     /// Returns the most requests that an endpoint got within one second.
-    fn busiest_second(&self, name: &str) -> usize {
+    fn max_in_one_second(&self, name: &str) -> usize {
         let key = EndpointKey::of(name);
         let sent = self.sent.iter().filter(|it| it.1 == key);
         let times: Vec<Time> = sent.map(|it| it.0).collect();
@@ -230,25 +230,25 @@
 #[case::few(6)]
 #[case::some(64)]
 #[case::planned(390)]
-fn a_cold_endpoint_gets_no_more_than_its_bound(#[case] size: usize) {
+fn a_cold_endpoint_gets_no_more_than_its_limit(#[case] size: usize) {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
         record("e-warm", "model", Duration::ZERO),
-        record("d-cold", "desk", FOR_GOOD),
+        record("d-cold", "desk", FOREVER),
         record("d-warm", "desk", Duration::ZERO),
     ];
     let mut scene = Scene::new(size, &endpoints);
 
-    scene.want(Duration::from_secs(3), 400.0, 300.0);
+    scene.advance_with_load(Duration::from_secs(3), 400.0, 300.0);
 
     let (engine, desk) = (
-        scene.busiest_second("e-cold"),
-        scene.busiest_second("d-cold"),
+        scene.max_in_one_second("e-cold"),
+        scene.max_in_one_second("d-cold"),
     );
     assert!((1..=bound()).contains(&engine), "{engine}");
     // Each instance makes too few calls for the warm endpoint to look busy.
     assert!(desk <= bound(), "{desk}");
-    assert!(scene.waiting.len() < 20, "{} wait", scene.waiting.len());
+    assert!(scene.pending.len() < 20, "{} wait", scene.pending.len());
 }
 
 /// Guards against a limit that each side of a partition uses in full, with an instance that has
@@ -257,58 +257,58 @@
 #[case::few(6)]
 #[case::some(64)]
 #[case::planned(390)]
-fn two_sides_of_a_cut_keep_the_bound_together(#[case] size: usize) {
+fn both_sides_of_a_partition_keep_the_limit_together(#[case] size: usize) {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
-        record("d-cold", "desk", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
+        record("d-cold", "desk", FOREVER),
     ];
     let mut scene = Scene::new(size, &endpoints);
     scene.fleet.passes = |from, to| from % 2 == to % 2;
-    scene.want(Duration::from_secs(4), 0.0, 0.0);
+    scene.advance_with_load(Duration::from_secs(4), 0.0, 0.0);
     scene.fleet.kill(1);
     scene.fleet.start_one(1);
-    scene.learn(1, &endpoints);
+    scene.publish_all(1, &endpoints);
 
-    scene.want(Duration::from_secs(4), 600.0, 400.0);
+    scene.advance_with_load(Duration::from_secs(4), 600.0, 400.0);
 
     for name in ["e-cold", "d-cold"] {
-        let most = scene.busiest_second(name);
+        let most = scene.max_in_one_second(name);
         assert!((1..=bound()).contains(&most), "{name}: {most}");
     }
 }
 
 /// Guards against instances that use more than their share right after all of them started.
 #[test]
-fn a_fleet_that_starts_at_once_keeps_the_bound() {
+fn a_fleet_that_starts_all_at_once_keeps_the_limit() {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
-        record("d-cold", "desk", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
+        record("d-cold", "desk", FOREVER),
     ];
     let mut scene = Scene::new(64, &endpoints);
     for index in 0..64 {
         scene.fleet.kill(index);
         scene.fleet.start_one(index);
-        scene.learn(index, &endpoints);
+        scene.publish_all(index, &endpoints);
     }
 
-    scene.want(Duration::from_secs(5), 600.0, 400.0);
+    scene.advance_with_load(Duration::from_secs(5), 600.0, 400.0);
 
     for name in ["e-cold", "d-cold"] {
-        let most = scene.busiest_second(name);
+        let most = scene.max_in_one_second(name);
         assert!(most <= bound(), "{name}: {most}");
     }
 }
 
 /// Guards against a service that becomes unusable because its last endpoint is cold.
 #[test]
-fn the_last_endpoint_is_used_though_it_is_cold() {
+fn the_last_endpoint_is_used_even_if_it_is_cold() {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
-        record("d-cold", "desk", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
+        record("d-cold", "desk", FOREVER),
     ];
     let mut scene = Scene::new(6, &endpoints);
 
-    scene.want(Duration::from_secs(4), 200.0, 100.0);
+    scene.advance_with_load(Duration::from_secs(4), 200.0, 100.0);
 
     let of = |name| {
         let key = EndpointKey::of(name);
@@ -338,7 +338,7 @@
 
 /// Guards against full load on endpoints that became cold while their data centre was closed.
 #[test]
-fn endpoints_of_a_data_centre_that_is_open_again_count_as_cold() {
+fn endpoints_of_a_reopened_data_centre_count_as_cold() {
     let mut one = one_with(&[record("d-1", "desk", Duration::ZERO)]);
     let (closed, open) = (Time::from_secs(5), Time::from_secs(9));
     let key = EndpointKey::of("d-1");
@@ -349,14 +349,14 @@
 
     assert!(!is_cold(&one, open + COLD.after_uncordon()));
     assert!(is_cold(&one, open + COLD.duration));
-    let word = open + Duration::from_millis(100);
-    one.endpoints.observe_cold(word, key, Duration::ZERO);
-    assert!(!is_cold(&one, word), "its own word is fresher");
+    let reported_at = open + Duration::from_millis(100);
+    one.endpoints.observe_cold(reported_at, key, Duration::ZERO);
+    assert!(!is_cold(&one, reported_at), "its own word is fresher");
 }
 
 /// Guards against an endpoint that reports that it is cold again and is ignored.
 #[test]
-fn an_endpoint_may_become_cold_at_any_moment() {
+fn an_endpoint_may_become_cold_again() {
     let mut one = one_with(&[record("d-1", "desk", Duration::ZERO)]);
     let key = EndpointKey::of("d-1");
     let now = Time::from_secs(50);
@@ -378,10 +378,10 @@
 #[rstest]
 #[case(CopyKind::Standby)]
 #[case(CopyKind::PreCopy)]
-fn no_copy_goes_to_a_cold_engine(#[case] kind: CopyKind) {
+fn no_copy_is_placed_at_a_cold_engine(#[case] kind: CopyKind) {
     let mut one = one_with(&[
         record("e-source", "model", Duration::ZERO),
-        record("e-cold", "model", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
     ]);
     let now = Time::from_secs(20);
     let demand = Demand {
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -26,7 +26,7 @@
 const IN_FORCE: Duration = Duration::from_millis(500);
 
 /// The slowest response of a healthy store.
-const STORE_ANSWER: Duration = Duration::from_millis(10);
+const STORE_RESPONSE: Duration = Duration::from_millis(10);
 
 const ENGINE: EngineLimits = EngineLimits {
     slots: 24,
@@ -59,7 +59,7 @@
 }
 
 /// Returns how many instances consider a data centre closed.
-fn believers(fleet: &Fleet, data_centre: &str) -> usize {
+fn count_closed(fleet: &Fleet, data_centre: &str) -> usize {
     let cores = fleet.nodes.iter().filter_map(|it| it.core.as_ref());
     cores
         .filter(|it| it.endpoints.cordons().is_closed(data_centre))
@@ -76,14 +76,14 @@
 fn a_cordon_is_in_force_everywhere_within_half_a_second(#[case] size: usize, #[case] loss: f64) {
     let mut fleet = settled(size, loss);
     // A watcher learns of a change with this delay.
-    let left = IN_FORCE - WATCH_PAUSE - STORE_ANSWER;
+    let left = IN_FORCE - WATCH_PAUSE - STORE_RESPONSE;
 
     fleet.tell_cordon(0, &cordon("north", 10, true));
     fleet.run(left);
-    let closed = believers(&fleet, "north");
+    let closed = count_closed(&fleet, "north");
     fleet.tell_cordon(0, &cordon("north", 11, false));
     fleet.run(left);
-    let open = size - believers(&fleet, "north");
+    let open = size - count_closed(&fleet, "north");
 
     assert_eq!((closed, open), (size, size));
 }
@@ -93,7 +93,7 @@
 #[case::few(6)]
 #[case::large(195)]
 #[case::planned(390)]
-fn telling_of_a_cordon_is_bounded(#[case] size: usize) {
+fn the_cost_of_a_cordon_per_instance_is_bounded(#[case] size: usize) {
     let usual = {
         let mut fleet = settled(size, 0.0);
         fleet.forget_sent();
@@ -114,11 +114,11 @@
 /// Guards against a delayed cordon that closes a reopened data centre for good at an instance that
 /// missed both changes.
 #[test]
-fn an_older_word_changes_nothing() {
+fn an_older_cordon_has_no_effect() {
     let mut one = instances::gateway(1);
     let now = Time::from_secs(1);
 
-    let said = [
+    let effects = [
         one.publish_cordon(now, cordon("north", 12, false)),
         one.publish_cordon(now, cordon("north", 11, true)),
         one.publish_cordon(now, cordon("south", 9, true)),
@@ -128,7 +128,7 @@
     ];
 
     assert_eq!(
-        said,
+        effects,
         [
             CordonEffect::Unchanged,
             CordonEffect::Outdated,
@@ -144,31 +144,31 @@
 proptest! {
     /// Guards against a state that depends on the order or the number of cordons received.
     #[test]
-    fn the_last_word_holds_in_any_order(
-        words in proptest::collection::vec((0u8..3, 1u64..40), 1..30),
+    fn the_newest_cordon_wins_in_any_order(
+        cordons in proptest::collection::vec((0u8..3, 1u64..40), 1..30),
         order in proptest::collection::vec(0usize..1_000, 60),
     ) {
         // Each revision has one state: even ones close, odd ones open.
-        let words: Vec<Cordon> = words
+        let cordons: Vec<Cordon> = cordons
             .iter()
-            .map(|(place, revision)| cordon(&format!("dc-{place}"), *revision, revision % 2 == 0))
+            .map(|(index, revision)| cordon(&format!("dc-{index}"), *revision, revision % 2 == 0))
             .collect();
         let mut one = instances::gateway(1);
         let mut other = instances::gateway(2);
-        for word in &words {
-            one.publish_cordon(Time::ZERO, word.clone());
+        for cordon_at in &cordons {
+            one.publish_cordon(Time::ZERO, cordon_at.clone());
         }
         for at in order {
-            other.publish_cordon(Time::ZERO, words[at % words.len()].clone());
+            other.publish_cordon(Time::ZERO, cordons[at % cordons.len()].clone());
         }
-        for word in words.iter().rev() {
-            other.publish_cordon(Time::ZERO, word.clone());
+        for cordon_at in cordons.iter().rev() {
+            other.publish_cordon(Time::ZERO, cordon_at.clone());
         }
 
-        for place in 0..3 {
-            let name = format!("dc-{place}");
-            let of_place = words.iter().filter(|it| it.data_centre == name);
-            let last = of_place.max_by_key(|it| it.revision);
+        for index in 0..3 {
+            let name = format!("dc-{index}");
+            let of_data_centre = cordons.iter().filter(|it| it.data_centre == name);
+            let last = of_data_centre.max_by_key(|it| it.revision);
             let closed = last.is_some_and(|it| it.is_closed);
             prop_assert_eq!(one.endpoints.cordons().is_closed(&name), closed);
             prop_assert_eq!(other.endpoints.cordons().is_closed(&name), closed);
@@ -178,7 +178,7 @@
 
 /// A single instance that knows an engine of `model` and an endpoint of `desk` in each of two data
 /// centres.
-fn two_places() -> Gateway {
+fn two_data_centres() -> Gateway {
     let mut one = instances::gateway(1);
     let now = Time::from_secs(1);
     for place in ["north", "south"] {
@@ -218,7 +218,7 @@
     }
 }
 
-fn request(id: u64, want: PlacementKind) -> PlacementRequest {
+fn request(id: u64, kind: PlacementKind) -> PlacementRequest {
     PlacementRequest {
         queued: QueuedRequest {
             id,
@@ -229,13 +229,13 @@
             tokens: 1_000,
             prompt: 500,
         },
-        kind: want,
+        kind: kind,
         exclude: Vec::new(),
     }
 }
 
 /// All kinds of placements at engines.
-fn all_wants() -> Vec<PlacementKind> {
+fn all_kinds() -> Vec<PlacementKind> {
     let source = EndpointKey::of("e-south");
     let copy = |kind| PlacementKind::Copy { source, kind };
     vec![
@@ -247,8 +247,8 @@
 }
 
 /// Requests a placement from an instance that is its own home.
-fn granted(one: &mut Gateway, now: Time, want: PlacementKind) -> PlacementStatus {
-    one.ask(now, request(1, want));
+fn request_and_decide(one: &mut Gateway, now: Time, kind: PlacementKind) -> PlacementStatus {
+    one.ask(now, request(1, kind));
     one.tick(now);
     let verdict = one.verdict(now, 1);
     one.ask_no_longer(1);
@@ -259,7 +259,7 @@
 /// Guards against a sender that does not check whether a data centre is closed.
 #[test]
 fn no_sender_chooses_a_closed_data_centre() {
-    let mut one = two_places();
+    let mut one = two_data_centres();
     let now = Time::from_secs(1);
     one.publish_cordon(now, cordon("north", 5, true));
     let closed = [EndpointKey::of("e-north"), EndpointKey::of("d-north")];
@@ -269,14 +269,14 @@
             let place = one.place(now, &demand(service)).expect("one is open");
             assert!(!closed.contains(&place.key), "{}", place.name);
         }
-        for want in all_wants() {
-            let alone = one.place_alone(now, &demand("model"), want);
+        for kind in all_kinds() {
+            let alone = one.place_alone(now, &demand("model"), kind);
             assert!(alone.is_err() || alone.is_ok_and(|it| !closed.contains(&it.key)));
-            let verdict = granted(&mut one, now, want);
+            let verdict = request_and_decide(&mut one, now, kind);
             let is_closed = |it: &EndpointKey| closed.contains(it);
             assert!(
                 !matches!(verdict, PlacementStatus::Decided(PlacementDecision::Granted(it)) if is_closed(&it)),
-                "{want:?}: {verdict:?}"
+                "{kind:?}: {verdict:?}"
             );
         }
     }
@@ -287,8 +287,8 @@
 /// Guards against a placement that was granted before its data centre was closed, and is used
 /// afterwards.
 #[test]
-fn a_place_that_was_granted_before_is_not_taken() {
-    let mut one = two_places();
+fn a_placement_granted_before_the_cordon_is_not_used() {
+    let mut one = two_data_centres();
     let now = Time::from_secs(1);
     one.ask(now, request(1, PlacementKind::Queued));
     one.tick(now);
@@ -317,8 +317,8 @@
 
 /// Guards against using an endpoint that registers after its data centre was closed.
 #[test]
-fn an_endpoint_that_comes_later_is_covered() {
-    let mut one = two_places();
+fn an_endpoint_that_registers_later_is_covered() {
+    let mut one = two_data_centres();
     let now = Time::from_secs(1);
     one.publish_cordon(now, cordon("west", 5, true));
 
@@ -329,8 +329,8 @@
 
 /// Guards against requests that are queued for closed data centres without saying so.
 #[test]
-fn with_all_closed_there_is_no_place_and_the_reason_says_so() {
-    let mut one = two_places();
+fn if_all_are_closed_the_error_says_so() {
+    let mut one = two_data_centres();
     let now = Time::from_secs(1);
     one.publish_cordon(now, cordon("north", 5, true));
     one.publish_cordon(now, cordon("south", 6, true));
@@ -347,7 +347,7 @@
         one.place(now, &demand("other")),
         Err(PlacementError::NoEndpoint)
     );
-    let verdict = granted(&mut one, now, PlacementKind::Queued);
+    let verdict = request_and_decide(&mut one, now, PlacementKind::Queued);
     let waits = PlacementStatus::Decided(PlacementDecision::Queued(PlacementError::Cordoned));
     assert_eq!(verdict, waits);
 }
@@ -356,7 +356,7 @@
 /// against one that waits for thousands of endpoints although it could serve with those it knows.
 #[test]
 fn an_instance_is_ready_once_it_knows_the_cordons() {
-    let mut one = two_places();
+    let mut one = two_data_centres();
     let before = one.is_ready();
 
     one.cordons_read();
--- a/crates/core/tests/gateway_endpoints.rs
+++ b/crates/core/tests/gateway_endpoints.rs
@@ -24,7 +24,7 @@
     (table, EndpointKey::of("e-1"))
 }
 
-fn takes_work(table: &EndpointTable, key: EndpointKey) -> bool {
+fn is_usable(table: &EndpointTable, key: EndpointKey) -> bool {
     table.is_usable(key)
 }
 
@@ -37,25 +37,28 @@
     assert!(table.mark_leaving(Time::from_secs(1), key));
     table.apply_record(Time::from_secs(2), record("e-1", false));
 
-    assert!(!takes_work(&table, key));
-    assert!(!table.mark_leaving(Time::from_secs(3), key), "no news");
+    assert!(!is_usable(&table, key));
+    assert!(
+        !table.mark_leaving(Time::from_secs(3), key),
+        "it is known already"
+    );
 }
 
 #[test]
-fn news_of_an_unknown_endpoint_holds_when_it_appears() {
+fn an_endpoint_that_left_before_its_record_arrived_is_not_usable() {
     let mut table = EndpointTable::default();
     let key = EndpointKey::of("e-1");
 
     table.mark_leaving(Time::ZERO, key);
     table.apply_record(Time::from_secs(1), record("e-1", false));
 
-    assert!(!takes_work(&table, key));
+    assert!(!is_usable(&table, key));
 }
 
 /// Guards against losing all endpoints in a store outage: their records lapse while the store is
 /// down, and are written again within two seconds of its return.
 #[test]
-fn entries_that_lapsed_in_an_outage_may_come_back() {
+fn records_that_lapsed_in_an_outage_may_return() {
     let (mut table, key) = table();
 
     table.remove_record(Time::from_secs(1), "e-1", true);
@@ -64,22 +67,22 @@
     let after = table.tick(Time::from_secs(60), false);
 
     assert!(during.is_empty() && after.is_empty());
-    assert!(takes_work(&table, key));
+    assert!(is_usable(&table, key));
 }
 
 #[test]
-fn entries_that_stay_away_after_an_outage_are_gone() {
+fn records_that_do_not_return_after_an_outage_are_gone() {
     let (mut table, key) = table();
 
     table.remove_record(Time::from_secs(1), "e-1", true);
     let gone = table.tick(Time::from_secs(1) + LAPSE_GRACE, false);
 
     assert_eq!(gone, [key]);
-    assert!(!takes_work(&table, key));
+    assert!(!is_usable(&table, key));
 }
 
 #[test]
-fn an_entry_that_vanishes_in_quiet_times_is_gone_at_once() {
+fn a_record_removed_while_the_store_is_settled_is_gone_at_once() {
     let (mut table, key) = table();
 
     assert_eq!(
@@ -87,19 +90,19 @@
         Some(key)
     );
 
-    assert!(!takes_work(&table, key));
+    assert!(!is_usable(&table, key));
 }
 
 /// Guards against an endpoint that fails immediately and attracts all requests, because it is
 /// always the least loaded one.
 #[test]
-fn failures_in_a_row_make_an_endpoint_be_passed_over_for_a_while() {
+fn consecutive_failures_eject_an_endpoint_for_a_while() {
     let (mut table, key) = table();
     let now = Time::from_secs(5);
 
-    let passed_over: Vec<bool> = (0..3).map(|_| table.on_failure(now, key)).collect();
+    let ejected: Vec<bool> = (0..3).map(|_| table.on_failure(now, key)).collect();
 
-    assert_eq!(passed_over, [false, false, true]);
+    assert_eq!(ejected, [false, false, true]);
     let endpoint = table.get(key).expect("it is there");
     assert!(endpoint.is_ejected(now));
     assert!(!endpoint.is_ejected(now + Duration::from_secs(1)));
@@ -109,7 +112,7 @@
 
 /// A generation takes many seconds to end, so its first event already shows that the engine works.
 #[test]
-fn an_endpoint_that_begins_to_answer_no_longer_fails() {
+fn a_first_event_ends_the_failing_state() {
     let (mut table, key) = table();
     let now = Time::from_secs(1);
     table.on_failure(now, key);
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn peers_are_not_told_of_failures_at_endpoints_that_leave() {
+fn failures_of_leaving_endpoints_are_not_reported() {
     let (mut table, key) = table();
     table.on_failure(Time::from_secs(1), key);
 
@@ -133,7 +136,7 @@
 /// An endpoint that accepts no connections is ejected immediately. A failed request may be caused
 /// by the request itself.
 #[test]
-fn an_endpoint_that_cannot_be_reached_is_passed_over_at_once() {
+fn an_unreachable_endpoint_is_ejected_at_once() {
     let (mut table, key) = table();
     let now = Time::from_secs(1);
 
@@ -144,9 +147,9 @@
 }
 
 /// An incarnation of the endpoint `e-1`.
-fn life(born: u64, leaving: bool) -> EndpointRecord {
+fn incarnation(started_unix_ms: u64, leaving: bool) -> EndpointRecord {
     EndpointRecord {
-        started_unix_ms: Some(born),
+        started_unix_ms: Some(started_unix_ms),
         ..record("e-1", leaving)
     }
 }
@@ -154,9 +157,9 @@
 /// Guards against a restarted engine that inherits the state of its predecessor, which failed and
 /// was leaving: state that is keyed by name alone would exclude the new incarnation for good.
 #[test]
-fn a_new_life_begins_without_what_is_known_of_the_one_before() {
+fn a_new_incarnation_does_not_inherit_state() {
     let mut table = EndpointTable::default();
-    let (first, second) = (life(1_000, false), life(2_000, false));
+    let (first, second) = (incarnation(1_000, false), incarnation(2_000, false));
     let now = Time::from_secs(1);
     table.apply_record(now, first.clone());
     table.on_unreachable(now, first.key());
@@ -164,64 +167,64 @@
 
     table.apply_record(now, second.clone());
 
-    let reborn = table.get(second.key()).expect("it is known");
-    assert!(takes_work(&table, second.key()));
-    assert!(!reborn.is_ejected(now) && !reborn.is_failing());
-    assert!(!takes_work(&table, first.key()));
+    let restarted = table.get(second.key()).expect("it is known");
+    assert!(is_usable(&table, second.key()));
+    assert!(!restarted.is_ejected(now) && !restarted.is_failing());
+    assert!(!is_usable(&table, first.key()));
 }
 
 /// Guards against generations that wait for a restarted engine, which has lost their state. If the
 /// engine restarts behind a partition, its new record is the first sign of the restart.
 #[test]
-fn the_life_before_leaves_when_a_new_one_is_published() {
+fn the_previous_incarnation_leaves_when_a_new_one_is_published() {
     let mut table = EndpointTable::default();
     let now = Time::from_secs(1);
-    table.apply_record(now, life(1_000, false));
+    table.apply_record(now, incarnation(1_000, false));
 
-    let began = table.apply_record(now, life(2_000, false));
+    let started_leaving = table.apply_record(now, incarnation(2_000, false));
 
-    assert_eq!(began, [life(1_000, false).key()]);
+    assert_eq!(started_leaving, [incarnation(1_000, false).key()]);
 }
 
 /// Guards against a previous incarnation that is used again, because its record was read before the
 /// restart and arrives after the new one.
 #[test]
-fn an_older_record_brings_no_old_life_back() {
+fn an_older_record_does_not_restore_a_previous_incarnation() {
     let mut table = EndpointTable::default();
     let now = Time::from_secs(1);
-    table.apply_record(now, life(2_000, false));
+    table.apply_record(now, incarnation(2_000, false));
 
-    let began = table.apply_record(now, life(1_000, true));
+    let started_leaving = table.apply_record(now, incarnation(1_000, true));
 
-    assert!(began.is_empty());
-    assert!(takes_work(&table, life(2_000, false).key()));
-    assert!(table.get(life(1_000, false).key()).is_none());
+    assert!(started_leaving.is_empty());
+    assert!(is_usable(&table, incarnation(2_000, false).key()));
+    assert!(table.get(incarnation(1_000, false).key()).is_none());
 }
 
 /// The removal of a record applies to the newest incarnation under its name.
 #[test]
-fn the_newest_life_vanishes_with_the_entry() {
+fn removing_the_record_removes_the_newest_incarnation() {
     let mut table = EndpointTable::default();
     let now = Time::from_secs(1);
-    table.apply_record(now, life(1_000, false));
-    table.apply_record(now, life(2_000, false));
+    table.apply_record(now, incarnation(1_000, false));
+    table.apply_record(now, incarnation(2_000, false));
 
     let gone = table.remove_record(now, "e-1", false);
 
-    assert_eq!(gone, Some(life(2_000, false).key()));
+    assert_eq!(gone, Some(incarnation(2_000, false).key()));
 }
 
 /// Around a store outage, both an unreadable record and a removed one may be written again.
 #[test]
-fn an_entry_that_can_be_read_again_names_its_endpoint_again() {
+fn a_record_that_is_readable_again_restores_its_endpoint() {
     let (mut table, key) = table();
     let now = Time::from_secs(1);
 
     table.mark_unreadable("e-1");
-    let meanwhile = takes_work(&table, key);
+    let meanwhile = is_usable(&table, key);
     table.tick(now, false);
     table.apply_record(now, record("e-1", false));
 
     assert!(!meanwhile);
-    assert!(takes_work(&table, key));
+    assert!(is_usable(&table, key));
 }
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -19,7 +19,7 @@
 
 const SEEDS: usize = 3;
 const SERVICE: &str = "desk";
-const IN_NEED: &str = "d-need";
+const LIMITED: &str = "d-need";
 
 /// The limit that the endpoint reports, in requests per second.
 const RATE: f64 = 3.3;
@@ -28,7 +28,7 @@
 const CALLS: f64 = 200.0;
 
 /// Response time of all endpoints.
-const ANSWERS_IN: Duration = Duration::from_millis(15);
+const RESPONSE_TIME: Duration = Duration::from_millis(15);
 
 /// The overshoot that an operator tolerates: a factor and a number of requests per window.
 const OVERSHOOT: f64 = 1.5;
@@ -36,7 +36,7 @@
 const WINDOW: Duration = Duration::from_secs(4);
 
 /// How long after an instance learned of the limit its requests are counted.
-const TOLD_FOR: Duration = Duration::from_millis(500);
+const KNOWN_FOR: Duration = Duration::from_millis(500);
 
 fn record(name: &str) -> EndpointRecord {
     EndpointRecord {
@@ -74,9 +74,9 @@
     /// The limits that endpoints report.
     limits: BTreeMap<EndpointKey, f64>,
     /// Pending responses: when they arrive, the instance, the endpoint, and when the call was sent.
-    answers: Vec<(Time, usize, EndpointKey, Time)>,
+    responses: Vec<(Time, usize, EndpointKey, Time)>,
     /// When the current incarnation of an instance first received a limit.
-    told: BTreeMap<usize, Time>,
+    limit_known_since: BTreeMap<usize, Time>,
     /// Counted calls: those of instances that know the limit.
     counted: Vec<(Time, EndpointKey)>,
     sent: BTreeMap<EndpointKey, usize>,
@@ -94,19 +94,19 @@
             rng: SmallRng::seed_from_u64(9),
             names: names.to_vec(),
             limits: BTreeMap::new(),
-            answers: Vec::new(),
-            told: BTreeMap::new(),
+            responses: Vec::new(),
+            limit_known_since: BTreeMap::new(),
             counted: Vec::new(),
             sent: BTreeMap::new(),
             refused: 0,
         };
         for index in 0..size {
-            scene.learn(index);
+            scene.publish_all(index);
         }
         scene
     }
 
-    fn learn(&mut self, index: usize) {
+    fn publish_all(&mut self, index: usize) {
         let now = self.fleet.now;
         let records: Vec<EndpointRecord> = self.names.iter().map(|it| record(it)).collect();
         let core = self.core(index);
@@ -123,13 +123,13 @@
     fn restart(&mut self, index: usize) {
         self.fleet.kill(index);
         self.fleet.start_one(index);
-        self.told.remove(&index);
-        self.answers.retain(|it| it.1 != index);
-        self.learn(index);
+        self.limit_known_since.remove(&index);
+        self.responses.retain(|it| it.1 != index);
+        self.publish_all(index);
     }
 
     /// Advances time while calls arrive.
-    fn call_for(&mut self, time: Duration) {
+    fn advance_with_calls(&mut self, time: Duration) {
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
             self.fleet.run(Duration::from_millis(1));
@@ -148,25 +148,28 @@
             return;
         };
         *self.sent.entry(place.key).or_default() += 1;
-        let told = self.told.get(&index);
-        if told.is_some_and(|at| now.since(*at) >= TOLD_FOR) {
+        let limit_known_since = self.limit_known_since.get(&index);
+        if limit_known_since.is_some_and(|at| now.since(*at) >= KNOWN_FOR) {
             self.counted.push((now, place.key));
         }
-        self.answers.push((now + ANSWERS_IN, index, place.key, now));
+        self.responses
+            .push((now + RESPONSE_TIME, index, place.key, now));
     }
 
     fn answer(&mut self) {
         let now = self.fleet.now;
-        let arrived = self.answers.iter().filter(|it| it.0 <= now);
+        let arrived = self.responses.iter().filter(|it| it.0 <= now);
         let arrived: Vec<_> = arrived.copied().collect();
-        self.answers.retain(|it| it.0 > now);
+        self.responses.retain(|it| it.0 > now);
         for (_, index, key, sent) in arrived {
             let limit = self.limits.get(&key).copied();
-            let told = limit.map_or(ResponseLimit::None, ResponseLimit::PerSecond);
+            let limit_known_since = limit.map_or(ResponseLimit::None, ResponseLimit::PerSecond);
             if limit.is_some() {
-                self.told.entry(index).or_insert(now);
+                self.limit_known_since.entry(index).or_insert(now);
             }
-            let change = self.core(index).told_limit(now, key, sent, told);
+            let change = self
+                .core(index)
+                .told_limit(now, key, sent, limit_known_since);
             if change.is_some() {
                 self.fleet.hurry(index);
             }
@@ -174,7 +177,7 @@
     }
 
     /// Returns the most counted calls that an endpoint got within any window.
-    fn busiest(&self, name: &str) -> usize {
+    fn max_in_one_window(&self, name: &str) -> usize {
         let key = EndpointKey::of(name);
         let counted = self.counted.iter().filter(|it| it.1 == key);
         let times: Vec<Time> = counted.map(|it| it.0).collect();
@@ -195,7 +198,7 @@
     (rate * OVERSHOOT * WINDOW.as_secs_f64() + SLACK) as usize
 }
 
-fn everybody(_: usize, _: usize) -> bool {
+fn all_connected(_: usize, _: usize) -> bool {
     true
 }
 
@@ -203,32 +206,32 @@
     from % 2 == to % 2
 }
 
-fn nobody(_: usize, _: usize) -> bool {
+fn all_isolated(_: usize, _: usize) -> bool {
     false
 }
 
 /// Guards against instances that each use the whole limit of an endpoint.
 #[rstest]
-#[case::few(6, everybody)]
-#[case::few_cut(6, two_sides)]
-#[case::few_alone(6, nobody)]
-#[case::some(64, everybody)]
-#[case::some_cut(64, two_sides)]
-#[case::some_alone(64, nobody)]
-#[case::planned(390, everybody)]
-#[case::planned_cut(390, two_sides)]
-fn a_named_limit_holds_for_the_whole_fleet(
+#[case::few(6, all_connected)]
+#[case::few_partitioned(6, two_sides)]
+#[case::few_isolated(6, all_isolated)]
+#[case::some(64, all_connected)]
+#[case::some_partitioned(64, two_sides)]
+#[case::some_isolated(64, all_isolated)]
+#[case::planned(390, all_connected)]
+#[case::planned_partitioned(390, two_sides)]
+fn a_reported_limit_holds_for_the_whole_fleet(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size, &[IN_NEED, "d-other"]);
+    let mut scene = Scene::new(size, &[LIMITED, "d-other"]);
     scene.fleet.passes = passes;
-    scene.call_for(Duration::from_secs(2));
-    scene.limits.insert(EndpointKey::of(IN_NEED), RATE);
+    scene.advance_with_calls(Duration::from_secs(2));
+    scene.limits.insert(EndpointKey::of(LIMITED), RATE);
 
-    scene.call_for(Duration::from_secs(15));
+    scene.advance_with_calls(Duration::from_secs(15));
 
-    let most = scene.busiest(IN_NEED);
+    let most = scene.max_in_one_window(LIMITED);
     assert!(most <= bound(RATE), "{most} of {}", bound(RATE));
     assert_eq!(scene.refused, 0, "the other endpoint takes the rest");
 }
@@ -236,30 +239,30 @@
 /// Guards against restarted instances that do not know the limit, or use all of it because they are
 /// cut off from the others.
 #[rstest]
-#[case::few(6, everybody)]
-#[case::few_cut(6, two_sides)]
-#[case::few_alone(6, nobody)]
-#[case::some(64, everybody)]
-#[case::some_cut(64, two_sides)]
-#[case::some_alone(64, nobody)]
-fn a_named_limit_holds_while_instances_start_again(
+#[case::few(6, all_connected)]
+#[case::few_partitioned(6, two_sides)]
+#[case::few_isolated(6, all_isolated)]
+#[case::some(64, all_connected)]
+#[case::some_partitioned(64, two_sides)]
+#[case::some_isolated(64, all_isolated)]
+fn a_reported_limit_holds_while_instances_restart(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size, &[IN_NEED, "d-other"]);
-    scene.limits.insert(EndpointKey::of(IN_NEED), RATE);
-    scene.call_for(Duration::from_secs(3));
+    let mut scene = Scene::new(size, &[LIMITED, "d-other"]);
+    scene.limits.insert(EndpointKey::of(LIMITED), RATE);
+    scene.advance_with_calls(Duration::from_secs(3));
     scene.fleet.passes = passes;
 
     for _ in 0..4 {
         for index in (0..size).step_by(3) {
             scene.restart(index);
         }
-        scene.call_for(Duration::from_secs(2));
+        scene.advance_with_calls(Duration::from_secs(2));
     }
-    scene.call_for(Duration::from_secs(8));
+    scene.advance_with_calls(Duration::from_secs(8));
 
-    let most = scene.busiest(IN_NEED);
+    let most = scene.max_in_one_window(LIMITED);
     assert!(most <= bound(RATE), "{most} of {}", bound(RATE));
 }
 
@@ -268,17 +271,17 @@
 #[rstest]
 #[case::below_one(0.3)]
 #[case::zero(0.0)]
-fn some_requests_reach_an_endpoint_with_the_least_limit(#[case] rate: f64) {
-    let mut scene = Scene::new(6, &[IN_NEED, "d-other"]);
-    scene.limits.insert(EndpointKey::of(IN_NEED), rate);
-    scene.call_for(Duration::from_secs(5));
-    let before = scene.sent_to(IN_NEED);
+fn some_requests_reach_an_endpoint_with_the_lowest_limit(#[case] rate: f64) {
+    let mut scene = Scene::new(6, &[LIMITED, "d-other"]);
+    scene.limits.insert(EndpointKey::of(LIMITED), rate);
+    scene.advance_with_calls(Duration::from_secs(5));
+    let before = scene.sent_to(LIMITED);
 
-    scene.call_for(Duration::from_secs(25));
+    scene.advance_with_calls(Duration::from_secs(25));
 
-    let after = scene.sent_to(IN_NEED);
+    let after = scene.sent_to(LIMITED);
     assert!(after > before, "{after} of {before}");
-    assert!(scene.busiest(IN_NEED) <= bound(rate));
+    assert!(scene.max_in_one_window(LIMITED) <= bound(rate));
 }
 
 /// Guards against a limit that some instances enforce for good, because they send too few requests
@@ -288,10 +291,10 @@
 #[case::some(64)]
 #[case::planned(390)]
 fn the_end_of_a_limit_reaches_the_whole_fleet(#[case] size: usize) {
-    let mut scene = Scene::new(size, &[IN_NEED, "d-other"]);
-    let key = EndpointKey::of(IN_NEED);
+    let mut scene = Scene::new(size, &[LIMITED, "d-other"]);
+    let key = EndpointKey::of(LIMITED);
     scene.limits.insert(key, RATE);
-    scene.call_for(Duration::from_secs(4));
+    scene.advance_with_calls(Duration::from_secs(4));
     let all_know = |scene: &Scene, limit: Option<f64>| {
         let cores = scene.fleet.nodes.iter().filter_map(|it| it.core.as_ref());
         cores.filter(|it| it.limits.of(key) == limit).count()
@@ -299,22 +302,22 @@
     assert_eq!(all_know(&scene, Some(RATE)), size, "all heard of it");
 
     scene.limits.clear();
-    scene.call_for(Duration::from_secs(4));
+    scene.advance_with_calls(Duration::from_secs(4));
 
     assert_eq!(all_know(&scene, None), size);
 }
 
 /// Guards against a limit that outlives the process that reported it.
 #[test]
-fn another_life_of_an_endpoint_has_no_limit() {
+fn a_new_incarnation_of_an_endpoint_has_no_limit() {
     let mut one = instances::gateway(1);
-    let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
-    one.publish_endpoint(now, record(IN_NEED));
+    let (now, key) = (Time::from_secs(10), EndpointKey::of(LIMITED));
+    one.publish_endpoint(now, record(LIMITED));
     one.told_limit(now, key, now, ResponseLimit::PerSecond(RATE));
 
     let later = EndpointRecord {
         started_unix_ms: Some(5),
-        ..record(IN_NEED)
+        ..record(LIMITED)
     };
     let new_key = later.key();
     one.publish_endpoint(now, later);
@@ -331,7 +334,7 @@
     for name in names {
         scene.limits.insert(EndpointKey::of(name), RATE);
     }
-    scene.call_for(Duration::from_secs(3));
+    scene.advance_with_calls(Duration::from_secs(3));
     let now = scene.fleet.now;
 
     let mut refused = None;
@@ -350,12 +353,12 @@
 #[rstest]
 #[case::sent_before(Duration::from_millis(900), Some(RATE))]
 #[case::sent_after(Duration::from_millis(1_100), None)]
-fn an_answer_without_a_limit_ends_it_only_if_it_was_asked_for_later(
+fn a_response_without_a_limit_ends_it_only_if_its_request_was_sent_later(
     #[case] sent: Duration,
     #[case] expected: Option<f64>,
 ) {
     let mut limits = RateLimits::default();
-    let (start, key) = (Time::from_secs(1), EndpointKey::of(IN_NEED));
+    let (start, key) = (Time::from_secs(1), EndpointKey::of(LIMITED));
     let named = start + Duration::from_secs(1);
     limits.observe_limit(named, key, start, ResponseLimit::PerSecond(RATE));
 
@@ -367,11 +370,11 @@
 
 /// Guards against an older report of a peer that restores a limit which has ended.
 #[test]
-fn the_later_word_about_a_limit_holds() {
+fn the_newer_report_of_a_limit_wins() {
     let mut limits = RateLimits::default();
-    let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
+    let (now, key) = (Time::from_secs(10), EndpointKey::of(LIMITED));
     limits.observe_limit(now, key, now, ResponseLimit::PerSecond(RATE));
-    let word = limits.report(now, key).expect("it is known");
+    let report = limits.report(now, key).expect("it is known");
     let ended = now + Duration::from_secs(2);
     limits.observe_limit(
         ended,
@@ -383,7 +386,7 @@
     let later = ended + Duration::from_millis(10);
     let stale = oriolemux_core::gateway::rate_limits::LimitReport {
         age_ms: 2_010,
-        ..word
+        ..report
     };
 
     assert_eq!(limits.on_report(later, stale), None);
@@ -396,11 +399,14 @@
 #[case::zero(ResponseLimit::PerSecond(0.0), Some(0.1))]
 #[case::usual(ResponseLimit::PerSecond(2.5), Some(2.5))]
 #[case::beyond_use(ResponseLimit::PerSecond(1e12), Some(1e6))]
-fn each_value_has_a_meaning(#[case] told: ResponseLimit, #[case] expected: Option<f64>) {
+fn each_reported_value_is_handled(
+    #[case] limit_known_since: ResponseLimit,
+    #[case] expected: Option<f64>,
+) {
     let mut limits = RateLimits::default();
-    let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
+    let (now, key) = (Time::from_secs(10), EndpointKey::of(LIMITED));
 
-    limits.observe_limit(now, key, now, told);
+    limits.observe_limit(now, key, now, limit_known_since);
 
     assert_eq!(limits.of(key), expected);
 }
--- a/crates/core/tests/gateway_queue.rs
+++ b/crates/core/tests/gateway_queue.rs
@@ -55,8 +55,8 @@
 }
 
 impl Fleet {
-    fn turn(&self, me: &QueuedRequest) -> Result<EndpointKey, PlacementError> {
-        let world = PlacementContext {
+    fn place(&self, own: &QueuedRequest) -> Result<EndpointKey, PlacementError> {
+        let context = PlacementContext {
             now: NOW,
             endpoints: &self.endpoints,
             usage: &self.usage,
@@ -72,23 +72,24 @@
             known: 1,
             live: 1,
         };
-        let others = self.queue.iter().filter(|it| it.id != me.id);
-        let all: Vec<QueuedPlacement> = others.chain([me]).copied().map(asking).collect();
-        let places = assign(world, engines, |_| None, all.iter());
+        let others = self.queue.iter().filter(|it| it.id != own.id);
+        let all: Vec<QueuedPlacement> =
+            others.chain([own]).copied().map(queued_placement).collect();
+        let places = assign(context, engines, |_| None, all.iter());
         *places.last().expect("its own")
     }
 
-    fn wait(&mut self, waiters: &[QueuedRequest]) {
-        for waiter in waiters {
-            self.queue.push(*waiter);
+    fn enqueue(&mut self, waiters: &[QueuedRequest]) {
+        for queued_request in waiters {
+            self.queue.push(*queued_request);
         }
     }
 }
 
-fn asking(waiter: QueuedRequest) -> QueuedPlacement {
+fn queued_placement(queued_request: QueuedRequest) -> QueuedPlacement {
     QueuedPlacement {
         request: PlacementRequest {
-            queued: waiter,
+            queued: queued_request,
             kind: PlacementKind::Queued,
             exclude: Vec::new(),
         },
@@ -98,7 +99,7 @@
 }
 
 /// Returns a request that was queued this long ago.
-fn waiter(id: u64, age_ms: u64, tokens: u32) -> QueuedRequest {
+fn queued_request(id: u64, age_ms: u64, tokens: u32) -> QueuedRequest {
     QueuedRequest {
         id,
         service: service_hash("model"),
@@ -114,27 +115,29 @@
 /// ends, all instances learn of it within milliseconds, and if each decides alone, all their queued
 /// requests go there.
 #[test]
-fn room_for_one_goes_to_one_of_all_that_wait() {
+fn room_for_one_request_is_assigned_once() {
     let mut fleet = fleet(&[16_000, 19_000, 19_000]);
-    let all: Vec<QueuedRequest> = (1..=20).map(|id| waiter(id, 10 * id, 3_000)).collect();
-    fleet.wait(&all);
+    let all: Vec<QueuedRequest> = (1..=20)
+        .map(|id| queued_request(id, 10 * id, 3_000))
+        .collect();
+    fleet.enqueue(&all);
 
-    let seated: Vec<u64> = all
+    let placed: Vec<u64> = all
         .iter()
-        .filter(|waiter| fleet.turn(waiter).is_ok())
-        .map(|waiter| waiter.id)
+        .filter(|queued_request| fleet.place(queued_request).is_ok())
+        .map(|queued_request| queued_request.id)
         .collect();
 
-    assert_eq!(seated, [1], "the newest of those that can be in time");
+    assert_eq!(placed, [1], "the newest of those that can be in time");
 }
 
 #[test]
-fn those_that_are_next_go_to_different_engines() {
+fn consecutive_requests_go_to_different_engines() {
     let mut fleet = fleet(&[16_000, 16_000]);
-    let (first, second) = (waiter(1, 10, 3_000), waiter(2, 20, 3_000));
-    fleet.wait(&[first, second]);
+    let (first, second) = (queued_request(1, 10, 3_000), queued_request(2, 20, 3_000));
+    fleet.enqueue(&[first, second]);
 
-    let (one, other) = (fleet.turn(&first), fleet.turn(&second));
+    let (one, other) = (fleet.place(&first), fleet.place(&second));
 
     assert!(one.is_ok() && other.is_ok());
     assert_ne!(one, other);
@@ -143,41 +146,44 @@
 /// Guards against nearly all generations being late under slight overload. If the oldest request
 /// goes first, each waits until it is the oldest, and then has no time left for its prefill.
 #[test]
-fn what_can_only_be_late_gives_way() {
+fn late_requests_yield_to_those_in_time() {
     let mut fleet = fleet(&[16_000]);
-    let (late, in_time) = (waiter(1, 1_700, 3_000), waiter(2, 300, 3_000));
-    fleet.wait(&[late, in_time]);
+    let (late, in_time) = (
+        queued_request(1, 1_700, 3_000),
+        queued_request(2, 300, 3_000),
+    );
+    fleet.enqueue(&[late, in_time]);
 
-    assert_eq!(fleet.turn(&late), Err(PlacementError::Full));
-    assert_eq!(fleet.turn(&in_time), Ok(engine(0)));
+    assert_eq!(fleet.place(&late), Err(PlacementError::Full));
+    assert_eq!(fleet.place(&in_time), Ok(engine(0)));
 }
 
 #[test]
 fn the_most_urgent_goes_first() {
     let mut fleet = fleet(&[16_000]);
-    let usual = waiter(1, 10, 3_000);
+    let usual = queued_request(1, 10, 3_000);
     let urgent = QueuedRequest {
         priority: 0,
-        ..waiter(2, 500, 3_000)
+        ..queued_request(2, 500, 3_000)
     };
-    fleet.wait(&[usual, urgent]);
+    fleet.enqueue(&[usual, urgent]);
 
-    assert_eq!(fleet.turn(&usual), Err(PlacementError::Full));
-    assert_eq!(fleet.turn(&urgent), Ok(engine(0)));
+    assert_eq!(fleet.place(&usual), Err(PlacementError::Full));
+    assert_eq!(fleet.place(&urgent), Ok(engine(0)));
 }
 
 /// Guards against starvation of long prompts: room becomes free in small pieces, and smaller
 /// requests would take each of them.
 #[test]
-fn room_is_kept_for_a_large_request() {
+fn room_is_held_for_a_large_request() {
     let mut fleet = fleet(&[14_500, 16_500]);
-    let large = waiter(1, 10, 6_000);
-    let small = waiter(2, 20, 3_000);
-    fleet.wait(&[large, small]);
+    let large = queued_request(1, 10, 6_000);
+    let small = queued_request(2, 20, 3_000);
+    fleet.enqueue(&[large, small]);
 
-    assert_eq!(fleet.turn(&large), Err(PlacementError::Full));
+    assert_eq!(fleet.place(&large), Err(PlacementError::Full));
     assert_eq!(
-        fleet.turn(&small),
+        fleet.place(&small),
         Ok(engine(1)),
         "the engine with more room is kept"
     );
@@ -185,41 +191,41 @@
 
 /// Guards against a request whose age is lost in the report to a home.
 #[test]
-fn a_request_keeps_its_age_when_it_is_told() {
-    let one = waiter(7, 1_234, 3_000);
+fn a_report_preserves_the_age_of_a_request() {
+    let one = queued_request(7, 1_234, 3_000);
 
     assert_eq!(QueuedRequest::from_report(NOW, &one.to_report(NOW)), one);
 }
 
-fn any_waiter() -> impl Strategy<Value = (u64, u32)> {
+fn any_queued_request() -> impl Strategy<Value = (u64, u32)> {
     (0_u64..2_500, 500_u32..7_000)
 }
 
 proptest! {
     /// For any queue: all requests that are placed at once fit into their engines.
     #[test]
-    fn all_that_go_at_once_fit(
+    fn placed_requests_fit_into_their_engines(
         taken in prop::collection::vec(0_u32..20_000, 1..12),
-        waiting in prop::collection::vec(any_waiter(), 1..30),
+        waiting in prop::collection::vec(any_queued_request(), 1..30),
     ) {
         let mut fleet = fleet(&taken);
         let all: Vec<QueuedRequest> = waiting
             .iter()
             .zip(1_u64..)
-            .map(|(&(age, tokens), id)| waiter(id, age, tokens))
+            .map(|(&(age, tokens), id)| queued_request(id, age, tokens))
             .collect();
-        fleet.wait(&all);
+        fleet.enqueue(&all);
 
-        let mut given = vec![Usage::default(); taken.len()];
-        for waiter in &all {
-            if let Ok(key) = fleet.turn(waiter) {
+        let mut assigned = vec![Usage::default(); taken.len()];
+        for queued_request in &all {
+            if let Ok(key) = fleet.place(queued_request) {
                 let at = (0..taken.len()).find(|&at| engine(at) == key).expect("one of ours");
-                given[at].tokens += waiter.tokens;
-                given[at].running += 1;
+                assigned[at].tokens += queued_request.tokens;
+                assigned[at].running += 1;
             }
         }
 
-        for (used, &taken) in given.iter().zip(&taken) {
+        for (used, &taken) in assigned.iter().zip(&taken) {
             let is_alone = used.running <= 1 && taken == 0;
             prop_assert!(is_alone || taken + used.tokens <= ENGINE.kv_cache_tokens || used.running == 0);
         }
