--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -34,7 +34,7 @@
 /// The retry bound of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
     /// Retries allowed in addition, over all instances.
     pub allowance: f64,
--- a/crates/core/src/gateway/lengths.rs
+++ b/crates/core/src/gateway/lengths.rs
@@ -50,11 +50,11 @@
             }
         }
         // Beyond all quantiles nothing but the maximum is known.
-        let rest = match longer > 0.0 {
+        let remaining = match longer > 0.0 {
             true => sum / longer,
             false => 0.5 * (self.cap - generated).max(0.0),
         };
-        rest as u32
+        remaining as u32
     }
 }
 
@@ -72,8 +72,11 @@
 /// Returns the KV cache tokens that a generation is expected to use, with a prompt of `prompt`
 /// tokens and `generated` output tokens so far.
 pub fn expected_kv_tokens(prompt: u32, length: LengthEstimate, generated: u32) -> u32 {
-    let rest = (f64::from(length.remaining(generated)) * OUTPUT_SHARE) as u32;
-    prompt.saturating_add(generated).saturating_add(rest).max(1)
+    let remaining = (f64::from(length.remaining(generated)) * OUTPUT_SHARE) as u32;
+    prompt
+        .saturating_add(generated)
+        .saturating_add(remaining)
+        .max(1)
 }
 
 /// The observed output lengths of all entries, by entry name.
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -63,16 +63,16 @@
 
 impl QueuedRequest {
     /// Converts a report that was received at `now`.
-    pub fn from_report(now: Time, waiting: &QueuedRequestReport) -> Self {
-        let age = Duration::from_millis(waiting.age_ms.into());
+    pub fn from_report(now: Time, report: &QueuedRequestReport) -> Self {
+        let age = Duration::from_millis(report.age_ms.into());
         QueuedRequest {
-            id: waiting.id,
-            service: waiting.service,
-            priority: waiting.priority,
+            id: report.id,
+            service: report.service,
+            priority: report.priority,
             arrived: now.before(age).unwrap_or(Time::ZERO),
-            target: Duration::from_millis(waiting.target_ms.into()),
-            tokens: waiting.tokens,
-            prompt: waiting.prompt,
+            target: Duration::from_millis(report.target_ms.into()),
+            tokens: report.tokens,
+            prompt: report.prompt,
         }
     }
 
@@ -132,8 +132,8 @@
     waiting: impl Iterator<Item = &'a QueuedPlacement>,
 ) -> Vec<Result<EndpointKey, PlacementError>> {
     let all: Vec<&QueuedPlacement> = waiting.collect();
-    let mut sort_key: Vec<usize> = (0..all.len()).collect();
-    sort_key.sort_by_key(|&at| all[at].request.queued.sort_key(context.now));
+    let mut order: Vec<usize> = (0..all.len()).collect();
+    order.sort_by_key(|&at| all[at].request.queued.sort_key(context.now));
     let demand = Demand {
         service: engines.service,
         engine: Some(engines.limits),
@@ -146,7 +146,7 @@
     };
     let mut places = vec![Err(PlacementError::NoEndpoint); all.len()];
     let mut is_held = false;
-    for at in sort_key {
+    for at in order {
         places[at] = capacities.reserve(all[at]);
         if places[at] == Err(PlacementError::Full) && !is_held {
             capacities.hold_largest();
--- a/crates/core/tests/gateway_budget_fleet.rs
+++ b/crates/core/tests/gateway_budget_fleet.rs
@@ -36,7 +36,7 @@
 const RESUME_WAIT: Duration = Duration::from_secs(1);
 
 /// A fleet whose requests all fail.
-struct Scene {
+struct Scenario {
     fleet: Fleet,
     budget: BudgetConfig,
     rng: SmallRng,
@@ -51,12 +51,12 @@
     resumes: usize,
 }
 
-impl Scene {
-    fn new(size: usize) -> Scene {
+impl Scenario {
+    fn new(size: usize) -> Scenario {
         let mut fleet = Fleet::start(size, SEEDS, 11);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
         assert!(joined.is_some(), "{:?}", fleet.counts());
-        let mut scene = Scene {
+        let mut scenario = Scenario {
             fleet,
             budget: BudgetConfig {
                 ratio: RATIO,
@@ -71,11 +71,11 @@
             resumes: 0,
         };
         for index in 0..size {
-            scene.configure(index);
+            scenario.configure(index);
         }
         // Instances earn their budgets over time.
-        scene.fleet.run(Duration::from_secs(15));
-        scene
+        scenario.fleet.run(Duration::from_secs(15));
+        scenario
     }
 
     fn configure(&mut self, index: usize) {
@@ -199,13 +199,13 @@
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size);
-    scene.advance_with_failures(Duration::from_secs(4));
-    scene.fleet.passes = passes;
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
+    scenario.fleet.passes = passes;
 
-    scene.advance_with_failures(Duration::from_secs(14));
+    scenario.advance_with_failures(Duration::from_secs(14));
 
-    let above = scene.max_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -215,18 +215,18 @@
 #[case::some(64)]
 #[case::planned(390)]
 fn instances_that_restart_repeatedly_keep_the_bound(#[case] size: usize) {
-    let mut scene = Scene::new(size);
-    scene.advance_with_failures(Duration::from_secs(4));
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
 
     for _ in 0..4 {
         for index in (0..size).step_by(3) {
-            scene.restart(index);
+            scenario.restart(index);
         }
-        scene.advance_with_failures(Duration::from_secs(2));
+        scenario.advance_with_failures(Duration::from_secs(2));
     }
-    scene.advance_with_failures(Duration::from_secs(4));
+    scenario.advance_with_failures(Duration::from_secs(4));
 
-    let above = scene.max_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -243,20 +243,20 @@
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size);
-    scene.advance_with_failures(Duration::from_secs(4));
-    scene.fleet.passes = passes;
-    scene.advance_with_failures(Duration::from_secs(4));
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
+    scenario.fleet.passes = passes;
+    scenario.advance_with_failures(Duration::from_secs(4));
 
     for _ in 0..3 {
         for index in (0..size).step_by(3) {
-            scene.restart(index);
+            scenario.restart(index);
         }
-        scene.advance_with_failures(Duration::from_secs(2));
+        scenario.advance_with_failures(Duration::from_secs(2));
     }
-    scene.advance_with_failures(Duration::from_secs(12));
+    scenario.advance_with_failures(Duration::from_secs(12));
 
-    let above = scene.max_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -266,16 +266,16 @@
 #[case::few(6)]
 #[case::some(64)]
 fn a_fleet_that_starts_during_a_partition_keeps_the_bound(#[case] size: usize) {
-    let mut scene = Scene::new(size);
-    scene.advance_with_failures(Duration::from_secs(4));
-    scene.fleet.passes = two_sides;
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
+    scenario.fleet.passes = two_sides;
     for index in 0..size {
-        scene.restart(index);
+        scenario.restart(index);
     }
 
-    scene.advance_with_failures(Duration::from_secs(16));
+    scenario.advance_with_failures(Duration::from_secs(16));
 
-    let above = scene.max_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -284,12 +284,12 @@
 #[case::few(6)]
 #[case::some(64)]
 fn generations_that_resume_keep_the_bound(#[case] size: usize) {
-    let mut scene = Scene::new(size);
-    scene.resumes_each = RESUMES_EACH;
+    let mut scenario = Scenario::new(size);
+    scenario.resumes_each = RESUMES_EACH;
 
-    scene.advance_with_failures(Duration::from_secs(14));
+    scenario.advance_with_failures(Duration::from_secs(14));
 
-    let above = scene.max_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
@@ -297,21 +297,21 @@
 /// leave room for generations that resume.
 #[test]
 fn a_whole_fleet_spends_most_of_the_bound() {
-    let mut scene = Scene::new(64);
-    scene.resumes_each = 0.1;
+    let mut scenario = Scenario::new(64);
+    scenario.resumes_each = 0.1;
 
-    scene.advance_with_failures(Duration::from_secs(20));
+    scenario.advance_with_failures(Duration::from_secs(20));
 
     let bound = RATIO * REQUESTS_EACH * 64.0 * 20.0;
     assert!(
-        scene.retries.len() as f64 > 0.7 * bound,
+        scenario.retries.len() as f64 > 0.7 * bound,
         "{} retries of {bound}",
-        scene.retries.len()
+        scenario.retries.len()
     );
-    let wanted = scene.resumes_each * 64.0 * 20.0;
+    let wanted = scenario.resumes_each * 64.0 * 20.0;
     assert!(
-        scene.resumes as f64 > 0.8 * wanted,
+        scenario.resumes as f64 > 0.8 * wanted,
         "{} moves of {wanted}",
-        scene.resumes
+        scenario.resumes
     );
 }
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -69,7 +69,7 @@
 }
 
 /// A settled fleet in front of endpoints, and the requests that it sent.
-struct Scene {
+struct Scenario {
     fleet: Fleet,
     rng: SmallRng,
     requested: u64,
@@ -77,13 +77,13 @@
     sent: Vec<(Time, EndpointKey)>,
 }
 
-impl Scene {
-    fn new(size: usize, endpoints: &[EndpointRecord]) -> Scene {
+impl Scenario {
+    fn new(size: usize, endpoints: &[EndpointRecord]) -> Scenario {
         let mut fleet = Fleet::start(size, SEEDS, 5);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
         assert!(joined.is_some(), "{:?}", fleet.counts());
         fleet.run(Duration::from_secs(3));
-        let mut scene = Scene {
+        let mut scenario = Scenario {
             fleet,
             rng: SmallRng::seed_from_u64(9),
             requested: 0,
@@ -91,9 +91,9 @@
             sent: Vec::new(),
         };
         for index in 0..size {
-            scene.publish_all(index, endpoints);
+            scenario.publish_all(index, endpoints);
         }
-        scene
+        scenario
     }
 
     fn publish_all(&mut self, index: usize, endpoints: &[EndpointRecord]) {
@@ -151,7 +151,7 @@
     fn request_generation(&mut self) {
         self.requested += 1;
         let (id, now, index) = (self.requested, self.fleet.now, self.random_index());
-        let waiter = QueuedRequest {
+        let queued = QueuedRequest {
             id,
             service: service_hash("model"),
             priority: 1,
@@ -161,7 +161,7 @@
             prompt: 1,
         };
         let request = PlacementRequest {
-            queued: waiter,
+            queued,
             kind: PlacementKind::Queued,
             exclude: Vec::new(),
         };
@@ -237,18 +237,22 @@
         record("d-cold", "desk", FOREVER),
         record("d-warm", "desk", Duration::ZERO),
     ];
-    let mut scene = Scene::new(size, &endpoints);
+    let mut scenario = Scenario::new(size, &endpoints);
 
-    scene.advance_with_load(Duration::from_secs(3), 400.0, 300.0);
+    scenario.advance_with_load(Duration::from_secs(3), 400.0, 300.0);
 
     let (engine, desk) = (
-        scene.max_in_one_second("e-cold"),
-        scene.max_in_one_second("d-cold"),
+        scenario.max_in_one_second("e-cold"),
+        scenario.max_in_one_second("d-cold"),
     );
     assert!((1..=bound()).contains(&engine), "{engine}");
     // Each instance makes too few calls for the warm endpoint to look busy.
     assert!(desk <= bound(), "{desk}");
-    assert!(scene.pending.len() < 20, "{} wait", scene.pending.len());
+    assert!(
+        scenario.pending.len() < 20,
+        "{} wait",
+        scenario.pending.len()
+    );
 }
 
 /// Guards against a limit that each side of a partition uses in full, with an instance that has
@@ -262,17 +266,17 @@
         record("e-cold", "model", FOREVER),
         record("d-cold", "desk", FOREVER),
     ];
-    let mut scene = Scene::new(size, &endpoints);
-    scene.fleet.passes = |from, to| from % 2 == to % 2;
-    scene.advance_with_load(Duration::from_secs(4), 0.0, 0.0);
-    scene.fleet.kill(1);
-    scene.fleet.start_one(1);
-    scene.publish_all(1, &endpoints);
+    let mut scenario = Scenario::new(size, &endpoints);
+    scenario.fleet.passes = |from, to| from % 2 == to % 2;
+    scenario.advance_with_load(Duration::from_secs(4), 0.0, 0.0);
+    scenario.fleet.kill(1);
+    scenario.fleet.start_one(1);
+    scenario.publish_all(1, &endpoints);
 
-    scene.advance_with_load(Duration::from_secs(4), 600.0, 400.0);
+    scenario.advance_with_load(Duration::from_secs(4), 600.0, 400.0);
 
     for name in ["e-cold", "d-cold"] {
-        let most = scene.max_in_one_second(name);
+        let most = scenario.max_in_one_second(name);
         assert!((1..=bound()).contains(&most), "{name}: {most}");
     }
 }
@@ -284,17 +288,17 @@
         record("e-cold", "model", FOREVER),
         record("d-cold", "desk", FOREVER),
     ];
-    let mut scene = Scene::new(64, &endpoints);
+    let mut scenario = Scenario::new(64, &endpoints);
     for index in 0..64 {
-        scene.fleet.kill(index);
-        scene.fleet.start_one(index);
-        scene.publish_all(index, &endpoints);
+        scenario.fleet.kill(index);
+        scenario.fleet.start_one(index);
+        scenario.publish_all(index, &endpoints);
     }
 
-    scene.advance_with_load(Duration::from_secs(5), 600.0, 400.0);
+    scenario.advance_with_load(Duration::from_secs(5), 600.0, 400.0);
 
     for name in ["e-cold", "d-cold"] {
-        let most = scene.max_in_one_second(name);
+        let most = scenario.max_in_one_second(name);
         assert!(most <= bound(), "{name}: {most}");
     }
 }
@@ -306,13 +310,13 @@
         record("e-cold", "model", FOREVER),
         record("d-cold", "desk", FOREVER),
     ];
-    let mut scene = Scene::new(6, &endpoints);
+    let mut scenario = Scenario::new(6, &endpoints);
 
-    scene.advance_with_load(Duration::from_secs(4), 200.0, 100.0);
+    scenario.advance_with_load(Duration::from_secs(4), 200.0, 100.0);
 
     let of = |name| {
         let key = EndpointKey::of(name);
-        scene.sent.iter().filter(|it| it.1 == key).count()
+        scenario.sent.iter().filter(|it| it.1 == key).count()
     };
     assert!(of("e-cold") >= 4 * 10, "{}", of("e-cold"));
     assert!(of("d-cold") >= 4 * 20, "{}", of("d-cold"));
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -229,7 +229,7 @@
             tokens: 1_000,
             prompt: 500,
         },
-        kind: kind,
+        kind,
         exclude: Vec::new(),
     }
 }
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -67,7 +67,7 @@
 }
 
 /// A fleet in front of endpoints, some of which report a limit.
-struct Scene {
+struct Scenario {
     fleet: Fleet,
     rng: SmallRng,
     names: Vec<&'static str>,
@@ -83,13 +83,13 @@
     refused: usize,
 }
 
-impl Scene {
-    fn new(size: usize, names: &[&'static str]) -> Scene {
+impl Scenario {
+    fn new(size: usize, names: &[&'static str]) -> Scenario {
         let mut fleet = Fleet::start(size, SEEDS, 5);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
         assert!(joined.is_some(), "{:?}", fleet.counts());
         fleet.run(Duration::from_secs(3));
-        let mut scene = Scene {
+        let mut scenario = Scenario {
             fleet,
             rng: SmallRng::seed_from_u64(9),
             names: names.to_vec(),
@@ -101,9 +101,9 @@
             refused: 0,
         };
         for index in 0..size {
-            scene.publish_all(index);
+            scenario.publish_all(index);
         }
-        scene
+        scenario
     }
 
     fn publish_all(&mut self, index: usize) {
@@ -136,7 +136,7 @@
             if self.rng.random_bool(CALLS / 1_000.0) {
                 self.call();
             }
-            self.answer();
+            self.deliver_responses();
         }
     }
 
@@ -156,20 +156,18 @@
             .push((now + RESPONSE_TIME, index, place.key, now));
     }
 
-    fn answer(&mut self) {
+    fn deliver_responses(&mut self) {
         let now = self.fleet.now;
         let arrived = self.responses.iter().filter(|it| it.0 <= now);
         let arrived: Vec<_> = arrived.copied().collect();
         self.responses.retain(|it| it.0 > now);
         for (_, index, key, sent) in arrived {
             let limit = self.limits.get(&key).copied();
-            let limit_known_since = limit.map_or(ResponseLimit::None, ResponseLimit::PerSecond);
+            let reported = limit.map_or(ResponseLimit::None, ResponseLimit::PerSecond);
             if limit.is_some() {
                 self.limit_known_since.entry(index).or_insert(now);
             }
-            let change = self
-                .core(index)
-                .told_limit(now, key, sent, limit_known_since);
+            let change = self.core(index).told_limit(now, key, sent, reported);
             if change.is_some() {
                 self.fleet.hurry(index);
             }
@@ -224,16 +222,16 @@
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size, &[LIMITED, "d-other"]);
-    scene.fleet.passes = passes;
-    scene.advance_with_calls(Duration::from_secs(2));
-    scene.limits.insert(EndpointKey::of(LIMITED), RATE);
+    let mut scenario = Scenario::new(size, &[LIMITED, "d-other"]);
+    scenario.fleet.passes = passes;
+    scenario.advance_with_calls(Duration::from_secs(2));
+    scenario.limits.insert(EndpointKey::of(LIMITED), RATE);
 
-    scene.advance_with_calls(Duration::from_secs(15));
+    scenario.advance_with_calls(Duration::from_secs(15));
 
-    let most = scene.max_in_one_window(LIMITED);
+    let most = scenario.max_in_one_window(LIMITED);
     assert!(most <= bound(RATE), "{most} of {}", bound(RATE));
-    assert_eq!(scene.refused, 0, "the other endpoint takes the rest");
+    assert_eq!(scenario.refused, 0, "the other endpoint takes the rest");
 }
 
 /// Guards against restarted instances that do not know the limit, or use all of it because they are
@@ -249,20 +247,20 @@
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size, &[LIMITED, "d-other"]);
-    scene.limits.insert(EndpointKey::of(LIMITED), RATE);
-    scene.advance_with_calls(Duration::from_secs(3));
-    scene.fleet.passes = passes;
+    let mut scenario = Scenario::new(size, &[LIMITED, "d-other"]);
+    scenario.limits.insert(EndpointKey::of(LIMITED), RATE);
+    scenario.advance_with_calls(Duration::from_secs(3));
+    scenario.fleet.passes = passes;
 
     for _ in 0..4 {
         for index in (0..size).step_by(3) {
-            scene.restart(index);
+            scenario.restart(index);
         }
-        scene.advance_with_calls(Duration::from_secs(2));
+        scenario.advance_with_calls(Duration::from_secs(2));
     }
-    scene.advance_with_calls(Duration::from_secs(8));
+    scenario.advance_with_calls(Duration::from_secs(8));
 
-    let most = scene.max_in_one_window(LIMITED);
+    let most = scenario.max_in_one_window(LIMITED);
     assert!(most <= bound(RATE), "{most} of {}", bound(RATE));
 }
 
@@ -272,16 +270,16 @@
 #[case::below_one(0.3)]
 #[case::zero(0.0)]
 fn some_requests_reach_an_endpoint_with_the_lowest_limit(#[case] rate: f64) {
-    let mut scene = Scene::new(6, &[LIMITED, "d-other"]);
-    scene.limits.insert(EndpointKey::of(LIMITED), rate);
-    scene.advance_with_calls(Duration::from_secs(5));
-    let before = scene.sent_to(LIMITED);
+    let mut scenario = Scenario::new(6, &[LIMITED, "d-other"]);
+    scenario.limits.insert(EndpointKey::of(LIMITED), rate);
+    scenario.advance_with_calls(Duration::from_secs(5));
+    let before = scenario.sent_to(LIMITED);
 
-    scene.advance_with_calls(Duration::from_secs(25));
+    scenario.advance_with_calls(Duration::from_secs(25));
 
-    let after = scene.sent_to(LIMITED);
+    let after = scenario.sent_to(LIMITED);
     assert!(after > before, "{after} of {before}");
-    assert!(scene.max_in_one_window(LIMITED) <= bound(rate));
+    assert!(scenario.max_in_one_window(LIMITED) <= bound(rate));
 }
 
 /// Guards against a limit that some instances enforce for good, because they send too few requests
@@ -291,20 +289,24 @@
 #[case::some(64)]
 #[case::planned(390)]
 fn the_end_of_a_limit_reaches_the_whole_fleet(#[case] size: usize) {
-    let mut scene = Scene::new(size, &[LIMITED, "d-other"]);
+    let mut scenario = Scenario::new(size, &[LIMITED, "d-other"]);
     let key = EndpointKey::of(LIMITED);
-    scene.limits.insert(key, RATE);
-    scene.advance_with_calls(Duration::from_secs(4));
-    let all_know = |scene: &Scene, limit: Option<f64>| {
-        let cores = scene.fleet.nodes.iter().filter_map(|it| it.core.as_ref());
+    scenario.limits.insert(key, RATE);
+    scenario.advance_with_calls(Duration::from_secs(4));
+    let all_know = |scenario: &Scenario, limit: Option<f64>| {
+        let cores = scenario
+            .fleet
+            .nodes
+            .iter()
+            .filter_map(|it| it.core.as_ref());
         cores.filter(|it| it.limits.of(key) == limit).count()
     };
-    assert_eq!(all_know(&scene, Some(RATE)), size, "all heard of it");
+    assert_eq!(all_know(&scenario, Some(RATE)), size, "all heard of it");
 
-    scene.limits.clear();
-    scene.advance_with_calls(Duration::from_secs(4));
+    scenario.limits.clear();
+    scenario.advance_with_calls(Duration::from_secs(4));
 
-    assert_eq!(all_know(&scene, None), size);
+    assert_eq!(all_know(&scenario, None), size);
 }
 
 /// Guards against a limit that outlives the process that reported it.
@@ -330,21 +332,25 @@
 #[test]
 fn callers_are_refused_at_once_where_all_endpoints_are_at_their_limit() {
     let names = ["d-1", "d-2", "d-3"];
-    let mut scene = Scene::new(6, &names);
+    let mut scenario = Scenario::new(6, &names);
     for name in names {
-        scene.limits.insert(EndpointKey::of(name), RATE);
+        scenario.limits.insert(EndpointKey::of(name), RATE);
     }
-    scene.advance_with_calls(Duration::from_secs(3));
-    let now = scene.fleet.now;
+    scenario.advance_with_calls(Duration::from_secs(3));
+    let now = scenario.fleet.now;
 
     let mut refused = None;
     for _ in 0..20 {
-        refused = refused.or(scene.core(0).place(now, &demand()).err());
+        refused = refused.or(scenario.core(0).place(now, &demand()).err());
     }
 
     assert_eq!(refused, Some(PlacementError::RateLimited));
     for name in names {
-        assert!(scene.sent_to(name) >= 3, "{name}: {}", scene.sent_to(name));
+        assert!(
+            scenario.sent_to(name) >= 3,
+            "{name}: {}",
+            scenario.sent_to(name)
+        );
     }
 }
 
--- a/crates/core/tests/gateway_relocation.rs
+++ b/crates/core/tests/gateway_relocation.rs
@@ -107,7 +107,7 @@
 fn silence_alone_does_not_end_a_stream(#[case] has_standby: bool, #[case] standby_is_usable: bool) {
     let generation = started(has_standby);
     let view = EngineView {
-        standby_is_usable: standby_is_usable,
+        standby_is_usable,
         ..EngineView::default()
     };
 
@@ -470,9 +470,9 @@
             }
             let view = EngineView {
                 leaving_for: notice.map(|since| now.since(since)),
-                standby_is_usable: standby_is_usable,
+                standby_is_usable,
                 target_is_quiet: held % 2 == 0,
-                may_recompute: may_recompute,
+                may_recompute,
                 is_budget_spent: held % 3 == 0,
             };
             match generation.next(now, &view) {
