--- a/crates/core/src/gateway/choose.rs
+++ b/crates/core/src/gateway/choose.rs
@@ -1,9 +1,9 @@
-//! The endpoint for a request, and the one that holds its standing copy.
+//! Chooses the endpoint for a request, and the engine for a copy of a generation.
 //!
-//! Where a plain endpoint is wanted, or no home answers, each instance chooses by itself, from
-//! its own use and from what it was told; the home of a service chooses engines from what all
-//! of them report (`docs/design/platform.md`). An engine is chosen by the memory and the
-//! prompts that wait before it, a plain endpoint by its queue.
+//! For plain endpoints, and for engines while no home answers, each instance chooses on its own,
+//! from its own usage and the last reported usage of its peers. Otherwise the home of a service
+//! chooses engines, from the reports of all instances (`docs/design/platform.md`). An engine is
+//! chosen by its KV cache usage and pending prefill, a plain endpoint by its queue.
 
 use super::catalogue::EngineLimits;
 use super::endpoints::{Endpoint, EndpointState, EndpointTable};
@@ -13,87 +13,86 @@
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 
-/// The share of an engine's memory that is given away. What generations take is an estimate:
-/// where more is given away than there is, an engine preempts one and reads its prompt again,
-/// and first events wait inside engines; where less is, requests wait here though there is
-/// room.
-const MEMORY_SHARE: f64 = 0.98;
+/// Share of an engine's KV cache that may be reserved. The need of a generation is an estimate:
+/// with a larger share an engine preempts a generation and prefills it again, and first events are
+/// delayed inside engines; with a smaller one requests are queued although there is room.
+const KV_CACHE_SHARE: f64 = 0.98;
 
-/// The share of an engine's memory up to which standing copies are put there. What
-/// lies above is left to generations that run: a copy is of use only to those
-/// whose engine leaves, and those can be copied at the notice as well.
-const COPY_SHARE: f64 = 0.5;
+/// Share of an engine's KV cache up to which standby copies are placed. The rest is left for
+/// running generations: a copy only helps a generation whose engine leaves, and that one can also
+/// be copied after the notice.
+const STANDBY_SHARE: f64 = 0.5;
 
-/// The share of an engine's memory up to which copies of generations whose engine leaves
-/// are put there. They go before what is new: without a copy a generation is lost.
-const AHEAD_SHARE: f64 = 0.92;
+/// Share of an engine's KV cache up to which pre-copies are placed. They take precedence over new
+/// requests, because a generation without a copy is lost with its engine.
+const PRE_COPY_SHARE: f64 = 0.92;
 
-/// The cost of a prompt token that waits to be read, in running generations. A new
-/// request waits for all of them, and what runs takes twice as long meanwhile:
-/// 3,000 tokens take some 430 ms beside others.
-const UNREAD_COST: f64 = 10.0 / 3_000.0;
+/// Cost of a pending prefill token, in running generations. A new request waits for all of them,
+/// and running generations take twice as long meanwhile: 3,000 tokens take about 430 ms on a shared
+/// engine.
+const PENDING_PREFILL_COST: f64 = 10.0 / 3_000.0;
 
-/// The width of the draw that parts instances with the same view, in running
-/// generations. Two requests that arrive within some milliseconds at two instances
-/// would otherwise both go to the one engine that looks best.
-const DRAW_WIDTH: f64 = 1.0;
+/// Amplitude of the random tie-break between instances with the same view, in running generations.
+/// Otherwise two requests that arrive at two instances within milliseconds would both choose the
+/// same engine.
+const JITTER_WIDTH: f64 = 1.0;
 
-/// The cost of a full memory, in running generations.
-const MEMORY_COST: f64 = 12.0;
+/// Cost of a full KV cache, in running generations.
+const KV_CACHE_COST: f64 = 12.0;
 
-/// The cost of another data centre at an engine, in running generations: some
-/// milliseconds and the bytes that cross.
-const AWAY_COST: f64 = 0.5;
+/// Cost of an engine in another data centre, in running generations: a few milliseconds of latency
+/// and the traffic between data centres.
+const REMOTE_COST: f64 = 0.5;
 
-/// The cost of another data centre for a copy ahead, in running generations: it takes
-/// twice as long, and copies of one engine queue on its link while its notice runs.
-const AWAY_AHEAD_COST: f64 = 3.0;
+/// Cost of another data centre for a pre-copy, in running generations: the transfer takes twice as
+/// long, and the copies of one engine share its link during the notice period.
+const REMOTE_PRE_COPY_COST: f64 = 3.0;
 
-/// The width of the draw between engines for a copy ahead, in running generations.
-/// All generations of an engine that leaves choose in the same moment; without it
-/// they all go to the one engine that looked best and overfill it.
-const AHEAD_DRAW_WIDTH: f64 = 10.0;
+/// Amplitude of the jitter for pre-copies, in running generations. All generations of a leaving
+/// engine choose at the same moment; without the jitter they would all choose and overfill the same
+/// engine.
+const PRE_COPY_JITTER_WIDTH: f64 = 10.0;
 
-/// The cost of another data centre at a plain endpoint, in requests: a round
-/// trip of some 3 ms against calls of some 15 ms and more.
-const AWAY_PLAIN_COST: f64 = 0.5;
+/// Cost of a plain endpoint in another data centre, in requests: a round trip of about 3 ms,
+/// compared with calls of 15 ms and more.
+const REMOTE_PLAIN_COST: f64 = 0.5;
 
-/// The cost of an engine that has just started and is still slow.
+/// Cost of a cold engine, which is still slow after its start.
 const COLD_COST: f64 = 8.0;
 
-/// The cost of an entry that may have vanished for good.
+/// Cost of an endpoint whose record disappeared and may not return.
 const LAPSED_COST: f64 = 30.0;
 
-/// The cost of an endpoint at which all requests fail, in requests.
+/// Cost of an endpoint at which all requests fail, in requests.
 const FAILURE_COST: f64 = 20.0;
 
-/// Prompt tokens that may wait before one engine; more would wait as well here,
-/// where they can still go elsewhere. So many take some 0.9 s.
-const MAX_UNREAD: u32 = 6_000;
+/// Upper bound of pending prefill tokens at one engine, which take about 0.9 s. Further requests
+/// would wait just as long here, where they can still go to another engine.
+const MAX_PENDING_PREFILL: u32 = 6_000;
 
-/// What a request needs at an endpoint.
+/// The requirements of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
-    /// The service.
+    /// The name of the service.
     pub service: &'a str,
-    /// What its engines bear, if they are engines.
+    /// The limits of its engines; `None` for a plain service.
     pub engine: Option<EngineLimits>,
-    /// Tokens of memory that the request is expected to take.
+    /// KV cache tokens that the request is expected to need.
     pub tokens: u32,
-    /// Endpoints that are not to be chosen, because they were tried.
+    /// Endpoints that must not be chosen because they were tried already.
     pub exclude: &'a [EndpointKey],
 }
 
-/// The tables that a choice looks at.
+/// The state from which an endpoint is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementContext<'a> {
-    /// The time.
+    /// The current time.
     pub now: Time,
     /// All endpoints.
     pub endpoints: &'a EndpointTable,
-    /// What this instance runs where.
+    /// Usage by this instance.
     pub usage: &'a UsageTable,
-    /// What others run.
+    /// Usage by other instances.
     pub others: &'a PeerUsage,
     /// The data centre of this instance.
     pub data_centre: &'a str,
@@ -107,63 +106,63 @@
     }
 }
 
-/// Why there is no endpoint for a request.
+/// Why no endpoint was chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementError {
-    /// There is none, or all that there are fail or leave.
+    /// There is none, or all of them are failing or leaving.
     NoEndpoint,
     /// All are full.
     Full,
-    /// All that there are lie in data centres that the operator closed to new work.
+    /// All are in data centres that the operator closed to new work.
     Cordoned,
-    /// All that there are have named a limit, and take no more for now.
+    /// All have reached the rate limit that they reported.
     RateLimited,
 }
 
-/// Returns the endpoint with the least cost. `jitter` draws a number below one
-/// for each candidate, so that instances with the same view part at a tie.
+/// Returns the endpoint with the lowest cost. `jitter` returns a random number below one for each
+/// candidate, as a tie-break between instances with the same view.
 ///
 /// # Errors
 ///
-/// Returns why there is none.
+/// Returns why no endpoint can be chosen.
 pub fn choose(
-    world: PlacementContext<'_>,
+    context: PlacementContext<'_>,
     demand: &Demand<'_>,
     mut jitter: impl FnMut() -> f64,
 ) -> Result<EndpointKey, PlacementError> {
     let mut full = false;
-    let trusted = |endpoint: &Endpoint| is_trusted(world, endpoint);
-    let chosen = cheapest(candidates(world, demand, trusted), |endpoint| {
-        let used = world.used(endpoint);
+    let trusted = |endpoint: &Endpoint| is_trusted(context, endpoint);
+    let chosen = cheapest(candidates(context, demand, trusted), |endpoint| {
+        let used = context.used(endpoint);
         let (cost, away) = match demand.engine {
             Some(limits) => {
-                let room = fits(used, demand.tokens, limits, MEMORY_SHARE);
-                if !room || used.pending_prefill >= MAX_UNREAD {
+                let room = fits(used, demand.tokens, limits, KV_CACHE_SHARE);
+                if !room || used.pending_prefill >= MAX_PENDING_PREFILL {
                     full = true;
                     return None;
                 }
-                (engine_cost(used, limits), AWAY_COST)
+                (engine_cost(used, limits), REMOTE_COST)
             }
-            None => (plain_cost(world, endpoint, used), AWAY_PLAIN_COST),
+            None => (plain_cost(context, endpoint, used), REMOTE_PLAIN_COST),
         };
-        Some(cost + state_cost(world, endpoint, away) + DRAW_WIDTH * jitter())
+        Some(cost + state_cost(context, endpoint, away) + JITTER_WIDTH * jitter())
     });
     match chosen {
         Some(key) => Ok(key),
         None if full => Err(PlacementError::Full),
-        None => Err(why_none(world, demand.service)),
+        None => Err(why_none(context, demand.service)),
     }
 }
 
-/// Returns why a service has no endpoint that may be chosen.
-fn why_none(world: PlacementContext<'_>, service: &str) -> PlacementError {
-    match world.endpoints.is_service_cordoned(service) {
+/// Returns why a service has no candidate.
+fn why_none(context: PlacementContext<'_>, service: &str) -> PlacementError {
+    match context.endpoints.is_service_cordoned(service) {
         true => PlacementError::Cordoned,
         false => PlacementError::NoEndpoint,
     }
 }
 
-/// The room at all engines of a service, as it is given away in turn.
+/// The free capacity of all engines of a service, reduced by each reservation.
 #[derive(Clone, Debug)]
 pub(super) struct EngineCapacities<'a> {
     limits: EngineLimits,
@@ -175,97 +174,99 @@
     key: EndpointKey,
     data_centre: &'a str,
     used: Usage,
-    /// What the state of the engine costs beside its load.
+    /// The part of the cost that does not depend on load.
     state_cost: f64,
-    /// Whether its room is kept for somebody.
-    is_kept: bool,
-    /// How many requests it may still get, if it bears a bounded rate.
-    bounded_left: Option<u32>,
+    /// Whether its free capacity is held for a large request.
+    is_held: bool,
+    /// How many more requests it may get if its rate is limited.
+    rate_remaining: Option<u32>,
 }
 
-/// Returns the room at the engines that `demand` may go to.
+/// Returns the capacities of the engines that can serve `demand`.
 ///
 /// # Errors
 ///
 /// Returns why there is no engine.
 pub(super) fn capacities<'a>(
-    world: PlacementContext<'a>,
+    context: PlacementContext<'a>,
     demand: &Demand<'_>,
-    bounded_left: impl Fn(EndpointKey) -> Option<u32>,
+    rate_remaining: impl Fn(EndpointKey) -> Option<u32>,
 ) -> Result<EngineCapacities<'a>, PlacementError> {
     let limits = demand.engine.ok_or(PlacementError::NoEndpoint)?;
-    let trusted = |endpoint: &Endpoint| is_trusted(world, endpoint);
-    let engines: Vec<EngineCapacity<'_>> = candidates(world, demand, trusted)
+    let trusted = |endpoint: &Endpoint| is_trusted(context, endpoint);
+    let engines: Vec<EngineCapacity<'_>> = candidates(context, demand, trusted)
         .map(|endpoint| EngineCapacity {
             key: endpoint.key,
             data_centre: &endpoint.record.data_centre,
-            used: world.used(endpoint),
-            state_cost: state_cost(world, endpoint, 0.0),
-            is_kept: false,
-            bounded_left: bounded_left(endpoint.key),
+            used: context.used(endpoint),
+            state_cost: state_cost(context, endpoint, 0.0),
+            is_held: false,
+            rate_remaining: rate_remaining(endpoint.key),
         })
         .collect();
     if engines.is_empty() {
-        return Err(why_none(world, demand.service));
+        return Err(why_none(context, demand.service));
     }
     Ok(EngineCapacities { limits, engines })
 }
 
 impl EngineCapacities<'_> {
-    /// Gives room to a request at the engine with the least cost, and returns it.
+    /// Reserves capacity for a request at the engine with the lowest cost, and returns the engine.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns why no engine has room.
     pub(super) fn reserve(
         &mut self,
-        asking: &QueuedPlacement,
+        placement: &QueuedPlacement,
     ) -> Result<EndpointKey, PlacementError> {
-        let tried = |capacity: &EngineCapacity<'_>| asking.request.exclude.contains(&capacity.key);
+        let tried =
+            |capacity: &EngineCapacity<'_>| placement.request.exclude.contains(&capacity.key);
         if self.engines.iter().all(tried) {
             return Err(PlacementError::NoEndpoint);
         }
-        let avoided =
-            |capacity: &EngineCapacity<'_>| tried(capacity) || asking.avoid.contains(&capacity.key);
+        let avoided = |capacity: &EngineCapacity<'_>| {
+            tried(capacity) || placement.avoid.contains(&capacity.key)
+        };
         match self.engines.iter().all(avoided) {
-            true => self.give_unless(asking, tried),
-            false => self.give_unless(asking, avoided),
+            true => self.reserve_unless(placement, tried),
+            false => self.reserve_unless(placement, avoided),
         }
     }
 
-    fn give_unless(
+    fn reserve_unless(
         &mut self,
-        asking: &QueuedPlacement,
+        placement: &QueuedPlacement,
         excluded: impl Fn(&EngineCapacity<'_>) -> bool,
     ) -> Result<EndpointKey, PlacementError> {
-        let QueuedRequest { tokens, prompt, .. } = asking.request.queued;
-        let data_centre = asking.data_centre.as_str();
+        let QueuedRequest { tokens, prompt, .. } = placement.request.queued;
+        let data_centre = placement.data_centre.as_str();
         let limits = self.limits;
         let fitting = self.engines.iter_mut().filter(|capacity| {
-            !capacity.is_kept
-                && capacity.bounded_left != Some(0)
+            !capacity.is_held
+                && capacity.rate_remaining != Some(0)
                 && !excluded(capacity)
-                && capacity.used.pending_prefill < MAX_UNREAD
-                && fits(capacity.used, tokens, limits, MEMORY_SHARE)
+                && capacity.used.pending_prefill < MAX_PENDING_PREFILL
+                && fits(capacity.used, tokens, limits, KV_CACHE_SHARE)
         });
         let cost = |capacity: &EngineCapacity<'_>| {
             let away = if capacity.data_centre == data_centre {
                 0.0
             } else {
-                AWAY_COST
+                REMOTE_COST
             };
             engine_cost(capacity.used, limits) + capacity.state_cost + away
         };
         let capacity = fitting.min_by(|a, b| cost(a).total_cmp(&cost(b)));
         let capacity = capacity.ok_or(PlacementError::Full)?;
-        capacity.bounded_left = capacity.bounded_left.map(|it| it.saturating_sub(1));
+        capacity.rate_remaining = capacity.rate_remaining.map(|it| it.saturating_sub(1));
         capacity.used.running = capacity.used.running.saturating_add(1);
         capacity.used.tokens = capacity.used.tokens.saturating_add(tokens);
         capacity.used.pending_prefill = capacity.used.pending_prefill.saturating_add(prompt);
         Ok(capacity.key)
     }
 
-    /// Keeps the engine with the most room for a request that fits nowhere yet.
+    /// Holds the engine with the most free capacity for a request that does not fit anywhere yet.
     pub(super) fn hold_largest(&mut self) {
         let taken = |capacity: &EngineCapacity<'_>| {
             capacity
@@ -273,53 +274,53 @@
                 .tokens
                 .saturating_add(capacity.used.copy_tokens)
         };
-        let free = self.engines.iter_mut().filter(|capacity| !capacity.is_kept);
+        let free = self.engines.iter_mut().filter(|capacity| !capacity.is_held);
         if let Some(capacity) = free.min_by_key(|capacity| taken(capacity)) {
-            capacity.is_kept = true;
+            capacity.is_held = true;
         }
     }
 }
 
-/// What a copy is for.
+/// The purpose of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyKind {
-    /// It is kept up to date as the generation grows, in case its engine leaves.
+    /// Kept up to date while the generation runs, in case its engine leaves.
     Standby,
-    /// Its engine leaves; the generation will go on from it.
+    /// Made after the notice that the engine leaves; the generation will resume from it.
     PreCopy,
 }
 
-/// Returns the engine with the most room for a copy of a generation that runs at `source`.
+/// Returns the engine with the lowest cost for a copy of a generation that runs at `source`.
 pub fn choose_copy_target(
-    world: PlacementContext<'_>,
+    context: PlacementContext<'_>,
     demand: &Demand<'_>,
     source: &Endpoint,
     kind: CopyKind,
     mut jitter: impl FnMut() -> f64,
 ) -> Option<EndpointKey> {
     let limits = demand.engine?;
-    let (share, away_cost, draw_width) = match kind {
-        CopyKind::Standby => (COPY_SHARE, AWAY_COST, DRAW_WIDTH),
-        CopyKind::PreCopy => (AHEAD_SHARE, AWAY_AHEAD_COST, AHEAD_DRAW_WIDTH),
+    let (share, remote_cost, jitter_width) = match kind {
+        CopyKind::Standby => (STANDBY_SHARE, REMOTE_COST, JITTER_WIDTH),
+        CopyKind::PreCopy => (PRE_COPY_SHARE, REMOTE_PRE_COPY_COST, PRE_COPY_JITTER_WIDTH),
     };
     let exclude = [demand.exclude, &[source.key]].concat();
     let elsewhere = Demand {
         exclude: &exclude,
         ..*demand
     };
-    let trusted = |endpoint: &Endpoint| keeps_copies(world, endpoint);
-    cheapest(candidates(world, &elsewhere, trusted), |endpoint| {
-        let used = world.used(endpoint);
+    let trusted = |endpoint: &Endpoint| accepts_copies(context, endpoint);
+    cheapest(candidates(context, &elsewhere, trusted), |endpoint| {
+        let used = context.used(endpoint);
         if !fits(used, demand.tokens, limits, share) {
             return None;
         }
         let away = endpoint.record.data_centre != source.record.data_centre;
-        let away = if away { away_cost } else { 0.0 };
-        Some(engine_cost(used, limits) + away + draw_width * jitter())
+        let away = if away { remote_cost } else { 0.0 };
+        Some(engine_cost(used, limits) + away + jitter_width * jitter())
     })
 }
 
-/// Returns the endpoint with the least cost; one without a cost cannot be chosen.
+/// Returns the endpoint with the lowest cost; an endpoint whose cost is `None` is never chosen.
 fn cheapest<'a>(
     endpoints: impl Iterator<Item = &'a Endpoint>,
     mut cost: impl FnMut(&Endpoint) -> Option<f64>,
@@ -336,30 +337,31 @@
     best.map(|(_, key)| key)
 }
 
-/// Returns whether an endpoint is believed to serve, by what is seen here and elsewhere.
-fn is_trusted(world: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
-    !endpoint.is_ejected(world.now) && !world.others.ejected.contains(&endpoint.key)
+/// Returns whether neither this instance nor its peers have ejected an endpoint.
+fn is_trusted(context: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
+    !endpoint.is_ejected(context.now) && !context.others.ejected.contains(&endpoint.key)
 }
 
-/// Returns whether an engine is believed to keep a copy.
+/// Returns whether copies may be placed at an engine.
 ///
-/// What goes wrong otherwise: while the store is away, an engine that died still has its
-/// entry. It looks empty, draws all copies to itself, and the generations that lean on
-/// them are lost with their engines. Whoever had work there has seen it fail, and says so.
-fn keeps_copies(world: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
-    let failing = endpoint.is_failing() || world.others.failing.contains(&endpoint.key);
-    !failing && is_trusted(world, endpoint)
+/// During a store outage the record of a crashed engine remains. The engine looks empty and would
+/// attract all copies, and the generations that depend on them would be lost with their engines. An
+/// instance with work there has seen it fail and reports it, so one failure is enough to exclude an
+/// engine here.
+fn accepts_copies(context: PlacementContext<'_>, endpoint: &Endpoint) -> bool {
+    let failing = endpoint.is_failing() || context.others.failing.contains(&endpoint.key);
+    !failing && is_trusted(context, endpoint)
 }
 
-/// Returns the endpoints that may be chosen; those that are not `trusted` only if
-/// there are no others.
+/// Returns the candidates for a demand. Endpoints that are not `trusted` are included only if there
+/// are no others.
 fn candidates<'w>(
-    world: PlacementContext<'w>,
+    context: PlacementContext<'w>,
     demand: &Demand<'_>,
     trusted: impl Fn(&Endpoint) -> bool,
 ) -> impl Iterator<Item = &'w Endpoint> {
     let fitting = move |endpoint: &&Endpoint| !demand.exclude.contains(&endpoint.key);
-    let usable = || world.endpoints.usable_of(demand.service).filter(fitting);
+    let usable = || context.endpoints.usable_of(demand.service).filter(fitting);
     let any_trusted = usable().any(&trusted);
     usable().filter(move |endpoint| !any_trusted || trusted(endpoint))
 }
@@ -374,22 +376,24 @@
 fn engine_cost(used: Usage, limits: EngineLimits) -> f64 {
     let taken = f64::from(used.tokens) + f64::from(used.copy_tokens);
     let memory = taken / f64::from(limits.kv_cache_tokens.max(1));
-    f64::from(used.running) + UNREAD_COST * f64::from(used.pending_prefill) + MEMORY_COST * memory
+    f64::from(used.running)
+        + PENDING_PREFILL_COST * f64::from(used.pending_prefill)
+        + KV_CACHE_COST * memory
 }
 
-fn plain_cost(world: PlacementContext<'_>, endpoint: &Endpoint, used: Usage) -> f64 {
+fn plain_cost(context: PlacementContext<'_>, endpoint: &Endpoint, used: Usage) -> f64 {
     let counted = f64::from(used.running);
-    let told = world.usage.recent_load(world.now, endpoint.key);
-    let told = told.map_or(0.0, |load| f64::from(load.running + load.waiting));
-    counted.max(told)
+    let reported = context.usage.recent_load(context.now, endpoint.key);
+    let reported = reported.map_or(0.0, |load| f64::from(load.running + load.waiting));
+    counted.max(reported)
 }
 
-fn state_cost(world: PlacementContext<'_>, endpoint: &Endpoint, away: f64) -> f64 {
+fn state_cost(context: PlacementContext<'_>, endpoint: &Endpoint, away: f64) -> f64 {
     let mut cost = FAILURE_COST * endpoint.failure_share();
-    if endpoint.record.data_centre != world.data_centre {
+    if endpoint.record.data_centre != context.data_centre {
         cost += away;
     }
-    if world.now < endpoint.cold_until {
+    if context.now < endpoint.cold_until {
         cost += COLD_COST;
     }
     if let EndpointState::Lapsed { .. } = endpoint.state {
--- a/crates/core/src/gateway/fleet_size.rs
+++ b/crates/core/src/gateway/fleet_size.rs
@@ -1,11 +1,12 @@
-//! How many instances there are, those included that were lost lately.
+//! The number of instances, including recently lost ones.
 //!
-//! Bounds that the fleet keeps without asking anybody are divided by this number. Dividing by the
-//! instances that are heard would give each side of a cut the whole bound. An instance that has
-//! just started has heard few others, so that peers tell it what they know. One that heard nobody
-//! who knows does not know either: [`FleetSize::settled`].
+//! Limits that the fleet enforces without coordination are divided by this number. If they were
+//! divided by the number of live instances, each side of a network partition would use the full
+//! limit. An instance that has just started knows few others, so its peers report the size to it.
+//! Until it has received such a report, or heard from most of its seeds, it does not know the size:
+//! see [`FleetSize::settled`].
 //!
-//! `docs/design/budget.md` does the arithmetic.
+//! See `docs/design/budget.md` for the arithmetic.
 
 use crate::time::Time;
 use core::time::Duration;
@@ -13,73 +14,81 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How long an instance that was lost is counted: as long as regions lose each other.
-const REMEMBER_LOST: Duration = Duration::from_secs(600);
+/// How long a lost instance is counted: as long as partitions between regions may last.
+const LOST_RETENTION: Duration = Duration::from_secs(600);
 
-/// The time between two looks at who takes part.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time between two scans of the live instances.
+const SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What an instance tells its peers of the fleet's size.
+/// The size of the fleet as reported to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSizeReport {
-    /// How many instances there are; 0 while the sender does not know.
+    /// Number of instances; 0 while the sender does not know it.
     pub count: u32,
-    /// For how many seconds that was not seen by anybody.
+    /// Seconds since any instance last saw a fleet of this size.
     pub age_s: u16,
 }
 
-/// All instances known lately.
+/// The instances that were alive recently.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSize {
-    /// When each other instance was last known to take part.
+    /// When each other instance was last alive.
     seen: BTreeMap<SocketAddrV4, Time>,
-    looked: Option<Time>,
-    /// The largest fleet that a peer told of, and when it was seen.
-    told: Option<(u32, Time)>,
+    scanned_at: Option<Time>,
+    /// The largest fleet that a peer reported, and when it was last seen.
+    reported: Option<(u32, Time)>,
     is_settled: bool,
 }
 
 impl FleetSize {
-    /// Takes in who takes part, and whether this instance has heard most of its seeds.
+    /// Records the live instances, and whether this instance has heard from most of its seeds.
     ///
-    /// Of the sides of a cut, one at most has most of the seeds. So of all sides on which every
-    /// instance started during the cut, one at most gets to know how many there are.
+    /// Of the sides of a partition, at most one has most of the seeds. So even if every instance
+    /// restarts during the partition, at most one side settles on a size.
     pub fn tick(
         &mut self,
         now: Time,
         live: impl Iterator<Item = SocketAddrV4>,
-        heard_most_seeds: bool,
+        has_most_seeds: bool,
     ) {
-        self.is_settled |= heard_most_seeds;
-        if self.looked.is_some_and(|at| now.since(at) < LOOK_INTERVAL) {
+        self.is_settled |= has_most_seeds;
+        if self
+            .scanned_at
+            .is_some_and(|at| now.since(at) < SCAN_INTERVAL)
+        {
             return;
         }
-        self.looked = Some(now);
+        self.scanned_at = Some(now);
         self.seen.extend(live.map(|it| (it, now)));
-        self.seen.retain(|_, at| now.since(*at) < REMEMBER_LOST);
-        self.told = self.told.filter(|(_, at)| now.since(*at) < REMEMBER_LOST);
+        self.seen.retain(|_, at| now.since(*at) < LOST_RETENTION);
+        self.reported = self
+            .reported
+            .filter(|(_, at)| now.since(*at) < LOST_RETENTION);
     }
 
-    /// Takes in what a peer tells.
-    pub fn on_report(&mut self, now: Time, told: FleetSizeReport) {
-        if told.count == 0 {
+    /// Applies the report of a peer.
+    pub fn on_report(&mut self, now: Time, reported: FleetSizeReport) {
+        if reported.count == 0 {
             return;
         }
         self.is_settled = true;
-        let age = Duration::from_secs(told.age_s.into());
+        let age = Duration::from_secs(reported.age_s.into());
         let seen = now.before(age).unwrap_or(Time::ZERO);
-        if self.told.is_none_or(|(count, _)| count <= told.count) {
-            self.told = Some((told.count, seen));
+        if self
+            .reported
+            .is_none_or(|(count, _)| count <= reported.count)
+        {
+            self.reported = Some((reported.count, seen));
         }
     }
 
-    /// Returns what this instance tells its peers.
+    /// Returns the report that is sent to peers.
     pub fn report(&self, now: Time) -> FleetSizeReport {
         if !self.is_settled {
             return FleetSizeReport::default();
         }
         let own = u32::try_from(self.seen()).unwrap_or(u32::MAX);
-        match self.told {
+        match self.reported {
             Some((count, at)) if count > own => FleetSizeReport {
                 count,
                 age_s: u16::try_from(now.since(at).as_secs()).unwrap_or(u16::MAX),
@@ -91,18 +100,18 @@
         }
     }
 
-    /// Returns how many instances there are, this one and those that were lost lately included.
+    /// Returns the number of instances, including this one and recently lost ones.
     pub fn count(&self) -> usize {
-        let told = self.told.map_or(0, |(count, _)| count as usize);
-        self.seen().max(told)
+        let reported = self.reported.map_or(0, |(count, _)| count as usize);
+        self.seen().max(reported)
     }
 
-    /// Returns the same, or nothing while this instance may know a part of the fleet only.
+    /// Returns the same, or `None` while this instance may know only part of the fleet.
     pub fn settled(&self) -> Option<usize> {
         self.is_settled.then(|| self.count())
     }
 
-    /// Returns the other instances that were seen lately.
+    /// Returns the other instances that were alive recently.
     pub fn others(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.seen.keys().copied()
     }
--- a/crates/core/tests/gateway_budget_fleet.rs
+++ b/crates/core/tests/gateway_budget_fleet.rs
@@ -1,4 +1,4 @@
-//! What a whole fleet spends on repeats, whoever hears whom and whoever starts again.
+//! What a whole fleet spends on retries during partitions and restarts.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -19,44 +19,44 @@
 const RATIO: f64 = 0.2;
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Repeats allowed on top of the ratio, for each instance.
+/// Retries allowed in addition to the ratio, per instance.
 const ALLOWANCE_EACH: f64 = 2.6;
 
-/// Requests a second at each instance, all of which fail.
+/// Requests per second at each instance, all of which fail.
 const REQUESTS_EACH: f64 = 1.5;
 
-/// How many times each request is to be sent again.
-const TRIES: usize = 3;
+/// How often each request is retried.
+const RETRIES_PER_REQUEST: usize = 3;
 
-/// Generations a second at each instance that are to go on at another engine, where many engines
-/// are lost.
-const MOVES_EACH: f64 = 0.8;
+/// Generations per second at each instance that need to resume at another engine, while many
+/// engines are lost.
+const RESUMES_EACH: f64 = 0.8;
 
-/// How long a generation waits for a repeat.
-const MOVES_WAIT: Duration = Duration::from_secs(1);
+/// How long a generation waits for a retry.
+const RESUME_WAIT: Duration = Duration::from_secs(1);
 
-/// A fleet whose requests fail all the time.
-struct Scene {
+/// A fleet whose requests all fail.
+struct Scenario {
     fleet: Fleet,
     budget: BudgetConfig,
     rng: SmallRng,
-    /// When a request came.
+    /// Arrival times of requests.
     requests: Vec<Time>,
-    /// When one was sent to one endpoint more.
-    repeats: Vec<Time>,
-    /// Generations a second at each instance that are to go on at another engine.
-    moves_each: f64,
-    /// Generations that have still to go on, by instance, and since when.
-    to_move: Vec<(usize, Time)>,
-    moves: usize,
+    /// Times of retries.
+    retries: Vec<Time>,
+    /// Generations per second at each instance that need to resume at another engine.
+    resumes_each: f64,
+    /// Generations that still need to resume: their instance, and since when.
+    to_resume: Vec<(usize, Time)>,
+    resumes: usize,
 }
 
-impl Scene {
-    fn new(size: usize) -> Scene {
+impl Scenario {
+    fn new(size: usize) -> Scenario {
         let mut fleet = Fleet::start(size, SEEDS, 11);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
         assert!(joined.is_some(), "{:?}", fleet.counts());
-        let mut scene = Scene {
+        let mut scenario = Scenario {
             fleet,
             budget: BudgetConfig {
                 ratio: RATIO,
@@ -65,17 +65,17 @@
             },
             rng: SmallRng::seed_from_u64(31),
             requests: Vec::new(),
-            repeats: Vec::new(),
-            moves_each: 0.0,
-            to_move: Vec::new(),
-            moves: 0,
+            retries: Vec::new(),
+            resumes_each: 0.0,
+            to_resume: Vec::new(),
+            resumes: 0,
         };
         for index in 0..size {
-            scene.configure(index);
+            scenario.configure(index);
         }
-        // What a fleet may spend comes to it over time.
-        scene.fleet.run(Duration::from_secs(15));
-        scene
+        // Instances earn their budgets over time.
+        scenario.fleet.run(Duration::from_secs(15));
+        scenario
     }
 
     fn configure(&mut self, index: usize) {
@@ -93,8 +93,8 @@
         self.configure(index);
     }
 
-    /// Lets time pass in which requests fail and generations lose their engines.
-    fn fail(&mut self, time: Duration) {
+    /// Advances time while requests fail and generations lose their engines.
+    fn advance_with_failures(&mut self, time: Duration) {
         let step = Duration::from_millis(50);
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
@@ -103,16 +103,16 @@
                 if self.rng.random_bool(REQUESTS_EACH * step.as_secs_f64()) {
                     self.request(index);
                 }
-                if self.rng.random_bool(self.moves_each * step.as_secs_f64()) {
-                    self.to_move.push((index, self.fleet.now));
+                if self.rng.random_bool(self.resumes_each * step.as_secs_f64()) {
+                    self.to_resume.push((index, self.fleet.now));
                 }
             }
             let now = self.fleet.now;
-            for (index, since) in core::mem::take(&mut self.to_move) {
-                if self.repeat(index, RetryKind::Resume) {
-                    self.moves += 1;
-                } else if now.since(since) < MOVES_WAIT {
-                    self.to_move.push((index, since));
+            for (index, since) in core::mem::take(&mut self.to_resume) {
+                if self.retry(index, RetryKind::Resume) {
+                    self.resumes += 1;
+                } else if now.since(since) < RESUME_WAIT {
+                    self.to_resume.push((index, since));
                 }
             }
         }
@@ -124,34 +124,34 @@
             core.budget.on_request(now, SERVICE);
         }
         self.requests.push(now);
-        for _ in 0..TRIES {
-            self.repeat(index, RetryKind::Retry);
+        for _ in 0..RETRIES_PER_REQUEST {
+            self.retry(index, RetryKind::Retry);
         }
     }
 
-    fn repeat(&mut self, index: usize, kind: RetryKind) -> bool {
+    fn retry(&mut self, index: usize, kind: RetryKind) -> bool {
         let now = self.fleet.now;
         let Some(core) = &mut self.fleet.nodes[index].core else {
             return false;
         };
         let spent = core.try_spend_retry(now, SERVICE, kind);
         if spent.is_allowed {
-            self.repeats.push(now);
+            self.retries.push(now);
         }
         spent.is_allowed
     }
 
-    /// Returns the most repeats that were above the bound in any window, below zero if none were.
-    fn most_above_bound(&self) -> f64 {
-        let above = self.repeats.iter().map(|&from| {
-            let repeats = count(&self.repeats, from, WINDOW);
+    /// Returns by how many retries the worst window exceeds the bound; negative if no window does.
+    fn max_above_bound(&self) -> f64 {
+        let above = self.retries.iter().map(|&from| {
+            let retries = count(&self.retries, from, WINDOW);
             let before = |by: Duration| {
                 let begins = from.before(by).unwrap_or(Time::ZERO);
                 count(&self.requests, begins, WINDOW)
             };
             let requests = [Duration::ZERO, WINDOW / 2, WINDOW].map(before);
             let requests = requests.into_iter().max().unwrap_or(0);
-            repeats as f64 - RATIO * requests as f64 - self.budget.allowance
+            retries as f64 - RATIO * requests as f64 - self.budget.allowance
         });
         above.fold(f64::NEG_INFINITY, f64::max)
     }
@@ -180,7 +180,7 @@
     ends - begins
 }
 
-fn nobody(_: usize, _: usize) -> bool {
+fn all_isolated(_: usize, _: usize) -> bool {
     false
 }
 
@@ -188,130 +188,130 @@
     from % 2 == to % 2
 }
 
-/// Guards against parts of the allowance that add up to more than it while instances do not hear
-/// each other.
+/// Guards against shares of the allowance that exceed it in total during a partition.
 #[rstest]
 #[case::few(6, two_sides)]
-#[case::few_alone(6, nobody)]
+#[case::few_isolated(6, all_isolated)]
 #[case::some(64, two_sides)]
-#[case::some_alone(64, nobody)]
+#[case::some_isolated(64, all_isolated)]
 #[case::planned(390, two_sides)]
-fn a_fleet_that_is_cut_keeps_the_bound(
+fn a_partitioned_fleet_keeps_the_bound(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
-    scene.fleet.passes = passes;
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
+    scenario.fleet.passes = passes;
 
-    scene.fail(Duration::from_secs(14));
+    scenario.advance_with_failures(Duration::from_secs(14));
 
-    let above = scene.most_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against instances that spend a new part of the allowance each time that they start.
+/// Guards against instances that spend a new share of the allowance after each restart.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
 #[case::planned(390)]
-fn instances_that_start_again_in_series_keep_the_bound(#[case] size: usize) {
-    let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
+fn instances_that_restart_repeatedly_keep_the_bound(#[case] size: usize) {
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
 
     for _ in 0..4 {
         for index in (0..size).step_by(3) {
-            scene.restart(index);
+            scenario.restart(index);
         }
-        scene.fail(Duration::from_secs(2));
+        scenario.advance_with_failures(Duration::from_secs(2));
     }
-    scene.fail(Duration::from_secs(4));
+    scenario.advance_with_failures(Duration::from_secs(4));
 
-    let above = scene.most_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against instances that start while they hear few others, or none, and take the
-/// allowance of all for their own.
+/// Guards against instances that start while they reach few others or none, and use the full
+/// allowance.
 #[rstest]
 #[case::few(6, two_sides)]
-#[case::few_alone(6, nobody)]
+#[case::few_isolated(6, all_isolated)]
 #[case::some(64, two_sides)]
-#[case::some_alone(64, nobody)]
+#[case::some_isolated(64, all_isolated)]
 #[case::planned(390, two_sides)]
-#[case::planned_alone(390, nobody)]
-fn instances_that_start_while_cut_off_keep_the_bound(
+#[case::planned_isolated(390, all_isolated)]
+fn instances_that_start_during_a_partition_keep_the_bound(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
-    scene.fleet.passes = passes;
-    scene.fail(Duration::from_secs(4));
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
+    scenario.fleet.passes = passes;
+    scenario.advance_with_failures(Duration::from_secs(4));
 
     for _ in 0..3 {
         for index in (0..size).step_by(3) {
-            scene.restart(index);
+            scenario.restart(index);
         }
-        scene.fail(Duration::from_secs(2));
+        scenario.advance_with_failures(Duration::from_secs(2));
     }
-    scene.fail(Duration::from_secs(12));
+    scenario.advance_with_failures(Duration::from_secs(12));
 
-    let above = scene.most_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against a fleet that starts on two sides of a cut and spends the allowance on each.
+/// Guards against a fleet that starts during a partition and spends the full allowance on each
+/// side.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
-fn a_fleet_that_starts_while_it_is_cut_keeps_the_bound(#[case] size: usize) {
-    let mut scene = Scene::new(size);
-    scene.fail(Duration::from_secs(4));
-    scene.fleet.passes = two_sides;
+fn a_fleet_that_starts_during_a_partition_keeps_the_bound(#[case] size: usize) {
+    let mut scenario = Scenario::new(size);
+    scenario.advance_with_failures(Duration::from_secs(4));
+    scenario.fleet.passes = two_sides;
     for index in 0..size {
-        scene.restart(index);
+        scenario.restart(index);
     }
 
-    scene.fail(Duration::from_secs(16));
+    scenario.advance_with_failures(Duration::from_secs(16));
 
-    let above = scene.most_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against generations that go on without asking, however many they are.
+/// Guards against resumed generations that exceed the bound when there are many of them.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
-fn generations_that_go_on_keep_the_bound(#[case] size: usize) {
-    let mut scene = Scene::new(size);
-    scene.moves_each = MOVES_EACH;
+fn generations_that_resume_keep_the_bound(#[case] size: usize) {
+    let mut scenario = Scenario::new(size);
+    scenario.resumes_each = RESUMES_EACH;
 
-    scene.fail(Duration::from_secs(14));
+    scenario.advance_with_failures(Duration::from_secs(14));
 
-    let above = scene.most_above_bound();
+    let above = scenario.max_above_bound();
     assert!(above <= 0.0, "{above} above the bound");
 }
 
-/// Guards against a bound that is kept by sending nothing: what it allows is spent, and plain
-/// repeats leave room for generations that go on.
+/// Guards against a bound that is kept by sending nothing: most of it is spent, and plain retries
+/// leave room for generations that resume.
 #[test]
 fn a_whole_fleet_spends_most_of_the_bound() {
-    let mut scene = Scene::new(64);
-    scene.moves_each = 0.1;
+    let mut scenario = Scenario::new(64);
+    scenario.resumes_each = 0.1;
 
-    scene.fail(Duration::from_secs(20));
+    scenario.advance_with_failures(Duration::from_secs(20));
 
     let bound = RATIO * REQUESTS_EACH * 64.0 * 20.0;
     assert!(
-        scene.repeats.len() as f64 > 0.7 * bound,
-        "{} repeats, {bound} requests' worth",
-        scene.repeats.len()
+        scenario.retries.len() as f64 > 0.7 * bound,
+        "{} retries of {bound}",
+        scenario.retries.len()
     );
-    let wanted = scene.moves_each * 64.0 * 20.0;
+    let wanted = scenario.resumes_each * 64.0 * 20.0;
     assert!(
-        scene.moves as f64 > 0.8 * wanted,
+        scenario.resumes as f64 > 0.8 * wanted,
         "{} moves of {wanted}",
-        scene.moves
+        scenario.resumes
     );
 }
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -1,4 +1,4 @@
-//! Endpoints that bear few requests a second while they are cold: what a fleet sends them in all.
+//! Rate limits of cold endpoints: what a whole fleet sends them.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -22,7 +22,7 @@
 
 const SEEDS: usize = 3;
 
-/// Engines with room for all that the tests send, so that nothing but the bound holds requests back.
+/// Engines with enough capacity for the tests, so that only the rate limit restricts requests.
 const ENGINE: EngineLimits = EngineLimits {
     slots: 10_000,
     kv_cache_tokens: 10_000_000,
@@ -34,12 +34,12 @@
     duration: Duration::from_secs(1),
 };
 
-/// What an operator allows above the rate, as a factor and a number of requests.
+/// The overshoot that an operator tolerates, as a factor and a number of requests.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
 /// Longer than any test runs.
-const FOR_GOOD: Duration = Duration::from_secs(100);
+const FOREVER: Duration = Duration::from_secs(100);
 
 fn record(name: &str, service: &str, cold: Duration) -> EndpointRecord {
     EndpointRecord {
@@ -68,35 +68,35 @@
     }
 }
 
-/// A settled fleet before endpoints, and what it sends them.
-struct Scene {
+/// A settled fleet in front of endpoints, and the requests that it sent.
+struct Scenario {
     fleet: Fleet,
     rng: SmallRng,
-    asked: u64,
-    waiting: Vec<(usize, u64)>,
+    requested: u64,
+    pending: Vec<(usize, u64)>,
     sent: Vec<(Time, EndpointKey)>,
 }
 
-impl Scene {
-    fn new(size: usize, endpoints: &[EndpointRecord]) -> Scene {
+impl Scenario {
+    fn new(size: usize, endpoints: &[EndpointRecord]) -> Scenario {
         let mut fleet = Fleet::start(size, SEEDS, 5);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
         assert!(joined.is_some(), "{:?}", fleet.counts());
         fleet.run(Duration::from_secs(3));
-        let mut scene = Scene {
+        let mut scenario = Scenario {
             fleet,
             rng: SmallRng::seed_from_u64(9),
-            asked: 0,
-            waiting: Vec::new(),
+            requested: 0,
+            pending: Vec::new(),
             sent: Vec::new(),
         };
         for index in 0..size {
-            scene.learn(index, endpoints);
+            scenario.publish_all(index, endpoints);
         }
-        scene
+        scenario
     }
 
-    fn learn(&mut self, index: usize, endpoints: &[EndpointRecord]) {
+    fn publish_all(&mut self, index: usize, endpoints: &[EndpointRecord]) {
         let now = self.fleet.now;
         let core = self.core(index);
         for endpoint in endpoints {
@@ -109,8 +109,8 @@
         self.fleet.nodes[index].core.as_mut().expect("it is there")
     }
 
-    /// Some instance that is there.
-    fn any(&mut self) -> usize {
+    /// Returns a random running instance.
+    fn random_index(&mut self) -> usize {
         let size = self.fleet.nodes.len();
         loop {
             let index = self.rng.random_range(0..size);
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Lets time pass in which so many calls and generations a second are wanted.
-    fn want(&mut self, time: Duration, calls: f64, generations: f64) {
+    /// Advances time while calls and generations arrive at these rates per second.
+    fn advance_with_load(&mut self, time: Duration, calls: f64, generations: f64) {
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
             self.fleet.run(Duration::from_millis(1));
@@ -129,14 +129,14 @@
                 self.call();
             }
             if self.rng.random_bool(generations / 1_000.0) {
-                self.ask();
+                self.request_generation();
             }
-            self.look();
+            self.poll_requests();
         }
     }
 
     fn call(&mut self) {
-        let (index, now) = (self.any(), self.fleet.now);
+        let (index, now) = (self.random_index(), self.fleet.now);
         let demand = Demand {
             service: "desk",
             engine: None,
@@ -148,10 +148,10 @@
         }
     }
 
-    fn ask(&mut self) {
-        self.asked += 1;
-        let (id, now, index) = (self.asked, self.fleet.now, self.any());
-        let waiter = QueuedRequest {
+    fn request_generation(&mut self) {
+        self.requested += 1;
+        let (id, now, index) = (self.requested, self.fleet.now, self.random_index());
+        let queued = QueuedRequest {
             id,
             service: service_hash("model"),
             priority: 1,
@@ -161,19 +161,19 @@
             prompt: 1,
         };
         let request = PlacementRequest {
-            queued: waiter,
+            queued,
             kind: PlacementKind::Queued,
             exclude: Vec::new(),
         };
         self.core(index).request_placement(now, request);
         self.fleet.hurry(index);
-        self.waiting.push((index, id));
+        self.pending.push((index, id));
     }
 
-    fn look(&mut self) {
+    fn poll_requests(&mut self) {
         let now = self.fleet.now;
-        let mut still = Vec::new();
-        for (index, id) in core::mem::take(&mut self.waiting) {
+        let mut unresolved = Vec::new();
+        for (index, id) in core::mem::take(&mut self.pending) {
             let Some(core) = self.fleet.nodes[index].core.as_mut() else {
                 continue;
             };
@@ -187,8 +187,8 @@
                 PlacementStatus::Decided(PlacementDecision::Granted(key)) => Some(key),
                 PlacementStatus::TimedOut => {
                     core.on_home_timeout(now, service_hash("model"), id);
-                    let alone = core.place_without_home(now, &demand, PlacementKind::Queued);
-                    alone.ok().map(|it| it.key)
+                    let placed = core.place_without_home(now, &demand, PlacementKind::Queued);
+                    placed.ok().map(|it| it.key)
                 }
                 _ => None,
             };
@@ -199,14 +199,14 @@
                     self.sent.push((now, key));
                     self.fleet.hurry(index);
                 }
-                None => still.push((index, id)),
+                None => unresolved.push((index, id)),
             }
         }
-        self.waiting = still;
+        self.pending = unresolved;
     }
 
-    /// Returns the most requests that an endpoint got within a second.
-    fn busiest_second(&self, name: &str) -> usize {
+    /// Returns the most requests that an endpoint got within one second.
+    fn max_in_one_second(&self, name: &str) -> usize {
         let key = EndpointKey::of(name);
         let sent = self.sent.iter().filter(|it| it.1 == key);
         let times: Vec<Time> = sent.map(|it| it.0).collect();
@@ -224,96 +224,99 @@
     (COLD.per_second * OVERSHOOT + SLACK) as usize
 }
 
-/// Guards against a cold endpoint that crashes because each instance sends it what it would bear
-/// from one; the others are warm, and take what it may not have.
+/// Guards against a cold endpoint that crashes because each instance uses the whole limit. Warm
+/// endpoints take the remaining requests.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
 #[case::planned(390)]
-fn a_cold_endpoint_gets_no_more_than_its_bound(#[case] size: usize) {
+fn a_cold_endpoint_gets_no_more_than_its_limit(#[case] size: usize) {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
         record("e-warm", "model", Duration::ZERO),
-        record("d-cold", "desk", FOR_GOOD),
+        record("d-cold", "desk", FOREVER),
         record("d-warm", "desk", Duration::ZERO),
     ];
-    let mut scene = Scene::new(size, &endpoints);
+    let mut scenario = Scenario::new(size, &endpoints);
 
-    scene.want(Duration::from_secs(3), 400.0, 300.0);
+    scenario.advance_with_load(Duration::from_secs(3), 400.0, 300.0);
 
     let (engine, desk) = (
-        scene.busiest_second("e-cold"),
-        scene.busiest_second("d-cold"),
+        scenario.max_in_one_second("e-cold"),
+        scenario.max_in_one_second("d-cold"),
     );
     assert!((1..=bound()).contains(&engine), "{engine}");
-    // Calls of one instance are too few to make the warm endpoint look busy.
+    // Each instance makes too few calls for the warm endpoint to look busy.
     assert!(desk <= bound(), "{desk}");
-    assert!(scene.waiting.len() < 20, "{} wait", scene.waiting.len());
+    assert!(
+        scenario.pending.len() < 20,
+        "{} wait",
+        scenario.pending.len()
+    );
 }
 
-/// Guards against a bound that holds on each side of a cut and not for both together, beside an
-/// instance that has just started and knows one side only.
+/// Guards against a limit that each side of a partition uses in full, with an instance that has
+/// just started and knows only one side.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
 #[case::planned(390)]
-fn two_sides_of_a_cut_keep_the_bound_together(#[case] size: usize) {
+fn both_sides_of_a_partition_keep_the_limit_together(#[case] size: usize) {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
-        record("d-cold", "desk", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
+        record("d-cold", "desk", FOREVER),
     ];
-    let mut scene = Scene::new(size, &endpoints);
-    scene.fleet.passes = |from, to| from % 2 == to % 2;
-    scene.want(Duration::from_secs(4), 0.0, 0.0);
-    scene.fleet.kill(1);
-    scene.fleet.start_one(1);
-    scene.learn(1, &endpoints);
+    let mut scenario = Scenario::new(size, &endpoints);
+    scenario.fleet.passes = |from, to| from % 2 == to % 2;
+    scenario.advance_with_load(Duration::from_secs(4), 0.0, 0.0);
+    scenario.fleet.kill(1);
+    scenario.fleet.start_one(1);
+    scenario.publish_all(1, &endpoints);
 
-    scene.want(Duration::from_secs(4), 600.0, 400.0);
+    scenario.advance_with_load(Duration::from_secs(4), 600.0, 400.0);
 
     for name in ["e-cold", "d-cold"] {
-        let most = scene.busiest_second(name);
+        let most = scenario.max_in_one_second(name);
         assert!((1..=bound()).contains(&most), "{name}: {most}");
     }
 }
 
-/// Guards against instances that all were paused, or have just started, and send at once what
-/// would be the share of one alone.
+/// Guards against instances that use more than their share right after all of them started.
 #[test]
-fn a_fleet_that_starts_at_once_keeps_the_bound() {
+fn a_fleet_that_starts_all_at_once_keeps_the_limit() {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
-        record("d-cold", "desk", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
+        record("d-cold", "desk", FOREVER),
     ];
-    let mut scene = Scene::new(64, &endpoints);
+    let mut scenario = Scenario::new(64, &endpoints);
     for index in 0..64 {
-        scene.fleet.kill(index);
-        scene.fleet.start_one(index);
-        scene.learn(index, &endpoints);
+        scenario.fleet.kill(index);
+        scenario.fleet.start_one(index);
+        scenario.publish_all(index, &endpoints);
     }
 
-    scene.want(Duration::from_secs(5), 600.0, 400.0);
+    scenario.advance_with_load(Duration::from_secs(5), 600.0, 400.0);
 
     for name in ["e-cold", "d-cold"] {
-        let most = scene.busiest_second(name);
+        let most = scenario.max_in_one_second(name);
         assert!(most <= bound(), "{name}: {most}");
     }
 }
 
-/// Guards against a service that is not used at all because its last endpoint is cold.
+/// Guards against a service that becomes unusable because its last endpoint is cold.
 #[test]
-fn the_last_endpoint_is_used_though_it_is_cold() {
+fn the_last_endpoint_is_used_even_if_it_is_cold() {
     let endpoints = [
-        record("e-cold", "model", FOR_GOOD),
-        record("d-cold", "desk", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
+        record("d-cold", "desk", FOREVER),
     ];
-    let mut scene = Scene::new(6, &endpoints);
+    let mut scenario = Scenario::new(6, &endpoints);
 
-    scene.want(Duration::from_secs(4), 200.0, 100.0);
+    scenario.advance_with_load(Duration::from_secs(4), 200.0, 100.0);
 
     let of = |name| {
         let key = EndpointKey::of(name);
-        scene.sent.iter().filter(|it| it.1 == key).count()
+        scenario.sent.iter().filter(|it| it.1 == key).count()
     };
     assert!(of("e-cold") >= 4 * 10, "{}", of("e-cold"));
     assert!(of("d-cold") >= 4 * 20, "{}", of("d-cold"));
@@ -337,10 +340,9 @@
     }
 }
 
-/// Guards against endpoints that became cold while their data centre was closed, and that are
-/// sent what they bore before.
+/// Guards against full load on endpoints that became cold while their data centre was closed.
 #[test]
-fn endpoints_of_a_data_centre_that_is_open_again_count_as_cold() {
+fn endpoints_of_a_reopened_data_centre_count_as_cold() {
     let mut one = one_with(&[record("d-1", "desk", Duration::ZERO)]);
     let (closed, open) = (Time::from_secs(5), Time::from_secs(9));
     let key = EndpointKey::of("d-1");
@@ -351,14 +353,14 @@
 
     assert!(!is_cold(&one, open + COLD.after_uncordon()));
     assert!(is_cold(&one, open + COLD.duration));
-    let word = open + Duration::from_millis(100);
-    one.endpoints.observe_cold(word, key, Duration::ZERO);
-    assert!(!is_cold(&one, word), "its own word is fresher");
+    let reported_at = open + Duration::from_millis(100);
+    one.endpoints.observe_cold(reported_at, key, Duration::ZERO);
+    assert!(!is_cold(&one, reported_at), "its own word is fresher");
 }
 
-/// Guards against an endpoint that says it is cold again and is not believed.
+/// Guards against an endpoint that reports that it is cold again and is ignored.
 #[test]
-fn an_endpoint_may_become_cold_at_any_moment() {
+fn an_endpoint_may_become_cold_again() {
     let mut one = one_with(&[record("d-1", "desk", Duration::ZERO)]);
     let key = EndpointKey::of("d-1");
     let now = Time::from_secs(50);
@@ -376,14 +378,14 @@
     );
 }
 
-/// Guards against copies at an engine that may not be asked to go on with them.
+/// Guards against copies at an engine that may not be asked to resume from them.
 #[rstest]
 #[case(CopyKind::Standby)]
 #[case(CopyKind::PreCopy)]
-fn no_copy_goes_to_a_cold_engine(#[case] kind: CopyKind) {
+fn no_copy_is_placed_at_a_cold_engine(#[case] kind: CopyKind) {
     let mut one = one_with(&[
         record("e-source", "model", Duration::ZERO),
-        record("e-cold", "model", FOR_GOOD),
+        record("e-cold", "model", FOREVER),
     ]);
     let now = Time::from_secs(20);
     let demand = Demand {
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -1,4 +1,4 @@
-//! Endpoints that name how many requests a second they take: what a fleet sends them in all.
+//! Rate limits that endpoints report: what a whole fleet sends them.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -19,24 +19,24 @@
 
 const SEEDS: usize = 3;
 const SERVICE: &str = "desk";
-const IN_NEED: &str = "d-need";
+const LIMITED: &str = "d-need";
 
-/// The rate that the endpoint in need names, in requests a second.
+/// The limit that the endpoint reports, in requests per second.
 const RATE: f64 = 3.3;
 
-/// Calls a second of the whole fleet.
+/// Calls per second of the whole fleet.
 const CALLS: f64 = 200.0;
 
-/// How long an answer takes.
-const ANSWERS_IN: Duration = Duration::from_millis(15);
+/// Response time of all endpoints.
+const RESPONSE_TIME: Duration = Duration::from_millis(15);
 
-/// What an operator allows above the rate: a factor and a number of requests in each window.
+/// The overshoot that an operator tolerates: a factor and a number of requests per window.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// How long after an instance was told its requests count.
-const TOLD_FOR: Duration = Duration::from_millis(500);
+/// How long after an instance learned of the limit its requests are counted.
+const KNOWN_FOR: Duration = Duration::from_millis(500);
 
 fn record(name: &str) -> EndpointRecord {
     EndpointRecord {
@@ -66,47 +66,47 @@
     }
 }
 
-/// A fleet before endpoints of which some name a limit.
-struct Scene {
+/// A fleet in front of endpoints, some of which report a limit.
+struct Scenario {
     fleet: Fleet,
     rng: SmallRng,
     names: Vec<&'static str>,
-    /// What endpoints name.
+    /// The limits that endpoints report.
     limits: BTreeMap<EndpointKey, f64>,
-    /// Answers under way: when they arrive, at whom, from whom, and when the call was sent.
-    answers: Vec<(Time, usize, EndpointKey, Time)>,
-    /// When an instance was first told in its present life.
-    told: BTreeMap<usize, Time>,
-    /// Calls that count: sent by an instance that had been told.
+    /// Pending responses: when they arrive, the instance, the endpoint, and when the call was sent.
+    responses: Vec<(Time, usize, EndpointKey, Time)>,
+    /// When the current incarnation of an instance first received a limit.
+    limit_known_since: BTreeMap<usize, Time>,
+    /// Counted calls: those of instances that know the limit.
     counted: Vec<(Time, EndpointKey)>,
     sent: BTreeMap<EndpointKey, usize>,
     refused: usize,
 }
 
-impl Scene {
-    fn new(size: usize, names: &[&'static str]) -> Scene {
+impl Scenario {
+    fn new(size: usize, names: &[&'static str]) -> Scenario {
         let mut fleet = Fleet::start(size, SEEDS, 5);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
         assert!(joined.is_some(), "{:?}", fleet.counts());
         fleet.run(Duration::from_secs(3));
-        let mut scene = Scene {
+        let mut scenario = Scenario {
             fleet,
             rng: SmallRng::seed_from_u64(9),
             names: names.to_vec(),
             limits: BTreeMap::new(),
-            answers: Vec::new(),
-            told: BTreeMap::new(),
+            responses: Vec::new(),
+            limit_known_since: BTreeMap::new(),
             counted: Vec::new(),
             sent: BTreeMap::new(),
             refused: 0,
         };
         for index in 0..size {
-            scene.learn(index);
+            scenario.publish_all(index);
         }
-        scene
+        scenario
     }
 
-    fn learn(&mut self, index: usize) {
+    fn publish_all(&mut self, index: usize) {
         let now = self.fleet.now;
         let records: Vec<EndpointRecord> = self.names.iter().map(|it| record(it)).collect();
         let core = self.core(index);
@@ -123,20 +123,20 @@
     fn restart(&mut self, index: usize) {
         self.fleet.kill(index);
         self.fleet.start_one(index);
-        self.told.remove(&index);
-        self.answers.retain(|it| it.1 != index);
-        self.learn(index);
+        self.limit_known_since.remove(&index);
+        self.responses.retain(|it| it.1 != index);
+        self.publish_all(index);
     }
 
-    /// Lets time pass in which calls come.
-    fn call_for(&mut self, time: Duration) {
+    /// Advances time while calls arrive.
+    fn advance_with_calls(&mut self, time: Duration) {
         let ends = self.fleet.now + time;
         while self.fleet.now < ends {
             self.fleet.run(Duration::from_millis(1));
             if self.rng.random_bool(CALLS / 1_000.0) {
                 self.call();
             }
-            self.answer();
+            self.deliver_responses();
         }
     }
 
@@ -148,25 +148,26 @@
             return;
         };
         *self.sent.entry(place.key).or_default() += 1;
-        let told = self.told.get(&index);
-        if told.is_some_and(|at| now.since(*at) >= TOLD_FOR) {
+        let limit_known_since = self.limit_known_since.get(&index);
+        if limit_known_since.is_some_and(|at| now.since(*at) >= KNOWN_FOR) {
             self.counted.push((now, place.key));
         }
-        self.answers.push((now + ANSWERS_IN, index, place.key, now));
+        self.responses
+            .push((now + RESPONSE_TIME, index, place.key, now));
     }
 
-    fn answer(&mut self) {
+    fn deliver_responses(&mut self) {
         let now = self.fleet.now;
-        let arrived = self.answers.iter().filter(|it| it.0 <= now);
+        let arrived = self.responses.iter().filter(|it| it.0 <= now);
         let arrived: Vec<_> = arrived.copied().collect();
-        self.answers.retain(|it| it.0 > now);
+        self.responses.retain(|it| it.0 > now);
         for (_, index, key, sent) in arrived {
             let limit = self.limits.get(&key).copied();
-            let told = limit.map_or(ResponseLimit::None, ResponseLimit::PerSecond);
+            let reported = limit.map_or(ResponseLimit::None, ResponseLimit::PerSecond);
             if limit.is_some() {
-                self.told.entry(index).or_insert(now);
+                self.limit_known_since.entry(index).or_insert(now);
             }
-            let change = self.core(index).observe_limit(now, key, sent, told);
+            let change = self.core(index).observe_limit(now, key, sent, reported);
             if change.is_some() {
                 self.fleet.hurry(index);
             }
@@ -174,7 +175,7 @@
     }
 
     /// Returns the most counted calls that an endpoint got within any window.
-    fn busiest(&self, name: &str) -> usize {
+    fn max_in_one_window(&self, name: &str) -> usize {
         let key = EndpointKey::of(name);
         let counted = self.counted.iter().filter(|it| it.1 == key);
         let times: Vec<Time> = counted.map(|it| it.0).collect();
@@ -195,7 +196,7 @@
     (rate * OVERSHOOT * WINDOW.as_secs_f64() + SLACK) as usize
 }
 
-fn everybody(_: usize, _: usize) -> bool {
+fn all_connected(_: usize, _: usize) -> bool {
     true
 }
 
@@ -203,118 +204,122 @@
     from % 2 == to % 2
 }
 
-fn nobody(_: usize, _: usize) -> bool {
+fn all_isolated(_: usize, _: usize) -> bool {
     false
 }
 
-/// Guards against an endpoint in need that each instance sends what it takes from all.
+/// Guards against instances that each use the whole limit of an endpoint.
 #[rstest]
-#[case::few(6, everybody)]
-#[case::few_cut(6, two_sides)]
-#[case::few_alone(6, nobody)]
-#[case::some(64, everybody)]
-#[case::some_cut(64, two_sides)]
-#[case::some_alone(64, nobody)]
-#[case::planned(390, everybody)]
-#[case::planned_cut(390, two_sides)]
-fn a_named_limit_holds_for_the_whole_fleet(
+#[case::few(6, all_connected)]
+#[case::few_partitioned(6, two_sides)]
+#[case::few_isolated(6, all_isolated)]
+#[case::some(64, all_connected)]
+#[case::some_partitioned(64, two_sides)]
+#[case::some_isolated(64, all_isolated)]
+#[case::planned(390, all_connected)]
+#[case::planned_partitioned(390, two_sides)]
+fn a_reported_limit_holds_for_the_whole_fleet(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size, &[IN_NEED, "d-other"]);
-    scene.fleet.passes = passes;
-    scene.call_for(Duration::from_secs(2));
-    scene.limits.insert(EndpointKey::of(IN_NEED), RATE);
+    let mut scenario = Scenario::new(size, &[LIMITED, "d-other"]);
+    scenario.fleet.passes = passes;
+    scenario.advance_with_calls(Duration::from_secs(2));
+    scenario.limits.insert(EndpointKey::of(LIMITED), RATE);
 
-    scene.call_for(Duration::from_secs(15));
+    scenario.advance_with_calls(Duration::from_secs(15));
 
-    let most = scene.busiest(IN_NEED);
+    let most = scenario.max_in_one_window(LIMITED);
     assert!(most <= bound(RATE), "{most} of {}", bound(RATE));
-    assert_eq!(scene.refused, 0, "the other endpoint takes the rest");
+    assert_eq!(scenario.refused, 0, "the other endpoint takes the rest");
 }
 
-/// Guards against instances that start again beside a limit and know nothing of it, or take the
-/// rate for their own because they hear nobody.
+/// Guards against restarted instances that do not know the limit, or use all of it because they are
+/// cut off from the others.
 #[rstest]
-#[case::few(6, everybody)]
-#[case::few_cut(6, two_sides)]
-#[case::few_alone(6, nobody)]
-#[case::some(64, everybody)]
-#[case::some_cut(64, two_sides)]
-#[case::some_alone(64, nobody)]
-fn a_named_limit_holds_while_instances_start_again(
+#[case::few(6, all_connected)]
+#[case::few_partitioned(6, two_sides)]
+#[case::few_isolated(6, all_isolated)]
+#[case::some(64, all_connected)]
+#[case::some_partitioned(64, two_sides)]
+#[case::some_isolated(64, all_isolated)]
+fn a_reported_limit_holds_while_instances_restart(
     #[case] size: usize,
     #[case] passes: fn(usize, usize) -> bool,
 ) {
-    let mut scene = Scene::new(size, &[IN_NEED, "d-other"]);
-    scene.limits.insert(EndpointKey::of(IN_NEED), RATE);
-    scene.call_for(Duration::from_secs(3));
-    scene.fleet.passes = passes;
+    let mut scenario = Scenario::new(size, &[LIMITED, "d-other"]);
+    scenario.limits.insert(EndpointKey::of(LIMITED), RATE);
+    scenario.advance_with_calls(Duration::from_secs(3));
+    scenario.fleet.passes = passes;
 
     for _ in 0..4 {
         for index in (0..size).step_by(3) {
-            scene.restart(index);
+            scenario.restart(index);
         }
-        scene.call_for(Duration::from_secs(2));
+        scenario.advance_with_calls(Duration::from_secs(2));
     }
-    scene.call_for(Duration::from_secs(8));
+    scenario.advance_with_calls(Duration::from_secs(8));
 
-    let most = scene.busiest(IN_NEED);
+    let most = scenario.max_in_one_window(LIMITED);
     assert!(most <= bound(RATE), "{most} of {}", bound(RATE));
 }
 
-/// Guards against a rate below one request a second that becomes none, so that the endpoint can
-/// never say that it is over.
+/// Guards against a limit below one request per second that becomes zero, so that the endpoint can
+/// never report its end.
 #[rstest]
 #[case::below_one(0.3)]
 #[case::zero(0.0)]
-fn some_requests_reach_an_endpoint_with_the_least_limit(#[case] rate: f64) {
-    let mut scene = Scene::new(6, &[IN_NEED, "d-other"]);
-    scene.limits.insert(EndpointKey::of(IN_NEED), rate);
-    scene.call_for(Duration::from_secs(5));
-    let before = scene.sent_to(IN_NEED);
+fn some_requests_reach_an_endpoint_with_the_lowest_limit(#[case] rate: f64) {
+    let mut scenario = Scenario::new(6, &[LIMITED, "d-other"]);
+    scenario.limits.insert(EndpointKey::of(LIMITED), rate);
+    scenario.advance_with_calls(Duration::from_secs(5));
+    let before = scenario.sent_to(LIMITED);
 
-    scene.call_for(Duration::from_secs(25));
+    scenario.advance_with_calls(Duration::from_secs(25));
 
-    let after = scene.sent_to(IN_NEED);
+    let after = scenario.sent_to(LIMITED);
     assert!(after > before, "{after} of {before}");
-    assert!(scene.busiest(IN_NEED) <= bound(rate));
+    assert!(scenario.max_in_one_window(LIMITED) <= bound(rate));
 }
 
-/// Guards against a limit that some instances hold to for good because they send too little to
-/// hear its end.
+/// Guards against a limit that some instances enforce for good, because they send too few requests
+/// to learn of its end.
 #[rstest]
 #[case::few(6)]
 #[case::some(64)]
 #[case::planned(390)]
 fn the_end_of_a_limit_reaches_the_whole_fleet(#[case] size: usize) {
-    let mut scene = Scene::new(size, &[IN_NEED, "d-other"]);
-    let key = EndpointKey::of(IN_NEED);
-    scene.limits.insert(key, RATE);
-    scene.call_for(Duration::from_secs(4));
-    let all_know = |scene: &Scene, limit: Option<f64>| {
-        let cores = scene.fleet.nodes.iter().filter_map(|it| it.core.as_ref());
+    let mut scenario = Scenario::new(size, &[LIMITED, "d-other"]);
+    let key = EndpointKey::of(LIMITED);
+    scenario.limits.insert(key, RATE);
+    scenario.advance_with_calls(Duration::from_secs(4));
+    let all_know = |scenario: &Scenario, limit: Option<f64>| {
+        let cores = scenario
+            .fleet
+            .nodes
+            .iter()
+            .filter_map(|it| it.core.as_ref());
         cores.filter(|it| it.limits.of(key) == limit).count()
     };
-    assert_eq!(all_know(&scene, Some(RATE)), size, "all heard of it");
+    assert_eq!(all_know(&scenario, Some(RATE)), size, "all heard of it");
 
-    scene.limits.clear();
-    scene.call_for(Duration::from_secs(4));
+    scenario.limits.clear();
+    scenario.advance_with_calls(Duration::from_secs(4));
 
-    assert_eq!(all_know(&scene, None), size);
+    assert_eq!(all_know(&scenario, None), size);
 }
 
-/// Guards against a limit that outlives the process that named it.
+/// Guards against a limit that outlives the process that reported it.
 #[test]
-fn another_life_of_an_endpoint_has_no_limit() {
+fn a_new_incarnation_of_an_endpoint_has_no_limit() {
     let mut one = instances::gateway(1);
-    let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
-    one.publish_endpoint(now, record(IN_NEED));
+    let (now, key) = (Time::from_secs(10), EndpointKey::of(LIMITED));
+    one.publish_endpoint(now, record(LIMITED));
     one.observe_limit(now, key, now, ResponseLimit::PerSecond(RATE));
 
     let later = EndpointRecord {
         started_unix_ms: Some(5),
-        ..record(IN_NEED)
+        ..record(LIMITED)
     };
     let new_key = later.key();
     one.publish_endpoint(now, later);
@@ -322,40 +327,44 @@
     assert_eq!(one.limits.of(new_key), None);
 }
 
-/// Guards against callers that wait until their time is over for a service all of whose endpoints
-/// take no more.
+/// Guards against callers that wait until they time out for a service whose endpoints have all
+/// reached their limit.
 #[test]
 fn callers_are_refused_at_once_where_all_endpoints_are_at_their_limit() {
     let names = ["d-1", "d-2", "d-3"];
-    let mut scene = Scene::new(6, &names);
+    let mut scenario = Scenario::new(6, &names);
     for name in names {
-        scene.limits.insert(EndpointKey::of(name), RATE);
+        scenario.limits.insert(EndpointKey::of(name), RATE);
     }
-    scene.call_for(Duration::from_secs(3));
-    let now = scene.fleet.now;
+    scenario.advance_with_calls(Duration::from_secs(3));
+    let now = scenario.fleet.now;
 
     let mut refused = None;
     for _ in 0..20 {
-        refused = refused.or(scene.core(0).place(now, &demand()).err());
+        refused = refused.or(scenario.core(0).place(now, &demand()).err());
     }
 
     assert_eq!(refused, Some(PlacementError::RateLimited));
     for name in names {
-        assert!(scene.sent_to(name) >= 3, "{name}: {}", scene.sent_to(name));
+        assert!(
+            scenario.sent_to(name) >= 3,
+            "{name}: {}",
+            scenario.sent_to(name)
+        );
     }
 }
 
-/// Guards against answers that overtake each other: one that was asked for before the limit was
-/// named does not end it.
+/// Guards against reordered responses: a response to a request from before the limit was reported
+/// does not end it.
 #[rstest]
 #[case::sent_before(Duration::from_millis(900), Some(RATE))]
 #[case::sent_after(Duration::from_millis(1_100), None)]
-fn an_answer_without_a_limit_ends_it_only_if_it_was_asked_for_later(
+fn a_response_without_a_limit_ends_it_only_if_its_request_was_sent_later(
     #[case] sent: Duration,
     #[case] expected: Option<f64>,
 ) {
     let mut limits = RateLimits::default();
-    let (start, key) = (Time::from_secs(1), EndpointKey::of(IN_NEED));
+    let (start, key) = (Time::from_secs(1), EndpointKey::of(LIMITED));
     let named = start + Duration::from_secs(1);
     limits.observe_limit(named, key, start, ResponseLimit::PerSecond(RATE));
 
@@ -365,13 +374,13 @@
     assert_eq!(limits.of(key), expected);
 }
 
-/// Guards against a word of a peer that is older than what is known and brings it back.
+/// Guards against an older report of a peer that restores a limit which has ended.
 #[test]
-fn the_later_word_about_a_limit_holds() {
+fn the_newer_report_of_a_limit_wins() {
     let mut limits = RateLimits::default();
-    let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
+    let (now, key) = (Time::from_secs(10), EndpointKey::of(LIMITED));
     limits.observe_limit(now, key, now, ResponseLimit::PerSecond(RATE));
-    let word = limits.report(now, key).expect("it is known");
+    let report = limits.report(now, key).expect("it is known");
     let ended = now + Duration::from_secs(2);
     limits.observe_limit(
         ended,
@@ -383,24 +392,27 @@
     let later = ended + Duration::from_millis(10);
     let stale = oriolemux_core::gateway::rate_limits::LimitReport {
         age_ms: 2_010,
-        ..word
+        ..report
     };
 
     assert_eq!(limits.on_report(later, stale), None);
     assert_eq!(limits.of(key), None);
 }
 
-/// Guards against values that no rate can be made of.
+/// Guards against values that cannot be used as a rate.
 #[rstest]
 #[case::unreadable(ResponseLimit::Unreadable, None)]
 #[case::zero(ResponseLimit::PerSecond(0.0), Some(0.1))]
 #[case::usual(ResponseLimit::PerSecond(2.5), Some(2.5))]
 #[case::beyond_use(ResponseLimit::PerSecond(1e12), Some(1e6))]
-fn each_value_has_a_meaning(#[case] told: ResponseLimit, #[case] expected: Option<f64>) {
+fn each_reported_value_is_handled(
+    #[case] limit_known_since: ResponseLimit,
+    #[case] expected: Option<f64>,
+) {
     let mut limits = RateLimits::default();
-    let (now, key) = (Time::from_secs(10), EndpointKey::of(IN_NEED));
+    let (now, key) = (Time::from_secs(10), EndpointKey::of(LIMITED));
 
-    limits.observe_limit(now, key, now, told);
+    limits.observe_limit(now, key, now, limit_known_since);
 
     assert_eq!(limits.of(key), expected);
 }
