--- a/crates/bench/src/soak/fault.rs
+++ b/crates/bench/src/soak/fault.rs
@@ -158,7 +158,7 @@
         }
         FaultKind::StorePaced => {
             let paced = Mode::Paced {
-                piece: SLOW_LINK_PIECE,
+                chunk: SLOW_LINK_PIECE,
                 pause: SLOW_LINK_PAUSE,
             };
             store(world, strike, paced).await;
@@ -243,7 +243,7 @@
             Behaviour::Fail,
             Behaviour::Refuse,
             Behaviour::BreakOff,
-            Behaviour::Foreign,
+            Behaviour::WrongAttempt,
             Behaviour::Fail,
             Behaviour::Refuse,
         ]),
--- a/crates/bench/src/soak/load.rs
+++ b/crates/bench/src/soak/load.rs
@@ -119,7 +119,7 @@
             false => waits + LISTENS_ON,
         };
         let leaves = limit < waits;
-        let request = request(kind, &attempt, holds).waits(waits);
+        let request = request(kind, &attempt, holds).timeout(waits);
         let sent = Instant::now();
         let outcome = self.exchange(request, limit, leaves).await;
         let goes_on = goes_on_after(kind, holds, &outcome);
@@ -186,7 +186,7 @@
         Kind::Once => Caller::new(attempt, "/once/1"),
         Kind::Read => Caller::new(attempt, "/read/1"),
         Kind::Plan => Caller::generation(attempt),
-        Kind::Note if holds > 0 => Caller::note(attempt).holds(holds),
+        Kind::Note if holds > 0 => Caller::note(attempt).last_event_id(holds),
         Kind::Note => Caller::note(attempt),
     }
 }
@@ -195,7 +195,7 @@
     Answer {
         status: reply.status.as_u16(),
         signed: reply.is_signed(),
-        names: reply.names().map(str::to_owned),
+        names: reply.echoed_attempt().map(str::to_owned),
         complete: reply.complete,
         body: reply.body,
     }
--- a/crates/bench/src/soak/probe.rs
+++ b/crates/bench/src/soak/probe.rs
@@ -62,7 +62,7 @@
     let (front, life) = world.front(instance);
     let caller = Caller::new(name, "/read/probe")
         .key(&key_of(version))
-        .waits(WAITS);
+        .timeout(WAITS);
     let sent = Instant::now();
     let exchange = async {
         let mut connection = Connection::open(front).await.ok()?;
--- a/crates/bench/src/soak/world.rs
+++ b/crates/bench/src/soak/world.rs
@@ -159,7 +159,7 @@
     pub async fn start(cfg: &SoakConfig) -> io::Result<Arc<World>> {
         let mut world = World {
             deployment: Deployment::start().await,
-            engines: Engines::new(EVENTS, PACE).standing_after(Duration::from_millis(100)),
+            engines: Engines::new(EVENTS, PACE).standby_after(Duration::from_millis(100)),
             store_mode: AsyncMutex::new(()),
             program: cfg.program.clone(),
             dir: cfg.dir.clone(),
@@ -392,7 +392,7 @@
         let all = lock(&self.all_services);
         let calls = all.iter().flat_map(|plain| {
             let name = plain.service.name();
-            plain.service.seen().into_iter().map(move |seen| Call {
+            plain.service.received().into_iter().map(move |seen| Call {
                 endpoint: name.to_owned(),
                 attempt: seen.attempt,
                 at: seen.at,
