--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -19,7 +19,7 @@
 pub const BEACON_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long what a beacon says about entries that may be missing is believed.
-const UNSETTLED_FRESH: Duration = Duration::from_millis(1_500);
+const MAY_MISS_TTL: Duration = Duration::from_millis(1_500);
 
 /// After this time twice as many instances watch as before, while the store answers none.
 const WIDEN_AFTER: Duration = Duration::from_millis(250);
@@ -29,7 +29,7 @@
 const MAX_WATCHERS: usize = 64;
 
 /// A beacon that is so old says nothing any more.
-const FORGET: Duration = Duration::from_secs(30);
+const FORGET_AFTER: Duration = Duration::from_secs(30);
 
 /// What an instance says that watches the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -78,21 +78,22 @@
 
     /// Forgets beacons that say nothing any more.
     pub fn tick(&mut self, now: Time) {
-        self.received.retain(|_, it| now.since(it.at) < FORGET);
+        self.received
+            .retain(|_, it| now.since(it.at) < FORGET_AFTER);
     }
 
     /// Returns the instances that the store answered lately.
     pub fn recently_answered(&self, now: Time) -> impl Iterator<Item = SocketAddrV4> {
-        let heard = self.received.values();
-        heard
+        let received = self.received.values();
+        received
             .filter(move |it| now.since(it.store_answered_at()) < WATCHER_TIMEOUT)
             .map(|it| it.beacon.origin)
     }
 
     /// Returns whether entries may be missing from the store, as one that watches says.
     pub fn any_may_miss_records(&self, now: Time) -> bool {
-        let mut heard = self.received.values();
-        heard.any(|it| it.beacon.may_miss_records && now.since(it.at) < UNSETTLED_FRESH)
+        let mut received = self.received.values();
+        received.any(|it| it.beacon.may_miss_records && now.since(it.at) < MAY_MISS_TTL)
     }
 
     /// Returns the last beacons.
--- a/crates/core/src/gateway/catch_up.rs
+++ b/crates/core/src/gateway/catch_up.rs
@@ -23,11 +23,11 @@
 
 /// A peer's revision above the own one is believed to be missing, by an instance that
 /// watches the store itself, after this time.
-const BEHIND_AFTER: Duration = Duration::from_millis(150);
+const WATCHER_GRACE: Duration = Duration::from_millis(150);
 
 /// An instance that heard of a change only from those that watch gives so much time to a
 /// peer nearer to it, so that two instances are not asked by all others at once.
-const NEAR_FIRST: Duration = Duration::from_millis(60);
+const DIRECT_FIRST: Duration = Duration::from_millis(60);
 
 /// An instance that is behind for so long reads the store itself, whatever its peers do.
 /// Small changes take some 10 ms from peer to peer. A quarter of the tightest bound
@@ -46,10 +46,10 @@
 /// How long a peer that refused is not asked again, on average: some twice as long as a
 /// catalogue of 1,200 entries took to one peer (37 to 71 ms, first three of a day with 86
 /// instances).
-const REFUSED_PAUSE: Duration = Duration::from_millis(150);
+const REFUSAL_PAUSE: Duration = Duration::from_millis(150);
 
 /// How long a peer whose answer did not arrive is not asked again, on average.
-const FAILED_PAUSE: Duration = Duration::from_secs(1);
+const FAILURE_PAUSE: Duration = Duration::from_secs(1);
 
 /// A peer that knows more of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 pub struct CatchUp {
     behind_since: Option<Time>,
     /// Peers that are not asked until then.
-    passed_over: BTreeMap<SocketAddrV4, Time>,
+    skipped_until: BTreeMap<SocketAddrV4, Time>,
 }
 
 impl CatchUp {
@@ -86,7 +86,7 @@
     pub fn set_behind(&mut self, now: Time, behind: bool) {
         if !behind {
             self.behind_since = None;
-            self.passed_over.clear();
+            self.skipped_until.clear();
         } else if self.behind_since.is_none() {
             self.behind_since = Some(now);
         }
@@ -108,34 +108,34 @@
         &mut self,
         now: Time,
         peer: SocketAddrV4,
-        why: FetchFailure,
+        failure: FetchFailure,
         draw: f64,
     ) {
-        let pause = match why {
-            FetchFailure::Refused => REFUSED_PAUSE,
-            FetchFailure::Failed => FAILED_PAUSE,
+        let pause = match failure {
+            FetchFailure::Refused => REFUSAL_PAUSE,
+            FetchFailure::Failed => FAILURE_PAUSE,
         };
-        self.passed_over
+        self.skipped_until
             .insert(peer, now + pause.mul_f64(0.5 + draw));
     }
 
     /// Returns the peers that may be asked: of those that are not passed over, the ones
     /// that know what the best of them knows. An instance that watches the store gives it
     /// some time first.
-    pub fn candidates(&self, now: Time, better: &[Provider], watches: bool) -> Vec<SocketAddrV4> {
+    pub fn candidates(&self, now: Time, ahead: &[Provider], watches: bool) -> Vec<SocketAddrV4> {
         let Some(since) = self.behind_since else {
             return Vec::new();
         };
         let behind_for = now.since(since);
-        if watches && behind_for < BEHIND_AFTER {
+        if watches && behind_for < WATCHER_GRACE {
             return Vec::new();
         }
         let is_able = |it: &&Provider| {
-            let until = self.passed_over.get(&it.address);
-            let is_passed_over = until.is_some_and(|&until| now < until);
-            !is_passed_over && (it.is_direct || behind_for >= NEAR_FIRST)
+            let until = self.skipped_until.get(&it.address);
+            let is_skipped = until.is_some_and(|&until| now < until);
+            !is_skipped && (it.is_direct || behind_for >= DIRECT_FIRST)
         };
-        let able = || better.iter().filter(is_able);
+        let able = || ahead.iter().filter(is_able);
         let Some(best) = able().max_by_key(|it| it.revision) else {
             return Vec::new();
         };
--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -30,23 +30,23 @@
 pub const FAN_OUT: usize = 3;
 
 /// How often one instance tells an item in all, beside the logarithm of the fleet.
-const TELLS: u32 = 4;
+const BASE_SENDS: u32 = 4;
 
 /// How often one instance tells a beacon. The next one comes soon.
-const BEACON_TELLS: u32 = 4;
+const BEACON_SENDS: u32 = 4;
 
 /// Items of each kind in one datagram, so that it stays within one packet of 1,400 bytes.
 const MAX_ITEMS: usize = 24;
 
 /// Suspects in one datagram; each takes some 50 bytes.
-const MAX_BLAMES: usize = 8;
+const MAX_CRASH_RECORDS: usize = 8;
 
 /// Suspects that an instance tells of in a second. An engine that ends has a handful of requests
 /// that had just begun; when many end at once, most of what would be told is of no use.
-const BLAMES_A_SECOND: f64 = 8.0;
+const CRASH_RECORDS_PER_SECOND: f64 = 8.0;
 
 /// Suspects that wait to be told of at most. Others are found by comparing digests.
-const MAX_BLAMES_WAITING: usize = 256;
+const MAX_QUEUED_CRASH_RECORDS: usize = 256;
 
 /// News, as it travels.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -163,9 +163,9 @@
 
 impl Body {
     /// Returns a probe that tells what is `doubted` of its target.
-    pub fn probe(number: u64, members: u64, doubted: Option<MemberUpdate>) -> Self {
+    pub fn probe(number: u64, members: u64, believed: Option<MemberUpdate>) -> Self {
         let news = GossipItems {
-            members: doubted.into_iter().collect(),
+            members: believed.into_iter().collect(),
             ..GossipItems::default()
         };
         Body::Probe {
@@ -242,46 +242,47 @@
 impl Outbox {
     /// Takes in what changed about an instance, among so many.
     pub fn add_member(&mut self, update: MemberUpdate, instances: usize) {
-        let told = QueuedItem::new(update, tells(instances));
-        self.members.insert(update.address, told);
+        let queued = QueuedItem::new(update, send_count(instances));
+        self.members.insert(update.address, queued);
     }
 
     /// Takes in that an endpoint leaves, among so many instances.
     pub fn add_leaving(&mut self, endpoint: EndpointKey, instances: usize) {
-        let told = QueuedItem::new(endpoint, tells(instances));
-        self.leaving.insert(endpoint, told);
+        let queued = QueuedItem::new(endpoint, send_count(instances));
+        self.leaving.insert(endpoint, queued);
     }
 
     /// Takes in the operator's word about a data centre, among so many instances.
     pub fn add_cordon(&mut self, cordon: Cordon, instances: usize) {
         let name = cordon.data_centre.clone();
         self.cordons
-            .insert(name, QueuedItem::new(cordon, tells(instances)));
+            .insert(name, QueuedItem::new(cordon, send_count(instances)));
     }
 
     /// Takes in what an instance says that watches the store.
     pub fn add_beacon(&mut self, beacon: Beacon) {
-        let told = QueuedItem::new(beacon, BEACON_TELLS);
-        self.beacons.insert(beacon.origin, told);
+        let queued = QueuedItem::new(beacon, BEACON_SENDS);
+        self.beacons.insert(beacon.origin, queued);
     }
 
     /// Takes in what is known of a suspect, among so many instances.
-    pub fn add_crash_record(&mut self, blame: CrashRecord, instances: usize) {
+    pub fn add_crash_record(&mut self, record: CrashRecord, instances: usize) {
         self.crash_record_order
-            .retain(|it| *it != blame.fingerprint);
-        if self.crash_record_order.len() >= MAX_BLAMES_WAITING {
+            .retain(|it| *it != record.fingerprint);
+        if self.crash_record_order.len() >= MAX_QUEUED_CRASH_RECORDS {
             let oldest = self.crash_record_order.remove(0);
             self.crash_records.remove(&oldest);
         }
-        self.crash_record_order.push(blame.fingerprint);
-        let told = QueuedItem::new(blame.clone(), tells(instances));
-        self.crash_records.insert(blame.fingerprint, told);
+        self.crash_record_order.push(record.fingerprint);
+        let queued = QueuedItem::new(record.clone(), send_count(instances));
+        self.crash_records.insert(record.fingerprint, queued);
     }
 
     /// Lets time pass for what may be told.
     pub fn tick(&mut self, now: Time) {
-        let earned = now.since(self.refilled).as_secs_f64() * BLAMES_A_SECOND;
-        self.crash_record_tokens = (self.crash_record_tokens + earned).min(MAX_BLAMES as f64);
+        let earned = now.since(self.refilled).as_secs_f64() * CRASH_RECORDS_PER_SECOND;
+        self.crash_record_tokens =
+            (self.crash_record_tokens + earned).min(MAX_CRASH_RECORDS as f64);
         self.refilled = now;
     }
 
@@ -301,7 +302,7 @@
             members: take(&mut self.members, peers),
             leaving: take(&mut self.leaving, peers),
             beacons: take(&mut self.beacons, peers),
-            crash_records: self.take_blames(peers),
+            crash_records: self.take_crash_records(peers),
             cordons: take(&mut self.cordons, peers),
             // The words are written as they are sent, since each carries its age.
             limits: Vec::new(),
@@ -310,8 +311,8 @@
 
     /// Takes in that an endpoint's limit changed, among so many instances.
     pub fn add_limit(&mut self, endpoint: EndpointKey, instances: usize) {
-        let told = QueuedItem::new(endpoint, tells(instances));
-        self.limits.insert(endpoint, told);
+        let queued = QueuedItem::new(endpoint, send_count(instances));
+        self.limits.insert(endpoint, queued);
     }
 
     /// Returns the endpoints whose limits are told now to so many peers.
@@ -324,7 +325,7 @@
     /// What goes wrong in any other order: when many endpoints end for a reason of their own, the
     /// one request that ends the next of them waits behind all that were there, and comes to
     /// other instances before its news does.
-    fn take_blames(&mut self, peers: u32) -> Vec<CrashRecord> {
+    fn take_crash_records(&mut self, peers: u32) -> Vec<CrashRecord> {
         let newest = self.crash_record_order.iter().rev();
         let mut keys: Vec<Fingerprint> = newest.copied().collect();
         let ended = |it: &Fingerprint| {
@@ -335,53 +336,57 @@
         keys.sort_by_key(|it| core::cmp::Reverse(ended(it)));
         keys.truncate(self.crash_record_tokens as usize);
         self.crash_record_tokens -= keys.len() as f64;
-        let blames = tell(&mut self.crash_records, &keys, peers);
+        let records = take_keys(&mut self.crash_records, &keys, peers);
         let left = &self.crash_records;
         self.crash_record_order.retain(|it| left.contains_key(it));
-        blames
+        records
     }
 }
 
 impl<T> QueuedItem<T> {
-    fn new(item: T, left: u32) -> Self {
+    fn new(item: T, sends_left: u32) -> Self {
         QueuedItem {
             item,
-            sends_left: left,
+            sends_left,
             is_new: true,
         }
     }
 }
 
 /// Returns how often one of so many instances tells an item.
-fn tells(instances: usize) -> u32 {
-    TELLS + instances.max(1).ilog2()
+fn send_count(instances: usize) -> u32 {
+    BASE_SENDS + instances.max(1).ilog2()
 }
 
-fn any_new<K, T>(told: &BTreeMap<K, QueuedItem<T>>) -> bool {
-    told.values().any(|it| it.is_new)
+fn any_new<K, T>(queue: &BTreeMap<K, QueuedItem<T>>) -> bool {
+    queue.values().any(|it| it.is_new)
 }
 
-fn take<K: Ord + Clone, T: Clone>(told: &mut BTreeMap<K, QueuedItem<T>>, peers: u32) -> Vec<T> {
-    let mut keys: Vec<(u32, K)> = told
+fn take<K: Ord + Clone, T: Clone>(queue: &mut BTreeMap<K, QueuedItem<T>>, peers: u32) -> Vec<T> {
+    let mut keys: Vec<(u32, K)> = queue
         .iter()
         .map(|(key, it)| (it.sends_left, key.clone()))
         .collect();
-    keys.sort_by_key(|(left, _)| core::cmp::Reverse(*left));
+    keys.sort_by_key(|(sends_left, _)| core::cmp::Reverse(*sends_left));
     keys.truncate(MAX_ITEMS);
     let keys: Vec<K> = keys.into_iter().map(|(_, key)| key).collect();
-    tell(told, &keys, peers)
+    take_keys(queue, &keys, peers)
 }
 
 /// Tells items to so many peers.
-fn tell<K: Ord, T: Clone>(told: &mut BTreeMap<K, QueuedItem<T>>, keys: &[K], peers: u32) -> Vec<T> {
+fn take_keys<K: Ord, T: Clone>(
+    queue: &mut BTreeMap<K, QueuedItem<T>>,
+    keys: &[K],
+    peers: u32,
+) -> Vec<T> {
     let mut items = Vec::with_capacity(keys.len());
     for key in keys {
-        if let Some(it) = told.get_mut(key) {
+        if let Some(it) = queue.get_mut(key) {
             it.is_new = false;
             it.sends_left = it.sends_left.saturating_sub(peers);
             items.push(it.item.clone());
             if it.sends_left == 0 {
-                told.remove(key);
+                queue.remove(key);
             }
         }
     }
--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -65,11 +65,11 @@
     /// Engines that instances could not use lately.
     ejections: Ejections,
     /// Requests that were granted at engines that bear few.
-    bounded_granted: SlidingCount,
+    limited_grants: SlidingCount,
 }
 
 /// What was decided, by the instance that is to be told.
-type Decided = BTreeMap<SocketAddrV4, Vec<(u64, Decision)>>;
+type Decisions = BTreeMap<SocketAddrV4, Vec<(u64, Decision)>>;
 
 /// What a home needs to know of a service to decide.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
 
 impl Engines<'_> {
     /// Returns how many requests a second an engine bears from all instances, if that is bounded.
-    fn rate_bound(&self, now: Time, engine: EndpointKey) -> Option<f64> {
+    fn rate_limit(&self, now: Time, engine: EndpointKey) -> Option<f64> {
         cold::rate_bound(now, engine, self.endpoints, self.cold.as_ref(), self.named)
     }
 
@@ -101,8 +101,8 @@
             return Vec::new();
         }
         let usable = self.endpoints.usable_of(self.service).map(|it| it.key);
-        let is_bounded = |key: &EndpointKey| self.rate_bound(now, *key).is_some();
-        usable.filter(is_bounded).collect()
+        let is_limited = |key: &EndpointKey| self.rate_limit(now, *key).is_some();
+        usable.filter(is_limited).collect()
     }
 }
 
@@ -112,13 +112,13 @@
         &mut self,
         now: Time,
         from: SocketAddrV4,
-        life: Incarnation,
+        incarnation: Incarnation,
         report: PlacementReport,
     ) {
         let known = self
             .reporters
             .get_mut(&from)
-            .filter(|it| it.incarnation == life);
+            .filter(|it| it.incarnation == incarnation);
         let (viewed, mut reserved) = match known {
             Some(known) if known.number >= report.number => return,
             Some(known) => (known.view_sent_at, core::mem::take(&mut known.reserved)),
@@ -134,7 +134,7 @@
             }
         }
         let reporter = Reporter {
-            incarnation: life,
+            incarnation,
             number: report.number,
             received_at: now,
             data_centre: report.data_centre,
@@ -156,7 +156,7 @@
         self.reporters
             .retain(|_, it| now.since(it.received_at) < REPORT_TTL);
         self.ejections.tick(now);
-        self.bounded_granted.tick(now);
+        self.limited_grants.tick(now);
     }
 
     /// Returns whether nobody reports.
@@ -173,8 +173,8 @@
 
     /// Returns how many requests wait for a place that this instance is to give.
     pub fn queued_count(&self) -> usize {
-        let asking = self.reporters.values().filter(|it| it.decides);
-        let requests = asking.flat_map(|it| &it.requests);
+        let queued = self.reporters.values().filter(|it| it.decides);
+        let requests = queued.flat_map(|it| &it.requests);
         requests.filter(|it| it.want == Want::Place).count()
     }
 
@@ -201,14 +201,16 @@
         let service = service_hash(engines.service);
         self.release_unusable(engines.endpoints);
         let mut others = self.others(now, None);
-        let mut decided = Decided::new();
-        self.decide_at_once(now, engines, &mut others, &mut decided);
-        self.decide_in_turn(now, engines, &others, &mut decided);
+        let mut decided = Decisions::new();
+        self.decide_immediate(now, engines, &mut others, &mut decided);
+        self.decide_queued(now, engines, &others, &mut decided);
         let mut answers = Vec::new();
         for (from, reporter) in &mut self.reporters {
-            let told = decided.remove(from).unwrap_or_default();
-            let has_grant = told.iter().any(|(_, it)| !matches!(it, Decision::Waits(_)));
-            if told.is_empty() || !(has_grant || reporter.owes_answer) {
+            let decisions = decided.remove(from).unwrap_or_default();
+            let has_grant = decisions
+                .iter()
+                .any(|(_, it)| !matches!(it, Decision::Waits(_)));
+            if decisions.is_empty() || !(has_grant || reporter.owes_answer) {
                 continue;
             }
             reporter.owes_answer = false;
@@ -216,9 +218,9 @@
                 let is_denied = |&(id, it): &(u64, Decision)| {
                     id == request.waiter.id && matches!(it, Decision::Denied(_))
                 };
-                !told.iter().any(is_denied)
+                !decisions.iter().any(is_denied)
             });
-            answers.push((*from, told));
+            answers.push((*from, decisions));
         }
         let mut send = Vec::with_capacity(answers.len());
         for (from, decisions) in answers {
@@ -248,9 +250,9 @@
     /// Returns the part that this home may grant of what an engine bears. Each instance of the
     /// fleet has a part of the bound, and a home disposes of the parts of those that it hears: it
     /// may be new and not know of those on the other side of a cut, but who reports to it does.
-    fn granted_part(&self, engines: &Engines<'_>) -> f64 {
-        let told = self.reporters.values().map(|it| it.known as usize).max();
-        let known = engines.known.max(told.unwrap_or(0)).max(engines.live);
+    fn granted_share(&self, engines: &Engines<'_>) -> f64 {
+        let reported = self.reporters.values().map(|it| it.known as usize).max();
+        let known = engines.known.max(reported.unwrap_or(0)).max(engines.live);
         HOME_PART * engines.live as f64 / known.max(1) as f64
     }
 
@@ -269,14 +271,14 @@
 
     /// Decides about copies and about what is set aside, which wait for nothing. Copies of
     /// generations whose engine leaves go first: without one they are lost.
-    fn decide_at_once(
+    fn decide_immediate(
         &mut self,
         now: Time,
         engines: Engines<'_>,
         others: &mut Others,
-        decided: &mut Decided,
+        decided: &mut Decisions,
     ) {
-        let any_waits = self.reporters.values().any(Reporter::waits_in_turn);
+        let any_queued = self.reporters.values().any(Reporter::has_queued_request);
         let none = UsageTable::default();
         for urgent in [true, false] {
             for (from, reporter) in self.reporters.iter_mut().filter(|(_, it)| it.decides) {
@@ -295,8 +297,8 @@
                     };
                     let place = match granted {
                         Some(key) => Ok(key),
-                        None if request.want == Want::Aside && any_waits => Err(NoPlace::Full),
-                        None => at_once(world, engines, request),
+                        None if request.want == Want::Aside && any_queued => Err(NoPlace::Full),
+                        None => choose_immediate(world, engines, request),
                     };
                     let decision = match place {
                         Ok(key) => Decision::Granted(key),
@@ -314,12 +316,12 @@
     }
 
     /// Gives places to those that wait, each in its turn.
-    fn decide_in_turn(
+    fn decide_queued(
         &mut self,
         now: Time,
         engines: Engines<'_>,
         others: &Others,
-        decided: &mut Decided,
+        decided: &mut Decisions,
     ) {
         let none = UsageTable::default();
         let world = World {
@@ -334,37 +336,37 @@
             for request in reporter.requests.iter().filter(|it| it.want == Want::Place) {
                 match reporter.reserved.get(&request.waiter.id) {
                     Some((key, _)) => {
-                        let told = (request.waiter.id, Decision::Granted(*key));
-                        decided.entry(*from).or_default().push(told);
+                        let decision = (request.waiter.id, Decision::Granted(*key));
+                        decided.entry(*from).or_default().push(decision);
                     }
                     None => waiting.push((*from, reporter.queued(request))),
                 }
             }
         }
-        let part = self.granted_part(&engines);
+        let share = self.granted_share(&engines);
         let left = |engine| {
-            let bound = engines.rate_bound(now, engine);
-            bound.map(|rate| self.bounded_granted.left(now, engine, rate * part))
+            let bound = engines.rate_limit(now, engine);
+            bound.map(|rate| self.limited_grants.left(now, engine, rate * share))
         };
         let places = assign(
             world,
             engines,
             left,
-            waiting.iter().map(|(_, asking)| asking),
+            waiting.iter().map(|(_, queued)| queued),
         );
-        for ((from, asking), place) in waiting.iter().zip(places) {
-            let id = asking.request.waiter.id;
+        for ((from, queued), place) in waiting.iter().zip(places) {
+            let id = queued.request.waiter.id;
             let decision = match place {
                 Ok(key) => Decision::Granted(key),
                 Err(why) => Decision::Waits(why),
             };
             if let (Ok(key), Some(reporter)) = (place, self.reporters.get_mut(from)) {
-                if engines.rate_bound(now, key).is_some() {
-                    self.bounded_granted.note(now, key);
+                if engines.rate_limit(now, key).is_some() {
+                    self.limited_grants.note(now, key);
                 }
                 reporter
                     .reserved
-                    .insert(id, (key, asking.request.reserved_usage()));
+                    .insert(id, (key, queued.request.reserved_usage()));
             }
             decided.entry(*from).or_default().push((id, decision));
         }
@@ -380,14 +382,14 @@
         }
     }
 
-    fn waits_in_turn(&self) -> bool {
+    fn has_queued_request(&self) -> bool {
         let mut requests = self.requests.iter();
         requests.any(|it| it.want == Want::Place && !self.reserved.contains_key(&it.waiter.id))
     }
 }
 
 /// Chooses for a placement request that waits for nothing.
-fn at_once(
+fn choose_immediate(
     world: World<'_>,
     engines: Engines<'_>,
     request: &PlacementRequest,
--- a/crates/core/src/gateway/home/ejections.rs
+++ b/crates/core/src/gateway/home/ejections.rs
@@ -12,28 +12,28 @@
 use std::net::SocketAddrV4;
 
 /// Instances that must find an engine unusable before it is passed over for all.
-const DOUBTERS: usize = 2;
+const MIN_REPORTERS: usize = 2;
 
 /// The first time for which an engine is passed over for all; it doubles each time that it is
 /// found unusable again.
-const DOUBTED_FIRST: Duration = Duration::from_millis(500);
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
 /// The longest time for which an engine is passed over. One that is back gets work again
 /// within so long.
-const DOUBTED_LONGEST: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// An engine that nobody found unusable for so long is trusted as any other.
-const DOUBT_FORGOTTEN: Duration = Duration::from_secs(10);
+const FORGET_AFTER: Duration = Duration::from_secs(10);
 
 /// An engine that instances could not use.
 #[derive(Clone, Debug, Default)]
 struct Ejection {
     /// Who could not use it.
-    by: BTreeSet<SocketAddrV4>,
+    reporters: BTreeSet<SocketAddrV4>,
     /// How often that was.
-    times: u32,
+    count: u32,
     /// When it was last.
-    last: Time,
+    last_report: Time,
     /// It is passed over until then.
     until: Time,
 }
@@ -46,26 +46,26 @@
 
 impl Ejections {
     /// Notes that an instance could not use an engine.
-    pub(super) fn record(&mut self, now: Time, engine: EndpointKey, by: SocketAddrV4) {
-        let doubted = self.by_engine.entry(engine).or_default();
-        doubted.by.insert(by);
-        doubted.last = now;
-        if doubted.by.len() >= DOUBTERS {
-            let doublings = doubted.times.min(8);
-            doubted.times += 1;
-            doubted.until = now + (DOUBTED_FIRST * (1 << doublings)).min(DOUBTED_LONGEST);
+    pub(super) fn record(&mut self, now: Time, engine: EndpointKey, reporter: SocketAddrV4) {
+        let ejection = self.by_engine.entry(engine).or_default();
+        ejection.reporters.insert(reporter);
+        ejection.last_report = now;
+        if ejection.reporters.len() >= MIN_REPORTERS {
+            let doublings = ejection.count.min(8);
+            ejection.count += 1;
+            ejection.until = now + (FIRST_EJECTION * (1 << doublings)).min(MAX_EJECTION);
         }
     }
 
     /// Forgets what is long ago.
     pub(super) fn tick(&mut self, now: Time) {
         self.by_engine
-            .retain(|_, it| now.since(it.last) < DOUBT_FORGOTTEN);
+            .retain(|_, it| now.since(it.last_report) < FORGET_AFTER);
     }
 
     /// Returns the engines that are passed over now.
     pub(super) fn ejected(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
-        let doubted = self.by_engine.iter().filter(move |(_, it)| now < it.until);
-        doubted.map(|(engine, _)| *engine)
+        let ejection = self.by_engine.iter().filter(move |(_, it)| now < it.until);
+        ejection.map(|(engine, _)| *engine)
     }
 }
--- a/crates/core/src/gateway/members.rs
+++ b/crates/core/src/gateway/members.rs
@@ -124,12 +124,12 @@
     pub fn new(
         now: Time,
         address: SocketAddrV4,
-        life: Incarnation,
+        incarnation: Incarnation,
         seeds: &[SocketAddrV4],
     ) -> Self {
         let own = MemberUpdate {
             address,
-            incarnation: life,
+            incarnation,
             refutations: 0,
             status: Status::Alive,
         };
@@ -152,7 +152,7 @@
         self.seeds = others.copied().collect();
         self.is_seed = seeds.contains(&self.own.address);
         for &seed in &self.seeds {
-            self.others.entry(seed).or_insert(unheard(now));
+            self.others.entry(seed).or_insert(unknown_member(now));
         }
     }
 
@@ -181,12 +181,12 @@
     }
 
     /// Returns whether this instance has heard most of the seeds; one that is a seed hears itself.
-    pub fn has_heard_most_seeds(&self) -> bool {
-        let is_heard = |it: &&SocketAddrV4| {
+    pub fn has_reached_most_seeds(&self) -> bool {
+        let is_reached = |it: &&SocketAddrV4| {
             let known = self.others.get(it);
             known.is_some_and(|it| it.last_datagram.is_some())
         };
-        let others = self.seeds.iter().filter(is_heard).count();
+        let others = self.seeds.iter().filter(is_reached).count();
         let own = usize::from(self.is_seed);
         let all = self.seeds.len() + own;
         all == 0 || 2 * (others + own) > all
@@ -230,32 +230,38 @@
     pub fn on_datagram(
         &mut self,
         now: Time,
-        said: MemberUpdate,
+        stated: MemberUpdate,
         revision: u64,
         digest: u64,
         change: &mut Change,
     ) -> bool {
-        let known = self.others.entry(said.address).or_insert(unheard(now));
+        let known = self
+            .others
+            .entry(stated.address)
+            .or_insert(unknown_member(now));
         known.last_datagram = Some(now);
         known.revision = revision;
         known.digest = digest;
-        let Some(update) = known.update.filter(|it| it.incarnation == said.incarnation) else {
-            known.update = Some(said);
+        let Some(update) = known
+            .update
+            .filter(|it| it.incarnation == stated.incarnation)
+        else {
+            known.update = Some(stated);
             known.since = now;
-            change.updates.push(said);
+            change.updates.push(stated);
             return true;
         };
         let was_gone = update.status == Status::Gone;
-        if said.rank() > update.rank() {
-            known.update = Some(said);
+        if stated.rank() > update.rank() {
+            known.update = Some(stated);
             known.since = now;
-            change.updates.push(said);
+            change.updates.push(stated);
         } else if update.status >= Status::Suspect {
             // It is there, and must say so itself: only a higher number of refutations goes
             // before what others were told.
-            change.send.push((said.address, Body::suspicion(update)));
+            change.send.push((stated.address, Body::suspicion(update)));
             if was_gone {
-                known.update = Some(said);
+                known.update = Some(stated);
                 known.since = now;
             }
         }
@@ -263,48 +269,53 @@
     }
 
     /// Takes in what others say of an instance.
-    pub fn on_update(&mut self, now: Time, told: MemberUpdate, change: &mut Change) {
-        if told.address == self.own.address {
-            self.refute(told, change);
+    pub fn on_update(&mut self, now: Time, received: MemberUpdate, change: &mut Change) {
+        if received.address == self.own.address {
+            self.refute(received, change);
             return;
         }
-        let known = self.others.entry(told.address).or_insert(unheard(now));
+        let known = self
+            .others
+            .entry(received.address)
+            .or_insert(unknown_member(now));
         match known.update {
-            None if told.status == Status::Gone => {}
+            None if received.status == Status::Gone => {}
             None => {
-                known.update = Some(told);
+                known.update = Some(received);
                 known.since = now;
-                change.updates.push(told);
+                change.updates.push(received);
             }
-            Some(update) if update.incarnation == told.incarnation => {
-                if told.rank() > update.rank() {
-                    known.update = Some(told);
+            Some(update) if update.incarnation == received.incarnation => {
+                if received.rank() > update.rank() {
+                    known.update = Some(received);
                     known.since = now;
-                    change.updates.push(told);
-                    if told.status == Status::Gone {
-                        change.gone.push(told.address);
+                    change.updates.push(received);
+                    if received.status == Status::Gone {
+                        change.gone.push(received.address);
                     }
-                } else if update.status == Status::Gone && told.status < Status::Suspect {
-                    self.probe_soon(told.address);
+                } else if update.status == Status::Gone && received.status < Status::Suspect {
+                    self.probe_soon(received.address);
                 }
             }
-            Some(update) if update.status == Status::Gone && told.status < Status::Suspect => {
-                known.update = Some(told);
+            Some(update) if update.status == Status::Gone && received.status < Status::Suspect => {
+                known.update = Some(received);
                 known.since = now;
-                change.updates.push(told);
+                change.updates.push(received);
             }
             // One of two lives is over. The instance itself is asked which.
-            Some(_) => self.probe_soon(told.address),
+            Some(_) => self.probe_soon(received.address),
         }
     }
 
-    fn refute(&mut self, told: MemberUpdate, change: &mut Change) {
-        let is_own_life = told.incarnation == self.own.incarnation;
-        if is_own_life && told.status >= Status::Suspect && told.refutations >= self.own.refutations
+    fn refute(&mut self, received: MemberUpdate, change: &mut Change) {
+        let is_own_incarnation = received.incarnation == self.own.incarnation;
+        if is_own_incarnation
+            && received.status >= Status::Suspect
+            && received.refutations >= self.own.refutations
         {
-            self.own.refutations = told.refutations.saturating_add(1);
+            self.own.refutations = received.refutations.saturating_add(1);
             change.updates.push(self.own);
-        } else if !is_own_life && told.status < Status::Gone {
+        } else if !is_own_incarnation && received.status < Status::Gone {
             change.updates.push(self.own);
         }
     }
@@ -337,7 +348,7 @@
     }
 }
 
-fn unheard(now: Time) -> Member {
+fn unknown_member(now: Time) -> Member {
     Member {
         update: None,
         since: now,
@@ -347,7 +358,7 @@
     }
 }
 
-fn hash_of(address: SocketAddrV4, life: Incarnation) -> u64 {
+fn hash_of(address: SocketAddrV4, incarnation: Incarnation) -> u64 {
     let port = address.port().to_le_bytes();
-    stable_hash(&[&address.ip().octets(), &port, &life.0.to_le_bytes()])
+    stable_hash(&[&address.ip().octets(), &port, &incarnation.0.to_le_bytes()])
 }
--- a/crates/core/src/gateway/members/probes.rs
+++ b/crates/core/src/gateway/members/probes.rs
@@ -15,14 +15,14 @@
 
 /// A probe that is not answered within this time is tried through others. A round trip
 /// between data centres takes some 3 ms; the rest is for busy processors.
-const ACK_LIMIT: Duration = Duration::from_millis(150);
+const ACK_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Others that are asked to probe in one's place, so that one link that is cut condemns
 /// nobody.
 const HELPERS: usize = 3;
 
 /// A probe that nobody has answered by then makes its target suspected.
-const PROBE_LIMIT: Duration = Duration::from_millis(600);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long a suspected instance has to refute it: news takes some 50 ms to it and as long
 /// back, and an instance that gets an eighth of a processor may pause for 100 ms.
@@ -32,11 +32,11 @@
 const JOIN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Addresses that each such attempt tries.
-const JOIN_TRIES: usize = 2;
+const JOIN_ATTEMPTS: usize = 2;
 
 /// Each so manieth probe goes to an address where nobody answered lately, so that two parts
 /// of a fleet that lost each other find each other again within seconds.
-const LOST_EVERY: u64 = 3;
+const GONE_PROBE_EVERY: u64 = 3;
 
 /// An instance that is gone is remembered for so long, and probed now and then.
 const REMEMBER_GONE: Duration = Duration::from_secs(60);
@@ -97,23 +97,23 @@
             .for_peers
             .iter()
             .position(|it| it.number == number)?;
-        let help = self.probes.for_peers.swap_remove(at);
-        Some((help.requester, Body::relayed_ack(help.requester_number)))
+        let probe = self.probes.for_peers.swap_remove(at);
+        Some((probe.requester, Body::relayed_ack(probe.requester_number)))
     }
 
     /// Probes `target` in the place of `asker`.
     pub fn probe_for(
         &mut self,
         now: Time,
-        asker: SocketAddrV4,
-        askers_number: u64,
+        requester: SocketAddrV4,
+        requester_number: u64,
         target: SocketAddrV4,
     ) -> Body {
         self.probes.last_number += 1;
         self.probes.for_peers.push(PeerProbe {
             number: self.probes.last_number,
-            requester: asker,
-            requester_number: askers_number,
+            requester,
+            requester_number,
             sent: now,
         });
         self.probe_body(self.probes.last_number, target)
@@ -127,11 +127,11 @@
             self.restart_suspicions(now);
         }
         self.probes.last_tick = now;
-        self.judge_probes(now, rng, &mut change);
+        self.check_probes(now, rng, &mut change);
         self.end_suspicions(now, &mut change);
         self.probes
             .for_peers
-            .retain(|it| now.since(it.sent) < PROBE_LIMIT);
+            .retain(|it| now.since(it.sent) < PROBE_TIMEOUT);
         let seeds = &self.seeds;
         self.others.retain(|address, it| {
             it.is_live() || seeds.contains(address) || now.since(it.since) < REMEMBER_GONE
@@ -150,10 +150,10 @@
         }
     }
 
-    fn judge_probes(&mut self, now: Time, rng: &mut SmallRng, change: &mut Change) {
+    fn check_probes(&mut self, now: Time, rng: &mut SmallRng, change: &mut Change) {
         let (over, open) = core::mem::take(&mut self.probes.open)
             .into_iter()
-            .partition::<Vec<_>, _>(|it| now.since(it.sent) >= PROBE_LIMIT);
+            .partition::<Vec<_>, _>(|it| now.since(it.sent) >= PROBE_TIMEOUT);
         self.probes.open = open;
         for probe in over {
             self.suspect(now, &probe, change);
@@ -161,7 +161,7 @@
         let late: Vec<usize> = (0..self.probes.open.len())
             .filter(|&at| {
                 !self.probes.open[at].is_indirect
-                    && now.since(self.probes.open[at].sent) >= ACK_LIMIT
+                    && now.since(self.probes.open[at].sent) >= ACK_TIMEOUT
             })
             .collect();
         for at in late {
@@ -200,18 +200,18 @@
         if self.live().next().is_none() {
             self.probes.next_probe = now + JOIN_INTERVAL;
             let anybody = self.others.keys().copied();
-            for target in anybody.choose_multiple(rng, JOIN_TRIES) {
+            for target in anybody.choose_multiple(rng, JOIN_ATTEMPTS) {
                 self.probe_one(now, target, change);
             }
             return;
         }
         self.probes.next_probe = now + PROBE_INTERVAL;
-        let lost = self
+        let gone = self
             .probes
             .last_number
-            .is_multiple_of(LOST_EVERY)
-            .then(|| self.lost(rng));
-        let target = lost.flatten().or_else(|| self.next_in_ring(rng));
+            .is_multiple_of(GONE_PROBE_EVERY)
+            .then(|| self.sample_gone(rng));
+        let target = gone.flatten().or_else(|| self.next_in_ring(rng));
         if let Some(target) = target {
             self.probe_one(now, target, change);
         }
@@ -236,13 +236,13 @@
     /// that.
     fn probe_body(&self, number: u64, target: SocketAddrV4) -> Body {
         let update = self.others.get(&target).and_then(|it| it.update);
-        let doubted = update.filter(|it| it.status >= Status::Suspect);
-        Body::probe(number, self.digest(), doubted)
+        let believed = update.filter(|it| it.status >= Status::Suspect);
+        Body::probe(number, self.digest(), believed)
     }
 
-    fn lost(&self, rng: &mut SmallRng) -> Option<SocketAddrV4> {
-        let lost = self.others.iter().filter(|(_, it)| !it.is_live());
-        lost.map(|(address, _)| *address).choose(rng)
+    fn sample_gone(&self, rng: &mut SmallRng) -> Option<SocketAddrV4> {
+        let gone = self.others.iter().filter(|(_, it)| !it.is_live());
+        gone.map(|(address, _)| *address).choose(rng)
     }
 
     fn next_in_ring(&mut self, rng: &mut SmallRng) -> Option<SocketAddrV4> {
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -29,26 +29,26 @@
 pub const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
 /// How often an instance that does not watch looks whether it must.
-const LISTEN_LOOK: Duration = Duration::from_millis(100);
+const STANDBY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How much later than [`WATCH_WAIT`] an answer may begin before the call is given up.
 pub const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
 /// The first pause after a failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 
 /// The longest pause after failures. A quarter of the tightest bound within which
 /// a change must be in force.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// A store that answered nothing for so long may have let entries lapse. They lapse
 /// after three heartbeats of an endpoint, which are longer; a watch that was cut, or
 /// a call that was refused, is no such outage, and what vanishes meanwhile is gone.
-const LAPSING_OUTAGE: Duration = Duration::from_millis(2_000);
+const EXPIRY_OUTAGE: Duration = Duration::from_millis(2_000);
 
 /// How long after an outage entries of the store are still incomplete: the
 /// publisher promises about two seconds.
-const SETTLE: Duration = Duration::from_millis(2_500);
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -109,7 +109,7 @@
         match (self.needs_read, watches) {
             (true, _) => Step::Read,
             (false, true) => Step::Watch,
-            (false, false) => Step::StandBy(LISTEN_LOOK),
+            (false, false) => Step::StandBy(STANDBY_INTERVAL),
         }
     }
 
@@ -141,13 +141,13 @@
     }
 
     fn answered(&mut self, now: Time) -> bool {
-        let was_away = self.failures > 0;
-        if was_away && self.may_have_lapsed(now) {
+        let was_unavailable = self.failures > 0;
+        if was_unavailable && self.may_have_expired(now) {
             self.recovered_at = Some(now);
         }
         self.failures = 0;
         self.last_answer = Some(now);
-        was_away
+        was_unavailable
     }
 
     /// Notes that a call failed; `draw` is uniform below one. Returns whether the
@@ -164,12 +164,12 @@
             // forgets that history.
             self.needs_read = true;
         }
-        let was_there = self.failures == 0;
+        let was_available = self.failures == 0;
         let doublings = self.failures.min(8);
         self.failures = self.failures.saturating_add(1);
-        let pause = (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
+        let pause = (FIRST_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
         self.pause_until = now + pause.mul_f64(0.5 + draw);
-        was_there
+        was_available
     }
 
     /// Returns when the store last answered.
@@ -190,13 +190,16 @@
     /// Returns whether entries that are missing may be back soon: the store is
     /// away for long, or was until a moment ago.
     pub fn may_miss_records(&self, now: Time) -> bool {
-        let is_away = self.is_unavailable() && self.may_have_lapsed(now);
-        is_away || self.recovered_at.is_some_and(|at| now.since(at) < SETTLE)
+        let is_unavailable = self.is_unavailable() && self.may_have_expired(now);
+        is_unavailable
+            || self
+                .recovered_at
+                .is_some_and(|at| now.since(at) < SETTLE_TIME)
     }
 
-    fn may_have_lapsed(&self, now: Time) -> bool {
-        let heard = self.last_answer;
-        heard.is_some_and(|heard| now.since(heard) >= LAPSING_OUTAGE)
+    fn may_have_expired(&self, now: Time) -> bool {
+        let last_answer = self.last_answer;
+        last_answer.is_some_and(|at| now.since(at) >= EXPIRY_OUTAGE)
     }
 }
 
--- a/crates/core/src/gateway/replica.rs
+++ b/crates/core/src/gateway/replica.rs
@@ -144,8 +144,8 @@
     /// Returns the records whose meaning changed above `after`, or all of them if this
     /// replica may have missed some.
     fn changed_since(&self, after: u64) -> impl Iterator<Item = &Record> {
-        let whole = after < self.complete_since;
-        let floor = if whole { 0 } else { after };
+        let is_full = after < self.complete_since;
+        let floor = if is_full { 0 } else { after };
         let known = self.records.values();
         known
             .filter(move |it| it.changed_at > floor)
@@ -159,24 +159,24 @@
     }
 
     /// Takes a record in, which means `mark`.
-    pub fn apply(&mut self, record: Record, mark: ContentHash) -> Applied {
+    pub fn apply(&mut self, record: Record, hash: ContentHash) -> Applied {
         if !self.is_newer(&record) {
             return Applied::Stale;
         }
         let before = self.records.get(&record.key);
         let was_removed = before.is_none_or(|it| it.record.value.is_none());
-        let old_mark = before.map_or(ContentHash::NOTHING, |it| it.hash);
+        let old_hash = before.map_or(ContentHash::NOTHING, |it| it.hash);
         let is_heartbeat = match before {
-            Some(it) => it.hash == mark && it.record.value.is_none() == record.value.is_none(),
+            Some(it) => it.hash == hash && it.record.value.is_none() == record.value.is_none(),
             // It does not concern this product.
-            None => mark == ContentHash::NOTHING && record.value.is_some(),
+            None => hash == ContentHash::NOTHING && record.value.is_some(),
         };
         let changed = before.filter(|_| is_heartbeat).map(|it| it.changed_at);
         self.removed -= usize::from(before.is_some() && was_removed);
         self.removed += usize::from(record.value.is_none());
-        self.digest ^= old_mark.0 ^ mark.0;
+        self.digest ^= old_hash.0 ^ hash.0;
         let known = KnownRecord {
-            hash: mark,
+            hash,
             changed_at: changed.unwrap_or(record.revision),
             record,
         };
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -131,7 +131,7 @@
     pub fn new(now: Time, cfg: GatewayConfig) -> Self {
         let members = Members::new(now, cfg.address, cfg.incarnation, &cfg.seeds);
         let mut fleet = FleetSize::default();
-        fleet.tick(now, core::iter::empty(), members.has_heard_most_seeds());
+        fleet.tick(now, core::iter::empty(), members.has_reached_most_seeds());
         let mut budget = SharedBudget::new(now, cfg.budget);
         budget.set_known(now, fleet.settled());
         Gateway {
@@ -206,10 +206,10 @@
     /// Takes in that an endpoint's entry vanished; returns the endpoint if it began to
     /// leave.
     pub fn endpoint_vanished(&mut self, now: Time, name: &str) -> Option<EndpointKey> {
-        let unsettled = self.may_miss_records(now);
+        let may_miss_records = self.may_miss_records(now);
         let newest = self.endpoints.newest(name);
-        let gone = self.endpoints.vanish(now, name, unsettled);
-        if !unsettled {
+        let gone = self.endpoints.vanish(now, name, may_miss_records);
+        if !may_miss_records {
             self.on_endpoints_lost(now, newest.as_slice());
         }
         gone
@@ -302,12 +302,12 @@
     /// Takes in what the store says about a data centre; returns what that is to this instance.
     /// Peers are told of it soon.
     pub fn publish_cordon(&mut self, now: Time, cordon: Cordon) -> CordonEffect {
-        let heard = self.endpoints.hear_cordon(now, &cordon);
-        if heard != CordonEffect::Outdated {
+        let effect = self.endpoints.hear_cordon(now, &cordon);
+        if effect != CordonEffect::Outdated {
             let instances = self.instances();
             self.outbox.add_cordon(cordon, instances);
         }
-        heard
+        effect
     }
 
     /// Takes in what an answer to a request sent at `sent` says about its endpoint's limit;
@@ -317,9 +317,9 @@
         now: Time,
         key: EndpointKey,
         sent: Time,
-        told: ToldLimit,
+        limit: ToldLimit,
     ) -> Option<LimitChange> {
-        let change = self.limits.hear_answer(now, key, sent, told)?;
+        let change = self.limits.hear_answer(now, key, sent, limit)?;
         let instances = self.instances();
         self.outbox.add_limit(key, instances);
         Some(change)
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -23,7 +23,7 @@
 
 /// How long a start waits to hear of others before it watches the store for all. What it
 /// read a moment ago is fresh for as long.
-const JOIN_PATIENCE: Duration = Duration::from_millis(700);
+const JOIN_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -93,33 +93,33 @@
             return Err(DropReason::Own);
         }
         self.fleet.hear(now, datagram.fleet);
-        let mut heard = DatagramOutcome::default();
+        let mut outcome = DatagramOutcome::default();
         let mut change = Change::default();
         let (revision, digest) = (datagram.revision, datagram.digest);
-        let says_more = datagram.claims().any(|it| self.is_more(it.0, it.1));
-        let said = datagram.from;
-        heard.is_new = self
+        let claims_more = datagram.claims().any(|it| self.is_ahead(it.0, it.1));
+        let sender = datagram.from;
+        outcome.is_new = self
             .members
-            .on_datagram(now, said, revision, digest, &mut change);
-        self.hear_body(now, datagram, &mut heard, &mut change);
-        heard.send.append(&mut change.send);
-        heard.gone.append(&mut change.gone);
-        self.tell_updates(change);
+            .on_datagram(now, sender, revision, digest, &mut change);
+        self.on_body(now, datagram, &mut outcome, &mut change);
+        outcome.send.append(&mut change.send);
+        outcome.gone.append(&mut change.gone);
+        self.gossip_updates(change);
         // All others are looked at with each tick only: a datagram must not cost more where
         // there are more instances.
-        if says_more {
+        if claims_more {
             self.catch_up.set_behind(now, true);
         }
-        heard.suspects_changed = self.suspects.take_changed();
-        heard.gossip_soon = self.outbox.has_new();
-        Ok(heard)
+        outcome.suspects_changed = self.suspects.take_changed();
+        outcome.gossip_soon = self.outbox.has_new();
+        Ok(outcome)
     }
 
-    fn hear_body(
+    fn on_body(
         &mut self,
         now: Time,
         datagram: Datagram,
-        heard: &mut DatagramOutcome,
+        outcome: &mut DatagramOutcome,
         change: &mut Change,
     ) {
         let from = datagram.from.address;
@@ -130,35 +130,37 @@
                 suspects,
                 gossip,
             } => {
-                self.hear_news(now, gossip, heard, change);
-                self.tell_suspects(now, from, suspects, &mut heard.send);
+                self.on_gossip(now, gossip, outcome, change);
+                self.send_suspects(now, from, suspects, &mut outcome.send);
                 let ack = Body::Ack {
                     number,
                     members: Some(self.members.digest()),
                     gossip: GossipItems::default(),
                 };
-                heard.send.push((from, ack));
-                self.sync_with(now, from, members, heard);
+                outcome.send.push((from, ack));
+                self.sync_with(now, from, members, outcome);
             }
             Body::Ack {
                 number,
                 members,
                 gossip,
             } => {
-                self.hear_news(now, gossip, heard, change);
-                heard.send.extend(self.members.on_ack(number));
+                self.on_gossip(now, gossip, outcome, change);
+                outcome.send.extend(self.members.on_ack(number));
                 if let Some(members) = members {
-                    self.sync_with(now, from, members, heard);
+                    self.sync_with(now, from, members, outcome);
                 }
             }
             Body::IndirectProbe { number, target } => {
                 let probe = self.members.probe_for(now, from, number, target);
-                heard.send.push((target, probe));
+                outcome.send.push((target, probe));
             }
-            Body::Gossip(news) => self.hear_news(now, news, heard, change),
+            Body::Gossip(gossip) => self.on_gossip(now, gossip, outcome, change),
             Body::RequestMembers => {
                 let lists = self.members.list().into_iter();
-                heard.send.extend(lists.map(|it| (from, Body::Members(it))));
+                outcome
+                    .send
+                    .extend(lists.map(|it| (from, Body::Members(it))));
             }
             Body::Members(list) => {
                 for update in list {
@@ -166,60 +168,61 @@
                 }
             }
             Body::PlacementReport(report) => {
-                heard.decided = self.hear_report(now, datagram.from, report, &mut heard.send);
+                outcome.decided =
+                    self.on_placement_report(now, datagram.from, report, &mut outcome.send);
             }
             Body::PlacementAnswer(answer) => {
-                self.hear_answer(now, answer);
-                heard.decided = true;
+                self.on_placement_answer(now, answer);
+                outcome.decided = true;
             }
-            Body::Suspects(blames) => self.hear_blames(now, &blames),
+            Body::Suspects(records) => self.on_crash_records(now, &records),
             Body::RunLeaseReport(report) => {
-                let answer = self.hear_turns(now, from, &report);
+                let answer = self.on_run_lease_report(now, from, &report);
                 if !report.acquire.is_empty() {
-                    heard.send.push((from, Body::RunLeaseAnswer(answer)));
+                    outcome.send.push((from, Body::RunLeaseAnswer(answer)));
                 }
             }
             Body::RunLeaseAnswer(answer) => {
-                self.hear_turn_answer(now, &answer);
-                heard.decided = true;
+                self.on_run_lease_answer(now, &answer);
+                outcome.decided = true;
             }
         }
     }
 
-    fn hear_news(
+    fn on_gossip(
         &mut self,
         now: Time,
-        news: GossipItems,
-        heard: &mut DatagramOutcome,
+        gossip: GossipItems,
+        outcome: &mut DatagramOutcome,
         change: &mut Change,
     ) {
-        for update in news.members {
+        for update in gossip.members {
             self.members.on_update(now, update, change);
         }
-        for endpoint in news.leaving {
+        for endpoint in gossip.leaving {
             if self.endpoints.leave(now, endpoint) {
-                heard.leaving.push(endpoint);
+                outcome.leaving.push(endpoint);
             }
         }
-        for beacon in news.beacons {
+        for beacon in gossip.beacons {
             if beacon.origin != self.cfg.address && self.beacons.on_beacon(now, beacon) {
                 self.outbox.add_beacon(beacon);
             }
         }
-        for word in news.limits {
-            if let Some(change) = self.limits.hear_word(now, word) {
+        for report in gossip.limits {
+            if let Some(change) = self.limits.hear_word(now, report) {
                 let instances = self.instances();
                 self.outbox.add_limit(change.endpoint, instances);
-                heard.limits.push(change);
+                outcome.limits.push(change);
             }
         }
-        for cordon in news.cordons {
-            let told = self.publish_cordon(now, cordon.clone());
-            if told != CordonEffect::Outdated {
-                heard.cordons.push((cordon, told));
+        for cordon in gossip.cordons {
+            let effect = self.publish_cordon(now, cordon.clone());
+            if effect != CordonEffect::Outdated {
+                outcome.cordons.push((cordon, effect));
             }
         }
-        self.hear_blames(now, &news.crash_records);
+        self.on_crash_records(now, &gossip.crash_records);
     }
 
     fn sync_with(
@@ -227,14 +230,14 @@
         now: Time,
         peer: SocketAddrV4,
         theirs: u64,
-        heard: &mut DatagramOutcome,
+        outcome: &mut DatagramOutcome,
     ) {
         if self.members.should_sync(now, theirs) {
-            heard.send.push((peer, Body::RequestMembers));
+            outcome.send.push((peer, Body::RequestMembers));
         }
     }
 
-    fn tell_updates(&mut self, change: Change) {
+    fn gossip_updates(&mut self, change: Change) {
         if change.updates.is_empty() {
             // As with nearly every datagram: counting the instances would be for nothing.
             return;
@@ -269,44 +272,44 @@
     /// Does what is due by time alone, and returns what changed and what is to be sent.
     pub fn tick(&mut self, now: Time) -> TickOutcome {
         let mut change = self.members.tick(now, &mut self.rng);
-        let mut ticked = TickOutcome {
+        let mut outcome = TickOutcome {
             silent: core::mem::take(&mut change.gone),
             send: core::mem::take(&mut change.send),
             ..TickOutcome::default()
         };
-        self.tell_updates(change);
+        self.gossip_updates(change);
         self.beacons.tick(now);
-        self.beacon(now);
-        let unsettled = self.may_miss_records(now);
-        ticked.leaving = self.endpoints.tick(now, unsettled);
-        self.on_endpoints_lost(now, &ticked.leaving);
-        ticked.suspects_changed = self.suspects.take_changed();
+        self.send_beacon(now);
+        let may_miss_records = self.may_miss_records(now);
+        outcome.leaving = self.endpoints.tick(now, may_miss_records);
+        self.on_endpoints_lost(now, &outcome.leaving);
+        outcome.suspects_changed = self.suspects.take_changed();
         self.suspects.tick(now);
         let live = self.members.live().map(|(address, _)| address);
-        let heard_most_seeds = self.members.has_heard_most_seeds();
-        self.fleet.tick(now, live, heard_most_seeds);
+        let reached_most_seeds = self.members.has_reached_most_seeds();
+        self.fleet.tick(now, live, reached_most_seeds);
         self.budget.set_known(now, self.fleet.settled());
         self.shares.tick(now);
         let endpoints = &self.endpoints;
         self.limits.tick(now, |it| endpoints.get(it).is_some());
         self.outbox.tick(now);
         self.update_behind(now);
-        self.tell_news(now, &mut ticked.send);
-        ticked.decided = self.report(now, &mut ticked.send);
-        ticked.decided |= self.report_turns(now, &mut ticked.send);
-        ticked
+        self.send_gossip(now, &mut outcome.send);
+        outcome.decided = self.report(now, &mut outcome.send);
+        outcome.decided |= self.report_runs(now, &mut outcome.send);
+        outcome
     }
 
-    fn beacon(&mut self, now: Time) {
+    fn send_beacon(&mut self, now: Time) {
         let is_due = self
             .last_beacon
             .is_none_or(|at| now.since(at) >= BEACON_INTERVAL);
-        if !is_due || !self.speaks_of_store(now) {
+        if !is_due || !self.should_send_beacon(now) {
             return;
         }
         self.last_beacon = Some(now);
         self.beacons_sent += 1;
-        let own = Beacon {
+        let beacon = Beacon {
             origin: self.cfg.address,
             incarnation: self.cfg.incarnation,
             number: self.beacons_sent,
@@ -315,20 +318,20 @@
             digest: self.replica.digest(),
             may_miss_records: self.reader.may_miss_records(now),
         };
-        self.beacons.on_beacon(now, own);
-        self.outbox.add_beacon(own);
+        self.beacons.on_beacon(now, beacon);
+        self.outbox.add_beacon(beacon);
     }
 
     /// Returns whether others are to hear how the store answers this instance: it is answered,
     /// or it ranks among the first and says that the store is away. Of those that watch in
     /// vain many may do so, and each beacon goes to everybody.
-    fn speaks_of_store(&self, now: Time) -> bool {
+    fn should_send_beacon(&self, now: Time) -> bool {
         let watched = self.reader.last_watch_answer();
         let is_answered = watched.is_some_and(|at| now.since(at) < WATCHER_TIMEOUT);
         self.watches(now) && (is_answered || self.rank() < WATCHERS)
     }
 
-    fn tell_news(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) {
+    fn send_gossip(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) {
         let announces = core::mem::take(&mut self.announce_soon);
         if !announces && !self.outbox.has_new() {
             return;
@@ -338,11 +341,11 @@
             // What is news now is told to whoever is found first.
             return;
         }
-        let items = self.take_news(now, FAN_OUT as u32);
+        let items = self.take_gossip(now, FAN_OUT as u32);
         send.extend(peers.iter().map(|&it| (it, Body::Gossip(items.clone()))));
     }
 
-    fn take_news(&mut self, now: Time, peers: u32) -> GossipItems {
+    fn take_gossip(&mut self, now: Time, peers: u32) -> GossipItems {
         let limits = self.outbox.take_limits(peers);
         let limits = limits
             .into_iter()
@@ -355,14 +358,14 @@
 
     /// Returns a datagram for one peer, with news where it has room for it.
     pub fn datagram(&mut self, now: Time, mut body: Body) -> Datagram {
-        if let Some(news) = body.gossip_mut() {
-            let mut items = self.take_news(now, 1);
-            news.members.append(&mut items.members);
-            news.leaving.append(&mut items.leaving);
-            news.beacons.append(&mut items.beacons);
-            news.crash_records.append(&mut items.crash_records);
-            news.cordons.append(&mut items.cordons);
-            news.limits.append(&mut items.limits);
+        if let Some(gossip) = body.gossip_mut() {
+            let mut items = self.take_gossip(now, 1);
+            gossip.members.append(&mut items.members);
+            gossip.leaving.append(&mut items.leaving);
+            gossip.beacons.append(&mut items.beacons);
+            gossip.crash_records.append(&mut items.crash_records);
+            gossip.cordons.append(&mut items.cordons);
+            gossip.limits.append(&mut items.limits);
         }
         if let Body::Probe { suspects, .. } = &mut body {
             *suspects = self.suspects.ledger.digest();
@@ -379,7 +382,7 @@
     }
 
     fn store_age_ms(&self, now: Time) -> u32 {
-        let age = self.reader.last_answer().map(|heard| now.since(heard));
+        let age = self.reader.last_answer().map(|at| now.since(at));
         age.map_or(u32::MAX, |age| {
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
         })
@@ -420,13 +423,13 @@
 
     /// Returns what to do about the store now.
     pub fn next_step(&self, now: Time) -> Step {
-        let knows_others = self.members.has_joined() || now.since(self.started) >= JOIN_PATIENCE;
+        let knows_others = self.members.has_joined() || now.since(self.started) >= JOIN_TIMEOUT;
         let reads = (knows_others && self.watches(now)) || self.catch_up.needs_direct_read(now);
         self.reader.next(now, reads)
     }
 
     /// Returns the peers that know more of the store than this instance.
-    fn better(&self) -> impl Iterator<Item = Provider> {
+    fn providers(&self) -> impl Iterator<Item = Provider> {
         let members = self.members.live().map(|(address, it)| Provider {
             address,
             revision: it.revision,
@@ -444,27 +447,27 @@
             is_direct: false,
         });
         let all = members.chain(beacons);
-        all.filter(|it| self.is_more(it.revision, it.digest))
+        all.filter(|it| self.is_ahead(it.revision, it.digest))
     }
 
     /// Returns a peer that knows more of the store than this instance and may be asked
     /// now, drawn among those that know most.
     pub fn choose_provider(&mut self, now: Time) -> Option<SocketAddrV4> {
         let watches = self.watches(now);
-        let better: Vec<Provider> = self.better().collect();
-        let able = self.catch_up.candidates(now, &better, watches);
+        let providers: Vec<Provider> = self.providers().collect();
+        let able = self.catch_up.candidates(now, &providers, watches);
         able.choose(&mut self.rng).copied()
     }
 
     /// Notes whether a peer knows more of the store than this instance.
     pub fn update_behind(&mut self, now: Time) {
-        let behind = self.better().next().is_some();
+        let behind = self.providers().next().is_some();
         self.catch_up.set_behind(now, behind);
     }
 
     /// Returns whether that is more of the store than this instance knows. Revisions alone
     /// do not tell: each heartbeat of an endpoint makes one.
-    fn is_more(&self, revision: u64, digest: u64) -> bool {
+    fn is_ahead(&self, revision: u64, digest: u64) -> bool {
         revision > self.replica.revision() && digest != self.replica.digest()
     }
 
@@ -474,8 +477,8 @@
     }
 
     /// Notes that a peer did not tell what it knows.
-    pub fn on_fetch_failure(&mut self, now: Time, peer: SocketAddrV4, why: FetchFailure) {
+    pub fn on_fetch_failure(&mut self, now: Time, peer: SocketAddrV4, failure: FetchFailure) {
         let draw = self.draw();
-        self.catch_up.on_fetch_failure(now, peer, why, draw);
+        self.catch_up.on_fetch_failure(now, peer, failure, draw);
     }
 }
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -21,7 +21,7 @@
 
 /// How old what a home told may be to say whether prompts wait at an engine: about as long
 /// as one is read.
-const UNREAD_FRESH: Duration = Duration::from_millis(500);
+const PREFILL_VIEW_TTL: Duration = Duration::from_millis(500);
 
 /// The home of a service and the next in rank.
 type Ranks = [Option<SocketAddrV4>; 2];
@@ -34,7 +34,7 @@
     changes: u64,
     ranks: Ranks,
     /// Whether there was nothing to say.
-    empty: bool,
+    is_empty: bool,
 }
 
 impl Gateway {
@@ -44,26 +44,26 @@
     ///
     /// Returns why there is none.
     pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Placement, NoPlace> {
-        let barred = self.barred(now, demand);
+        let at_limit = self.at_limit(now, demand);
         let both;
-        let exclude = match barred.is_empty() {
+        let exclude = match at_limit.is_empty() {
             true => demand.exclude,
             false => {
-                both = [demand.exclude, &barred].concat();
+                both = [demand.exclude, &at_limit].concat();
                 &both
             }
         };
         let demand = Demand { exclude, ..*demand };
-        let mut rng = self.draws();
-        let key = choose::choose(self.world(now, demand.service), &demand, || rng.random());
+        let mut rng = self.fork_rng();
+        let key = choose::choose(self.context(now, demand.service), &demand, || rng.random());
         let has_limit = |key: &EndpointKey| self.limits.of(*key).is_some();
         let key = key.map_err(|why| match why {
-            NoPlace::NoEndpoint if barred.iter().any(has_limit) => NoPlace::Limited,
-            NoPlace::NoEndpoint if !barred.is_empty() => NoPlace::Full,
+            NoPlace::NoEndpoint if at_limit.iter().any(has_limit) => NoPlace::Limited,
+            NoPlace::NoEndpoint if !at_limit.is_empty() => NoPlace::Full,
             why => why,
         })?;
-        if self.rate_bound(now, key).is_some() {
-            self.note_bounded(now, key);
+        if self.rate_limit(now, key).is_some() {
+            self.count_limited_request(now, key);
         }
         self.place_at(key).ok_or(NoPlace::NoEndpoint)
     }
@@ -74,42 +74,42 @@
 
     /// Returns how many requests a second an endpoint bears from all instances, if that is
     /// bounded.
-    fn rate_bound(&self, now: Time, key: EndpointKey) -> Option<f64> {
+    fn rate_limit(&self, now: Time, key: EndpointKey) -> Option<f64> {
         let endpoint = self.endpoints.get(key)?;
         let cold = self.cold_limits(&endpoint.record.service);
         cold::rate_bound(now, key, &self.endpoints, cold.as_ref(), &self.limits)
     }
 
     /// Counts a request to an endpoint that bears a bounded rate.
-    fn note_bounded(&mut self, now: Time, key: EndpointKey) {
+    fn count_limited_request(&mut self, now: Time, key: EndpointKey) {
         self.shares.note(now, key);
         self.limits.note_sent(now, key);
     }
 
     /// Returns the endpoints to which this instance may send nothing now, because they bear few
     /// requests. Engines get requests through their home alone.
-    fn barred(&self, now: Time, demand: &Demand<'_>) -> Vec<EndpointKey> {
+    fn at_limit(&self, now: Time, demand: &Demand<'_>) -> Vec<EndpointKey> {
         if self.limits.is_empty() && self.cold_limits(demand.service).is_none() {
             return Vec::new();
         }
         let usable = self.endpoints.usable_of(demand.service).map(|it| it.key);
-        let is_barred = |key: &EndpointKey| {
-            let bound = self.rate_bound(now, *key);
-            bound.is_some_and(|rate| demand.engine.is_some() || !self.has_part(now, *key, rate))
+        let is_at_limit = |key: &EndpointKey| {
+            let bound = self.rate_limit(now, *key);
+            bound.is_some_and(|rate| demand.engine.is_some() || !self.has_share(now, *key, rate))
         };
-        usable.filter(is_barred).collect()
+        usable.filter(is_at_limit).collect()
     }
 
     /// Returns whether this instance may send a request to an endpoint that bears `rate` a second
     /// without asking anybody.
-    fn has_part(&self, now: Time, key: EndpointKey, rate: f64) -> bool {
-        self.part_left(now, key, rate) > 0 || {
+    fn has_share(&self, now: Time, key: EndpointKey, rate: f64) -> bool {
+        self.share_left(now, key, rate) > 0 || {
             let rank = cold::rank(self.cfg.address, &self.fleet, key);
             self.limits.may_ask_again(now, key, rank)
         }
     }
 
-    fn part_left(&self, now: Time, key: EndpointKey, rate: f64) -> u32 {
+    fn share_left(&self, now: Time, key: EndpointKey, rate: f64) -> u32 {
         let own = self.cfg.address;
         self.shares.left(now, own, &self.fleet, key, rate)
     }
@@ -118,12 +118,12 @@
     /// there, and counts it there if a limit was named since.
     pub fn admit_to_limit(&mut self, now: Time, key: EndpointKey, chosen: Time) -> bool {
         let is_new = self.limits.since(key).is_some_and(|at| at > chosen);
-        let Some(rate) = self.rate_bound(now, key).filter(|_| is_new) else {
+        let Some(rate) = self.rate_limit(now, key).filter(|_| is_new) else {
             return true;
         };
-        let is_admitted = self.has_part(now, key, rate);
+        let is_admitted = self.has_share(now, key, rate);
         if is_admitted {
-            self.note_bounded(now, key);
+            self.count_limited_request(now, key);
         }
         is_admitted
     }
@@ -131,12 +131,12 @@
     /// Returns whether a generation may go on at an engine, as far as that bears few requests, and
     /// counts it there.
     pub fn admit_resumed(&mut self, now: Time, key: EndpointKey) -> bool {
-        let Some(bound) = self.rate_bound(now, key) else {
+        let Some(bound) = self.rate_limit(now, key) else {
             return true;
         };
-        let is_admitted = self.part_left(now, key, bound * OWN_PART) > 0;
+        let is_admitted = self.share_left(now, key, bound * OWN_PART) > 0;
         if is_admitted {
-            self.note_bounded(now, key);
+            self.count_limited_request(now, key);
         }
         is_admitted
     }
@@ -155,11 +155,11 @@
         let Want::Copy { source, kind } = want else {
             return self.place(now, demand);
         };
-        let mut rng = self.draws();
-        let world = self.world(now, demand.service);
+        let mut rng = self.fork_rng();
+        let world = self.context(now, demand.service);
         let source = world.endpoints.get(source).ok_or(NoPlace::NoEndpoint)?;
-        let barred = self.barred(now, demand);
-        let exclude = [demand.exclude, &barred].concat();
+        let at_limit = self.at_limit(now, demand);
+        let exclude = [demand.exclude, &at_limit].concat();
         let demand = Demand {
             exclude: &exclude,
             ..*demand
@@ -219,7 +219,7 @@
     pub fn has_no_pending_prefill(&self, now: Time, key: EndpointKey) -> bool {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
-        let others = service.and_then(|it| self.placements.fresh_view(now, it, UNREAD_FRESH));
+        let others = service.and_then(|it| self.placements.fresh_view(now, it, PREFILL_VIEW_TTL));
         let others = others.map_or(0, |it| it.of(key).unread);
         self.usage.own(key).unread + others == 0
     }
@@ -259,7 +259,7 @@
 
     /// Takes a report in and decides what follows from it; returns whether a request of this
     /// instance may have a decision.
-    pub(super) fn hear_report(
+    pub(super) fn on_placement_report(
         &mut self,
         now: Time,
         from: MemberUpdate,
@@ -273,7 +273,7 @@
     }
 
     /// Takes in what a home answered.
-    pub(super) fn hear_answer(&mut self, now: Time, answer: PlacementAnswer) {
+    pub(super) fn on_placement_answer(&mut self, now: Time, answer: PlacementAnswer) {
         for (id, decision) in answer.decisions {
             self.placements.hear(now, id, decision);
         }
@@ -286,7 +286,7 @@
     /// instance may have a decision.
     pub(super) fn report(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
         for service in self.reported_services() {
-            self.report_about(now, service, send);
+            self.report_service(now, service, send);
         }
         let services: Vec<u64> = self.homes.keys().copied().collect();
         let mut decided = false;
@@ -308,14 +308,14 @@
         let used = self.usage.at_engines();
         let endpoints = used.filter_map(|(key, _)| self.endpoints.get(key));
         let used = endpoints.map(|it| service_hash(&it.record.service));
-        let spoken = self.reported.iter().filter(|(_, it)| !it.empty);
-        let spoken = spoken.map(|(service, _)| *service);
-        used.chain(spoken)
+        let reported = self.reported.iter().filter(|(_, it)| !it.is_empty);
+        let reported = reported.map(|(service, _)| *service);
+        used.chain(reported)
             .chain(self.placements.services())
             .collect()
     }
 
-    fn report_about(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) {
+    fn report_service(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) {
         let changes = self.usage.changes() + self.placement_changes;
         let ranks = self.homes(service);
         let interval = match self.placements.is_unanswered(service) {
@@ -354,14 +354,14 @@
                 .collect(),
         };
         self.reports_sent += 1;
-        let empty = report.used.is_empty() && report.requests.is_empty();
+        let is_empty = report.used.is_empty() && report.requests.is_empty();
         self.reported.insert(
             service,
             Reported {
                 at: now,
                 changes,
                 ranks,
-                empty,
+                is_empty,
             },
         );
         for to in ranks.into_iter().flatten() {
@@ -407,7 +407,7 @@
         for (to, answer) in answers {
             if to == self.cfg.address {
                 decided = true;
-                self.hear_answer(now, answer);
+                self.on_placement_answer(now, answer);
             } else {
                 send.push((to, Body::PlacementAnswer(answer)));
             }
@@ -416,19 +416,19 @@
     }
 
     /// Returns a source of draws of its own, so that a choice draws while it looks at tables.
-    fn draws(&mut self) -> SmallRng {
+    fn fork_rng(&mut self) -> SmallRng {
         SmallRng::seed_from_u64(self.rng.random())
     }
 
     /// Returns the tables that a choice for `service` looks at.
-    fn world(&self, now: Time, service: &str) -> World<'_> {
-        static NOTHING: Others = Others::nothing();
+    fn context(&self, now: Time, service: &str) -> World<'_> {
+        static NO_PEERS: Others = Others::nothing();
         let others = self.placements.view(service_hash(service));
         World {
             now,
             endpoints: &self.endpoints,
             usage: &self.usage,
-            others: others.unwrap_or(&NOTHING),
+            others: others.unwrap_or(&NO_PEERS),
             data_centre: &self.cfg.data_centre,
         }
     }
--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -15,24 +15,24 @@
 impl Gateway {
     /// Takes in a request that is going to run; it is taken out by [`Gateway::end_run`].
     pub fn begin_run(&mut self, fingerprint: Fingerprint) -> SuspectRun {
-        let turn = SuspectRun {
+        let run = SuspectRun {
             fingerprint,
             run: self.draw_id(),
         };
-        self.suspects.runs.begin(turn);
-        turn
+        self.suspects.runs.begin(run);
+        run
     }
 
     /// Takes a request out that runs no longer; returns whether its homes are to be told soon.
-    pub fn end_run(&mut self, turn: SuspectRun) -> bool {
-        self.suspects.runs.end(turn)
+    pub fn end_run(&mut self, run: SuspectRun) -> bool {
+        self.suspects.runs.end(run)
     }
 
     /// Returns whether a request may be sent to an endpoint now. A suspect that has no turn asks
     /// for it.
-    pub fn admit_run(&mut self, now: Time, turn: SuspectRun) -> Admission {
-        let standing = self.suspects.ledger.standing(now, turn.fingerprint);
-        self.suspects.runs.admit(now, turn, standing)
+    pub fn admit_run(&mut self, now: Time, run: SuspectRun) -> Admission {
+        let standing = self.suspects.ledger.standing(now, run.fingerprint);
+        self.suspects.runs.admit(now, run, standing)
     }
 
     /// Returns whether a request is refused, so that it must not go on anywhere.
@@ -46,7 +46,7 @@
     /// power is refused, though it is none that ends engines.
     pub fn on_run_succeeded(&mut self, now: Time, fingerprint: Fingerprint) {
         if self.suspects.ledger.clear(now, fingerprint) {
-            self.tell_blame(now, fingerprint);
+            self.gossip_crash_record(now, fingerprint);
         }
     }
 
@@ -69,7 +69,7 @@
             return false;
         }
         self.on_endpoints_lost(now, &[place.key]);
-        self.blame(now, fingerprint, place.key)
+        self.record_crash(now, fingerprint, place.key)
     }
 
     /// Keeps in mind that the connection to an endpoint ended, and that it cannot be told yet
@@ -86,50 +86,50 @@
     pub fn on_endpoints_lost(&mut self, now: Time, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
             for fingerprint in self.suspects.take_lost_connections(endpoint) {
-                self.blame(now, fingerprint, endpoint);
+                self.record_crash(now, fingerprint, endpoint);
             }
         }
     }
 
-    fn blame(&mut self, now: Time, fingerprint: Fingerprint, endpoint: EndpointKey) -> bool {
+    fn record_crash(&mut self, now: Time, fingerprint: Fingerprint, endpoint: EndpointKey) -> bool {
         let is_news = self
             .suspects
             .ledger
             .record_crash(now, fingerprint, endpoint);
         if is_news {
-            self.tell_blame(now, fingerprint);
+            self.gossip_crash_record(now, fingerprint);
         }
         is_news
     }
 
-    fn tell_blame(&mut self, now: Time, fingerprint: Fingerprint) {
+    fn gossip_crash_record(&mut self, now: Time, fingerprint: Fingerprint) {
         self.suspects.note_changed();
-        if let Some(blame) = self.suspects.ledger.record(now, fingerprint) {
+        if let Some(record) = self.suspects.ledger.record(now, fingerprint) {
             let instances = self.instances();
-            self.outbox.add_crash_record(blame, instances);
+            self.outbox.add_crash_record(record, instances);
         }
     }
 
     /// Takes in what another instance knows of suspects.
-    pub(super) fn hear_blames(&mut self, now: Time, blames: &[CrashRecord]) {
-        for blame in blames {
-            if self.suspects.ledger.on_record(now, blame) {
-                self.tell_blame(now, blame.fingerprint);
+    pub(super) fn on_crash_records(&mut self, now: Time, records: &[CrashRecord]) {
+        for record in records {
+            if self.suspects.ledger.on_record(now, record) {
+                self.gossip_crash_record(now, record.fingerprint);
             }
         }
     }
 
     /// Tells an instance that knows other suspects of those that ended the most endpoints: it
     /// has just started, or was cut off.
-    pub(super) fn tell_suspects(
+    pub(super) fn send_suspects(
         &mut self,
         now: Time,
         peer: SocketAddrV4,
         theirs: u64,
         send: &mut Vec<(SocketAddrV4, Body)>,
     ) {
-        let told_all = self.suspects.all_sent_at;
-        let is_due = told_all.is_none_or(|at| now.since(at) >= SEND_ALL_INTERVAL);
+        let all_sent_at = self.suspects.all_sent_at;
+        let is_due = all_sent_at.is_none_or(|at| now.since(at) >= SEND_ALL_INTERVAL);
         if !is_due || self.suspects.ledger.digest() == theirs {
             return;
         }
@@ -142,7 +142,7 @@
 
     /// Tells the homes of suspects what this instance runs and asks for; returns whether a
     /// request of this instance may have its turn.
-    pub(super) fn report_turns(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
+    pub(super) fn report_runs(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
         if self.suspects.has_nothing_to_report() {
             return false;
         }
@@ -177,8 +177,8 @@
         let mut decided = false;
         for (home, report) in reports {
             if home == self.cfg.address {
-                let answer = self.hear_turns(now, home, &report);
-                self.hear_turn_answer(now, &answer);
+                let answer = self.on_run_lease_report(now, home, &report);
+                self.on_run_lease_answer(now, &answer);
                 decided = true;
             } else {
                 send.push((home, Body::RunLeaseReport(report)));
@@ -188,13 +188,13 @@
     }
 
     /// Takes in what an instance runs and asks for, as the home of it.
-    pub(super) fn hear_turns(
+    pub(super) fn on_run_lease_report(
         &mut self,
         now: Time,
         from: SocketAddrV4,
         report: &RunLeaseReport,
     ) -> RunLeaseAnswer {
-        self.hear_blames(now, &report.records);
+        self.on_crash_records(now, &report.records);
         let answer = self.suspects.run_leases.on_report(now, from, report);
         RunLeaseAnswer {
             records: self.suspects.ledger.records_of(now, &report.acquire),
@@ -203,8 +203,8 @@
     }
 
     /// Takes in what the home of suspects answered.
-    pub(super) fn hear_turn_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
-        self.hear_blames(now, &answer.records);
+    pub(super) fn on_run_lease_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
+        self.on_crash_records(now, &answer.records);
         self.suspects.runs.on_answer(now, answer);
     }
 }
--- a/crates/core/src/gateway/suspects.rs
+++ b/crates/core/src/gateway/suspects.rs
@@ -15,10 +15,10 @@
 
 /// How long a request whose connection ended is kept in mind, when it could not be told whether
 /// its endpoint ended too: the entry of one that did lapses within some 4 s.
-const UNDECIDED_FOR: Duration = Duration::from_secs(10);
+const LOST_CONNECTION_TTL: Duration = Duration::from_secs(10);
 
 /// Such requests that are kept in mind at most.
-const MAX_UNDECIDED: usize = 256;
+const MAX_LOST_CONNECTIONS: usize = 256;
 
 /// How often an instance that knows other suspects is told at once of those that ended the
 /// most endpoints.
@@ -26,7 +26,7 @@
 
 /// A request whose connection ended, with its endpoint.
 #[derive(Clone, Copy, Debug)]
-struct Undecided {
+struct LostConnection {
     at: Time,
     fingerprint: Fingerprint,
     endpoint: EndpointKey,
@@ -42,12 +42,12 @@
     /// What this instance knows as a home.
     pub(super) run_leases: RunLeases<SocketAddrV4>,
     /// Connections that ended, of which it is not known whether their endpoint did.
-    undecided: Vec<Undecided>,
+    lost_connections: Vec<LostConnection>,
     /// When an instance was told at once of all suspects.
     pub(super) all_sent_at: Option<Time>,
     /// Whether the ledger has changed since those who wait were told.
     changed: bool,
-    ticked: Time,
+    last_tick: Time,
 }
 
 impl Suspects {
@@ -57,10 +57,10 @@
             ledger: Ledger::default(),
             runs: Runs::new(HOME_PATIENCE),
             run_leases: RunLeases::new(now),
-            undecided: Vec::new(),
+            lost_connections: Vec::new(),
             all_sent_at: None,
             changed: false,
-            ticked: now,
+            last_tick: now,
         }
     }
 
@@ -71,8 +71,8 @@
         fingerprint: Fingerprint,
         endpoint: EndpointKey,
     ) {
-        if self.undecided.len() < MAX_UNDECIDED {
-            self.undecided.push(Undecided {
+        if self.lost_connections.len() < MAX_LOST_CONNECTIONS {
+            self.lost_connections.push(LostConnection {
                 at: now,
                 fingerprint,
                 endpoint,
@@ -83,11 +83,12 @@
     /// Returns the requests whose connection to `endpoint` ended, now that it is known to have
     /// ended itself.
     pub(super) fn take_lost_connections(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
-        let (of, rest): (Vec<Undecided>, Vec<Undecided>) = core::mem::take(&mut self.undecided)
-            .into_iter()
-            .partition(|it| it.endpoint == endpoint);
-        self.undecided = rest;
-        of.into_iter().map(|it| it.fingerprint).collect()
+        let (lost, rest): (Vec<LostConnection>, Vec<LostConnection>) =
+            core::mem::take(&mut self.lost_connections)
+                .into_iter()
+                .partition(|it| it.endpoint == endpoint);
+        self.lost_connections = rest;
+        lost.into_iter().map(|it| it.fingerprint).collect()
     }
 
     /// Notes that the ledger has changed.
@@ -107,12 +108,13 @@
 
     /// Lets time pass.
     pub(super) fn tick(&mut self, now: Time) {
-        if now.since(self.ticked) >= RUN_LEASE_TTL {
+        if now.since(self.last_tick) >= RUN_LEASE_TTL {
             self.run_leases.restart_grace_period(now);
         }
-        self.ticked = now;
+        self.last_tick = now;
         self.ledger.tick(now);
         self.run_leases.tick(now);
-        self.undecided.retain(|it| now.since(it.at) < UNDECIDED_FOR);
+        self.lost_connections
+            .retain(|it| now.since(it.at) < LOST_CONNECTION_TTL);
     }
 }
--- a/crates/core/src/suspects/ledger.rs
+++ b/crates/core/src/suspects/ledger.rs
@@ -22,25 +22,25 @@
 pub const REFUSAL_DURATION: Duration = Duration::from_secs(300);
 
 /// How long a suspect is remembered after the last endpoint that it ended.
-const REMEMBERED_FOR: Duration = Duration::from_secs(3_600);
+const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
 
 /// How long it is remembered that a request ran well. News of what it was blamed for before
 /// travels no longer than that.
-const CLEARED_FOR: Duration = Duration::from_secs(60);
+const CLEARED_TTL: Duration = Duration::from_secs(60);
 
 /// Suspects that are remembered at most: some 150 KB.
 pub const MAX_SUSPECTS: usize = 1_024;
 
 /// Endpoints that are remembered of one suspect: those that it ends while the news of the last
 /// one is under way count too.
-const MAX_ENDED: usize = 8;
+const MAX_CRASHES_KEPT: usize = 8;
 
 /// How long an answer must have been under way for its request to count as one that ran well,
 /// even if it broke off then. What ends its endpoint does so when it begins.
 pub const SUCCESS_AFTER: Duration = Duration::from_secs(1);
 
 /// Suspects that one instance tells another one that knows others: one datagram.
-const WORST: usize = 24;
+const MAX_SENT: usize = 24;
 
 /// How often what is too old is looked for.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -79,19 +79,19 @@
 
 impl Suspect {
     fn hash(&self, fingerprint: Fingerprint) -> u64 {
-        let ended = self.crashed.iter().fold(0, |sum, it| sum ^ it.0);
+        let crashed = self.crashed.iter().fold(0, |sum, it| sum ^ it.0);
         let round = self.round.to_le_bytes();
         stable_hash(&[
             &fingerprint.rank_key().to_le_bytes(),
             &round,
-            &ended.to_le_bytes(),
+            &crashed.to_le_bytes(),
         ])
     }
 
-    fn kept_for(&self) -> Duration {
+    fn ttl(&self) -> Duration {
         match self.crashed.is_empty() {
-            true => CLEARED_FOR,
-            false => REMEMBERED_FOR,
+            true => CLEARED_TTL,
+            false => SUSPECT_TTL,
         }
     }
 }
@@ -102,7 +102,7 @@
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// What [`Ledger::digest`] returns, until something changes.
     digest: Option<u64>,
-    swept: Time,
+    last_sweep: Time,
 }
 
 impl Ledger {
@@ -113,7 +113,7 @@
         };
         match suspect.crashed.len() {
             0 => Standing::Free,
-            ended if ended < MAX_CRASHES => Standing::Suspect,
+            crashes if crashes < MAX_CRASHES => Standing::Suspect,
             _ if now.since(suspect.changed) < REFUSAL_DURATION => Standing::Refused,
             _ => Standing::Suspect,
         }
@@ -148,7 +148,7 @@
         if let Some(digest) = self.digest {
             return digest;
         }
-        let worst = self.ranked().into_iter().take(WORST);
+        let worst = self.ranked().into_iter().take(MAX_SENT);
         let digest = worst.fold(0, |sum, (it, suspect)| sum ^ suspect.hash(*it));
         self.digest = Some(digest);
         digest
@@ -175,14 +175,14 @@
     }
 
     /// Takes in what another instance knows; returns whether that is news.
-    pub fn on_record(&mut self, now: Time, blame: &CrashRecord) -> bool {
-        let age = Duration::from_millis(blame.age_ms.into());
+    pub fn on_record(&mut self, now: Time, record: &CrashRecord) -> bool {
+        let age = Duration::from_millis(record.age_ms.into());
         let changed = now.before(age).unwrap_or(Time::ZERO);
-        let kept = match blame.crashed.is_empty() {
-            true => CLEARED_FOR,
-            false => REMEMBERED_FOR,
+        let ttl = match record.crashed.is_empty() {
+            true => CLEARED_TTL,
+            false => SUSPECT_TTL,
         };
-        age < kept && self.merge(changed, blame.fingerprint, blame.round, &blame.crashed)
+        age < ttl && self.merge(changed, record.fingerprint, record.round, &record.crashed)
     }
 
     fn merge(
@@ -190,7 +190,7 @@
         changed: Time,
         fingerprint: Fingerprint,
         round: u32,
-        ended: &[EndpointKey],
+        crashed: &[EndpointKey],
     ) -> bool {
         let mut suspect = match self.suspects.get(&fingerprint) {
             Some(known) if known.round > round => return false,
@@ -203,9 +203,9 @@
         };
         let before = self.suspects.get(&fingerprint);
         let before = before.map(|it| (it.round, it.crashed.len()));
-        let room = MAX_ENDED.saturating_sub(suspect.crashed.len());
+        let room = MAX_CRASHES_KEPT.saturating_sub(suspect.crashed.len());
         let known = suspect.crashed.clone();
-        let new = ended.iter().filter(|it| !known.contains(it));
+        let new = crashed.iter().filter(|it| !known.contains(it));
         suspect.crashed.extend(new.take(room));
         if before == Some((suspect.round, suspect.crashed.len())) {
             return false;
@@ -235,12 +235,12 @@
 
     /// Forgets what is too old.
     pub fn tick(&mut self, now: Time) {
-        if now.since(self.swept) < SWEEP_INTERVAL {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         let suspects = self.suspects.iter();
-        let old = suspects.filter(|(_, it)| now.since(it.changed) >= it.kept_for());
+        let old = suspects.filter(|(_, it)| now.since(it.changed) >= it.ttl());
         let old: Vec<Fingerprint> = old.map(|(fingerprint, _)| *fingerprint).collect();
         for fingerprint in old {
             self.remove(fingerprint);
@@ -259,8 +259,8 @@
     }
 
     /// Returns what is to be told of the requests of some runs.
-    pub fn records_of(&self, now: Time, turns: &[SuspectRun]) -> Vec<CrashRecord> {
-        let mut all: Vec<Fingerprint> = turns.iter().map(|it| it.fingerprint).collect();
+    pub fn records_of(&self, now: Time, runs: &[SuspectRun]) -> Vec<CrashRecord> {
+        let mut all: Vec<Fingerprint> = runs.iter().map(|it| it.fingerprint).collect();
         all.sort();
         all.dedup();
         all.into_iter()
@@ -271,7 +271,7 @@
     /// Returns what is to be told of the suspects that ended the most endpoints, as much as
     /// fits a datagram.
     pub fn worst(&self, now: Time) -> Vec<CrashRecord> {
-        let worst = self.ranked().into_iter().take(WORST);
+        let worst = self.ranked().into_iter().take(MAX_SENT);
         worst.filter_map(|(it, _)| self.record(now, *it)).collect()
     }
 
--- a/crates/core/src/suspects/run_leases.rs
+++ b/crates/core/src/suspects/run_leases.rs
@@ -23,7 +23,7 @@
 pub struct RunLeases<I> {
     holders: BTreeMap<Fingerprint, Holders<I>>,
     /// Since when it has been listening without a pause.
-    listens_since: Time,
+    grace_since: Time,
 }
 
 impl<I: Ord + Copy> RunLeases<I> {
@@ -31,7 +31,7 @@
     pub fn new(now: Time) -> Self {
         RunLeases {
             holders: BTreeMap::new(),
-            listens_since: now,
+            grace_since: now,
         }
     }
 
@@ -44,10 +44,11 @@
         for it in &report.renew {
             self.renew(now, it.fingerprint, from, it.run);
         }
-        let asks = report.acquire.iter().copied();
-        let (given, waiting) = asks.partition(|it| self.acquire(now, it.fingerprint, from, it.run));
+        let requests = report.acquire.iter().copied();
+        let (granted, waiting) =
+            requests.partition(|it| self.acquire(now, it.fingerprint, from, it.run));
         RunLeaseAnswer {
-            granted: given,
+            granted,
             waiting,
             records: Vec::new(),
         }
@@ -68,7 +69,7 @@
 
     /// Gives a suspect's turn to a run if nobody else has it; returns whether it did.
     pub fn acquire(&mut self, now: Time, fingerprint: Fingerprint, by: I, run: u64) -> bool {
-        if now.since(self.listens_since) < RUN_LEASE_TTL {
+        if now.since(self.grace_since) < RUN_LEASE_TTL {
             return false;
         }
         let holders = self.holders.entry(fingerprint).or_default();
@@ -88,7 +89,7 @@
     /// wakes, and what was said meanwhile may be lost, so that it gives the turn of a suspect
     /// that runs.
     pub fn restart_grace_period(&mut self, now: Time) {
-        self.listens_since = now;
+        self.grace_since = now;
     }
 
     /// Forgets runs of which nothing was heard.
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 
 /// How often a home that has not answered, or gave no turn, is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(10);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How often homes are told of a run that goes on.
-const HOLD_AGAIN: Duration = Duration::from_millis(200);
+const RENEW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Homes that may leave a request unanswered, one after the other, before it is refused: the
 /// first in rank, the next, and the first again.
-const HOMES_ASKED: u32 = 3;
+const MAX_HOME_TIMEOUTS: u32 = 3;
 
 /// A run of a suspect, as instances tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -95,28 +95,28 @@
 
 impl Runs {
     /// Returns an instance that runs nothing, whose homes may take so long to answer.
-    pub fn new(home_patience: Duration) -> Self {
+    pub fn new(home_timeout: Duration) -> Self {
         Runs {
-            home_timeout: home_patience,
+            home_timeout,
             runs: BTreeMap::new(),
             ended: Vec::new(),
         }
     }
 
     /// Takes in a run that begins.
-    pub fn begin(&mut self, turn: SuspectRun) {
+    pub fn begin(&mut self, suspect_run: SuspectRun) {
         let run = Run {
             stage: Stage::Free,
             reported_at: None,
         };
-        let runs = self.runs.entry(turn.fingerprint).or_default();
-        runs.insert(turn.run, run);
+        let runs = self.runs.entry(suspect_run.fingerprint).or_default();
+        runs.insert(suspect_run.run, run);
     }
 
     /// Returns whether a run may be sent to an endpoint now, and asks for its turn where it
     /// needs one.
-    pub fn admit(&mut self, now: Time, turn: SuspectRun, standing: Standing) -> Admission {
-        let Some(run) = self.get(turn) else {
+    pub fn admit(&mut self, now: Time, suspect_run: SuspectRun, standing: Standing) -> Admission {
+        let Some(run) = self.get(suspect_run) else {
             return Admission::Refused;
         };
         match (standing, run.stage) {
@@ -126,12 +126,11 @@
                 Admission::Go
             }
             (Standing::Suspect, Stage::Granted) => Admission::Go,
-            (
-                Standing::Suspect,
-                Stage::Requesting {
-                    timeouts: missed, ..
-                },
-            ) if missed >= HOMES_ASKED => Admission::NoHome,
+            (Standing::Suspect, Stage::Requesting { timeouts, .. })
+                if timeouts >= MAX_HOME_TIMEOUTS =>
+            {
+                Admission::NoHome
+            }
             (Standing::Suspect, Stage::Requesting { .. }) => Admission::Wait,
             (Standing::Suspect, Stage::Free) => {
                 run.stage = Stage::Requesting {
@@ -145,43 +144,43 @@
     }
 
     /// Takes a run out; returns whether homes are to be told.
-    pub fn end(&mut self, turn: SuspectRun) -> bool {
-        let Some(runs) = self.runs.get_mut(&turn.fingerprint) else {
+    pub fn end(&mut self, suspect_run: SuspectRun) -> bool {
+        let Some(runs) = self.runs.get_mut(&suspect_run.fingerprint) else {
             return false;
         };
-        let run = runs.remove(&turn.run);
+        let run = runs.remove(&suspect_run.run);
         if runs.is_empty() {
-            self.runs.remove(&turn.fingerprint);
+            self.runs.remove(&suspect_run.fingerprint);
         }
         let homes_know =
             run.is_some_and(|it| it.reported_at.is_some() || !matches!(it.stage, Stage::Free));
         if homes_know {
-            self.ended.push(turn);
+            self.ended.push(suspect_run);
         }
         homes_know
     }
 
     /// Takes in what a home answered.
     pub fn on_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
-        for &turn in &answer.granted {
-            self.answered(now, turn, true);
+        for &suspect_run in &answer.granted {
+            self.on_home_answer(now, suspect_run, true);
         }
-        for &turn in &answer.waiting {
-            self.answered(now, turn, false);
+        for &suspect_run in &answer.waiting {
+            self.on_home_answer(now, suspect_run, false);
         }
     }
 
-    fn answered(&mut self, now: Time, turn: SuspectRun, given: bool) {
-        let Some(run) = self.get(turn) else { return };
+    fn on_home_answer(&mut self, now: Time, suspect_run: SuspectRun, granted: bool) {
+        let Some(run) = self.get(suspect_run) else {
+            return;
+        };
         if let Stage::Requesting {
-            since,
-            timeouts: missed,
-            ..
+            since, timeouts, ..
         } = &mut run.stage
         {
             *since = now;
-            *missed = 0;
-            if given {
+            *timeouts = 0;
+            if granted {
                 run.stage = Stage::Granted;
             }
         }
@@ -218,30 +217,30 @@
         }
         let runs = self.runs.get_mut(&fingerprint).into_iter().flatten();
         for (&run, state) in runs {
-            let turn = SuspectRun { fingerprint, run };
+            let suspect_run = SuspectRun { fingerprint, run };
             match &mut state.stage {
                 Stage::Requesting {
                     since,
-                    requested_at: asked,
-                    timeouts: missed,
+                    requested_at,
+                    timeouts,
                 } => {
                     if now.since(*since) >= self.home_timeout {
                         due.is_unanswered = true;
-                        *missed += 1;
+                        *timeouts += 1;
                         *since = now;
                     }
-                    if asked.is_none_or(|at| now.since(at) >= ASK_AGAIN) {
-                        *asked = Some(now);
-                        due.acquire.push(turn);
+                    if requested_at.is_none_or(|at| now.since(at) >= REQUEST_INTERVAL) {
+                        *requested_at = Some(now);
+                        due.acquire.push(suspect_run);
                     }
                 }
                 Stage::Free | Stage::Granted => {
                     if state
                         .reported_at
-                        .is_none_or(|at| now.since(at) >= HOLD_AGAIN)
+                        .is_none_or(|at| now.since(at) >= RENEW_INTERVAL)
                     {
                         state.reported_at = Some(now);
-                        due.renew.push(turn);
+                        due.renew.push(suspect_run);
                     }
                 }
             }
@@ -249,7 +248,9 @@
         due
     }
 
-    fn get(&mut self, turn: SuspectRun) -> Option<&mut Run> {
-        self.runs.get_mut(&turn.fingerprint)?.get_mut(&turn.run)
+    fn get(&mut self, suspect_run: SuspectRun) -> Option<&mut Run> {
+        self.runs
+            .get_mut(&suspect_run.fingerprint)?
+            .get_mut(&suspect_run.run)
     }
 }
