--- a/crates/core/src/gateway/state/suspects.rs
+++ b/crates/core/src/gateway/state/suspects.rs
@@ -1,4 +1,4 @@
-//! What this instance believes of suspects, and what follows for its requests.
+//! How suspects restrict the requests of this instance.
 
 use super::{Gateway, Placement};
 use crate::fingerprint::Fingerprint;
@@ -13,7 +13,7 @@
 use std::net::SocketAddrV4;
 
 impl Gateway {
-    /// Takes in a request that is going to run; it is taken out by [`Gateway::end_run`].
+    /// Registers a request that is about to run; [`Gateway::end_run`] removes it.
     pub fn begin_run(&mut self, fingerprint: Fingerprint) -> SuspectRun {
         let run = SuspectRun {
             fingerprint,
@@ -23,42 +23,42 @@
         run
     }
 
-    /// Takes a request out that runs no longer; returns whether its homes are to be told soon.
+    /// Removes a request that no longer runs; returns whether its homes must be notified soon.
     pub fn end_run(&mut self, run: SuspectRun) -> bool {
         self.suspects.runs.end(run)
     }
 
-    /// Returns whether a request may be sent to an endpoint now. A suspect that has no turn asks
-    /// for it.
+    /// Returns whether a request may be sent to an endpoint now. A suspect without a lease begins
+    /// to request one.
     pub fn admit_run(&mut self, now: Time, run: SuspectRun) -> Admission {
         let standing = self.suspects.ledger.standing(now, run.fingerprint);
         self.suspects.runs.admit(now, run, standing)
     }
 
-    /// Returns whether a request is refused, so that it must not go on anywhere.
+    /// Returns whether a request is refused, so that it must not run anywhere.
     pub fn is_refused(&self, now: Time, fingerprint: Fingerprint) -> bool {
         self.suspects.ledger.standing(now, fingerprint) == Standing::Refused
     }
 
-    /// Notes that a request ran well.
+    /// Records that a request ran successfully.
     ///
-    /// What goes wrong otherwise: a request that was at three engines when they lost their
-    /// power is refused, though it is none that ends engines.
+    /// Without this, a popular request that was running at three engines when they lost power is
+    /// refused, although it crashes no engines.
     pub fn on_run_succeeded(&mut self, now: Time, fingerprint: Fingerprint) {
         if self.suspects.ledger.clear(now, fingerprint) {
             self.gossip_crash_record(now, fingerprint);
         }
     }
 
-    /// Returns how many endpoints a request is known to have ended.
+    /// Returns how many endpoints a request is known to have crashed.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         self.suspects.ledger.crash_count(fingerprint)
     }
 
-    /// Notes that an endpoint ended together with its connection; returns whether that is
-    /// news of the request.
+    /// Records that an endpoint crashed together with its connection; returns whether that changed
+    /// the request's record.
     ///
-    /// An endpoint that was known to leave ended as it said it would, and nobody is to blame.
+    /// An endpoint that was known to leave ended as announced, so that no request is to blame.
     pub fn on_endpoint_crash(
         &mut self,
         now: Time,
@@ -72,8 +72,8 @@
         self.record_crash(now, fingerprint, place.key)
     }
 
-    /// Keeps in mind that the connection to an endpoint ended, and that it cannot be told yet
-    /// whether the endpoint did.
+    /// Remembers that the connection to an endpoint was lost while it is still unknown whether the
+    /// endpoint crashed.
     pub fn on_connection_lost(&mut self, now: Time, fingerprint: Fingerprint, place: &Placement) {
         if self.leaving_since(place.key).is_none() {
             self.suspects
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Notes that endpoints ended, or left without a word; what was kept in mind of them is now
-    /// certain.
+    /// Records that endpoints ended or left without notice. Requests that lost a connection to one
+    /// of them are recorded as having crashed it.
     pub fn on_endpoints_lost(&mut self, now: Time, endpoints: &[EndpointKey]) {
         for &endpoint in endpoints {
             for fingerprint in self.suspects.take_lost_connections(endpoint) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Takes in what another instance knows of suspects.
+    /// Merges the crash records of another instance.
     pub(super) fn on_crash_records(&mut self, now: Time, records: &[CrashRecord]) {
         for record in records {
             if self.suspects.ledger.on_record(now, record) {
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Tells an instance that knows other suspects of those that ended the most endpoints: it
-    /// has just started, or was cut off.
+    /// Sends the worst suspects to an instance whose ledger differs: it has just started, or was
+    /// partitioned.
     pub(super) fn send_suspects(
         &mut self,
         now: Time,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Tells the homes of suspects what this instance runs and asks for; returns whether a
-    /// request of this instance may have its turn.
+    /// Sends the homes of suspects the runs of this instance and its lease requests; returns
+    /// whether a request of this instance may have been granted its lease.
     pub(super) fn report_runs(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
         if self.suspects.has_nothing_to_report() {
             return false;
@@ -187,7 +187,7 @@
         decided
     }
 
-    /// Takes in what an instance runs and asks for, as the home of it.
+    /// Handles a report of runs and lease requests, as the home of suspects.
     pub(super) fn on_run_lease_report(
         &mut self,
         now: Time,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Takes in what the home of suspects answered.
+    /// Handles the answer of a suspect's home.
     pub(super) fn on_run_lease_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
         self.on_crash_records(now, &answer.records);
         self.suspects.runs.on_answer(now, answer);
--- a/crates/core/src/gateway/suspects.rs
+++ b/crates/core/src/gateway/suspects.rs
@@ -1,9 +1,9 @@
-//! Suspects, as the instances of a fleet tell each other of them.
+//! What one instance knows of suspects.
 //!
-//! The decisions are those of [`crate::suspects`]; here they meet endpoints, members and
-//! messages. News of what a request ended is told as all other news is
-//! ([`gossip`](super::gossip)); the turn of a suspect is asked of its home, which is found as
-//! the home of a service is.
+//! The rules are those of [`crate::suspects`]; here they are connected to endpoints, members and
+//! messages. Crash records are spread by [`gossip`](super::gossip). The lease of a suspect's run is
+//! requested from its home: the instance that decides for a key, chosen by rendezvous hashing, as
+//! for a service.
 
 use super::ask::HOME_PATIENCE;
 use crate::fingerprint::Fingerprint;
@@ -13,18 +13,18 @@
 use core::time::Duration;
 use std::net::SocketAddrV4;
 
-/// How long a request whose connection ended is kept in mind, when it could not be told whether
-/// its endpoint ended too: the entry of one that did lapses within some 4 s.
+/// How long a lost connection is remembered if it is unknown whether its endpoint crashed: the
+/// record of a crashed endpoint expires from the store within some 4 s.
 const LOST_CONNECTION_TTL: Duration = Duration::from_secs(10);
 
-/// Such requests that are kept in mind at most.
+/// Bound on the lost connections that are remembered.
 const MAX_LOST_CONNECTIONS: usize = 256;
 
-/// How often an instance that knows other suspects is told at once of those that ended the
-/// most endpoints.
+/// Minimum interval between two full transfers of the worst suspects to instances whose ledger
+/// differs.
 pub(super) const SEND_ALL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A request whose connection ended, with its endpoint.
+/// A lost connection to an endpoint that may have crashed.
 #[derive(Clone, Copy, Debug)]
 struct LostConnection {
     at: Time,
@@ -32,26 +32,26 @@
     endpoint: EndpointKey,
 }
 
-/// All that an instance knows of suspects.
+/// Everything that an instance knows of suspects.
 #[derive(Clone, Debug)]
 pub struct Suspects {
-    /// Which requests ended which endpoints.
+    /// Which requests crashed which endpoints.
     pub ledger: Ledger,
-    /// What this instance runs.
+    /// The runs of this instance.
     pub(super) runs: Runs,
-    /// What this instance knows as a home.
+    /// The leases that this instance grants as a home.
     pub(super) run_leases: RunLeases<SocketAddrV4>,
-    /// Connections that ended, of which it is not known whether their endpoint did.
+    /// Lost connections of which it is unknown whether their endpoint crashed.
     lost_connections: Vec<LostConnection>,
-    /// When an instance was told at once of all suspects.
+    /// When the worst suspects were last sent to another instance.
     pub(super) all_sent_at: Option<Time>,
-    /// Whether the ledger has changed since those who wait were told.
+    /// Whether the ledger has changed since waiting requests were notified.
     changed: bool,
     last_tick: Time,
 }
 
 impl Suspects {
-    /// Returns an instance that knows of none.
+    /// Returns an instance that knows no suspects.
     pub fn new(now: Time) -> Self {
         Suspects {
             ledger: Ledger::default(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Keeps in mind that a connection ended.
+    /// Remembers a lost connection.
     pub(super) fn record_lost_connection(
         &mut self,
         now: Time,
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns the requests whose connection to `endpoint` ended, now that it is known to have
-    /// ended itself.
+    /// Removes and returns the requests that lost their connection to `endpoint`, once it is known
+    /// that it crashed.
     pub(super) fn take_lost_connections(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
         let (lost, rest): (Vec<LostConnection>, Vec<LostConnection>) =
             core::mem::take(&mut self.lost_connections)
@@ -91,22 +91,23 @@
         lost.into_iter().map(|it| it.fingerprint).collect()
     }
 
-    /// Notes that the ledger has changed.
+    /// Marks the ledger as changed.
     pub(super) fn note_changed(&mut self) {
         self.changed = true;
     }
 
-    /// Returns whether the ledger has changed since this was asked last.
+    /// Returns whether the ledger has changed since the last call.
     pub(super) fn take_changed(&mut self) -> bool {
         core::mem::take(&mut self.changed)
     }
 
-    /// Returns whether homes have nothing to hear: nobody is suspected.
+    /// Returns whether homes need no report, because there are no suspects.
     pub(super) fn has_nothing_to_report(&self) -> bool {
         self.ledger.is_empty() && self.runs.no_run_ended()
     }
 
-    /// Lets time pass.
+    /// Removes what has expired, and restarts the grace period of leases after a pause of this
+    /// process.
     pub(super) fn tick(&mut self, now: Time) {
         if now.since(self.last_tick) >= RUN_LEASE_TTL {
             self.run_leases.restart_grace_period(now);
--- a/crates/core/src/suspects.rs
+++ b/crates/core/src/suspects.rs
@@ -1,21 +1,23 @@
-//! Requests that end the endpoints that begin them.
+//! Requests that crash the endpoints that run them.
 //!
-//! What goes wrong without it: a request that makes its endpoint crash comes again, through
-//! any instance, and ends one endpoint after the other, each with all that runs there.
+//! Without this, a request that makes its endpoint crash is retried through any instance and
+//! crashes one endpoint after the other, each with everything that runs there.
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | `ledger` | which requests ended which endpoints, and whether they may run |
-//! | `message` | what instances and homes tell each other |
-//! | `runs` | what this instance runs of suspects, and what it asks of their home |
-//! | `run_leases` | what the home of a suspect knows: who runs it now |
+//! | `ledger` | which requests crashed which endpoints, and whether they may run |
+//! | `message` | messages between instances and homes |
+//! | `run_leases` | what the home of a suspect knows: which run holds the lease |
+//! | `runs` | the runs of this instance, and the leases that it requests |
 //!
-//! A request that ended one endpoint is a *suspect*: it runs at one endpoint at a time in the
-//! whole fleet, so that what it does there is known before it is sent to the next. One that
-//! ended [`MAX_CRASHES`] of them is refused. One that ran well is no suspect any more.
+//! A request that crashed one endpoint is a *suspect*: it runs at one endpoint at a time in the
+//! entire fleet, so that its effect there is known before it is sent to the next. The permission to
+//! run is a lease, which the suspect's home grants: the instance that decides for a key, chosen by
+//! rendezvous hashing. A request that crashed [`MAX_CRASHES`] endpoints is refused. One that
+//! completed a run successfully is no longer a suspect.
 //!
-//! Nothing here knows how messages travel; `docs/design/suspects.md` weighs the design and
-//! says how likely it is that an innocent request is refused.
+//! Nothing here depends on the transport; `docs/design/suspects.md` weighs the design and says how
+//! likely it is that an innocent request is refused.
 
 mod ledger;
 mod message;
--- a/crates/core/src/suspects/ledger.rs
+++ b/crates/core/src/suspects/ledger.rs
@@ -1,9 +1,8 @@
-//! Which requests ended which endpoints.
+//! Which requests crashed which endpoints.
 //!
-//! What is known of a request is a set of endpoints, and merges without order: two instances
-//! that saw the same end count it once, and a message that is lost or comes twice changes
-//! nothing. A request that ran well begins a new round with an empty set, which goes before all
-//! sets of earlier rounds.
+//! A record holds a set of endpoints and is merged as a set union: two instances that saw the same
+//! crash count it once, and lost or duplicate messages do no harm. A request that succeeds begins a
+//! new round with an empty set, which replaces all sets of earlier rounds.
 
 use super::SuspectRun;
 use crate::fingerprint::Fingerprint;
@@ -13,59 +12,59 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Endpoints that a request may end before it is refused. One end may be the endpoint's own and
-/// two may be bad luck.
+/// Number of endpoint crashes from which on a request is refused. One crash may be the endpoint's
+/// own fault and two may be coincidence.
 pub const MAX_CRASHES: usize = 3;
 
-/// How long a request is refused after the last endpoint that it ended. Then one attempt is let
-/// through, alone, since a later release of the endpoint may bear it.
+/// How long a request is refused after its last endpoint crash. Then one attempt at a time is
+/// admitted again, since a later release of the endpoint may withstand it.
 pub const REFUSAL_DURATION: Duration = Duration::from_secs(300);
 
-/// How long a suspect is remembered after the last endpoint that it ended.
+/// How long a suspect is remembered after its last endpoint crash.
 const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
 
-/// How long it is remembered that a request ran well. News of what it was blamed for before
-/// travels no longer than that.
+/// How long a success is remembered. Older crash records of the request are not gossiped for longer
+/// than that.
 const CLEARED_TTL: Duration = Duration::from_secs(60);
 
-/// Suspects that are remembered at most: some 150 KB.
+/// Bound on the suspects that are remembered; they take some 150 KB.
 pub const MAX_SUSPECTS: usize = 1_024;
 
-/// Endpoints that are remembered of one suspect: those that it ends while the news of the last
-/// one is under way count too.
+/// Bound on the crashed endpoints that are remembered of one suspect. Crashes that happen while the
+/// gossip about the previous one is still spreading count too.
 const MAX_CRASHES_KEPT: usize = 8;
 
-/// How long an answer must have been under way for its request to count as one that ran well,
-/// even if it broke off then. What ends its endpoint does so when it begins.
+/// How long a response must have been streaming for its request to count as successful, even if it
+/// breaks off then. A request that crashes its endpoint does so when it begins.
 pub const SUCCESS_AFTER: Duration = Duration::from_secs(1);
 
-/// Suspects that one instance tells another one that knows others: one datagram.
+/// Suspects that are sent to an instance whose ledger differs: they fit one datagram.
 const MAX_SENT: usize = 24;
 
-/// How often what is too old is looked for.
+/// Interval at which expired suspects are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is told of one request.
+/// What is known about one request, as sent between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// How often it ran well after it had been blamed.
+    /// How often the request succeeded after it had become a suspect.
     pub round: u32,
-    /// The endpoints that it ended since then.
+    /// The endpoints that it crashed since then.
     pub crashed: Vec<EndpointKey>,
-    /// Milliseconds since the last change of this, as the sender knows it.
+    /// Milliseconds since the record last changed, as the sender knows it.
     pub age_ms: u32,
 }
 
 /// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It may.
+    /// It may run.
     Free,
-    /// It may where it runs nowhere else.
+    /// It may run if it runs nowhere else.
     Suspect,
-    /// It may not.
+    /// It may not run.
     Refused,
 }
 
@@ -73,7 +72,7 @@
 struct Suspect {
     round: u32,
     crashed: BTreeSet<EndpointKey>,
-    /// When the last change happened.
+    /// When the record last changed.
     changed: Time,
 }
 
@@ -96,11 +95,11 @@
     }
 }
 
-/// All requests that are known to have ended endpoints.
+/// All requests that are known to have crashed endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// What [`Ledger::digest`] returns, until something changes.
+    /// The value of [`Ledger::digest`], until something changes.
     digest: Option<u64>,
     last_sweep: Time,
 }
@@ -119,12 +118,12 @@
         }
     }
 
-    /// Returns whether nothing is known of anybody.
+    /// Returns whether no request is known.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns how many endpoints a request is known to have ended.
+    /// Returns how many endpoints a request is known to have crashed.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(0, |it| it.crashed.len())
@@ -141,9 +140,9 @@
         })
     }
 
-    /// Returns a hash of the suspects that [`Ledger::worst`] tells of, equal where two
-    /// instances would tell each other the same. What is left out must not count: they would
-    /// tell each other the same again and again.
+    /// Returns a hash of the suspects that [`Ledger::worst`] returns, equal where two instances
+    /// would send each other the same records. Suspects beyond that limit must not count: the
+    /// instances would send each other the same records again and again.
     pub fn digest(&mut self) -> u64 {
         if let Some(digest) = self.digest {
             return digest;
@@ -154,7 +153,7 @@
         digest
     }
 
-    /// Notes that a request ended an endpoint; returns whether that is news.
+    /// Records that a request crashed an endpoint; returns whether that was unknown.
     pub fn record_crash(
         &mut self,
         now: Time,
@@ -165,7 +164,7 @@
         self.merge(now, fingerprint, round, &[endpoint])
     }
 
-    /// Notes that a request ran well; returns whether that is news.
+    /// Records that a request succeeded; returns whether that changed its record.
     pub fn clear(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let known = self.suspects.get(&fingerprint);
         let Some(round) = known.filter(|it| !it.crashed.is_empty()).map(|it| it.round) else {
@@ -174,7 +173,7 @@
         self.merge(now, fingerprint, round.saturating_add(1), &[])
     }
 
-    /// Takes in what another instance knows; returns whether that is news.
+    /// Merges a record of another instance; returns whether it changed anything.
     pub fn on_record(&mut self, now: Time, record: &CrashRecord) -> bool {
         let age = Duration::from_millis(record.age_ms.into());
         let changed = now.before(age).unwrap_or(Time::ZERO);
@@ -224,7 +223,7 @@
         self.suspects.remove(&fingerprint);
     }
 
-    /// Removes the suspect that ended the fewest endpoints, and of these the oldest.
+    /// Removes the suspect with the fewest crashes, and of these the oldest.
     fn remove_least(&mut self) {
         let rank = |it: &Suspect| (it.crashed.len(), it.changed);
         let least = self.suspects.iter().min_by_key(|(_, it)| rank(it));
@@ -233,7 +232,7 @@
         }
     }
 
-    /// Forgets what is too old.
+    /// Removes what has expired.
     pub fn tick(&mut self, now: Time) {
         if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
@@ -247,7 +246,7 @@
         }
     }
 
-    /// Returns what is to be told of a request.
+    /// Returns the record of a request, to be sent to other instances.
     pub fn record(&self, now: Time, fingerprint: Fingerprint) -> Option<CrashRecord> {
         let suspect = self.suspects.get(&fingerprint)?;
         Some(CrashRecord {
@@ -258,7 +257,7 @@
         })
     }
 
-    /// Returns what is to be told of the requests of some runs.
+    /// Returns the records of the requests of some runs.
     pub fn records_of(&self, now: Time, runs: &[SuspectRun]) -> Vec<CrashRecord> {
         let mut all: Vec<Fingerprint> = runs.iter().map(|it| it.fingerprint).collect();
         all.sort();
@@ -268,15 +267,15 @@
             .collect()
     }
 
-    /// Returns what is to be told of the suspects that ended the most endpoints, as much as
-    /// fits a datagram.
+    /// Returns the records of the suspects that crashed the most endpoints, as many as fit a
+    /// datagram.
     pub fn worst(&self, now: Time) -> Vec<CrashRecord> {
         let worst = self.ranked().into_iter().take(MAX_SENT);
         worst.filter_map(|(it, _)| self.record(now, *it)).collect()
     }
 
-    /// Returns all, those first that ended the most endpoints. Equals go by fingerprint, which
-    /// is the same at all instances, and not by age, which is not.
+    /// Returns all suspects, those with the most crashes first. Ties are broken by fingerprint,
+    /// which is the same at all instances, and not by age, which is not.
     fn ranked(&self) -> Vec<(&Fingerprint, &Suspect)> {
         let mut all: Vec<_> = self.suspects.iter().collect();
         all.sort_by_key(|(_, it)| core::cmp::Reverse(it.crashed.len()));
--- a/crates/core/src/suspects/message.rs
+++ b/crates/core/src/suspects/message.rs
@@ -1,32 +1,32 @@
-//! What instances tell the homes of suspects, and what these answer.
+//! Messages between instances and the homes of suspects.
 //!
-//! Both carry what the sender knows of the suspects in question. What goes wrong otherwise:
-//! a run ends its endpoint and gives its turn back; the next one has the turn some milliseconds
-//! later, before it hears by the usual ways that this was the third.
+//! Both carry the sender's crash records of the suspects in question. Without them, a run that
+//! crashes its endpoint releases its lease, and the next run is granted the lease some milliseconds
+//! later, before gossip has informed its instance that this was the third crash.
 
 use super::{CrashRecord, SuspectRun};
 use serde::{Deserialize, Serialize};
 
-/// What an instance tells the home of a suspect and the next in rank.
+/// What an instance reports to the home of a suspect and to the next in rank.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLeaseReport {
-    /// Runs that ask the receiver for their turn.
+    /// Runs that request a lease from the receiver.
     pub acquire: Vec<SuspectRun>,
-    /// Runs that go on.
+    /// Runs that continue and renew their lease.
     pub renew: Vec<SuspectRun>,
-    /// Runs that ended.
+    /// Runs that ended and release their lease.
     pub release: Vec<SuspectRun>,
-    /// What the sender knows of these requests.
+    /// The sender's crash records of these requests.
     pub records: Vec<CrashRecord>,
 }
 
-/// What the home of a suspect answers.
+/// The answer of a suspect's home.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLeaseAnswer {
-    /// Runs that have the turn now.
+    /// Runs that hold the lease now.
     pub granted: Vec<SuspectRun>,
-    /// Runs that have to wait, since another one has it.
+    /// Runs that have to wait, since another one holds the lease.
     pub waiting: Vec<SuspectRun>,
-    /// What the home knows of these requests.
+    /// The home's crash records of these requests.
     pub records: Vec<CrashRecord>,
 }
--- a/crates/core/src/suspects/run_leases.rs
+++ b/crates/core/src/suspects/run_leases.rs
@@ -1,9 +1,8 @@
-//! Who runs a suspect now, as the home of the suspect knows it.
+//! Leases for runs of suspects, as the home of a suspect grants them.
 //!
-//! The home is one instance, the same for all by rendezvous hashing. Whoever runs a suspect
-//! says so to the home and to the next in rank, again and again, so that a home that ends is
-//! followed by one that knows. One that has just begun to listen gives no turn until it must
-//! have heard of all who run.
+//! Every instance that runs a suspect reports this repeatedly to the home and to the next in rank,
+//! so that a home that fails is followed by one that knows the holders. A home that has just
+//! started grants no lease until it must have received a report from all holders.
 
 use super::{RunLeaseAnswer, RunLeaseReport};
 use crate::fingerprint::Fingerprint;
@@ -11,23 +10,22 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// How long the word of an instance that runs a suspect is believed: some four of its messages
-/// in a row may be lost.
+/// Time to live of a lease. Some four reports of its holder in a row may be lost.
 pub const RUN_LEASE_TTL: Duration = Duration::from_millis(1_000);
 
-/// Runs of one suspect: by whom, by its number there, and until when that is believed.
+/// Holders of one suspect: the instance, the number of the run there, and when the lease expires.
 type Holders<I> = BTreeMap<(I, u64), Time>;
 
-/// The runs of all suspects whose home this instance is, or may become.
+/// The leases of all suspects whose home this instance is, or may become.
 #[derive(Clone, Debug)]
 pub struct RunLeases<I> {
     holders: BTreeMap<Fingerprint, Holders<I>>,
-    /// Since when it has been listening without a pause.
+    /// Start of the grace period: since when reports have been received without a pause.
     grace_since: Time,
 }
 
 impl<I: Ord + Copy> RunLeases<I> {
-    /// Returns a home that listens from now on.
+    /// Returns a home whose grace period begins now.
     pub fn new(now: Time) -> Self {
         RunLeases {
             holders: BTreeMap::new(),
@@ -35,8 +33,8 @@
         }
     }
 
-    /// Takes in what an instance runs and asks for. What is known of the suspects goes by the
-    /// [`Ledger`](super::Ledger).
+    /// Applies an instance's report and answers its requests. Crash records are not handled here
+    /// but by the [`Ledger`](super::Ledger).
     pub fn on_report(&mut self, now: Time, from: I, report: &RunLeaseReport) -> RunLeaseAnswer {
         for it in &report.release {
             self.release(it.fingerprint, from, it.run);
@@ -54,27 +52,28 @@
         }
     }
 
-    /// Notes that an instance runs a suspect.
+    /// Records that an instance runs a suspect.
     pub fn renew(&mut self, now: Time, fingerprint: Fingerprint, by: I, run: u64) {
         let holders = self.holders.entry(fingerprint).or_default();
         holders.insert((by, run), now + RUN_LEASE_TTL);
     }
 
-    /// Notes that a run ended.
+    /// Records that a run ended.
     pub fn release(&mut self, fingerprint: Fingerprint, by: I, run: u64) {
         if let Some(holders) = self.holders.get_mut(&fingerprint) {
             holders.remove(&(by, run));
         }
     }
 
-    /// Gives a suspect's turn to a run if nobody else has it; returns whether it did.
+    /// Grants the lease to a run if no other run holds it; returns whether it did.
     pub fn acquire(&mut self, now: Time, fingerprint: Fingerprint, by: I, run: u64) -> bool {
         if now.since(self.grace_since) < RUN_LEASE_TTL {
             return false;
         }
         let holders = self.holders.entry(fingerprint).or_default();
         holders.retain(|_, until| now < *until);
-        // Who asks does not run: two that wait must not wait for each other.
+        // A run that requests the lease does not run now. Otherwise two waiting runs would wait for
+        // each other.
         holders.remove(&(by, run));
         let is_free = holders.is_empty();
         if is_free {
@@ -83,16 +82,15 @@
         is_free
     }
 
-    /// Begins to listen anew after a pause.
+    /// Starts the grace period again after a pause of this process.
     ///
-    /// What goes wrong otherwise with a home that was frozen: all it knows is over when it
-    /// wakes, and what was said meanwhile may be lost, so that it gives the turn of a suspect
-    /// that runs.
+    /// Without this, a home that was frozen finds all its leases expired when it resumes, while
+    /// renewals sent meanwhile may be lost: it would grant the lease of a suspect that is running.
     pub fn restart_grace_period(&mut self, now: Time) {
         self.grace_since = now;
     }
 
-    /// Forgets runs of which nothing was heard.
+    /// Removes expired leases.
     pub fn tick(&mut self, now: Time) {
         for holders in self.holders.values_mut() {
             holders.retain(|_, until| now < *until);
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -1,4 +1,4 @@
-//! What this instance runs, and what it asks of the homes of suspects.
+//! The runs of this instance, and the leases that it requests from the homes of suspects.
 
 use super::{RunLeaseAnswer, Standing};
 use crate::fingerprint::Fingerprint;
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How often a home that has not answered, or gave no turn, is asked again.
+/// Interval at which a home that has not answered, or granted no lease, is asked again.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often homes are told of a run that goes on.
+/// Interval at which homes are notified that a run continues.
 const RENEW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Homes that may leave a request unanswered, one after the other, before it is refused: the
-/// first in rank, the next, and the first again.
+/// Home timeouts in a row after which a request is refused: the first home in rank, the next, and
+/// the first again.
 const MAX_HOME_TIMEOUTS: u32 = 3;
 
-/// A run of a suspect, as instances tell each other.
+/// A run of a suspect, as sent between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SuspectRun {
     /// The request.
@@ -26,14 +26,14 @@
     pub run: u64,
 }
 
-/// What a request goes by before it is sent to an endpoint.
+/// Whether a request may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It may be sent.
     Go,
-    /// It is a suspect, and waits for its turn.
+    /// It is a suspect and waits for its lease.
     Wait,
-    /// It is a suspect, and no home answers that could give it a turn.
+    /// It is a suspect, and no home answers that could grant a lease.
     NoHome,
     /// It is refused.
     Refused,
@@ -41,43 +41,43 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// It runs without a turn: it was no suspect when it began.
+    /// It runs without a lease: it was no suspect when it began.
     Free,
-    /// It asks for a turn.
+    /// It requests a lease.
     Requesting {
-        /// Since when the present home may answer.
+        /// Start of the timeout of the current home.
         since: Time,
-        /// When a home was asked last.
+        /// When a home was last sent the request.
         requested_at: Option<Time>,
-        /// Homes that did not answer since one did.
+        /// Homes that timed out in a row.
         timeouts: u32,
     },
-    /// It has the turn.
+    /// It holds the lease.
     Granted,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
     stage: Stage,
-    /// When homes were told last that it runs.
+    /// When homes were last notified that it runs.
     reported_at: Option<Time>,
 }
 
-/// What homes are to be told of one request.
+/// What homes must be sent about one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
-    /// Runs that ask the present home for the turn.
+    /// Runs that request a lease from the current home.
     pub acquire: Vec<SuspectRun>,
-    /// Runs that go on.
+    /// Runs that continue.
     pub renew: Vec<SuspectRun>,
     /// Runs that ended.
     pub release: Vec<SuspectRun>,
-    /// Whether the present home did not answer in time.
+    /// Whether the current home did not answer in time.
     pub is_unanswered: bool,
 }
 
 impl Due {
-    /// Returns whether there is nothing to tell.
+    /// Returns whether there is nothing to send.
     pub fn is_empty(&self) -> bool {
         self.acquire.is_empty() && self.renew.is_empty() && self.release.is_empty()
     }
@@ -89,12 +89,12 @@
     /// How long a home may take to answer before the next in rank is asked.
     home_timeout: Duration,
     runs: BTreeMap<Fingerprint, BTreeMap<u64, Run>>,
-    /// Runs that ended and of which homes had been told.
+    /// Ended runs that homes know of.
     ended: Vec<SuspectRun>,
 }
 
 impl Runs {
-    /// Returns an instance that runs nothing, whose homes may take so long to answer.
+    /// Returns an instance without runs. `home_timeout` is the time that a home has to answer.
     pub fn new(home_timeout: Duration) -> Self {
         Runs {
             home_timeout,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes in a run that begins.
+    /// Adds a run that begins.
     pub fn begin(&mut self, suspect_run: SuspectRun) {
         let run = Run {
             stage: Stage::Free,
@@ -113,7 +113,7 @@
         runs.insert(suspect_run.run, run);
     }
 
-    /// Returns whether a run may be sent to an endpoint now, and asks for its turn where it
+    /// Returns whether a run may be sent to an endpoint now, and begins to request a lease if it
     /// needs one.
     pub fn admit(&mut self, now: Time, suspect_run: SuspectRun, standing: Standing) -> Admission {
         let Some(run) = self.get(suspect_run) else {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Takes a run out; returns whether homes are to be told.
+    /// Removes a run; returns whether homes must be notified.
     pub fn end(&mut self, suspect_run: SuspectRun) -> bool {
         let Some(runs) = self.runs.get_mut(&suspect_run.fingerprint) else {
             return false;
@@ -160,7 +160,7 @@
         homes_know
     }
 
-    /// Takes in what a home answered.
+    /// Applies the answer of a home.
     pub fn on_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
         for &suspect_run in &answer.granted {
             self.on_home_answer(now, suspect_run, true);
@@ -186,18 +186,18 @@
         }
     }
 
-    /// Returns whether no home is to be told of the end of a run.
+    /// Returns whether no home must be notified of the end of a run.
     pub fn no_run_ended(&self) -> bool {
         self.ended.is_empty()
     }
 
-    /// Returns whether a run waits for a home.
+    /// Returns whether a run waits for a lease.
     pub fn any_waiting(&self) -> bool {
         let mut runs = self.runs.values().flat_map(BTreeMap::values);
         runs.any(|it| matches!(it.stage, Stage::Requesting { .. }))
     }
 
-    /// Returns the requests of which homes may have to be told.
+    /// Returns the requests about which homes may have to be notified.
     pub fn fingerprints(&self) -> Vec<Fingerprint> {
         let ended = self.ended.iter().map(|it| it.fingerprint);
         let mut all: Vec<Fingerprint> = self.runs.keys().copied().chain(ended).collect();
@@ -206,7 +206,7 @@
         all
     }
 
-    /// Returns what homes are to be told of a request now.
+    /// Returns what homes must be sent about a request now.
     pub fn due(&mut self, now: Time, fingerprint: Fingerprint, standing: Standing) -> Due {
         let mut due = Due::default();
         let is_of = |it: &SuspectRun| it.fingerprint == fingerprint;
