--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -1,10 +1,11 @@
-//! What the home of a service's engines knows, and how it gives away their room.
+//! The home of a service's engines, and how it grants their room.
 //!
-//! Instances report what they run and what they wait for ([`ask`](super::ask)). The home keeps
-//! the last report of each, works out who is next ([`queue`](super::queue)) and reserves what
-//! it grants until the instance's next report shows it. An instance that falls silent is forgotten
-//! after a second, with its use, its placement requests and its reservations: a frozen instance
-//! must hold nobody up for longer.
+//! The home is the instance that decides for a key, chosen by rendezvous hashing. Instances report
+//! what they run and which placements they request ([`ask`](super::ask)). The home keeps the last
+//! report of each instance, decides whose request is next ([`queue`](super::queue)) and reserves
+//! what it grants until a report of the instance includes it. The report of an instance expires
+//! after a second, with its usage, its placement requests and its reservations, so that a frozen
+//! instance holds nobody up for longer.
 
 mod ejections;
 mod message;
@@ -26,17 +27,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How often an instance reports that has something at the engines of a service, though nothing
-/// changed.
+/// Interval at which an instance that uses or requests engines of a service reports, even if
+/// nothing changed.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long the word of an instance is believed: two reports in a row may be lost.
+/// Time to live of a report: two reports in a row may be lost.
 pub const REPORT_TTL: Duration = Duration::from_millis(1_000);
 
-/// How often one instance is told what others run. It goes by that only where no home answers.
+/// Minimum interval at which one instance is sent what other instances run. It uses that only where
+/// no home answers.
 const VIEW_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of one instance.
+/// The last report of one instance.
 #[derive(Clone, Debug)]
 struct Reporter {
     incarnation: Incarnation,
@@ -46,29 +48,29 @@
     used: Vec<(EndpointKey, Used)>,
     failing: Vec<EndpointKey>,
     ejected: Vec<EndpointKey>,
-    /// How many instances it knows, those that were lost included.
+    /// How many instances it knows, recently lost ones included.
     known: u32,
     requests: Vec<PlacementRequest>,
-    /// Whether this instance is to decide about the placement requests.
+    /// Whether this instance is the one to decide about the placement requests.
     decides: bool,
-    /// Whether an answer is due even if nothing was decided anew.
+    /// Whether an answer is due even if all requests stay queued.
     owes_answer: bool,
     view_sent_at: Option<Time>,
-    /// What was granted and is not in a report yet.
+    /// Grants that no report includes yet.
     reserved: BTreeMap<u64, (EndpointKey, Used)>,
 }
 
-/// The instances that reported about one service.
+/// The instances that report about one service.
 #[derive(Clone, Debug, Default)]
 pub struct Home {
     reporters: BTreeMap<SocketAddrV4, Reporter>,
-    /// Engines that instances could not use lately.
+    /// Engines that instances recently found unusable.
     ejections: Ejections,
-    /// Requests that were granted at engines that bear few.
+    /// Requests granted at engines with a rate limit.
     limited_grants: SlidingCount,
 }
 
-/// What was decided, by the instance that is to be told.
+/// Decisions by the instance to which they are sent.
 type Decisions = BTreeMap<SocketAddrV4, Vec<(u64, Decision)>>;
 
 /// What a home needs to know of a service to decide.
@@ -76,22 +78,23 @@
 pub struct Engines<'a> {
     /// The service's name.
     pub service: &'a str,
-    /// What its engines bear.
+    /// The capacity of its engines.
     pub limits: EngineLimits,
     /// All endpoints.
     pub endpoints: &'a EndpointTable,
-    /// What its engines bear while they are cold, if that is less.
+    /// The capacity of its engines while they are cold, if that is less.
     pub cold: Option<ColdLimits>,
-    /// The limits that endpoints named.
+    /// The rate limits that endpoints set.
     pub named: &'a RateLimits,
-    /// How many instances this one knows, those that were lost included.
+    /// How many instances this one knows, recently lost ones included.
     pub known: usize,
-    /// How many of them take part.
+    /// How many of them are live.
     pub live: usize,
 }
 
 impl Engines<'_> {
-    /// Returns how many requests a second an engine bears from all instances, if that is bounded.
+    /// Returns how many requests per second an engine takes from all instances together, if that is
+    /// limited.
     fn rate_limit(&self, now: Time, engine: EndpointKey) -> Option<f64> {
         cold::rate_bound(now, engine, self.endpoints, self.cold.as_ref(), self.named)
     }
@@ -107,7 +110,7 @@
 }
 
 impl Home {
-    /// Takes a report in. One that is older than the last one changes nothing.
+    /// Stores a report. One that is older than the last one of the same incarnation is ignored.
     pub fn on_report(
         &mut self,
         now: Time,
@@ -151,7 +154,7 @@
         self.reporters.insert(from, reporter);
     }
 
-    /// Forgets instances that fell silent.
+    /// Removes expired reports.
     pub fn tick(&mut self, now: Time) {
         self.reporters
             .retain(|_, it| now.since(it.received_at) < REPORT_TTL);
@@ -159,26 +162,26 @@
         self.limited_grants.tick(now);
     }
 
-    /// Returns whether nobody reports.
+    /// Returns whether there are no reports.
     pub fn is_empty(&self) -> bool {
         self.reporters.is_empty()
     }
 
-    /// Returns whether somebody waits for a decision of this instance.
+    /// Returns whether an instance waits for a decision of this instance.
     pub fn has_requests(&self) -> bool {
         self.reporters
             .values()
             .any(|it| it.decides && !it.requests.is_empty())
     }
 
-    /// Returns how many requests wait for a place that this instance is to give.
+    /// Returns how many requests are queued for a decision of this instance.
     pub fn queued_count(&self) -> usize {
         let queued = self.reporters.values().filter(|it| it.decides);
         let requests = queued.flat_map(|it| &it.requests);
         requests.filter(|it| it.want == Want::Place).count()
     }
 
-    /// Returns what all instances but `except` run.
+    /// Returns what all instances except `except` run.
     pub fn others(&self, now: Time, except: Option<SocketAddrV4>) -> Others {
         let mut others = Others::default();
         others.passed_over.extend(self.ejections.ejected(now));
@@ -192,7 +195,7 @@
         others
     }
 
-    /// Decides about all placement requests, and returns what instances are to be told.
+    /// Decides about all placement requests, and returns the answers to send.
     pub fn decide(
         &mut self,
         now: Time,
@@ -237,8 +240,8 @@
         send
     }
 
-    /// Gives up what was granted at engines that leave or whose data centre was closed. A request
-    /// that cannot take its grant for that asks again, and must not be granted the same one.
+    /// Releases grants at engines that leave or are cordoned. A request that cannot use its grant
+    /// for that reason asks again, and must not be granted the same engine.
     fn release_unusable(&mut self, endpoints: &EndpointTable) {
         for reporter in self.reporters.values_mut() {
             reporter
@@ -247,16 +250,17 @@
         }
     }
 
-    /// Returns the part that this home may grant of what an engine bears. Each instance of the
-    /// fleet has a part of the bound, and a home disposes of the parts of those that it hears: it
-    /// may be new and not know of those on the other side of a cut, but who reports to it does.
+    /// Returns the share of an engine's rate limit that this home may grant. Each instance of the
+    /// fleet has a share, and a home grants the shares of the instances that report to it. A new
+    /// home may not know the instances on the other side of a partition, but those that report to
+    /// it do.
     fn granted_share(&self, engines: &Engines<'_>) -> f64 {
         let reported = self.reporters.values().map(|it| it.known as usize).max();
         let known = engines.known.max(reported.unwrap_or(0)).max(engines.live);
         HOME_PART * engines.live as f64 / known.max(1) as f64
     }
 
-    /// Returns what others run, if the instance at `from` is to be told now.
+    /// Returns what others run, if it is due to be sent to the instance at `from`.
     fn view_for(&mut self, now: Time, from: SocketAddrV4) -> Option<Others> {
         let reporter = self.reporters.get_mut(&from)?;
         let is_due = reporter
@@ -269,8 +273,8 @@
         Some(self.others(now, Some(from)))
     }
 
-    /// Decides about copies and about what is set aside, which wait for nothing. Copies of
-    /// generations whose engine leaves go first: without one they are lost.
+    /// Decides about copies and immediate placements, which are never queued. Copies of generations
+    /// whose engine leaves come first: those generations are lost without one.
     fn decide_immediate(
         &mut self,
         now: Time,
@@ -315,7 +319,7 @@
         }
     }
 
-    /// Gives places to those that wait, each in its turn.
+    /// Grants placements to queued requests in the order of the queue.
     fn decide_queued(
         &mut self,
         now: Time,
@@ -388,13 +392,13 @@
     }
 }
 
-/// Chooses for a placement request that waits for nothing.
+/// Chooses an engine for a placement request that is not queued.
 fn choose_immediate(
     world: World<'_>,
     engines: Engines<'_>,
     request: &PlacementRequest,
 ) -> Result<EndpointKey, NoPlace> {
-    // What bears few requests gets them in their turn only, within its bound.
+    // Engines with a rate limit are granted only through the queue, within the limit.
     let mut exclude = request.exclude.clone();
     exclude.extend(engines.rate_limited(world.now));
     let demand = Demand {
@@ -403,7 +407,7 @@
         tokens: request.waiter.tokens,
         exclude: &exclude,
     };
-    // One instance decides for all, one request after the other: nothing is to be parted.
+    // One instance decides all requests one after the other: no random spread is needed.
     let no_draw = || 0.0;
     match request.want {
         Want::Place | Want::Aside => choose(world, &demand, no_draw),
--- a/crates/core/src/gateway/home/ejections.rs
+++ b/crates/core/src/gateway/home/ejections.rs
@@ -1,9 +1,9 @@
-//! Engines that instances could not use.
+//! Engines that are skipped for a while because instances could not use them.
 //!
-//! What goes wrong without it: while the store is silent, engines that went keep their
-//! entries. They look empty, so that the home sends everybody there; each instance finds out for
-//! itself, is refused by several of them in a row, and gives up its request within
-//! milliseconds while other engines have room. One instance alone may have lost its own link, and is not believed.
+//! While the store is unavailable, engines that are gone keep their records and look empty. Without
+//! ejection the home grants them to everybody; each instance tries several of them in a row, is
+//! refused by all and gives up its request within milliseconds while other engines have room. A
+//! report of one instance alone is not enough, since its own link may be broken.
 
 use crate::ids::EndpointKey;
 use crate::time::Time;
@@ -11,30 +11,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// Instances that must find an engine unusable before it is passed over for all.
+/// Instances that must find an engine unusable before it is ejected for all.
 const MIN_REPORTERS: usize = 2;
 
-/// The first time for which an engine is passed over for all; it doubles each time that it is
-/// found unusable again.
+/// Duration of the first ejection; it doubles each time that the engine is found unusable again.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
-/// The longest time for which an engine is passed over. One that is back gets work again
-/// within so long.
+/// Longest ejection. An engine that recovers gets work again within this time.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
-/// An engine that nobody found unusable for so long is trusted as any other.
+/// An engine without a new report for this long is no longer tracked.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
 /// An engine that instances could not use.
 #[derive(Clone, Debug, Default)]
 struct Ejection {
-    /// Who could not use it.
+    /// The instances that could not use it.
     reporters: BTreeSet<SocketAddrV4>,
-    /// How often that was.
+    /// How often it was ejected.
     count: u32,
-    /// When it was last.
+    /// Time of the last report.
     last_report: Time,
-    /// It is passed over until then.
+    /// End of the ejection.
     until: Time,
 }
 
@@ -45,7 +43,7 @@
 }
 
 impl Ejections {
-    /// Notes that an instance could not use an engine.
+    /// Records that an instance could not use an engine.
     pub(super) fn record(&mut self, now: Time, engine: EndpointKey, reporter: SocketAddrV4) {
         let ejection = self.by_engine.entry(engine).or_default();
         ejection.reporters.insert(reporter);
@@ -57,13 +55,13 @@
         }
     }
 
-    /// Forgets what is long ago.
+    /// Removes engines without a recent report.
     pub(super) fn tick(&mut self, now: Time) {
         self.by_engine
             .retain(|_, it| now.since(it.last_report) < FORGET_AFTER);
     }
 
-    /// Returns the engines that are passed over now.
+    /// Returns the engines that are ejected now.
     pub(super) fn ejected(&self, now: Time) -> impl Iterator<Item = EndpointKey> {
         let ejection = self.by_engine.iter().filter(move |(_, it)| now < it.until);
         ejection.map(|(engine, _)| *engine)
--- a/crates/core/src/gateway/home/message.rs
+++ b/crates/core/src/gateway/home/message.rs
@@ -1,4 +1,4 @@
-//! What instances and homes tell each other.
+//! Messages between instances and homes.
 
 use crate::gateway::ask::{Decision, PlacementRequest, Want};
 use crate::gateway::choose::CopyKind;
@@ -8,53 +8,53 @@
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 
-/// A placement request as it travels.
+/// A placement request, as sent to a home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementMessage {
-    /// The request.
+    /// The queued request.
     pub waiting: Waiting,
-    /// What it wants.
+    /// The kind of placement that it requests.
     pub want: Want,
-    /// Endpoints that are not to be chosen.
+    /// Endpoints that must not be chosen.
     pub exclude: Vec<EndpointKey>,
 }
 
-/// What an instance tells the home of a service and the next in rank.
+/// What an instance reports to the home of a service and to the next in rank.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementReport {
     /// The hash of the service's name.
     pub service: u64,
-    /// Counts the reports of the instance's life.
+    /// Sequence number of the reports of the instance's incarnation.
     pub number: u64,
     /// The data centre of the instance.
     pub data_centre: String,
-    /// Whether the receiver is to decide.
+    /// Whether the receiver is to decide about the requests.
     pub decides: bool,
-    /// What the instance runs where.
+    /// What the instance runs at which engine.
     pub used: Vec<(EndpointKey, Used)>,
-    /// Engines of which the last that the instance saw was a failure.
+    /// Engines whose last response to the instance was a failure.
     pub failing: Vec<EndpointKey>,
-    /// Engines that it cannot use at the moment.
+    /// Engines that the instance cannot use at the moment.
     pub ejected: Vec<EndpointKey>,
-    /// How many instances it knows, those that it lost included.
+    /// How many instances it knows, recently lost ones included.
     pub known: u32,
-    /// What it waits for.
+    /// Its open placement requests.
     pub requests: Vec<PlacementMessage>,
 }
 
-/// What a home answers.
+/// A home's answer to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementAnswer {
     /// The hash of the service's name.
     pub service: u64,
-    /// What it decided.
+    /// The decisions, by request id.
     pub decisions: Vec<(u64, Decision)>,
-    /// What others run where, now and then.
+    /// What other instances run; included from time to time.
     pub view: Option<Others>,
 }
 
 impl PlacementRequest {
-    /// Returns the placement request as it travels.
+    /// Returns the placement request as it is sent to a home.
     pub fn to_message(&self, now: Time) -> PlacementMessage {
         PlacementMessage {
             waiting: self.waiter.to_tell(now),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns whether a generation is lost without it.
+    /// Returns whether a generation is lost without this placement.
     pub(super) fn is_urgent(&self) -> bool {
         matches!(
             self.want,
@@ -74,7 +74,7 @@
         )
     }
 
-    /// Returns what is kept for it until its instance counts it.
+    /// Returns the usage to reserve until a report of the instance includes it.
     pub(super) fn reserved_usage(&self) -> Used {
         let Waiter { tokens, prompt, .. } = self.waiter;
         match self.want {
