--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! All decisions about HTTP entries of one instance, behind one type.
+//! [`Gateway`]: all decisions about HTTP entries of one instance.
 
 mod peers;
 mod places;
@@ -34,92 +34,96 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// How an instance takes part.
+/// Configuration of an instance.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// This life.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// The data centre of this instance.
     pub data_centre: String,
-    /// Where this instance answers peers.
+    /// Address at which this instance receives datagrams of peers.
     pub address: SocketAddrV4,
-    /// Tells deployments apart that share a network.
+    /// Distinguishes deployments that share a network.
     pub deployment: u64,
-    /// Addresses at which peers may answer, to begin with.
+    /// Addresses at which peers may be found at start.
     pub seeds: Vec<SocketAddrV4>,
-    /// The fleet's bound of repeats.
+    /// Retry budget of the fleet.
     pub budget: BudgetConfig,
 }
 
-/// What is due by time alone.
+/// Result of [`Gateway::tick`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TickOutcome {
-    /// Endpoints that began to leave.
+    /// Endpoints that have begun to leave.
     pub leaving: Vec<EndpointKey>,
-    /// Instances that count as gone now.
+    /// Instances that are now considered gone.
     pub silent: Vec<SocketAddrV4>,
-    /// Whether a request that waits for a place or its turn may have a decision.
+    /// Whether a request that waits for a placement or a run lease may have a decision.
     pub decided: bool,
-    /// Whether there is news of suspects.
+    /// Whether crash records have changed.
     pub suspects_changed: bool,
-    /// What is to be sent.
+    /// Messages to send.
     pub send: Vec<(SocketAddrV4, Body)>,
 }
 
-/// Where a request goes.
+/// An endpoint that was chosen for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The endpoint.
     pub key: EndpointKey,
-    /// Its published name, which the endpoint checks.
+    /// Its name in the store, which the endpoint checks.
     pub name: String,
-    /// Where it is reached.
+    /// The address of the endpoint.
     pub address: SocketAddrV4,
 }
 
 /// All decisions about HTTP entries of one instance.
+///
+/// It does no input or output and reads no clock: callers pass the time and send the messages that
+/// it returns.
 pub struct Gateway {
     cfg: GatewayConfig,
     rng: SmallRng,
-    /// What the store published.
+    /// The store's records, as far as this instance knows them.
     pub replica: Replica,
     /// When to call the store.
     pub reader: StoreReader,
     /// All endpoints.
     pub endpoints: EndpointTable,
-    /// What runs where.
+    /// Usage of endpoints.
     pub usage: UsageTable,
     /// All other instances.
     pub members: Members,
-    /// What those say that watch the store.
+    /// The last beacons of the instances that watch the store.
     beacons: Beacons,
     beacons_sent: u64,
     last_beacon: Option<Time>,
-    /// News that is still told.
+    /// Gossip that is still to be sent.
     outbox: Outbox,
-    /// Whether peers are to hear soon that this instance knows more of the store.
+    /// Whether peers should be notified soon that this instance knows a later revision of the
+    /// store.
     announce_soon: bool,
-    /// What is known as the home of a service's engines, by the hash of its name.
+    /// What is known as the home of a service's engines, by the hash of the service's name.
     homes: BTreeMap<u64, Home>,
-    /// Places that this instance asks for.
+    /// Open placement requests of this instance.
     placements: AskTable,
     placement_changes: u64,
     reported: BTreeMap<u64, Reported>,
     reports_sent: u64,
-    /// How many instances there are, lost ones included.
+    /// Number of instances, recently lost ones included.
     fleet: FleetSize,
-    /// What may be sent to endpoints that bear a bounded rate.
+    /// This instance's share of the rate limits of endpoints.
     shares: RateShares,
-    /// Rates that endpoints named for themselves.
+    /// Rate limits that endpoints set for themselves.
     pub limits: RateLimits,
-    /// Requests that end endpoints.
+    /// Requests that may crash endpoints.
     pub suspects: Suspects,
-    /// Repeats that may be spent.
+    /// Retry budget that is shared by the fleet.
     pub budget: SharedBudget,
     catalogue: Option<Arc<Catalogue>>,
-    /// Output tokens of generations, by entry.
+    /// Observed output lengths of generations, by entry.
     pub lengths: LengthTable,
-    /// Whether the cordons that the store has were read once.
+    /// Whether the store's cordons have been read once.
     knows_cordons: bool,
     started: Time,
     stopping: bool,
@@ -166,18 +170,18 @@
         }
     }
 
-    /// Returns the catalogue in force. A request keeps the one that it was judged by.
+    /// Returns the catalogue in force. A request keeps the catalogue under which it was accepted.
     pub fn catalogue(&self) -> Option<&Arc<Catalogue>> {
         self.catalogue.as_ref()
     }
 
-    /// Puts a catalogue in force if it is without findings and newer.
+    /// Puts a catalogue in force if it has no findings and is newer.
     ///
     /// Returns whether it is now in force.
     ///
     /// # Errors
     ///
-    /// Returns every finding; the catalogue in force stays.
+    /// Returns all findings; the previous catalogue stays in force.
     pub fn publish_catalogue(
         &mut self,
         source: CatalogueSource,
@@ -190,21 +194,19 @@
         Ok(true)
     }
 
-    /// Takes in what was published about an endpoint; returns the endpoints that began to
-    /// leave.
+    /// Applies an endpoint's record from the store; returns the endpoints that have begun to leave.
     pub fn publish_endpoint(&mut self, now: Time, record: EndpointRecord) -> Vec<EndpointKey> {
         let name = record.name.clone();
         let before = self.endpoints.newest(&name);
         let began = self.endpoints.publish(now, record);
         if self.endpoints.newest(&name) != before {
-            // Another life is there now, so that the one before ended.
+            // A new incarnation is registered, so the previous one has ended.
             self.on_endpoints_lost(now, before.as_slice());
         }
         began
     }
 
-    /// Takes in that an endpoint's entry vanished; returns the endpoint if it began to
-    /// leave.
+    /// Handles the removal of an endpoint's record; returns the endpoint if it has begun to leave.
     pub fn endpoint_vanished(&mut self, now: Time, name: &str) -> Option<EndpointKey> {
         let may_miss_records = self.may_miss_records(now);
         let newest = self.endpoints.newest(name);
@@ -215,28 +217,28 @@
         gone
     }
 
-    /// Returns whether entries may be missing from the store and come back.
+    /// Returns whether the store may lack records that will come back after an outage.
     ///
-    /// An instance that does not watch calls the store rarely, and hears of an outage
-    /// from those that do. Without asking them it would take entries that lapsed for
-    /// gone, for good, and tell so: after an outage no endpoint would be left.
+    /// An instance that is not a watcher rarely calls the store and learns of an outage from the
+    /// watchers' beacons. Without them it would take endpoints whose records expired for gone for
+    /// good, and gossip that: after an outage no endpoint would be left.
     pub fn may_miss_records(&self, now: Time) -> bool {
         self.reader.may_miss_records(now) || self.beacons.any_may_miss_records(now)
     }
 
-    /// Puts settings in force that may change while an instance runs.
+    /// Applies settings that may change while an instance runs.
     pub fn reload(&mut self, now: Time, seeds: Vec<SocketAddrV4>, budget: BudgetConfig) {
         self.members.set_seeds(now, &seeds);
         self.cfg.seeds = seeds;
         self.budget.set_bound(budget);
     }
 
-    /// Returns this life of the instance.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.cfg.incarnation
     }
 
-    /// Returns what tells this deployment apart.
+    /// Returns the number that distinguishes this deployment.
     pub fn deployment(&self) -> u64 {
         self.cfg.deployment
     }
@@ -246,16 +248,16 @@
         self.servable().is_some() && !self.stopping
     }
 
-    /// Notes that all cordons which the store published were read.
+    /// Records that all cordons in the store have been read.
     pub fn cordons_read(&mut self) {
         self.knows_cordons = true;
     }
 
-    /// Returns the catalogue in force once it is known which data centres are closed. Endpoints
-    /// may still be read: those that are known can be used.
+    /// Returns the catalogue in force once it is known which data centres are cordoned. The other
+    /// endpoints may still be being read: those that are known can be used.
     ///
-    /// What goes wrong otherwise: an instance that has read the first page sends callers to a data
-    /// centre that the operator closed before it began.
+    /// Without the check, an instance that has read only the first page of records sends requests
+    /// to a data centre that the operator cordoned before the instance started.
     pub fn servable(&self) -> Option<&Arc<Catalogue>> {
         let knows_cordons = self.knows_cordons || self.replica.is_complete();
         self.catalogue.as_ref().filter(|_| knows_cordons)
@@ -274,22 +276,22 @@
         self.stopping
     }
 
-    /// Returns how many instances take callers, this one included.
+    /// Returns how many instances are live, this one included.
     pub fn instances(&self) -> usize {
         1 + self.members.live().count()
     }
 
-    /// Draws a number that is uniform below one.
+    /// Returns a random number that is uniform below one.
     pub fn draw(&mut self) -> f64 {
         self.rng.random()
     }
 
-    /// Draws a number that tells requests apart.
+    /// Returns a random number that distinguishes requests.
     pub fn draw_id(&mut self) -> u64 {
         self.rng.random()
     }
 
-    /// Returns since when an endpoint is known to leave.
+    /// Returns since when an endpoint has been known to leave.
     pub fn leaving_since(&self, key: EndpointKey) -> Option<Time> {
         self.endpoints.get(key)?.leaving_since()
     }
@@ -299,8 +301,8 @@
         self.endpoints.is_usable(key)
     }
 
-    /// Takes in what the store says about a data centre; returns what that is to this instance.
-    /// Peers are told of it soon.
+    /// Applies the operator's cordon of a data centre, or its end, and queues it as gossip; returns
+    /// what it means for this instance.
     pub fn publish_cordon(&mut self, now: Time, cordon: Cordon) -> CordonEffect {
         let effect = self.endpoints.hear_cordon(now, &cordon);
         if effect != CordonEffect::Outdated {
@@ -310,8 +312,7 @@
         effect
     }
 
-    /// Takes in what an answer to a request sent at `sent` says about its endpoint's limit;
-    /// returns what that changed.
+    /// Applies the rate limit in the response to a request sent at `sent`; returns what changed.
     pub fn observe_limit(
         &mut self,
         now: Time,
@@ -325,7 +326,7 @@
         Some(change)
     }
 
-    /// Notes a load that an endpoint told.
+    /// Records the load that an endpoint reported.
     pub fn observe_load(&mut self, now: Time, key: EndpointKey, load: ToldLoad) {
         self.usage.told(now, key, load);
     }
--- a/crates/core/src/gateway/state/peers.rs
+++ b/crates/core/src/gateway/state/peers.rs
@@ -1,4 +1,4 @@
-//! What an instance sends its peers and does about what they send.
+//! Messages to and from peers, gossip, and the choice of the instances that watch the store.
 
 use super::{Gateway, TickOutcome};
 use crate::gateway::ask::REPORT_AGAIN;
@@ -15,29 +15,29 @@
 use rand::seq::IndexedRandom;
 use std::net::SocketAddrV4;
 
-/// Changes within this time go into one datagram.
+/// Changes within this time are sent in one datagram.
 pub const GOSSIP_DELAY: Duration = Duration::from_millis(2);
 
-/// The longest time between two looks at what is due.
+/// Maximum interval between two ticks.
 pub const TICK: Duration = Duration::from_millis(50);
 
-/// How long a start waits to hear of others before it watches the store for all. What it
-/// read a moment ago is fresh for as long.
+/// How long a start waits for other instances before it watches the store itself. What it read at
+/// start is recent enough for that long.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It is of another version.
+    /// It has another protocol version.
     Version,
-    /// It is of another deployment.
+    /// It belongs to another deployment.
     Deployment,
-    /// It came from this instance, or one that uses its address.
+    /// It came from this instance, or from one that uses its address.
     Own,
 }
 
 impl DropReason {
-    /// Returns a word for it, which counters carry.
+    /// Returns the label of the reason in metrics.
     pub const fn label(self) -> &'static str {
         match self {
             DropReason::Version => "version",
@@ -47,36 +47,35 @@
     }
 }
 
-/// What a datagram brought.
+/// Result of [`Gateway::on_datagram`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DatagramOutcome {
-    /// Endpoints that began to leave.
+    /// Endpoints that have begun to leave.
     pub leaving: Vec<EndpointKey>,
-    /// Words of the operator about data centres that were not known, and what they are to this
-    /// instance.
+    /// Cordons that were unknown, and what they mean for this instance.
     pub cordons: Vec<(Cordon, CordonEffect)>,
-    /// Limits of endpoints that changed.
+    /// Rate limits of endpoints that changed.
     pub limits: Vec<LimitChange>,
-    /// Whether the sender was not there before in this life.
+    /// Whether the sender's incarnation was unknown or considered gone.
     pub is_new: bool,
-    /// Instances that count as gone now.
+    /// Instances that are now considered gone.
     pub gone: Vec<SocketAddrV4>,
-    /// Whether something is to be told on soon.
+    /// Whether gossip should be sent soon.
     pub gossip_soon: bool,
-    /// Whether a request that waits for a place or its turn may have a decision.
+    /// Whether a request that waits for a placement or a run lease may have a decision.
     pub decided: bool,
-    /// Whether there is news of suspects.
+    /// Whether crash records have changed.
     pub suspects_changed: bool,
-    /// What is to be sent at once.
+    /// Messages to send at once.
     pub send: Vec<(SocketAddrV4, Body)>,
 }
 
 impl Gateway {
-    /// Takes in what a peer sent.
+    /// Handles a datagram of a peer.
     ///
     /// # Errors
     ///
-    /// Returns why it does not concern this instance; then nothing has changed.
+    /// Returns why the datagram is dropped; then nothing has changed.
     pub fn on_datagram(
         &mut self,
         now: Time,
@@ -105,8 +104,8 @@
         outcome.send.append(&mut change.send);
         outcome.gone.append(&mut change.gone);
         self.gossip_updates(change);
-        // All others are looked at with each tick only: a datagram must not cost more where
-        // there are more instances.
+        // Other peers are checked only at the next tick: the cost of a datagram must not grow with
+        // the number of instances.
         if claims_more {
             self.catch_up.set_behind(now, true);
         }
@@ -239,7 +238,7 @@
 
     fn gossip_updates(&mut self, change: Change) {
         if change.updates.is_empty() {
-            // As with nearly every datagram: counting the instances would be for nothing.
+            // This is the case for nearly every datagram; counting the instances would be wasted.
             return;
         }
         let instances = self.instances();
@@ -248,7 +247,7 @@
         }
     }
 
-    /// Tells peers soon that endpoints leave.
+    /// Queues gossip that endpoints leave.
     pub fn gossip_leaving(&mut self, endpoints: &[EndpointKey]) {
         let instances = self.instances();
         for &endpoint in endpoints {
@@ -256,12 +255,13 @@
         }
     }
 
-    /// Tells a few peers soon that this instance knows more of the store than before.
+    /// Requests that a few peers are notified soon that this instance knows a later revision of the
+    /// store.
     pub fn announce(&mut self) {
         self.announce_soon = true;
     }
 
-    /// Returns the longest time until the next look at what is due.
+    /// Returns the maximum time until the next tick.
     pub fn tick_interval(&self) -> Duration {
         match self.placements.any_unanswered() || self.suspects.runs.any_waiting() {
             true => REPORT_AGAIN,
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Does what is due by time alone, and returns what changed and what is to be sent.
+    /// Does what is due at `now`; returns what changed and what to send.
     pub fn tick(&mut self, now: Time) -> TickOutcome {
         let mut change = self.members.tick(now, &mut self.rng);
         let mut outcome = TickOutcome {
@@ -322,9 +322,9 @@
         self.outbox.add_beacon(beacon);
     }
 
-    /// Returns whether others are to hear how the store answers this instance: it is answered,
-    /// or it ranks among the first and says that the store is away. Of those that watch in
-    /// vain many may do so, and each beacon goes to everybody.
+    /// Returns whether this instance sends beacons: the store answers it, or it ranks among the
+    /// first and reports the outage. During an outage many instances may watch, and each beacon
+    /// reaches the entire fleet.
     fn should_send_beacon(&self, now: Time) -> bool {
         let watched = self.reader.last_watch_answer();
         let is_answered = watched.is_some_and(|at| now.since(at) < WATCHER_TIMEOUT);
@@ -338,7 +338,7 @@
         }
         let peers = self.members.sample(&mut self.rng, FAN_OUT, &[]);
         if peers.is_empty() {
-            // What is news now is told to whoever is found first.
+            // The gossip stays new and is sent to the first peer that is found.
             return;
         }
         let items = self.take_gossip(now, FAN_OUT as u32);
@@ -356,7 +356,7 @@
         }
     }
 
-    /// Returns a datagram for one peer, with news where it has room for it.
+    /// Returns a datagram for one peer, with gossip attached if the body has room for it.
     pub fn datagram(&mut self, now: Time, mut body: Body) -> Datagram {
         if let Some(gossip) = body.gossip_mut() {
             let mut items = self.take_gossip(now, 1);
@@ -388,8 +388,8 @@
         })
     }
 
-    /// Returns whether this instance watches the store for all: it ranks among the first
-    /// that the store answers, or those that it answers are too few.
+    /// Returns whether this instance watches the store for all: it ranks among the first that the
+    /// store answers, or the store answers too few of the others.
     pub fn watches(&self, now: Time) -> bool {
         let own = watcher_rank(self.cfg.address);
         let ahead = |address: SocketAddrV4| watcher_rank(address) < own;
@@ -404,7 +404,8 @@
         if fresh.filter(|&it| ahead(it)).count() >= WATCHERS {
             return false;
         }
-        // Who is answered goes on, though the others hear from it now and would leave it alone.
+        // A watcher that the store answers continues, even if it now receives beacons of others.
+        // Otherwise two watchers would each leave the watch to the other.
         let is_answered = self
             .reader
             .last_watch_answer()
@@ -412,7 +413,7 @@
         is_answered || self.rank() < self.beacons.may_watch(now, self.started)
     }
 
-    /// Returns how many others go before this instance in the order of those that watch.
+    /// Returns how many other instances precede this one in the order of watchers.
     fn rank(&self) -> usize {
         let own = watcher_rank(self.cfg.address);
         let steady = self.members.live().filter(|(_, it)| it.is_steady());
@@ -428,7 +429,7 @@
         self.reader.next(now, reads)
     }
 
-    /// Returns the peers that know more of the store than this instance.
+    /// Returns the peers that are ahead of this instance's replica of the store.
     fn providers(&self) -> impl Iterator<Item = Provider> {
         let members = self.members.live().map(|(address, it)| Provider {
             address,
@@ -450,8 +451,8 @@
         all.filter(|it| self.is_ahead(it.revision, it.digest))
     }
 
-    /// Returns a peer that knows more of the store than this instance and may be asked
-    /// now, drawn among those that know most.
+    /// Returns a peer that is ahead of this instance and may be asked now, chosen at random among
+    /// those that are furthest ahead.
     pub fn choose_provider(&mut self, now: Time) -> Option<SocketAddrV4> {
         let watches = self.watches(now);
         let providers: Vec<Provider> = self.providers().collect();
@@ -459,24 +460,24 @@
         able.choose(&mut self.rng).copied()
     }
 
-    /// Notes whether a peer knows more of the store than this instance.
+    /// Updates whether a peer is ahead of this instance.
     pub fn update_behind(&mut self, now: Time) {
         let behind = self.providers().next().is_some();
         self.catch_up.set_behind(now, behind);
     }
 
-    /// Returns whether that is more of the store than this instance knows. Revisions alone
-    /// do not tell: each heartbeat of an endpoint makes one.
+    /// Returns whether this revision and digest are ahead of this replica. Revisions alone do not
+    /// show it: each heartbeat of an endpoint creates one.
     fn is_ahead(&self, revision: u64, digest: u64) -> bool {
         revision > self.replica.revision() && digest != self.replica.digest()
     }
 
-    /// Returns whether a peer knows more of the store than this instance.
+    /// Returns whether a peer is ahead of this instance.
     pub fn is_behind(&self) -> bool {
         self.catch_up.is_behind()
     }
 
-    /// Notes that a peer did not tell what it knows.
+    /// Records that a delta could not be fetched from a peer.
     pub fn on_fetch_failure(&mut self, now: Time, peer: SocketAddrV4, failure: FetchFailure) {
         let draw = self.draw();
         self.catch_up.on_fetch_failure(now, peer, failure, draw);
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -1,4 +1,6 @@
-//! Where requests go: what this instance asks of homes, and what it decides as one.
+//! Placement of requests: what this instance requests from homes, and what it decides as a home.
+//!
+//! The home of a service is the instance that decides for a key, chosen by rendezvous hashing.
 
 use super::{Gateway, Placement};
 use crate::gateway::ask::{PlacementRequest, REPORT_AGAIN, REPORT_WAITING, Verdict, Want};
@@ -19,26 +21,26 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// How old what a home told may be to say whether prompts wait at an engine: about as long
-/// as one is read.
+/// Maximum age of a home's view when it is used to decide whether prompts wait for prefill at an
+/// engine: about the duration of one prefill.
 const PREFILL_VIEW_TTL: Duration = Duration::from_millis(500);
 
 /// The home of a service and the next in rank.
 type Ranks = [Option<SocketAddrV4>; 2];
 
-/// What was last reported about a service.
+/// The last report about a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Reported {
     at: Time,
-    /// The changes that it counted.
+    /// The count of changes that it covered.
     changes: u64,
     ranks: Ranks,
-    /// Whether there was nothing to say.
+    /// Whether it had no content.
     is_empty: bool,
 }
 
 impl Gateway {
-    /// Chooses the endpoint for a request by what this instance knows.
+    /// Chooses the endpoint for a request with the knowledge of this instance.
     ///
     /// # Errors
     ///
@@ -72,22 +74,22 @@
         self.catalogue.as_ref()?.cold_limits(service)
     }
 
-    /// Returns how many requests a second an endpoint bears from all instances, if that is
-    /// bounded.
+    /// Returns how many requests per second an endpoint takes from all instances together, if that
+    /// is limited.
     fn rate_limit(&self, now: Time, key: EndpointKey) -> Option<f64> {
         let endpoint = self.endpoints.get(key)?;
         let cold = self.cold_limits(&endpoint.record.service);
         cold::rate_bound(now, key, &self.endpoints, cold.as_ref(), &self.limits)
     }
 
-    /// Counts a request to an endpoint that bears a bounded rate.
+    /// Counts a request to an endpoint with a rate limit.
     fn count_limited_request(&mut self, now: Time, key: EndpointKey) {
         self.shares.note(now, key);
         self.limits.note_sent(now, key);
     }
 
-    /// Returns the endpoints to which this instance may send nothing now, because they bear few
-    /// requests. Engines get requests through their home alone.
+    /// Returns the endpoints to which this instance may send nothing now because of their rate
+    /// limit. Engines with a rate limit get requests only through their home.
     fn at_limit(&self, now: Time, demand: &Demand<'_>) -> Vec<EndpointKey> {
         if self.limits.is_empty() && self.cold_limits(demand.service).is_none() {
             return Vec::new();
@@ -100,8 +102,8 @@
         usable.filter(is_at_limit).collect()
     }
 
-    /// Returns whether this instance may send a request to an endpoint that bears `rate` a second
-    /// without asking anybody.
+    /// Returns whether this instance may send a request to an endpoint that takes `rate` requests
+    /// per second without asking a home.
     fn has_share(&self, now: Time, key: EndpointKey, rate: f64) -> bool {
         self.share_left(now, key, rate) > 0 || {
             let rank = cold::rank(self.cfg.address, &self.fleet, key);
@@ -115,7 +117,7 @@
     }
 
     /// Returns whether a request for which an endpoint was chosen at `chosen` may still be sent
-    /// there, and counts it there if a limit was named since.
+    /// there. Counts it if the endpoint has set a rate limit since then.
     pub fn admit_to_limit(&mut self, now: Time, key: EndpointKey, chosen: Time) -> bool {
         let is_new = self.limits.since(key).is_some_and(|at| at > chosen);
         let Some(rate) = self.rate_limit(now, key).filter(|_| is_new) else {
@@ -128,8 +130,8 @@
         is_admitted
     }
 
-    /// Returns whether a generation may go on at an engine, as far as that bears few requests, and
-    /// counts it there.
+    /// Returns whether a generation may resume at an engine within the engine's rate limit, and
+    /// counts it.
     pub fn admit_resumed(&mut self, now: Time, key: EndpointKey) -> bool {
         let Some(bound) = self.rate_limit(now, key) else {
             return true;
@@ -141,11 +143,11 @@
         is_admitted
     }
 
-    /// Chooses for `want` by what this instance knows, because no home answers.
+    /// Chooses for `want` with the knowledge of this instance, because no home answers.
     ///
     /// # Errors
     ///
-    /// Returns why there is no place.
+    /// Returns why there is no placement.
     pub fn place_without_home(
         &mut self,
         now: Time,
@@ -168,29 +170,29 @@
         key.and_then(|key| self.place_at(key)).ok_or(NoPlace::Full)
     }
 
-    /// Returns an endpoint to which new work may be sent as a place.
+    /// Returns the placement at an endpoint, if new work may be sent there.
     pub fn place_at(&self, key: EndpointKey) -> Option<Placement> {
         self.endpoints.usable(key).map(Placement::of)
     }
 
-    /// Asks for a place.
+    /// Adds a placement request.
     pub fn request_placement(&mut self, now: Time, request: PlacementRequest) {
         self.placements.enter(now, request);
         self.placement_changes += 1;
     }
 
-    /// Asks no longer, because the request has its place or gave up.
+    /// Removes a placement request, because the request has its placement or gave up.
     pub fn withdraw_placement(&mut self, id: u64) {
         self.placements.leave(id);
         self.placement_changes += 1;
     }
 
-    /// Returns what a request that asked for a place goes by.
+    /// Returns the state of a placement request.
     pub fn verdict(&self, now: Time, id: u64) -> Verdict {
         self.placements.verdict(now, id)
     }
 
-    /// Notes that no home answered a request for a place of `service`: the next in rank is
+    /// Records that the home of `service` did not answer a placement request: the next in rank is
     /// asked.
     pub fn on_home_timeout(&mut self, now: Time, service: u64, id: u64) {
         if let Some(home) = self.acting_home(now, service) {
@@ -199,13 +201,13 @@
         self.retry_placement(now, id);
     }
 
-    /// Asks anew, because what was granted cannot be taken.
+    /// Makes a placement request again, because its grant cannot be used.
     pub fn retry_placement(&mut self, now: Time, id: u64) {
         self.placements.ask_again(now, id);
         self.placement_changes += 1;
     }
 
-    /// Returns what runs at an endpoint, as far as this instance knows.
+    /// Returns the usage of an endpoint, as far as this instance knows it.
     pub fn used(&self, key: EndpointKey) -> Used {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
@@ -214,8 +216,8 @@
         self.usage.own(key).and(others)
     }
 
-    /// Returns whether no prompt waits at an engine, as far as is known. A generation
-    /// that goes on there would wait behind it.
+    /// Returns whether no prompt waits for prefill at an engine, as far as is known. A generation
+    /// that resumes there would wait behind it.
     pub fn has_no_pending_prefill(&self, now: Time, key: EndpointKey) -> bool {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
@@ -239,26 +241,27 @@
             }
         }
         if best[0].is_none() {
-            // All others are gone, and this instance serves what it has still to serve.
+            // All other instances are gone, and this one serves the requests that are left.
             return [Some(self.cfg.address), None];
         }
         best.map(|it| it.map(|(_, address)| address))
     }
 
-    /// Returns the home that is asked about a service now.
+    /// Returns the home to ask about a service now.
     pub fn acting_home(&self, now: Time, service: u64) -> Option<SocketAddrV4> {
         let [first, second] = self.homes(service);
         let answers = |it: &SocketAddrV4| !self.placements.is_passed_over(now, *it);
         first.filter(answers).or(second.filter(answers)).or(first)
     }
 
-    /// Returns how many requests wait for a decision of this instance as the home of a service.
+    /// Returns how many requests are queued for a decision of this instance as the home of a
+    /// service.
     pub fn queued_at_home(&self, service: u64) -> usize {
         self.homes.get(&service).map_or(0, |it| it.queued_count())
     }
 
-    /// Takes a report in and decides what follows from it; returns whether a request of this
-    /// instance may have a decision.
+    /// Handles a report as a home, and decides the requests that it makes possible; returns whether
+    /// a request of this instance may have a decision.
     pub(super) fn on_placement_report(
         &mut self,
         now: Time,
@@ -272,7 +275,7 @@
         self.decide(now, service, send)
     }
 
-    /// Takes in what a home answered.
+    /// Handles a home's answer.
     pub(super) fn on_placement_answer(&mut self, now: Time, answer: PlacementAnswer) {
         for (id, decision) in answer.decisions {
             self.placements.hear(now, id, decision);
@@ -282,8 +285,8 @@
         }
     }
 
-    /// Reports what is due to homes, and decides as one; returns whether a request of this
-    /// instance may have a decision.
+    /// Sends the reports that are due to homes, and decides as a home; returns whether a request of
+    /// this instance may have a decision.
     pub(super) fn report(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
         for service in self.reported_services() {
             self.report_service(now, service, send);
@@ -303,7 +306,7 @@
         decided
     }
 
-    /// Returns the services of whose engines there is something to report.
+    /// Returns the services about which there is something to report.
     fn reported_services(&self) -> BTreeSet<u64> {
         let used = self.usage.at_engines();
         let endpoints = used.filter_map(|(key, _)| self.endpoints.get(key));
@@ -378,8 +381,8 @@
         }
     }
 
-    /// Decides as the home of a service; returns whether a request of this instance may have
-    /// a decision.
+    /// Decides as the home of a service; returns whether a request of this instance may have a
+    /// decision.
     fn decide(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
         let Some(home) = self.homes.get_mut(&service).filter(|it| it.has_requests()) else {
             return false;
@@ -415,12 +418,13 @@
         decided
     }
 
-    /// Returns a source of draws of its own, so that a choice draws while it looks at tables.
+    /// Returns a separate random generator, so that a choice can draw numbers while it borrows the
+    /// tables.
     fn fork_rng(&mut self) -> SmallRng {
         SmallRng::seed_from_u64(self.rng.random())
     }
 
-    /// Returns the tables that a choice for `service` looks at.
+    /// Returns the tables that a placement for `service` reads.
     fn context(&self, now: Time, service: &str) -> World<'_> {
         static NO_PEERS: Others = Others::nothing();
         let others = self.placements.view(service_hash(service));
--- a/crates/core/src/gateway/state/repeats.rs
+++ b/crates/core/src/gateway/state/repeats.rs
@@ -1,12 +1,12 @@
-//! The fleet's repeats, as far as this instance may spend them.
+//! The retry budget, as far as this instance may spend it.
 
 use super::Gateway;
 use crate::gateway::budget::{RepeatDecision, RepeatKind};
 use crate::time::Time;
 
 impl Gateway {
-    /// Asks to send a request of `service` to one endpoint more, and spends a repeat if it may.
-    /// Everything that sends what was sent before asks this.
+    /// Asks to send a request of `service` to one more endpoint, and spends a retry if that is
+    /// allowed. Every path that sends a request again must call this.
     pub fn try_spend_retry(
         &mut self,
         now: Time,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns whether a generation of `service` may go on at another engine now.
+    /// Returns whether the budget allows a generation of `service` to resume at another engine now.
     pub fn may_relocate(&mut self, now: Time, service: &str) -> bool {
         self.budget.left(now, service) >= 1.0
     }
