--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -1,10 +1,10 @@
-//! What instances send each other, and how news reaches all of them.
+//! Messages between instances, and how gossip reaches all of them.
 //!
-//! News is told at once to a few peers that are drawn, who tell it on when they first hear
-//! it, and again with probes and their answers. Each instance tells each item a bounded
-//! number of times, so that its traffic grows with the number of changes and the logarithm of
-//! the fleet. News that is lost all the same is found by comparing digests. This is the push
-//! part of Plumtree and of SWIM's dissemination; `docs/design/large-fleets.md` has figures.
+//! A new item is sent at once to a few random peers, which forward it when they first receive it,
+//! and again with probes and their answers. Each instance sends each item a bounded number of
+//! times, so that its traffic grows with the number of changes and the logarithm of the fleet. Lost
+//! items are detected by comparing digests. This is the push part of Plumtree and of SWIM's
+//! dissemination; `docs/design/large-fleets.md` has figures.
 
 use super::beacons::Beacon;
 use super::cordons::Cordon;
@@ -20,53 +20,53 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The version of these messages and of [`StoreDelta`](super::replica::StoreDelta). Messages of another
-/// one are dropped and counted: while a fleet is updated, instances of both versions serve
-/// side by side, each with the peers of its own.
+/// The version of these messages and of [`StoreDelta`](super::replica::StoreDelta). Messages of
+/// another version are dropped and counted: while a fleet is updated, instances of both versions
+/// serve side by side, each with the peers of its own version.
 pub const GOSSIP_VERSION: u8 = 9;
 
-/// Peers that are told news at once: most instances then hear it in the first wave, within as
-/// many hops as the logarithm of the fleet.
+/// Peers to which a new item is sent at once. Most instances then receive it in the first wave,
+/// within as many hops as the logarithm of the fleet.
 pub const FAN_OUT: usize = 3;
 
-/// How often one instance tells an item in all, beside the logarithm of the fleet.
+/// How often one instance sends an item in total, in addition to the logarithm of the fleet.
 const BASE_SENDS: u32 = 4;
 
-/// How often one instance tells a beacon. The next one comes soon.
+/// How often one instance sends a beacon. The next beacon follows soon.
 const BEACON_SENDS: u32 = 4;
 
-/// Items of each kind in one datagram, so that it stays within one packet of 1,400 bytes.
+/// Items of each kind in one datagram, so that it fits one packet of 1,400 bytes.
 const MAX_ITEMS: usize = 24;
 
-/// Suspects in one datagram; each takes some 50 bytes.
+/// Crash records in one datagram; each takes some 50 bytes.
 const MAX_CRASH_RECORDS: usize = 8;
 
-/// Suspects that an instance tells of in a second. An engine that ends has a handful of requests
-/// that had just begun; when many end at once, most of what would be told is of no use.
+/// Crash records that an instance sends per second. An engine that crashes has a handful of
+/// requests that had just begun; when many crash at once, most of the records are of no use.
 const CRASH_RECORDS_PER_SECOND: f64 = 8.0;
 
-/// Suspects that wait to be told of at most. Others are found by comparing digests.
+/// Bound on the crash records that wait to be sent. Others are found by comparing digests.
 const MAX_QUEUED_CRASH_RECORDS: usize = 256;
 
-/// News, as it travels.
+/// Gossip that is attached to messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipItems {
-    /// What changed among the instances.
+    /// Changes of the membership.
     pub members: Vec<MemberUpdate>,
     /// Endpoints that leave.
     pub leaving: Vec<EndpointKey>,
-    /// What those say that watch the store.
+    /// Beacons of the instances that watch the store.
     pub beacons: Vec<Beacon>,
-    /// Which requests ended which endpoints.
+    /// Which requests crashed which endpoints.
     pub crash_records: Vec<CrashRecord>,
-    /// Which data centres are closed to new work, or open again.
+    /// Data centres that were cordoned or reopened.
     pub cordons: Vec<Cordon>,
-    /// Which endpoints named a limit, or name none any more.
+    /// Rate limits that endpoints set or lifted.
     pub limits: Vec<LimitWord>,
 }
 
 impl GossipItems {
-    /// Returns whether there is nothing.
+    /// Returns whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
             && self.leaving.is_empty()
@@ -80,24 +80,24 @@
 /// One datagram between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// [`GOSSIP_VERSION`].
+    /// The sender's [`GOSSIP_VERSION`].
     pub version: u8,
-    /// Tells deployments apart that share a network.
+    /// Distinguishes deployments that share a network.
     pub deployment: u64,
-    /// What the sender says of itself.
+    /// The state of the sender.
     pub from: MemberUpdate,
-    /// The store's revision up to which the sender knows everything.
+    /// The store revision up to which the sender's replica is complete.
     pub revision: u64,
-    /// What that comes to, see [`Replica::digest`](super::replica::Replica::digest).
+    /// The digest of that replica, see [`Replica::digest`](super::replica::Replica::digest).
     pub digest: u64,
-    /// How many instances there are, as the sender knows.
+    /// The number of instances that the sender knows.
     pub fleet: ToldSize,
-    /// What it is about.
+    /// The message.
     pub body: Body,
 }
 
 impl Datagram {
-    /// Returns the revisions and digests of the store that it says somebody knows.
+    /// Returns the revisions and digests of the store that some instance has reached, as the datagram states.
     pub fn claims(&self) -> impl Iterator<Item = (u64, u64)> {
         let news = match &self.body {
             Body::Probe { gossip: news, .. }
@@ -111,58 +111,58 @@
     }
 }
 
-/// What a datagram is about.
+/// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for an answer.
+    /// Requests an answer, as a liveness check.
     Probe {
-        /// Names the probe.
+        /// The sender's number of the probe.
         number: u64,
-        /// A hash of who takes part, as the sender believes.
+        /// A hash of the live members that the sender knows.
         members: u64,
-        /// A hash of the suspects that the sender would tell of, see
-        /// [`Ledger::digest`](crate::suspects::Ledger::digest); set as it is sent.
+        /// A hash of the sender's worst suspects, see
+        /// [`Ledger::digest`](crate::suspects::Ledger::digest); set when the probe is sent.
         suspects: u64,
-        /// News.
+        /// Attached gossip.
         gossip: GossipItems,
     },
     /// Answers a probe.
     Ack {
-        /// The probe's name.
+        /// The number of the probe.
         number: u64,
-        /// A hash of who takes part, as the sender believes; nothing if the answer is passed
-        /// on for another instance.
+        /// A hash of the live members that the sender knows; `None` if the answer is forwarded on
+        /// behalf of another instance.
         members: Option<u64>,
-        /// News.
+        /// Attached gossip.
         gossip: GossipItems,
     },
-    /// Asks to probe another instance in the sender's place.
+    /// Asks to probe another instance on behalf of the sender.
     IndirectProbe {
-        /// The sender's name of its probe.
+        /// The sender's number of the probe.
         number: u64,
-        /// Whom to probe.
+        /// The instance to probe.
         target: SocketAddrV4,
     },
-    /// News.
+    /// Gossip alone.
     Gossip(GossipItems),
-    /// Asks for all instances.
+    /// Requests the full member list.
     RequestMembers,
-    /// Instances that take part.
+    /// Live members.
     Members(Vec<MemberUpdate>),
-    /// The suspects that ended the most endpoints, for an instance that knows others.
+    /// The suspects that crashed the most endpoints, for an instance whose ledger differs.
     Suspects(Vec<CrashRecord>),
-    /// What an instance tells the home of suspects.
+    /// An instance's report to the home of suspects.
     RunLeaseReport(RunLeaseReport),
-    /// What that home answers.
+    /// The answer of that home.
     RunLeaseAnswer(RunLeaseAnswer),
-    /// What an instance tells a home.
+    /// An instance's report to the home of a service.
     PlacementReport(PlacementReport),
-    /// What a home answers.
+    /// The answer of that home.
     PlacementAnswer(PlacementAnswer),
 }
 
 impl Body {
-    /// Returns a probe that tells what is `doubted` of its target.
+    /// Returns a probe that carries what is `believed` of its target.
     pub fn probe(number: u64, members: u64, believed: Option<MemberUpdate>) -> Self {
         let news = GossipItems {
             members: believed.into_iter().collect(),
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Returns the answer to a probe that was made in another's place.
+    /// Returns the answer to a probe that was made on behalf of another instance.
     pub fn relayed_ack(number: u64) -> Self {
         Body::Ack {
             number,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Tells an instance what is believed of it, so that it can refute that.
+    /// Returns a message that sends an instance what is believed of it, so that it can refute that.
     pub fn suspicion(believed: MemberUpdate) -> Self {
         Body::Gossip(GossipItems {
             members: vec![believed],
@@ -193,7 +193,7 @@
         })
     }
 
-    /// Returns the news that it carries along.
+    /// Returns the gossip that is attached to a probe or its answer.
     pub fn gossip_mut(&mut self) -> Option<&mut GossipItems> {
         match self {
             Body::Probe { gossip: news, .. } | Body::Ack { gossip: news, .. } => Some(news),
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Returns a word for its purpose, by which bytes are counted.
+    /// Returns the message's purpose, by which sent bytes are counted.
     pub const fn purpose(&self) -> &'static str {
         match self {
             Body::Probe { .. } | Body::Ack { .. } | Body::IndirectProbe { .. } => "probes",
@@ -215,7 +215,7 @@
     }
 }
 
-/// An item, and how often it is still told.
+/// An item, and how often it is still to be sent.
 #[derive(Clone, Debug)]
 struct QueuedItem<T> {
     item: T,
@@ -223,7 +223,7 @@
     is_new: bool,
 }
 
-/// News that this instance still tells.
+/// Gossip that this instance still sends.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
     members: BTreeMap<SocketAddrV4, QueuedItem<MemberUpdate>>,
@@ -232,40 +232,40 @@
     cordons: BTreeMap<String, QueuedItem<Cordon>>,
     limits: BTreeMap<EndpointKey, QueuedItem<EndpointKey>>,
     crash_records: BTreeMap<Fingerprint, QueuedItem<CrashRecord>>,
-    /// [`Outbox::crash_records`], the newest last.
+    /// The keys of [`Outbox::crash_records`], the newest last.
     crash_record_order: Vec<Fingerprint>,
-    /// How many of [`Outbox::crash_records`] may be told now.
+    /// How many of [`Outbox::crash_records`] may be sent now: a token bucket.
     crash_record_tokens: f64,
     refilled: Time,
 }
 
 impl Outbox {
-    /// Takes in what changed about an instance, among so many.
+    /// Queues a change of a member's state in a fleet of `instances`.
     pub fn add_member(&mut self, update: MemberUpdate, instances: usize) {
         let queued = QueuedItem::new(update, send_count(instances));
         self.members.insert(update.address, queued);
     }
 
-    /// Takes in that an endpoint leaves, among so many instances.
+    /// Queues that an endpoint leaves, in a fleet of `instances`.
     pub fn add_leaving(&mut self, endpoint: EndpointKey, instances: usize) {
         let queued = QueuedItem::new(endpoint, send_count(instances));
         self.leaving.insert(endpoint, queued);
     }
 
-    /// Takes in the operator's word about a data centre, among so many instances.
+    /// Queues the operator's cordon of a data centre, or its end, in a fleet of `instances`.
     pub fn add_cordon(&mut self, cordon: Cordon, instances: usize) {
         let name = cordon.data_centre.clone();
         self.cordons
             .insert(name, QueuedItem::new(cordon, send_count(instances)));
     }
 
-    /// Takes in what an instance says that watches the store.
+    /// Queues a beacon.
     pub fn add_beacon(&mut self, beacon: Beacon) {
         let queued = QueuedItem::new(beacon, BEACON_SENDS);
         self.beacons.insert(beacon.origin, queued);
     }
 
-    /// Takes in what is known of a suspect, among so many instances.
+    /// Queues a crash record in a fleet of `instances`.
     pub fn add_crash_record(&mut self, record: CrashRecord, instances: usize) {
         self.crash_record_order
             .retain(|it| *it != record.fingerprint);
@@ -278,7 +278,7 @@
         self.crash_records.insert(record.fingerprint, queued);
     }
 
-    /// Lets time pass for what may be told.
+    /// Refills the allowance for crash records.
     pub fn tick(&mut self, now: Time) {
         let earned = now.since(self.refilled).as_secs_f64() * CRASH_RECORDS_PER_SECOND;
         self.crash_record_tokens =
@@ -286,7 +286,7 @@
         self.refilled = now;
     }
 
-    /// Returns whether something was never told and may be told now.
+    /// Returns whether there is an item that was never sent and may be sent now.
     pub fn has_new(&self) -> bool {
         any_new(&self.members)
             || any_new(&self.leaving)
@@ -296,7 +296,7 @@
             || (self.crash_record_tokens >= 1.0 && any_new(&self.crash_records))
     }
 
-    /// Returns what is told now to so many peers; the newest first.
+    /// Returns the items to send now to `peers` peers, those that were sent least often first.
     pub fn take(&mut self, peers: u32) -> GossipItems {
         GossipItems {
             members: take(&mut self.members, peers),
@@ -304,27 +304,27 @@
             beacons: take(&mut self.beacons, peers),
             crash_records: self.take_crash_records(peers),
             cordons: take(&mut self.cordons, peers),
-            // The words are written as they are sent, since each carries its age.
+            // Reports of rate limits are built when they are sent, since each carries its age.
             limits: Vec::new(),
         }
     }
 
-    /// Takes in that an endpoint's limit changed, among so many instances.
+    /// Queues a change of an endpoint's rate limit in a fleet of `instances`.
     pub fn add_limit(&mut self, endpoint: EndpointKey, instances: usize) {
         let queued = QueuedItem::new(endpoint, send_count(instances));
         self.limits.insert(endpoint, queued);
     }
 
-    /// Returns the endpoints whose limits are told now to so many peers.
+    /// Returns the endpoints whose rate limits are to be sent now to `peers` peers.
     pub fn take_limits(&mut self, peers: u32) -> Vec<EndpointKey> {
         take(&mut self.limits, peers)
     }
 
-    /// Takes those first that ended the most endpoints, and of these the newest.
+    /// Takes the records with the most crashes first, and of these the newest.
     ///
-    /// What goes wrong in any other order: when many endpoints end for a reason of their own, the
-    /// one request that ends the next of them waits behind all that were there, and comes to
-    /// other instances before its news does.
+    /// In any other order, when many endpoints end for unrelated reasons, the one request that
+    /// crashes the next of them waits behind all other records, and reaches other instances before
+    /// its record does.
     fn take_crash_records(&mut self, peers: u32) -> Vec<CrashRecord> {
         let newest = self.crash_record_order.iter().rev();
         let mut keys: Vec<Fingerprint> = newest.copied().collect();
@@ -353,7 +353,7 @@
     }
 }
 
-/// Returns how often one of so many instances tells an item.
+/// Returns how often one of `instances` instances sends an item.
 fn send_count(instances: usize) -> u32 {
     BASE_SENDS + instances.max(1).ilog2()
 }
@@ -373,7 +373,7 @@
     take_keys(queue, &keys, peers)
 }
 
-/// Tells items to so many peers.
+/// Takes the items of `keys`, to be sent to `peers` peers.
 fn take_keys<K: Ord, T: Clone>(
     queue: &mut BTreeMap<K, QueuedItem<T>>,
     keys: &[K],
--- a/crates/core/src/gateway/members.rs
+++ b/crates/core/src/gateway/members.rs
@@ -1,12 +1,12 @@
-//! Which instances there are, at a cost that does not grow with their number.
+//! Group membership, at a cost per instance that does not grow with the fleet.
 //!
-//! Each instance probes one other at a time. One that answers neither itself nor through
-//! others is suspected, and counts as gone unless it refutes that in time. Only changes are
-//! told, see [`gossip`](super::gossip). The protocol is SWIM (Das, Gupta, Motivala, 2002)
-//! with its suspicion and refutation; `docs/design/large-fleets.md` gives the costs.
+//! Each instance probes one other at a time. An instance that answers neither directly nor through
+//! others is suspected, and is considered gone unless it refutes the suspicion in time. Only
+//! changes are sent, see [`gossip`](super::gossip). The protocol is SWIM (Das, Gupta, Motivala,
+//! 2002) with suspicion and refutation; `docs/design/large-fleets.md` gives the costs.
 //!
-//! A process that starts again at an address is another life. Lives have no order, so that
-//! what an instance says itself goes before what others say of it.
+//! A process that restarts at an address is a new incarnation. Incarnations have no order, so what
+//! an instance states about itself takes precedence over gossip about it.
 
 mod probes;
 
@@ -23,36 +23,36 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The time between two questions for all instances.
+/// Minimum interval between two requests for the full member list.
 const SYNC_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Instances that one datagram lists: some 1.2 KB.
+/// Members in one datagram: some 1.2 KB.
 const LIST_CHUNK: usize = 64;
 
-/// What an instance is believed to be. At the same number of refutations the later word goes
-/// before the earlier one.
+/// The believed state of an instance. With equal refutation counts the later variant takes
+/// precedence over the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Status {
     /// It takes part.
     Alive,
-    /// It takes part, and stops soon.
+    /// It takes part, and will stop soon.
     Stopping,
-    /// It did not answer, and may still say that it is there.
+    /// It did not answer a probe, and may still refute the suspicion.
     Suspect,
-    /// It is not there.
+    /// It has ended or cannot be reached.
     Gone,
 }
 
-/// What is told of one instance.
+/// The state of one instance, as sent between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Where it answers peers.
+    /// Address at which it receives datagrams.
     pub address: SocketAddrV4,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How often it has refuted what was said of it in this life.
+    /// How often it has refuted a suspicion in this incarnation.
     pub refutations: u32,
-    /// What it is.
+    /// Its state.
     pub status: Status,
 }
 
@@ -62,18 +62,18 @@
     }
 }
 
-/// What is known of another instance.
+/// What is known about another instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// What was told of it last; nothing if only its address is known.
+    /// Its last known state; `None` if only its address is known.
     update: Option<MemberUpdate>,
-    /// Since when, or since when its address is known.
+    /// Time of the last state change, or when the address became known.
     since: Time,
-    /// When a datagram of its own came last.
+    /// Time of its own last datagram.
     pub last_datagram: Option<Time>,
-    /// The store's revision that it said it knows.
+    /// The store revision up to which it states its replica is complete.
     pub revision: u64,
-    /// What that comes to.
+    /// The digest of its replica.
     pub digest: u64,
 }
 
@@ -83,29 +83,29 @@
         self.update.is_some_and(|it| it.status != Status::Gone)
     }
 
-    /// Returns whether it takes part, nobody doubts that, and it goes on doing so.
+    /// Returns whether it takes part, is not suspected and is not stopping.
     pub fn is_steady(&self) -> bool {
         self.update.is_some_and(|it| it.status == Status::Alive)
     }
 
-    /// Returns whether it said that it stops.
+    /// Returns whether it has announced that it stops.
     pub fn is_stopping(&self) -> bool {
         self.update.is_some_and(|it| it.status == Status::Stopping)
     }
 }
 
-/// What changed among the instances.
+/// What changed in the membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Instances that count as gone now.
+    /// Instances that are now considered gone.
     pub gone: Vec<SocketAddrV4>,
-    /// What is to be told of instances.
+    /// State changes to gossip.
     pub updates: Vec<MemberUpdate>,
-    /// What is to be sent.
+    /// Messages to send.
     pub send: Vec<(SocketAddrV4, Body)>,
 }
 
-/// All instances known.
+/// All known instances.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: MemberUpdate,
@@ -113,14 +113,14 @@
     seeds: Vec<SocketAddrV4>,
     is_seed: bool,
     others: BTreeMap<SocketAddrV4, Member>,
-    /// Whom to probe next, from the end.
+    /// The targets of the next probes, the next one last.
     ring: Vec<SocketAddrV4>,
     probes: Probes,
     last_sync: Option<Time>,
 }
 
 impl Members {
-    /// Returns an instance that knows the addresses of some others.
+    /// Returns an instance that knows the addresses of its seeds.
     pub fn new(
         now: Time,
         address: SocketAddrV4,
@@ -146,7 +146,7 @@
         members
     }
 
-    /// Puts other seeds in force.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, now: Time, seeds: &[SocketAddrV4]) {
         let others = seeds.iter().filter(|&&seed| seed != self.own.address);
         self.seeds = others.copied().collect();
@@ -156,23 +156,23 @@
         }
     }
 
-    /// Returns what this instance says of itself.
+    /// Returns the state of this instance.
     pub fn own(&self) -> MemberUpdate {
         self.own
     }
 
-    /// Notes that this instance stops; returns what is to be told.
+    /// Marks this instance as stopping; returns the update to gossip.
     pub fn stop(&mut self) -> MemberUpdate {
         self.own.status = Status::Stopping;
         self.own
     }
 
-    /// Returns what is known of the instance at `address`.
+    /// Returns what is known about the instance at `address`.
     pub fn get(&self, address: SocketAddrV4) -> Option<&Member> {
         self.others.get(&address)
     }
 
-    /// Returns the others that take part.
+    /// Returns the other instances that take part.
     pub fn live(&self) -> impl Iterator<Item = (SocketAddrV4, &Member)> {
         let others = self.others.iter();
         others
@@ -180,7 +180,8 @@
             .map(|(address, it)| (*address, it))
     }
 
-    /// Returns whether this instance has heard most of the seeds; one that is a seed hears itself.
+    /// Returns whether this instance has received datagrams of most of the seeds; a seed counts
+    /// itself.
     pub fn has_reached_most_seeds(&self) -> bool {
         let is_reached = |it: &&SocketAddrV4| {
             let known = self.others.get(it);
@@ -192,19 +193,19 @@
         all == 0 || 2 * (others + own) > all
     }
 
-    /// Returns whether anybody ever answered.
+    /// Returns whether any other instance has ever answered.
     pub fn has_joined(&self) -> bool {
         self.last_sync.is_some() || self.seeds.is_empty()
     }
 
-    /// Returns a hash of who takes part, equal where two instances believe the same.
+    /// Returns a hash of the live members, equal where two instances know the same members.
     pub fn digest(&self) -> u64 {
         let live = self.live().filter_map(|(_, it)| it.update);
         let all = live.chain([self.own]);
         all.fold(0, |sum, it| sum ^ hash_of(it.address, it.incarnation))
     }
 
-    /// Notes what an instance is now, and that others are to hear of it.
+    /// Stores the state of an instance and queues it as gossip.
     fn set(&mut self, now: Time, update: MemberUpdate, change: &mut Change) {
         if let Some(known) = self.others.get_mut(&update.address) {
             known.update = Some(update);
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Draws some of the others that take part, but for `except`.
+    /// Returns a random sample of the live members, without `except`.
     pub fn sample(
         &self,
         rng: &mut SmallRng,
@@ -225,8 +226,8 @@
             .choose_multiple(rng, most)
     }
 
-    /// Takes in what an instance says of itself in a datagram of its own. Returns whether it
-    /// was not there before in this life.
+    /// Handles the state that an instance states about itself in its own datagram. Returns whether
+    /// this incarnation was unknown or considered gone.
     pub fn on_datagram(
         &mut self,
         now: Time,
@@ -257,8 +258,8 @@
             known.since = now;
             change.updates.push(stated);
         } else if update.status >= Status::Suspect {
-            // It is there, and must say so itself: only a higher number of refutations goes
-            // before what others were told.
+            // The instance is reachable, but it must refute the suspicion itself: only a higher
+            // refutation count overrides what other instances already know.
             change.send.push((stated.address, Body::suspicion(update)));
             if was_gone {
                 known.update = Some(stated);
@@ -268,7 +269,7 @@
         was_gone
     }
 
-    /// Takes in what others say of an instance.
+    /// Handles gossip about an instance.
     pub fn on_update(&mut self, now: Time, received: MemberUpdate, change: &mut Change) {
         if received.address == self.own.address {
             self.refute(received, change);
@@ -302,7 +303,7 @@
                 known.since = now;
                 change.updates.push(received);
             }
-            // One of two lives is over. The instance itself is asked which.
+            // One of two incarnations is over. A probe of the instance shows which.
             Some(_) => self.probe_soon(received.address),
         }
     }
@@ -326,7 +327,7 @@
         }
     }
 
-    /// Returns whether to ask `peer`, which believes in other instances, for all of them.
+    /// Returns whether to request the full member list from a peer whose member digest is `theirs`.
     pub fn should_sync(&mut self, now: Time, theirs: u64) -> bool {
         let is_due = self
             .last_sync
@@ -338,7 +339,7 @@
         true
     }
 
-    /// Returns all instances that take part, this one included, in parts that fit a datagram.
+    /// Returns all live members, this instance included, in chunks that fit a datagram.
     pub fn list(&self) -> Vec<Vec<MemberUpdate>> {
         let live = self.live().filter_map(|(_, it)| it.update);
         let all: Vec<MemberUpdate> = live.chain([self.own]).collect();
--- a/crates/core/src/gateway/members/probes.rs
+++ b/crates/core/src/gateway/members/probes.rs
@@ -1,4 +1,4 @@
-//! Who is probed when, and what follows from silence.
+//! Failure detection: which instance is probed when, and what happens if it does not answer.
 
 use super::{Change, MemberUpdate, Members, Status};
 use crate::gateway::gossip::Body;
@@ -9,40 +9,40 @@
 use rand::seq::{IteratorRandom, SliceRandom};
 use std::net::SocketAddrV4;
 
-/// The time between two probes of one instance. Two and a half a second, each answered,
-/// take some 0.7 KB a second of an instance, whatever the size of the fleet.
+/// Interval between two probes of one instance. At 2.5 probes per second, each answered, they take
+/// some 0.7 KB per second of an instance, whatever the size of the fleet.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A probe that is not answered within this time is tried through others. A round trip
-/// between data centres takes some 3 ms; the rest is for busy processors.
+/// A probe that is not answered within this time is retried through other instances. A round trip
+/// between data centres takes some 3 ms; the rest allows for busy processors.
 const ACK_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Others that are asked to probe in one's place, so that one link that is cut condemns
-/// nobody.
+/// Number of instances that are asked for an indirect probe, so that one broken link makes nobody
+/// suspected.
 const HELPERS: usize = 3;
 
-/// A probe that nobody has answered by then makes its target suspected.
+/// A probe that is still unanswered after this time makes its target suspected.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a suspected instance has to refute it: news takes some 50 ms to it and as long
-/// back, and an instance that gets an eighth of a processor may pause for 100 ms.
+/// How long a suspected instance has to refute the suspicion: gossip takes some 50 ms in each
+/// direction, and an instance with an eighth of a processor may pause for 100 ms.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The time between two attempts to find anybody, while nobody is known.
+/// Interval between two attempts to join while no other instance is known.
 const JOIN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Addresses that each such attempt tries.
+/// Addresses that are probed in each such attempt.
 const JOIN_ATTEMPTS: usize = 2;
 
-/// Each so manieth probe goes to an address where nobody answered lately, so that two parts
-/// of a fleet that lost each other find each other again within seconds.
+/// One probe in this many goes to an instance that is considered gone, so that the two sides of a
+/// partition find each other within seconds once it ends.
 const GONE_PROBE_EVERY: u64 = 3;
 
-/// An instance that is gone is remembered for so long, and probed now and then.
+/// How long an instance that is gone is remembered and probed from time to time.
 const REMEMBER_GONE: Duration = Duration::from_secs(60);
 
-/// An instance that did nothing for so long was itself away: what it waits for proves nothing
-/// about others.
+/// If this instance did nothing for this long, it was paused itself, and unanswered probes prove
+/// nothing about other instances.
 const OWN_PAUSE: Duration = Duration::from_millis(700);
 
 /// A probe that is not answered yet.
@@ -50,13 +50,13 @@
 struct Probe {
     number: u64,
     target: SocketAddrV4,
-    /// The life that is probed, if it is known.
+    /// The incarnation that is probed, if it is known.
     incarnation: Option<Incarnation>,
     sent: Time,
     is_indirect: bool,
 }
 
-/// A probe made in the place of another instance.
+/// An indirect probe on behalf of another instance.
 #[derive(Clone, Copy, Debug)]
 struct PeerProbe {
     number: u64,
@@ -65,7 +65,7 @@
     sent: Time,
 }
 
-/// The probes of one instance.
+/// State of the failure detector.
 #[derive(Clone, Debug)]
 pub(super) struct Probes {
     open: Vec<Probe>,
@@ -88,8 +88,8 @@
 }
 
 impl Members {
-    /// Takes in the answer to a probe; returns to whom it is passed on, for whom this
-    /// instance had probed.
+    /// Handles the answer to a probe. If the probe was made on behalf of another instance, returns
+    /// the message to it.
     pub fn on_ack(&mut self, number: u64) -> Option<(SocketAddrV4, Body)> {
         self.probes.open.retain(|it| it.number != number);
         let at = self
@@ -101,7 +101,7 @@
         Some((probe.requester, Body::relayed_ack(probe.requester_number)))
     }
 
-    /// Probes `target` in the place of `asker`.
+    /// Probes `target` on behalf of `requester`.
     pub fn probe_for(
         &mut self,
         now: Time,
@@ -119,7 +119,7 @@
         self.probe_body(self.probes.last_number, target)
     }
 
-    /// Does what is due by time alone.
+    /// Does what is due at `now`.
     pub fn tick(&mut self, now: Time, rng: &mut SmallRng) -> Change {
         let mut change = Change::default();
         if now.since(self.probes.last_tick) >= OWN_PAUSE {
@@ -232,8 +232,8 @@
             .push((target, self.probe_body(self.probes.last_number, target)));
     }
 
-    /// Returns a probe, which tells its target what is believed of it, so that it can refute
-    /// that.
+    /// Returns a probe that carries a suspicion of its target along, so that the target can refute
+    /// it.
     fn probe_body(&self, number: u64, target: SocketAddrV4) -> Body {
         let update = self.others.get(&target).and_then(|it| it.update);
         let believed = update.filter(|it| it.status >= Status::Suspect);
