--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -1,10 +1,10 @@
-//! What those say that watch the store, and who watches.
+//! Beacons of the instances that watch the store, and which instances watch it.
 //!
-//! Two instances watch for all ([`WATCHERS`]). A few times a second each of them says when
-//! the store last answered it and what it knows, in a beacon that [`gossip`](super::gossip)
-//! takes to everybody. Where the store answers neither, more and more others watch, in the
-//! order of their rank. What goes wrong if all of them do at once: 195 instances ask a store
-//! that is silent, and pay for each call.
+//! Two instances watch for all ([`WATCHERS`]). A few times a second each of them sends, in a beacon
+//! that [`gossip`](super::gossip) spreads to the entire fleet, when the store last answered it and
+//! what it knows. While the store answers neither, more and more other instances watch, in the
+//! order of their rank. If all of them did so at once, 195 instances would call a store that does
+//! not answer, and every call is billed.
 
 use super::reader::{WATCHER_TIMEOUT, WATCHERS};
 use crate::ids::{Incarnation, stable_hash};
@@ -14,39 +14,39 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The time between two beacons of an instance that watches the store. One may be lost
-/// before its sender counts as not answered.
+/// Interval between two beacons of a watcher. One may be lost before its sender counts as
+/// unanswered by the store.
 pub const BEACON_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long what a beacon says about entries that may be missing is believed.
+/// How long a beacon's statement that records may be missing is valid.
 const MAY_MISS_TTL: Duration = Duration::from_millis(1_500);
 
-/// After this time twice as many instances watch as before, while the store answers none.
+/// While the store answers no watcher, the number of watchers doubles after each such time.
 const WIDEN_AFTER: Duration = Duration::from_millis(250);
 
-/// The most instances that watch. A store that turns away nine of ten is heard by one of
-/// them in all but one of a thousand cases.
+/// Maximum number of watchers. If a store rejects nine calls in ten, at least one watcher is
+/// answered in all but one of a thousand cases.
 const MAX_WATCHERS: usize = 64;
 
-/// A beacon that is so old says nothing any more.
+/// A beacon of this age is removed.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// What an instance says that watches the store.
+/// The state of the store, as one watcher sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beacon {
-    /// The instance that says so.
+    /// The watcher.
     pub origin: SocketAddrV4,
-    /// Its life.
+    /// The watcher's incarnation.
     pub incarnation: Incarnation,
-    /// Counts its beacons.
+    /// Sequence number of its beacons.
     pub number: u64,
-    /// Milliseconds since the store answered it last.
+    /// Milliseconds since the store last answered it.
     pub store_age_ms: u32,
-    /// The store's revision up to which it knows everything.
+    /// The store revision up to which its replica is complete.
     pub revision: u64,
-    /// What that comes to.
+    /// The digest of its replica.
     pub digest: u64,
-    /// Whether entries may be missing from the store and come back.
+    /// Whether the store may lack records that will come back.
     pub may_miss_records: bool,
 }
 
@@ -56,14 +56,14 @@
     at: Time,
 }
 
-/// The last beacon of each instance that watches or did so lately.
+/// The last beacon of each instance that watches or did so recently.
 #[derive(Clone, Debug, Default)]
 pub struct Beacons {
     received: BTreeMap<SocketAddrV4, ReceivedBeacon>,
 }
 
 impl Beacons {
-    /// Takes a beacon in; returns whether it was not heard before.
+    /// Stores a beacon; returns whether it is new.
     pub fn on_beacon(&mut self, now: Time, beacon: Beacon) -> bool {
         let known = self.received.get(&beacon.origin).map(|it| it.beacon);
         let is_old = known
@@ -76,13 +76,13 @@
         true
     }
 
-    /// Forgets beacons that say nothing any more.
+    /// Removes old beacons.
     pub fn tick(&mut self, now: Time) {
         self.received
             .retain(|_, it| now.since(it.at) < FORGET_AFTER);
     }
 
-    /// Returns the instances that the store answered lately.
+    /// Returns the instances that the store answered recently.
     pub fn recently_answered(&self, now: Time) -> impl Iterator<Item = SocketAddrV4> {
         let received = self.received.values();
         received
@@ -90,7 +90,7 @@
             .map(|it| it.beacon.origin)
     }
 
-    /// Returns whether entries may be missing from the store, as one that watches says.
+    /// Returns whether the store may lack records, as any watcher states.
     pub fn any_may_miss_records(&self, now: Time) -> bool {
         let mut received = self.received.values();
         received.any(|it| it.beacon.may_miss_records && now.since(it.at) < MAY_MISS_TTL)
@@ -101,7 +101,7 @@
         self.received.values().map(|it| &it.beacon)
     }
 
-    /// Returns how many instances may watch, by rank. `since` is when this instance began.
+    /// Returns how many instances may watch, by rank. `since` is when this instance started.
     pub fn may_watch(&self, now: Time, since: Time) -> usize {
         let last = self
             .received
@@ -128,8 +128,8 @@
     }
 }
 
-/// Returns the rank of an instance among readers; the lowest reads first. A hash, so
-/// that the load does not follow the order of addresses.
+/// Returns the rank of an instance as a watcher; the lowest ranks watch. It is a hash, so that the
+/// load does not follow the order of addresses.
 pub fn watcher_rank(address: SocketAddrV4) -> (u64, SocketAddrV4) {
     let port = address.port().to_le_bytes();
     let hash = stable_hash(&[b"reader", &address.ip().octets(), &port]);
--- a/crates/core/src/gateway/catch_up.rs
+++ b/crates/core/src/gateway/catch_up.rs
@@ -1,18 +1,19 @@
-//! How an instance that knows less of the store than its peers gets what it missed.
+//! How an instance that is behind its peers fetches the records that it missed.
 //!
-//! Most instances do not watch the store; they hear that a peer knows more, and ask. A change may be large (a catalogue of some thousand entries takes a
-//! megabyte) and the links of instances are small, so that nobody can tell it to all.
-//! What goes wrong otherwise: all ask the same peer, its link carries the change to
-//! nobody in the time that each allows, what arrived is thrown away and asked for
-//! again. The catalogue in force stays old for as long as that lasts, and the datagrams
-//! of the peer that is asked wait behind its answers, so that it counts as gone.
+//! Most instances do not watch the store; they learn from gossip that a peer is ahead, and ask it
+//! for a delta. A delta may be large (a catalogue of some thousand entries takes a megabyte) and
+//! the links of instances are small, so that no instance can send it to all others. Without the
+//! rules below, all instances ask the same peer, whose link delivers the delta to none of them
+//! within their timeouts; what arrived is discarded and requested again. The old catalogue stays in
+//! force meanwhile, and the datagrams of the peer wait behind its deltas, so that it is considered
+//! gone.
 //!
-//! Three rules prevent it, and each holds alone:
+//! Three rules prevent this, and each is sufficient alone:
 //!
-//! * each instance draws whom to ask, and passes over who refused or failed;
-//! * a peer tells a large change to few at once ([`MAX_LARGE_TRANSFERS`]) and refuses the
-//!   others at once; those that were told can tell it on;
-//! * who is still behind after [`DIRECT_READ_AFTER`] reads the store itself.
+//! * each instance chooses at random whom to ask, and skips peers that refused or failed;
+//! * a peer sends a large delta to few instances at once ([`MAX_LARGE_TRANSFERS`]) and refuses the
+//!   others immediately; those that received it can pass it on;
+//! * an instance that is still behind after [`DIRECT_READ_AFTER`] reads the store itself.
 //!
 //! `docs/design/platform.md` has the figures.
 
@@ -21,68 +22,67 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// A peer's revision above the own one is believed to be missing, by an instance that
-/// watches the store itself, after this time.
+/// A watcher asks peers that are ahead of it only after this time, since it normally receives the
+/// change from the store itself.
 const WATCHER_GRACE: Duration = Duration::from_millis(150);
 
-/// An instance that heard of a change only from those that watch gives so much time to a
-/// peer nearer to it, so that two instances are not asked by all others at once.
+/// For this long an instance asks only peers whose own datagrams show that they are ahead, so that
+/// the few watchers whose beacons reach everybody are not asked by all instances at once.
 const DIRECT_FIRST: Duration = Duration::from_millis(60);
 
-/// An instance that is behind for so long reads the store itself, whatever its peers do.
-/// Small changes take some 10 ms from peer to peer. A quarter of the tightest bound
-/// within which a change must be in force.
+/// An instance that is behind for this long reads the store itself, whatever its peers do. Small
+/// changes take some 10 ms from peer to peer. This is a quarter of the tightest bound within which
+/// a change must be in force.
 pub const DIRECT_READ_AFTER: Duration = Duration::from_millis(500);
 
-/// Records of more bytes than this are much to tell. A hundred peers can be told so much
-/// over the smallest links, of 10 Mbit/s, in 0.3 s.
+/// Deltas of more bytes than this are large. A hundred peers can be sent this much over the
+/// smallest links, of 10 Mbit/s, in 0.3 s.
 pub const LARGE_DELTA_BYTES: usize = 4 * 1024;
 
-/// Peers to which one instance tells a large change at once, until they have read it. With
-/// two, those that know it become three times as many with each round, and datagrams wait
-/// behind no more than the windows of two connections.
+/// Instances to which one instance sends a large delta at once, until they have read it. With two,
+/// the number of instances that have it triples with each round, and datagrams wait behind no more
+/// than the windows of two connections.
 pub const MAX_LARGE_TRANSFERS: usize = 2;
 
-/// How long a peer that refused is not asked again, on average: some twice as long as a
-/// catalogue of 1,200 entries took to one peer (37 to 71 ms, first three of a day with 86
-/// instances).
+/// Mean pause before a peer that refused is asked again: about twice the time that a catalogue of
+/// 1,200 entries takes to one peer (37 to 71 ms with 86 instances).
 const REFUSAL_PAUSE: Duration = Duration::from_millis(150);
 
-/// How long a peer whose answer did not arrive is not asked again, on average.
+/// Mean pause before a peer whose delta did not arrive is asked again.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
 
-/// A peer that knows more of the store.
+/// A peer that is ahead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Provider {
-    /// Where it answers.
+    /// Its address.
     pub address: SocketAddrV4,
-    /// The revision that it knows.
+    /// The revision up to which its replica is complete.
     pub revision: u64,
-    /// What that comes to.
+    /// The digest of its replica.
     pub digest: u64,
-    /// Whether it said so itself to this instance, and not to all.
+    /// Whether its own datagram to this instance shows this, not only its beacon.
     pub is_direct: bool,
 }
 
-/// Why a peer that knows more did not tell it.
+/// Why a peer that is ahead sent no delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchFailure {
-    /// It tells others at the moment.
+    /// It is sending to other instances at the moment.
     Refused,
-    /// Its answer did not arrive, or cannot be read.
+    /// The delta did not arrive, or cannot be decoded.
     Failed,
 }
 
-/// What an instance knows of its being behind.
+/// Whether this instance is behind, and which peers to skip.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUp {
     behind_since: Option<Time>,
-    /// Peers that are not asked until then.
+    /// Peers that are not asked before the given time.
     skipped_until: BTreeMap<SocketAddrV4, Time>,
 }
 
 impl CatchUp {
-    /// Notes whether some peer knows more of the store than this instance.
+    /// Sets whether some peer is ahead of this instance.
     pub fn set_behind(&mut self, now: Time, behind: bool) {
         if !behind {
             self.behind_since = None;
@@ -92,18 +92,18 @@
         }
     }
 
-    /// Returns whether some peer knows more.
+    /// Returns whether some peer is ahead.
     pub fn is_behind(&self) -> bool {
         self.behind_since.is_some()
     }
 
-    /// Returns whether peers had their time, and the store is to be read instead.
+    /// Returns whether peers had enough time, and the store is to be read instead.
     pub fn needs_direct_read(&self, now: Time) -> bool {
         self.behind_since
             .is_some_and(|since| now.since(since) >= DIRECT_READ_AFTER)
     }
 
-    /// Notes that a peer did not tell what it knows; `draw` is uniform below one.
+    /// Records that a peer did not send its delta; `draw` is uniform below one.
     pub fn on_fetch_failure(
         &mut self,
         now: Time,
@@ -119,9 +119,8 @@
             .insert(peer, now + pause.mul_f64(0.5 + draw));
     }
 
-    /// Returns the peers that may be asked: of those that are not passed over, the ones
-    /// that know what the best of them knows. An instance that watches the store gives it
-    /// some time first.
+    /// Returns the peers that may be asked now: of those that are not skipped, the ones whose
+    /// digest equals that of the peer that is furthest ahead. A watcher waits some time first.
     pub fn candidates(&self, now: Time, ahead: &[Provider], watches: bool) -> Vec<SocketAddrV4> {
         let Some(since) = self.behind_since else {
             return Vec::new();
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -1,65 +1,65 @@
 //! When to read and watch the store.
 //!
-//! One read of everything, then one watch after the other from where the last
-//! one ended. A call that fails is followed by a pause that grows, with jitter,
-//! so that a store that comes back is not met by all instances at once.
+//! One full read is followed by one watch after the other, each from the revision at which the last
+//! one ended. A failed call is followed by a growing pause with jitter, so that instances do not
+//! all call a recovering store at once.
 
 use crate::time::Time;
 use core::time::Duration;
 
-/// How long the store may hold a watch. A connection may fall silent for good
-/// without a reset; this bounds how long an instance can be blind because of it.
+/// How long the store may hold a watch. A connection may go silent without a reset; this bounds how
+/// long an instance does not notice.
 pub const WATCH_WAIT: Duration = Duration::from_millis(700);
 
-/// Instances that watch the store for all. Calls are paid for and limited, and do
-/// not become fewer when the fleet grows; two, so that one may fail unnoticed.
+/// Instances that watch the store for all. Calls are billed and rate-limited, so their number must
+/// not grow with the fleet; two, so that one may fail unnoticed.
 pub const WATCHERS: usize = 2;
 
-/// A reader to which the store has answered nothing for so long counts as cut off.
-/// A watch is answered after [`WATCH_WAIT`] at the latest, and others hear of it within
-/// [`BEACON_INTERVAL`](super::beacons::BEACON_INTERVAL); what is left of the two seconds
-/// within which changes must be in force suffices to read in its place.
+/// A watcher that the store has not answered for this long counts as cut off. A watch is answered
+/// after [`WATCH_WAIT`] at the latest, and others learn of it within
+/// [`BEACON_INTERVAL`](super::beacons::BEACON_INTERVAL); the rest of the two seconds within which
+/// changes must be in force suffices for another instance to read in its place.
 pub const WATCHER_TIMEOUT: Duration = Duration::from_millis(1_350);
 
-/// How long after a watch that told something the next one begins. The endpoints of a
-/// large fleet write a heartbeat every few milliseconds, and a watch that is begun at once
-/// is answered at once: 55 calls a second of two watchers before 67 endpoints. With this
-/// pause two make 10, whatever the number of endpoints, and a change is heard of 0.2 s
-/// late at the most, a tenth of the tightest bound within which one must be in force.
+/// Pause after a watch that returned changes. The endpoints of a large fleet write a heartbeat
+/// every few milliseconds, and a watch that begins at once is answered at once: 55 calls per second
+/// of two watchers with 67 endpoints. With this pause two watchers make 10, whatever the number of
+/// endpoints, and a change is noticed at most 0.2 s late, a tenth of the tightest bound within
+/// which one must be in force.
 pub const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often an instance that does not watch looks whether it must.
+/// Interval at which an instance that does not watch checks whether it must.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How much later than [`WATCH_WAIT`] an answer may begin before the call is given up.
+/// How much later than [`WATCH_WAIT`] the response to a watch may begin before the call times out.
 pub const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
 /// The first pause after a failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The longest pause after failures. A quarter of the tightest bound within which
-/// a change must be in force.
+/// The longest pause after failures: a quarter of the tightest bound within which a change must be
+/// in force.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A store that answered nothing for so long may have let entries lapse. They lapse
-/// after three heartbeats of an endpoint, which are longer; a watch that was cut, or
-/// a call that was refused, is no such outage, and what vanishes meanwhile is gone.
+/// After an outage of this length records may have expired. They expire after three heartbeats of
+/// an endpoint, which take longer; an interrupted watch or a rejected call is no such outage, and
+/// records that are removed meanwhile are really removed.
 const EXPIRY_OUTAGE: Duration = Duration::from_millis(2_000);
 
-/// How long after an outage entries of the store are still incomplete: the
-/// publisher promises about two seconds.
+/// How long after an outage the store may still lack records: the publisher promises about two
+/// seconds.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read everything.
+    /// Read the store in full.
     Read,
-    /// Wait for what comes after the revision known.
+    /// Wait for changes after the known revision.
     Watch,
     /// Wait before the next call.
     Pause(Duration),
-    /// Others watch; look again after this time.
+    /// Others watch; check again after this time.
     StandBy(Duration),
 }
 
@@ -70,9 +70,9 @@
     Refused,
     /// There was no answer.
     NoAnswer,
-    /// The history that a watch asked for is gone.
+    /// The store no longer has the history that the watch asked for.
     HistoryGone,
-    /// The answer is larger than any that is read.
+    /// The response exceeds the size limit.
     TooLarge,
 }
 
@@ -84,7 +84,7 @@
     pause_until: Time,
     recovered_at: Option<Time>,
     last_answer: Option<Time>,
-    /// When a watch was answered last.
+    /// When the store last answered a watch.
     last_watch_answer: Option<Time>,
 }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns what to do now; `watches` says whether this instance watches for all.
+    /// Returns what to do now; `watches` is whether this instance watches for all.
     pub fn next(&self, now: Time, watches: bool) -> Step {
         if now < self.pause_until {
             return Step::Pause(self.pause_until.since(now));
@@ -113,28 +113,28 @@
         }
     }
 
-    /// Notes that everything was read; returns whether the store was away before.
+    /// Records that the store was read in full; returns whether the store was unavailable before.
     pub fn on_read(&mut self, now: Time) -> bool {
         self.needs_read = false;
         self.answered(now)
     }
 
-    /// Notes that this instance makes no calls, because others watch for it.
+    /// Records that this instance makes no calls, because others watch for it.
     ///
-    /// What goes wrong otherwise: the last call it made failed, it makes no further
-    /// one, and counts the store as away for good; entries that vanish are kept.
+    /// Without this, an instance whose last call failed makes no further call and considers the
+    /// store unavailable for good; records that are removed are kept.
     pub fn stand_by(&mut self) {
         self.failures = 0;
         self.pause_until = Time::ZERO;
     }
 
-    /// Notes that a watch told something; returns whether the store was away before.
+    /// Records that a watch returned changes; returns whether the store was unavailable before.
     pub fn on_changes(&mut self, now: Time) -> bool {
         self.pause_until = now + WATCH_PAUSE;
         self.on_answer(now)
     }
 
-    /// Notes that a watch was answered; returns whether the store was away before.
+    /// Records that a watch was answered; returns whether the store was unavailable before.
     pub fn on_answer(&mut self, now: Time) -> bool {
         self.last_watch_answer = Some(now);
         self.answered(now)
@@ -150,18 +150,18 @@
         was_unavailable
     }
 
-    /// Notes that a call failed; `draw` is uniform below one. Returns whether the
-    /// store was there before.
+    /// Records that a call failed; `draw` is uniform below one. Returns whether the store was
+    /// available before.
     pub fn on_failure(&mut self, now: Time, failure: CallFailure, draw: f64) -> bool {
         if failure == CallFailure::HistoryGone {
             self.needs_read = true;
             return false;
         }
         if failure == CallFailure::TooLarge {
-            // A watch tells every version that was published since, and several of a large
-            // catalogue are more than is read; the pages of a read hold the last one only.
-            // What goes wrong otherwise: the same watch is repeated in vain until the store
-            // forgets that history.
+            // A watch returns every version that was published since, and several versions of a
+            // large catalogue exceed the limit; the pages of a read hold only the last one.
+            // Otherwise the same watch would be retried in vain until the store forgets that
+            // history.
             self.needs_read = true;
         }
         let was_available = self.failures == 0;
@@ -182,13 +182,13 @@
         self.last_watch_answer
     }
 
-    /// Returns whether the store is away.
+    /// Returns whether the store is unavailable.
     pub fn is_unavailable(&self) -> bool {
         self.failures > 0
     }
 
-    /// Returns whether entries that are missing may be back soon: the store is
-    /// away for long, or was until a moment ago.
+    /// Returns whether records that are missing may come back soon: the store has been unavailable
+    /// for long, or was until a moment ago.
     pub fn may_miss_records(&self, now: Time) -> bool {
         let is_unavailable = self.is_unavailable() && self.may_have_expired(now);
         is_unavailable
--- a/crates/core/src/gateway/replica.rs
+++ b/crates/core/src/gateway/replica.rs
@@ -1,22 +1,21 @@
-//! What the store published, as far as this instance knows it.
+//! The records of the store, as far as this instance knows them.
 //!
-//! Records come from pages of the store, from its watches and from peers, in
-//! any order and more than once. Each key keeps the highest revision, so that a
-//! late page, a stale read or a peer that lags never brings back what was
-//! replaced. That is the whole of the rule that a configuration never steps back.
+//! Records come from pages of the store, from its watches and from peers, in any order and more
+//! than once. Each key keeps the highest revision, so that a late page, a stale read or a peer that
+//! is behind never restores what was replaced. This rule alone ensures that a configuration never
+//! steps back.
 //!
-//! Endpoints write their entries anew with each heartbeat, 56 times a second where 67
-//! of them do so every 1.2 s. Only what changes the meaning of a record is news: it is
-//! told to peers and wakes whoever waits. What goes wrong otherwise: every instance asks
-//! a peer, over a connection of its own, for records in which nothing changed but their
-//! time, some fifty times a second.
+//! Endpoints write their records again with each heartbeat, 56 times a second where 67 of them do
+//! so every 1.2 s. Only a change of a record's content is sent to peers and wakes waiting tasks.
+//! Otherwise every instance would fetch, over a connection of its own and some fifty times a
+//! second, records in which nothing changed but their time.
 
 use crate::ids::stable_hash;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Removed keys that are remembered, so that a page read earlier cannot bring
-/// them back. Each costs some 60 bytes; 4,096 removals are hours of change.
+/// Removed keys that are remembered, so that a page read earlier cannot restore them. Each takes
+/// some 60 bytes; 4,096 removals are hours of changes.
 const MAX_REMOVED: usize = 4_096;
 
 /// One key of the store at one revision.
@@ -26,27 +25,26 @@
     pub key: String,
     /// The revision of the store that wrote or removed it.
     pub revision: u64,
-    /// What was written; nothing if the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Vec<u8>>,
 }
 
 impl Record {
-    /// Returns about how many bytes it takes to tell.
+    /// Returns the approximate number of bytes in a message.
     pub fn size(&self) -> usize {
         self.key.len() + self.value.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// What a record means, as a hash: equal for two records of one key that differ in
-/// nothing but a heartbeat.
+/// A hash of a record's content: equal for two records of one key that differ only by a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ContentHash(u64);
 
 impl ContentHash {
-    /// The mark of a record that is removed, or that does not concern this product.
+    /// The hash of a record that is removed, or that does not concern this product.
     pub const NOTHING: ContentHash = ContentHash(0);
 
-    /// Returns the mark of a record that means `parts`.
+    /// Returns the hash of a record whose content is `parts`.
     pub fn of(key: &str, parts: &[&[u8]]) -> Self {
         ContentHash(stable_hash(&[
             key.as_bytes(),
@@ -55,51 +53,51 @@
     }
 }
 
-/// What a record that arrives is.
+/// How a record changes the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Its key is known at this revision or a later one.
+    /// The key is known at this revision or a later one.
     Stale,
-    /// It means what is known already.
+    /// The content is unchanged.
     Heartbeat,
-    /// It means something else than what was known.
+    /// The content is new.
     Changed,
 }
 
-/// What one instance tells another of the store.
+/// Records of the store that one instance sends another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreDelta {
-    /// The revision up to which the teller knows everything.
+    /// The revision up to which the sender's replica is complete.
     pub revision: u64,
-    /// Whether these are all records, so that a key that is missing is gone.
+    /// Whether these are all records, so that a key that is missing was removed.
     pub is_full: bool,
     /// The records, removals included.
     pub records: Vec<Record>,
 }
 
-/// A record as it was written last.
+/// A record at its latest known revision.
 #[derive(Clone, Debug)]
 struct KnownRecord {
     record: Record,
     hash: ContentHash,
-    /// The revision at which its meaning changed last, as far as this replica saw.
+    /// The revision at which its content last changed, as far as this replica saw.
     changed_at: u64,
 }
 
-/// All records known.
+/// All known records.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     records: BTreeMap<String, KnownRecord>,
-    /// The marks of all records together.
+    /// The hashes of all records, combined.
     digest: u64,
     removed: usize,
     revision: u64,
-    /// From here on every change was seen, removals included.
+    /// From this revision on every change was seen, removals included.
     complete_since: u64,
 }
 
 impl Replica {
-    /// Returns the highest revision of the store up to which everything is known.
+    /// Returns the highest revision of the store up to which this replica is complete.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -109,25 +107,25 @@
         self.revision == 0
     }
 
-    /// Returns whether a key is known to be there.
+    /// Returns whether a key is known to exist.
     pub fn has(&self, key: &str) -> bool {
         let known = self.records.get(key);
         known.is_some_and(|it| it.record.value.is_some())
     }
 
-    /// Returns whether everything was read once.
+    /// Returns whether the store was once read in full.
     pub fn is_complete(&self) -> bool {
         self.complete_since > 0
     }
 
-    /// Returns a hash of the meaning of all records: equal where two replicas say the same,
-    /// however many heartbeats lie between their revisions.
+    /// Returns a hash of the content of all records: equal where two replicas have the same
+    /// content, however many heartbeats lie between their revisions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns what a peer needs that knows everything up to `after`: the changes since,
-    /// if this replica saw all of them, and else everything.
+    /// Returns what a peer needs that is complete up to `after`: the changes since then if this
+    /// replica saw all of them, and otherwise all records.
     pub fn delta_since(&self, after: u64) -> StoreDelta {
         StoreDelta {
             revision: self.revision,
@@ -136,13 +134,13 @@
         }
     }
 
-    /// Returns about how many bytes [`Replica::delta_since`] `after` holds.
+    /// Returns the approximate number of bytes of [`Replica::delta_since`] `after`.
     pub fn delta_size(&self, after: u64) -> usize {
         self.changed_since(after).map(Record::size).sum()
     }
 
-    /// Returns the records whose meaning changed above `after`, or all of them if this
-    /// replica may have missed some.
+    /// Returns the records whose content changed after `after`, or all of them if this replica may
+    /// have missed some changes.
     fn changed_since(&self, after: u64) -> impl Iterator<Item = &Record> {
         let is_full = after < self.complete_since;
         let floor = if is_full { 0 } else { after };
@@ -158,7 +156,7 @@
         known.is_none_or(|known| known.record.revision < record.revision)
     }
 
-    /// Takes a record in, which means `mark`.
+    /// Applies a record whose content has the hash `hash`.
     pub fn apply(&mut self, record: Record, hash: ContentHash) -> Applied {
         if !self.is_newer(&record) {
             return Applied::Stale;
@@ -188,22 +186,21 @@
         }
     }
 
-    /// Notes that everything up to `revision` is known.
+    /// Records that the replica is complete up to `revision`.
     pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Notes that everything was read, from revision `began` on.
+    /// Records that the store was read in full, beginning at revision `began`.
     pub fn finish_full_read(&mut self, began: u64) {
         self.complete_since = self.complete_since.max(began);
         self.advance_to(began);
     }
 
-    /// Ends a read of everything, which began at revision `began`.
+    /// Returns the removals that follow from a full read that began at revision `began`.
     ///
-    /// Returns the removals that follow: keys that were written before `began` and that
-    /// `seen` does not name are gone. A key written later may
-    /// have missed the pages, so it stays; the watch tells what became of it.
+    /// Keys that were written before `began` and are not in `seen` were removed. A key that was
+    /// written later may have missed the pages, so it is kept; the watch shows what became of it.
     pub fn removals_after_read(&self, seen: &BTreeMap<String, ()>, began: u64) -> Vec<Record> {
         let known = self.records.values().map(|it| &it.record);
         known
