--- a/crates/core/tests/gateway_catch_up.rs
+++ b/crates/core/tests/gateway_catch_up.rs
@@ -19,7 +19,7 @@
 const STEP: Duration = Duration::from_millis(5);
 
 /// How often each instance tells the others who it is.
-const BULLETINS_EACH: Duration = Duration::from_millis(200);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// 10 Mbit/s, the smallest link of an instance.
 const LINK_BYTES_PER_STEP: f64 = 10_000_000.0 / 8.0 * 0.005;
@@ -37,14 +37,14 @@
         revision: CHANGED,
         value: Some(b"new".to_vec()),
     };
-    let mark = ContentHash::of(&record.key, &[b"new"]);
-    (record, mark)
+    let hash = ContentHash::of(&record.key, &[b"new"]);
+    (record, hash)
 }
 
 /// Lets an instance know the change.
-fn learn(one: &mut Gateway) {
-    let (record, mark) = change();
-    one.replica.apply(record, mark);
+fn apply_change(one: &mut Gateway) {
+    let (record, hash) = change();
+    one.replica.apply(record, hash);
     one.replica.advance_to(CHANGED);
 }
 
@@ -52,8 +52,8 @@
 fn digest_at(revision: u64) -> u64 {
     let mut replica = Replica::default();
     if revision >= CHANGED {
-        let (record, mark) = change();
-        replica.apply(record, mark);
+        let (record, hash) = change();
+        replica.apply(record, hash);
     }
     replica.digest()
 }
@@ -66,24 +66,24 @@
 }
 
 /// What an instance says that knows the store up to a revision, and is answered by it.
-fn told(number: u16, revision: u64, count: u64) -> Datagram {
+fn datagram_at(number: u16, revision: u64, count: u64) -> Datagram {
     let digest = digest_at(revision);
-    let news = match instances::beacon(number, count, 0).body {
-        Body::Gossip(news) => news,
+    let gossip = match instances::beacon(number, count, 0).body {
+        Body::Gossip(gossip) => gossip,
         _ => GossipItems::default(),
     };
-    datagram(number, revision, digest, Body::Gossip(news))
+    datagram(number, revision, digest, Body::Gossip(gossip))
 }
 
-fn hear(one: &mut Gateway, now: Time, said: Datagram) {
-    one.on_datagram(now, said).expect("it is of the fleet");
+fn receive(one: &mut Gateway, now: Time, datagram: Datagram) {
+    one.on_datagram(now, datagram).expect("it is of the fleet");
 }
 
 /// Where an instance gets the change from, and how much is missing.
 #[derive(Clone, Copy, PartialEq)]
 enum Fetch {
     Nothing,
-    FromPeer { teller: usize, left: f64 },
+    FromPeer { sender: usize, left: f64 },
     FromStore { left: f64 },
 }
 
@@ -94,10 +94,10 @@
     fetches: Vec<Fetch>,
     /// Whether the store answers each of them.
     served: Vec<bool>,
-    most_told_at_once: usize,
+    most_concurrent: usize,
     store_reads: usize,
     /// Counts what instances said.
-    said: u64,
+    sent: u64,
 }
 
 impl Fleet {
@@ -107,9 +107,9 @@
             instances: (1..=size).map(gateway).collect(),
             fetches: vec![Fetch::Nothing; size.into()],
             served: (0..size.into()).map(served).collect(),
-            most_told_at_once: 0,
+            most_concurrent: 0,
             store_reads: 0,
-            said: 0,
+            sent: 0,
         }
     }
 
@@ -133,32 +133,32 @@
     }
 
     /// Lets one instance tell all others how far it is.
-    fn tell(&mut self, from: usize) {
-        self.said += 1;
-        let said = told(Fleet::number(from), self.revision(from), self.said);
+    fn announce(&mut self, from: usize) {
+        self.sent += 1;
+        let datagram = datagram_at(Fleet::number(from), self.revision(from), self.sent);
         for (index, one) in self.instances.iter_mut().enumerate() {
             if index != from {
-                hear(one, self.now, said.clone());
+                receive(one, self.now, datagram.clone());
             }
         }
     }
 
-    fn inform(&mut self, index: usize) {
+    fn complete(&mut self, index: usize) {
         let one = &mut self.instances[index];
-        learn(one);
+        apply_change(one);
         one.reader.on_answer(self.now);
         one.update_behind(self.now);
         self.fetches[index] = Fetch::Nothing;
-        self.tell(index);
+        self.announce(index);
     }
 
-    fn told_by(&self, teller: usize) -> usize {
-        let from = |it: &&Fetch| matches!(it, Fetch::FromPeer { teller: at, .. } if *at == teller);
+    fn transfers_from(&self, sender: usize) -> usize {
+        let from = |it: &&Fetch| matches!(it, Fetch::FromPeer { sender: at, .. } if *at == sender);
         self.fetches.iter().filter(from).count()
     }
 
     /// Lets an instance that is behind ask, as its decisions say.
-    fn ask(&mut self, index: usize) {
+    fn act(&mut self, index: usize) {
         if matches!(self.fetches[index], Fetch::FromStore { .. }) {
             return;
         }
@@ -175,22 +175,24 @@
         let Some(peer) = one.choose_provider(now) else {
             return;
         };
-        let teller = Fleet::index(peer);
-        if self.told_by(teller) >= MAX_LARGE_TRANSFERS {
+        let sender = Fleet::index(peer);
+        if self.transfers_from(sender) >= MAX_LARGE_TRANSFERS {
             self.instances[index].on_fetch_failure(now, peer, FetchFailure::Refused);
             return;
         }
         self.fetches[index] = Fetch::FromPeer {
-            teller,
+            sender,
             left: CHANGE_BYTES,
         };
-        self.most_told_at_once = self.most_told_at_once.max(self.told_by(teller));
+        self.most_concurrent = self.most_concurrent.max(self.transfers_from(sender));
     }
 
     /// Lets bytes flow for one step; returns whether the fetch is complete.
-    fn flow(&mut self, index: usize) -> bool {
+    fn transfer(&mut self, index: usize) -> bool {
         let share = match self.fetches[index] {
-            Fetch::FromPeer { teller, .. } => LINK_BYTES_PER_STEP / self.told_by(teller) as f64,
+            Fetch::FromPeer { sender, .. } => {
+                LINK_BYTES_PER_STEP / self.transfers_from(sender) as f64
+            }
             _ => LINK_BYTES_PER_STEP,
         };
         match &mut self.fetches[index] {
@@ -205,29 +207,29 @@
     fn step(&mut self) {
         self.now += STEP;
         let since = self.now.since(Time::ZERO).as_millis();
-        if since.is_multiple_of(BULLETINS_EACH.as_millis()) {
-            (0..self.instances.len()).for_each(|it| self.tell(it));
+        if since.is_multiple_of(ANNOUNCE_INTERVAL.as_millis()) {
+            (0..self.instances.len()).for_each(|it| self.announce(it));
         }
         for index in 0..self.instances.len() {
             if self.revision(index) < CHANGED {
-                self.ask(index);
+                self.act(index);
             }
         }
         for index in 0..self.instances.len() {
-            if self.flow(index) {
-                self.inform(index);
+            if self.transfer(index) {
+                self.complete(index);
             }
         }
     }
 
     /// Publishes the change and returns how long it takes until all have it.
     fn spread(&mut self) -> Duration {
-        (0..self.instances.len()).for_each(|it| self.tell(it));
+        (0..self.instances.len()).for_each(|it| self.announce(it));
         let published = self.now;
         let readers: Vec<usize> = (0..self.instances.len())
             .filter(|&it| self.served[it] && self.instances[it].watches(self.now))
             .collect();
-        readers.into_iter().for_each(|it| self.inform(it));
+        readers.into_iter().for_each(|it| self.complete(it));
         while self.informed() < self.instances.len() {
             self.step();
             let took = self.now.since(published);
@@ -240,7 +242,7 @@
 /// Returns whether an instance watches in a fleet of so many that have heard each other.
 fn watches(size: u16, index: usize) -> bool {
     let mut fleet = Fleet::new(size, |_| true);
-    (0..size.into()).for_each(|it| fleet.tell(it));
+    (0..size.into()).for_each(|it| fleet.announce(it));
     fleet.instances[index].watches(fleet.now)
 }
 
@@ -262,7 +264,7 @@
     let took = fleet.spread();
 
     assert!(took <= within, "{took:?}");
-    assert!(fleet.most_told_at_once <= MAX_LARGE_TRANSFERS);
+    assert!(fleet.most_concurrent <= MAX_LARGE_TRANSFERS);
 }
 
 /// The worst case: two of all instances hear from the store. Those that were told tell it
@@ -274,15 +276,15 @@
     let took = fleet.spread();
 
     assert!(took <= Duration::from_secs(8), "{took:?}");
-    assert!(fleet.most_told_at_once <= MAX_LARGE_TRANSFERS);
+    assert!(fleet.most_concurrent <= MAX_LARGE_TRANSFERS);
     assert_eq!(fleet.store_reads, 0);
 }
 
 #[test]
-fn a_peer_that_refused_is_passed_over_for_a_while() {
+fn a_peer_that_refused_is_skipped_for_a_while() {
     let now = Time::from_secs(5);
     let mut one = gateway(1);
-    hear(&mut one, now, told(2, CHANGED, 1));
+    receive(&mut one, now, datagram_at(2, CHANGED, 1));
     let later = now + Duration::from_millis(200);
     assert_eq!(one.choose_provider(later), Some(address(2)));
 
@@ -296,13 +298,13 @@
 /// Symptom: an instance goes on asking peers that cannot tell it. Cause: its being behind
 /// was counted anew with each question.
 #[test]
-fn who_is_behind_for_long_reads_the_store_however_often_it_asked() {
+fn an_instance_that_stays_behind_reads_the_store() {
     let now = Time::from_secs(5);
     let number = (1..=9).find(|&it| !watches(9, usize::from(it) - 1));
     let number = number.expect("two of nine watch");
     let mut one = gateway(number);
     for peer in (1..=9).filter(|&it| it != number) {
-        hear(&mut one, now, told(peer, CHANGED, 1));
+        receive(&mut one, now, datagram_at(peer, CHANGED, 1));
     }
     assert!(matches!(one.next_step(now), Step::StandBy(_)));
 
@@ -318,11 +320,11 @@
 }
 
 #[test]
-fn who_has_it_from_a_peer_does_not_read_the_store() {
+fn an_instance_that_caught_up_does_not_read_the_store() {
     let now = Time::from_secs(5);
     let mut one = gateway(1);
-    hear(&mut one, now, told(2, CHANGED, 1));
-    learn(&mut one);
+    receive(&mut one, now, datagram_at(2, CHANGED, 1));
+    apply_change(&mut one);
 
     one.update_behind(now + Duration::from_millis(20));
 
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -74,7 +74,7 @@
     home: Home,
     reports: u64,
     /// Engines that the next instance to report cannot use.
-    passed_over: Vec<EndpointKey>,
+    ejected: Vec<EndpointKey>,
 }
 
 impl Scene {
@@ -85,7 +85,7 @@
             named: RateLimits::default(),
             home: Home::default(),
             reports: 0,
-            passed_over: Vec::new(),
+            ejected: Vec::new(),
         }
     }
 
@@ -103,13 +103,13 @@
             decides: true,
             used: used.to_vec(),
             failing: Vec::new(),
-            ejected: self.passed_over.clone(),
+            ejected: self.ejected.clone(),
             known: 1,
             requests: requests.iter().map(|it| it.to_message(self.now)).collect(),
         };
-        let life = Incarnation(instance.into());
+        let incarnation = Incarnation(instance.into());
         self.home
-            .on_report(self.now, address(instance), life, report);
+            .on_report(self.now, address(instance), incarnation, report);
     }
 
     fn decide(&mut self) -> Vec<(u16, PlacementAnswer)> {
@@ -136,8 +136,8 @@
     /// Returns what was decided about a placement request, if anything was said.
     fn decision(&mut self, id: u64) -> Option<Decision> {
         let answers = self.decide();
-        let mut told = answers.iter().flat_map(|(_, it)| &it.decisions);
-        told.find(|it| it.0 == id).map(|it| it.1)
+        let mut decisions = answers.iter().flat_map(|(_, it)| &it.decisions);
+        decisions.find(|it| it.0 == id).map(|it| it.1)
     }
 }
 
@@ -151,10 +151,10 @@
 /// Symptom: an engine gets twice what it holds. Sequence: two instances ask within the time
 /// that a report takes. Cause: what was granted counted only once its instance had reported it.
 #[test]
-fn what_was_granted_is_kept_until_it_is_reported() {
+fn a_grant_is_reserved_until_it_is_reported() {
     let mut scene = Scene::new(1);
-    let taken = [(engine(0), used(15_000))];
-    scene.report(9, &taken, &[]);
+    let used_room = [(engine(0), used(15_000))];
+    scene.report(9, &used_room, &[]);
     scene.report(1, &[], &[request(1, 5, Want::Place)]);
     assert_eq!(scene.decision(1), Some(Decision::Granted(engine(0))));
 
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn what_was_granted_counts_once_when_it_is_reported() {
+fn a_reported_grant_is_counted_once() {
     let mut scene = Scene::new(1);
     scene.report(1, &[], &[request(1, 5, Want::Place)]);
     scene.decide();
@@ -179,7 +179,7 @@
 
 /// A grant that is lost on its way is told again, and is the same one.
 #[test]
-fn a_grant_is_repeated_to_who_asks_again() {
+fn a_repeated_request_gets_the_same_grant() {
     let mut scene = Scene::new(2);
     let ask = [request(1, 5, Want::Place)];
     scene.report(1, &[], &ask);
@@ -189,34 +189,34 @@
 
     assert!(first.is_some());
     assert_eq!(granted(scene.decision(1)), first);
-    let kept = scene
+    let reserved = scene
         .home
         .others(scene.now, None)
         .of(first.expect("granted"));
-    assert_eq!(kept.running, 1, "room is kept once");
+    assert_eq!(reserved.running, 1, "room is reserved once");
 }
 
 /// Symptom: requests wait although engines have room. Sequence: the instance whose request is
 /// next freezes. Cause: its last word was believed for as long as it counted as there.
 #[test]
-fn an_instance_that_falls_silent_holds_nobody_up() {
+fn a_silent_instance_holds_nobody_up() {
     let mut scene = Scene::new(1);
     scene.report(9, &[(engine(0), used(16_000))], &[]);
     scene.report(1, &[], &[request(1, 10, Want::Place)]);
-    let me = request(2, 600, Want::Place);
-    scene.report(2, &[], std::slice::from_ref(&me));
+    let own = request(2, 600, Want::Place);
+    scene.report(2, &[], std::slice::from_ref(&own));
     assert_eq!(scene.decision(2), Some(Decision::Waits(NoPlace::Full)));
 
     scene.now += REPORT_TTL;
     scene.home.tick(scene.now);
     scene.report(9, &[(engine(0), used(16_000))], &[]);
-    scene.report(2, &[], &[me]);
+    scene.report(2, &[], &[own]);
 
     assert_eq!(scene.decision(2), Some(Decision::Granted(engine(0))));
 }
 
 #[test]
-fn room_that_comes_is_granted_unasked() {
+fn freed_room_is_granted_to_queued_requests() {
     let mut scene = Scene::new(1);
     scene.report(9, &[(engine(0), used(19_000))], &[]);
     scene.report(1, &[], &[request(1, 10, Want::Place)]);
@@ -231,7 +231,7 @@
 /// promised. Sequence: reports arrive in another order than they were sent. Cause: the last
 /// arrival won.
 #[test]
-fn a_report_that_was_overtaken_changes_nothing() {
+fn an_outdated_report_is_ignored() {
     let mut scene = Scene::new(1);
     scene.report(1, &[(engine(0), used(3_000))], &[]);
     let late = PlacementReport {
@@ -249,10 +249,10 @@
     scene
         .home
         .on_report(NOW, address(1), Incarnation(1), late.clone());
-    let of_this_life = scene.home.others(scene.now, None).of(engine(0));
+    let of_this_incarnation = scene.home.others(scene.now, None).of(engine(0));
     scene.home.on_report(NOW, address(1), Incarnation(2), late);
 
-    assert_eq!(of_this_life, used(3_000));
+    assert_eq!(of_this_incarnation, used(3_000));
     assert_eq!(
         scene.home.others(scene.now, None).of(engine(0)),
         Used::default()
@@ -262,7 +262,7 @@
 /// Copies of generations whose engine leaves go to different engines, since each is counted
 /// before the next is chosen, and before what only wants to be safer.
 #[test]
-fn copies_of_one_engine_part() {
+fn copies_from_one_engine_go_to_different_engines() {
     let mut scene = Scene::new(5);
     let ahead = Want::Copy {
         source: engine(0),
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn what_has_an_engine_gets_no_other_while_somebody_waits() {
+fn immediate_placement_is_denied_while_requests_are_queued() {
     let mut scene = Scene::new(2);
     scene.report(
         9,
@@ -303,7 +303,7 @@
 /// Symptom: requests wait for as long as a frozen home does. Sequence: the home freezes before
 /// it answers, or after it said "wait". Cause: nothing bounded the wait for its word.
 #[test]
-fn a_home_that_says_nothing_is_not_waited_for() {
+fn an_unresponsive_home_times_out() {
     let mut asks = AskTable::default();
     asks.enter(NOW, request(1, 0, Want::Place));
     let soon = NOW + Duration::from_millis(5);
@@ -321,7 +321,7 @@
 
 /// A "wait" that was sent before a grant and arrives after it takes nothing back.
 #[test]
-fn a_grant_is_not_taken_back_by_an_older_word() {
+fn an_older_decision_does_not_revoke_a_grant() {
     let mut asks = AskTable::default();
     asks.enter(NOW, request(1, 0, Want::Place));
     let grant = Decision::Granted(engine(3));
@@ -337,12 +337,12 @@
 /// They look empty; the home sends everybody there, and each instance tries several of them
 /// before it knows. Cause: what one instance found out helped only itself.
 #[test]
-fn an_engine_that_several_instances_cannot_use_is_passed_over_for_all() {
+fn an_engine_that_several_instances_cannot_use_is_ejected_for_all() {
     let mut scene = Scene::new(2);
-    scene.passed_over = vec![engine(0)];
+    scene.ejected = vec![engine(0)];
     scene.report(8, &[], &[]);
     scene.report(9, &[], &[]);
-    scene.passed_over.clear();
+    scene.ejected.clear();
 
     for id in 1..=3 {
         scene.report(id, &[], &[request(id.into(), 5, Want::Place)]);
@@ -352,14 +352,14 @@
 }
 
 #[test]
-fn what_one_instance_alone_cannot_use_is_passed_over_for_it_alone() {
+fn an_engine_that_one_instance_cannot_use_is_ejected_for_it_alone() {
     let mut scene = Scene::new(2);
     scene.report(5, &[(engine(1), used(9_000))], &[]);
-    scene.passed_over = vec![engine(0)];
+    scene.ejected = vec![engine(0)];
     scene.report(1, &[], &[request(1, 5, Want::Place)]);
     assert_eq!(scene.decision(1), Some(Decision::Granted(engine(1))));
 
-    scene.passed_over.clear();
+    scene.ejected.clear();
     scene.report(2, &[], &[request(2, 5, Want::Place)]);
 
     assert_eq!(scene.decision(2), Some(Decision::Granted(engine(0))));
@@ -368,9 +368,9 @@
 /// An engine that is back gets work again within some seconds, and all engines are used when
 /// all of them are in doubt.
 #[test]
-fn doubt_ends() {
+fn an_ejection_expires() {
     let mut scene = Scene::new(1);
-    scene.passed_over = vec![engine(0)];
+    scene.ejected = vec![engine(0)];
     scene.report(8, &[], &[]);
     scene.report(9, &[], &[]);
     assert!(
@@ -380,7 +380,7 @@
             .passed_over
             .contains(&engine(0))
     );
-    scene.passed_over.clear();
+    scene.ejected.clear();
 
     scene.report(1, &[], &[request(1, 5, Want::Place)]);
     assert_eq!(scene.decision(1), Some(Decision::Granted(engine(0))));
@@ -393,7 +393,7 @@
 /// and passes over its home as silent. Sequence: it asks for a place, which it must wait for,
 /// and for a copy. Cause: what was said of the place replaced what was said of the copy.
 #[test]
-fn all_that_one_instance_asks_is_answered_at_once() {
+fn all_requests_of_one_report_are_answered() {
     let mut scene = Scene::new(3);
     let nearly_full = [(engine(1), used(17_500)), (engine(2), used(17_500))];
     scene.report(9, &nearly_full, &[]);
@@ -436,12 +436,12 @@
 /// Guards against a home that grants an engine in need more than the engine takes from all, or
 /// keeps its room for copies.
 #[test]
-fn an_engine_that_named_a_limit_is_granted_within_it() {
+fn an_engine_is_granted_within_its_rate_limit() {
     let mut scene = Scene::new(1);
-    let told = ToldLimit::PerSecond(4.0);
+    let limit = ToldLimit::PerSecond(4.0);
     scene
         .named
-        .hear_answer(scene.now, engine(0), scene.now, told);
+        .hear_answer(scene.now, engine(0), scene.now, limit);
     let ask: Vec<PlacementRequest> = (1..=6).map(|id| request(id, 5, Want::Place)).collect();
 
     let mut grants = 0;
--- a/crates/core/tests/gateway_members.rs
+++ b/crates/core/tests/gateway_members.rs
@@ -32,7 +32,7 @@
 #[case::some(30, 3)]
 #[case::large(195, 5)]
 #[case::planned(390, 6)]
-fn all_that_start_at_once_find_each_other(#[case] size: usize, #[case] within_s: u64) {
+fn instances_that_start_together_find_each_other(#[case] size: usize, #[case] within_s: u64) {
     let mut fleet = Fleet::start(size, SEEDS, 1);
 
     let took = fleet.until_all_count(size, Duration::from_secs(within_s));
@@ -59,7 +59,7 @@
 #[case::large(195, true)]
 #[case::planned(390, true)]
 #[case::large_without_a_store(195, false)]
-fn what_one_instance_sends_does_not_grow_with_the_fleet(
+fn traffic_of_one_instance_does_not_grow_with_the_fleet(
     #[case] size: usize,
     #[case] store_answers: bool,
 ) {
@@ -77,10 +77,7 @@
 #[rstest]
 #[case::few(6, 0.0)]
 #[case::some(30, 0.05)]
-fn an_instance_that_was_killed_is_gone_for_all_and_nobody_else_is(
-    #[case] size: usize,
-    #[case] loss: f64,
-) {
+fn only_a_killed_instance_is_considered_gone(#[case] size: usize, #[case] loss: f64) {
     let mut fleet = settled(size, loss);
     fleet.kill(1);
 
@@ -90,13 +87,13 @@
     assert!(took.is_some(), "{:?}", fleet.counts());
     assert!(fleet.all_count(size - 1), "{:?}", fleet.counts());
     let most = fleet.nodes.iter().map(|it| it.counted_gone).max();
-    assert!(most <= Some(1), "somebody else was counted as gone");
+    assert!(most <= Some(1), "another instance was considered gone");
 }
 
 /// Symptom: an instance that was frozen is never counted again. Sequence: all others took it
 /// for gone; it wakes, and says what it said before. Cause: the last word was the highest.
 #[test]
-fn a_frozen_instance_that_wakes_refutes_that_it_is_gone() {
+fn a_resumed_instance_refutes_that_it_is_gone() {
     let mut fleet = settled(12, 0.0);
     fleet.nodes[4].frozen = true;
     fleet.run(Duration::from_secs(8));
@@ -115,7 +112,7 @@
 /// Symptom: after a pause of its own an instance counts its peers as gone. Cause: it held
 /// them to answers that came while it could not hear.
 #[test]
-fn an_instance_that_paused_condemns_nobody() {
+fn a_paused_instance_considers_no_peer_gone() {
     let mut fleet = settled(12, 0.0);
     fleet.nodes[4].frozen = true;
     fleet.run(Duration::from_millis(1_500));
@@ -131,7 +128,7 @@
 #[rstest]
 #[case::one_way(|from, to| (from, to) != (2, 3))]
 #[case::both_ways(|from, to| (from, to) != (2, 3) && (from, to) != (3, 2))]
-fn one_link_that_is_cut_condemns_nobody(#[case] passes: fn(usize, usize) -> bool) {
+fn one_broken_link_makes_no_instance_gone(#[case] passes: fn(usize, usize) -> bool) {
     let mut fleet = settled(12, 0.0);
     fleet.passes = passes;
 
@@ -143,7 +140,7 @@
 /// Two halves that lost each other find each other again, though each took all of the other
 /// for gone.
 #[test]
-fn two_parts_that_lost_each_other_find_each_other() {
+fn partitioned_sides_find_each_other() {
     let mut fleet = settled(24, 0.0);
     fleet.passes = |from, to| (from < 12) == (to < 12);
     fleet.run(Duration::from_secs(15));
@@ -158,7 +155,7 @@
 /// A process that starts again at its address is known in its new life, and the word that
 /// its former life is gone does not take it away.
 #[test]
-fn a_new_life_at_an_address_is_known_to_all() {
+fn a_new_incarnation_at_an_address_is_known_to_all() {
     let mut fleet = settled(12, 0.0);
     fleet.kill(5);
     fleet.run(Duration::from_millis(700));
@@ -182,7 +179,7 @@
     let mut fleet = settled(size, loss);
     fleet.publish(&engine("e-1"));
     let endpoint = EndpointKey::of("e-1");
-    let told = fleet.now;
+    let sent = fleet.now;
 
     fleet.tell_leaving(0, endpoint);
     fleet.run(Duration::from_millis(500));
@@ -191,7 +188,7 @@
         .nodes
         .iter()
         .filter_map(|it| it.heard_leaving.get(&endpoint));
-    let last = heard.clone().max().map(|at| at.since(told));
+    let last = heard.clone().max().map(|at| at.since(sent));
     assert_eq!(heard.count(), size, "the last at {last:?}");
 }
 
@@ -205,7 +202,7 @@
 #[case::large(195, 16_000)]
 #[case::planned(390, 16_000)]
 #[case::planned_before_a_small_store(390, 1_600)]
-fn all_that_start_at_once_have_read_the_store_soon(
+fn instances_that_start_together_read_the_store_soon(
     #[case] size: usize,
     #[case] calls_a_second: usize,
 ) {
@@ -215,12 +212,12 @@
         answers_in: Duration::from_millis(4),
         heartbeats_each: Duration::from_millis(18),
     });
-    let begun = fleet.now;
+    let started = fleet.now;
 
     fleet.run(Duration::from_secs(3));
 
     let read = fleet.nodes.iter().filter_map(|it| it.read_at);
-    let last = read.clone().max().map(|at| at.since(begun));
+    let last = read.clone().max().map(|at| at.since(started));
     assert_eq!(read.count(), size);
     assert!(last <= Some(Duration::from_millis(1_500)), "{last:?}");
     // One read each, and little more until it is known who watches.
--- a/crates/core/tests/gateway_places.rs
+++ b/crates/core/tests/gateway_places.rs
@@ -36,7 +36,7 @@
 const STEP: Duration = Duration::from_millis(1);
 
 /// A request that asks for a place at one instance.
-struct Asking {
+struct OpenRequest {
     instance: usize,
     id: u64,
     since: Time,
@@ -52,15 +52,15 @@
 /// A fleet before engines, and the requests that it places.
 struct Scene {
     fleet: Fleet,
-    asking: Vec<Asking>,
+    open: Vec<OpenRequest>,
     running: Vec<Running>,
-    asked: u64,
+    requests: u64,
     /// The longest time that a request waited for its place.
     longest: Duration,
     /// The most memory that generations took at one engine.
     fullest: u32,
     /// Requests that were placed without a home.
-    alone: usize,
+    without_home: usize,
 }
 
 fn catalogue() -> CatalogueSource {
@@ -89,31 +89,34 @@
         }
         Scene {
             fleet,
-            asking: Vec::new(),
+            open: Vec::new(),
             running: Vec::new(),
-            asked: 0,
+            requests: 0,
             longest: Duration::ZERO,
             fullest: 0,
-            alone: 0,
+            without_home: 0,
         }
     }
 
     fn core(&mut self, index: usize) -> &mut Gateway {
-        self.fleet.nodes[index].core.as_mut().expect("it is there")
+        self.fleet.nodes[index]
+            .core
+            .as_mut()
+            .expect("the instance runs")
     }
 
     /// Returns the home of the engines, by the word of one instance.
-    fn home(&mut self, asked: usize) -> usize {
-        let homes = self.core(asked).homes(service_hash("model"));
+    fn home(&mut self, instance: usize) -> usize {
+        let homes = self.core(instance).homes(service_hash("model"));
         let size = self.fleet.nodes.len();
         (0..size)
             .find(|&it| Some(address(it as u16 + 1)) == homes[0])
             .expect("there is a home")
     }
 
-    fn ask(&mut self, instance: usize) {
-        self.asked += 1;
-        let (id, now) = (self.asked, self.fleet.now);
+    fn request(&mut self, instance: usize) {
+        self.requests += 1;
+        let (id, now) = (self.requests, self.fleet.now);
         let waiter = Waiter {
             id,
             service: service_hash("model"),
@@ -130,7 +133,7 @@
         };
         self.core(instance).request_placement(now, request);
         self.fleet.hurry(instance);
-        self.asking.push(Asking {
+        self.open.push(OpenRequest {
             instance,
             id,
             since: now,
@@ -140,9 +143,9 @@
     /// Lets one millisecond pass, and instances act on what they know.
     fn step(&mut self) {
         self.fleet.run(STEP);
-        for asking in core::mem::take(&mut self.asking) {
-            if let Some(still) = self.look(asking) {
-                self.asking.push(still);
+        for request in core::mem::take(&mut self.open) {
+            if let Some(still_open) = self.advance(request) {
+                self.open.push(still_open);
             }
         }
         let now = self.fleet.now;
@@ -159,13 +162,13 @@
         self.note_fullest();
     }
 
-    fn look(&mut self, asking: Asking) -> Option<Asking> {
+    fn advance(&mut self, request: OpenRequest) -> Option<OpenRequest> {
         let now = self.fleet.now;
-        let core = self.fleet.nodes[asking.instance].core.as_mut()?;
-        let place = match core.verdict(now, asking.id) {
+        let core = self.fleet.nodes[request.instance].core.as_mut()?;
+        let place = match core.verdict(now, request.id) {
             Verdict::Decided(Decision::Granted(key)) => Some(key),
             Verdict::Unanswered => {
-                core.on_home_timeout(now, service_hash("model"), asking.id);
+                core.on_home_timeout(now, service_hash("model"), request.id);
                 let demand = Demand {
                     service: "model",
                     engine: Some(ENGINE),
@@ -173,20 +176,20 @@
                     exclude: &[],
                 };
                 let place = core.place_without_home(now, &demand, Want::Place).ok();
-                self.alone += usize::from(place.is_some());
+                self.without_home += usize::from(place.is_some());
                 place.map(|it| it.key)
             }
             _ => None,
         };
         let Some(at) = place else {
-            return Some(asking);
+            return Some(request);
         };
         core.usage.begin(at, TOKENS, 0);
-        core.withdraw_placement(asking.id);
-        self.fleet.hurry(asking.instance);
-        self.longest = self.longest.max(now.since(asking.since));
+        core.withdraw_placement(request.id);
+        self.fleet.hurry(request.instance);
+        self.longest = self.longest.max(now.since(request.since));
         self.running.push(Running {
-            instance: asking.instance,
+            instance: request.instance,
             at,
             ends: now + RUNS,
         });
@@ -194,11 +197,11 @@
     }
 
     fn note_fullest(&mut self) {
-        let mut taken: BTreeMap<EndpointKey, u32> = BTreeMap::new();
+        let mut used: BTreeMap<EndpointKey, u32> = BTreeMap::new();
         for it in &self.running {
-            *taken.entry(it.at).or_default() += TOKENS;
+            *used.entry(it.at).or_default() += TOKENS;
         }
-        let fullest = taken.values().copied().max().unwrap_or(0);
+        let fullest = used.values().copied().max().unwrap_or(0);
         self.fullest = self.fullest.max(fullest);
     }
 
@@ -211,7 +214,7 @@
             if step.is_multiple_of(each_ms) {
                 instance = (instance + 7) % size;
                 if Some(instance) != except {
-                    self.ask(instance);
+                    self.request(instance);
                 }
             }
             self.step();
@@ -262,7 +265,7 @@
 #[case::some(30)]
 #[case::large(195)]
 #[case::planned(390)]
-fn what_a_request_costs_does_not_grow_with_the_fleet(#[case] size: usize) {
+fn traffic_per_request_does_not_grow_with_the_fleet(#[case] size: usize) {
     let mut scene = Scene::new(size);
     scene.fleet.forget_sent();
 
@@ -270,7 +273,7 @@
 
     scene.print_sent(Duration::from_secs(4));
     let sent = scene.sent_for_places();
-    let (bytes, datagrams) = (sent.bytes / scene.asked, sent.datagrams / scene.asked);
+    let (bytes, datagrams) = (sent.bytes / scene.requests, sent.datagrams / scene.requests);
     assert!(bytes <= 4_096, "{bytes} bytes in {datagrams} datagrams");
     assert!(datagrams <= 30, "{bytes} bytes in {datagrams} datagrams");
 }
@@ -278,12 +281,12 @@
 /// A home knows all it gave away: no engine is given more than it holds, however many instances
 /// ask at once, and who finds no room waits.
 #[test]
-fn no_engine_is_given_more_than_it_holds() {
+fn no_engine_is_overcommitted() {
     let mut scene = Scene::new(12);
 
     scene.play(Duration::from_secs(4), 20, None);
 
-    assert_eq!(scene.alone, 0);
+    assert_eq!(scene.without_home, 0);
     assert!(scene.fullest <= ENGINE.memory_tokens, "{}", scene.fullest);
 }
 
@@ -293,7 +296,7 @@
 #[rstest]
 #[case::frozen(true)]
 #[case::killed(false)]
-fn no_request_waits_for_a_home_that_is_not_there(#[case] frozen: bool) {
+fn no_request_waits_for_an_unresponsive_home(#[case] frozen: bool) {
     let mut scene = Scene::new(12);
     scene.play(Duration::from_secs(2), 50, None);
     let home = scene.home(0);
@@ -314,7 +317,7 @@
 /// A home that was frozen and wakes still holds its old view; instances ask the one that took
 /// its place until it is known to be there again, and reports replace what it believed.
 #[test]
-fn a_home_that_wakes_goes_by_new_reports() {
+fn a_resumed_home_uses_new_reports() {
     let mut scene = Scene::new(12);
     scene.play(Duration::from_secs(2), 50, None);
     let home = scene.home(0);
@@ -331,7 +334,7 @@
 /// Two homes at once: some instances cannot reach the first and ask the next. Both know all
 /// reports, so that they give away the same room only while a report is under way.
 #[test]
-fn two_homes_give_away_hardly_more_than_there_is() {
+fn two_homes_barely_overcommit_engines() {
     let mut scene = Scene::new(12);
     scene.play(Duration::from_secs(1), 50, None);
     // Whatever the home is: the instances of even number do not hear it, and it not them.
@@ -339,8 +342,8 @@
 
     scene.play(Duration::from_secs(8), 25, None);
 
-    let one_more = ENGINE.memory_tokens + 2 * TOKENS;
-    assert!(scene.fullest <= one_more, "{}", scene.fullest);
+    let bound = ENGINE.memory_tokens + 2 * TOKENS;
+    assert!(scene.fullest <= bound, "{}", scene.fullest);
     assert!(
         scene.longest <= Duration::from_millis(400),
         "{:?}",
@@ -352,7 +355,7 @@
 /// comes with the report of another instance, and the home gives it to its own request. Cause:
 /// only answers of other homes woke those that wait.
 #[test]
-fn a_home_hears_of_its_own_decisions() {
+fn a_home_wakes_its_own_requests() {
     let mut scene = Scene::new(6);
     let home = scene.home(0);
     let other = (home + 1) % 6;
@@ -362,9 +365,9 @@
     }
     scene.fleet.hurry(other);
     (0..10).for_each(|_| scene.step());
-    scene.ask(home);
+    scene.request(home);
     (0..20).for_each(|_| scene.step());
-    assert_eq!(scene.asking.len(), 1, "there is no room");
+    assert_eq!(scene.open.len(), 1, "there is no room");
     scene.fleet.nodes[home].told_decided = 0;
 
     let key = EndpointKey::of("e-0");
@@ -372,6 +375,6 @@
     scene.fleet.hurry(other);
     (0..6).for_each(|_| scene.step());
 
-    assert!(scene.asking.is_empty(), "it has its place");
+    assert!(scene.open.is_empty(), "it is placed");
     assert!(scene.fleet.nodes[home].told_decided > 0);
 }
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -12,7 +12,7 @@
 use oriolemux_core::{EndpointKey, Time};
 
 /// Instances that say how the store answers them.
-const SPEAKERS: u16 = 8;
+const BEACON_SENDERS: u16 = 8;
 
 /// Instances that have all heard each other, and from some of them how long ago the store
 /// answered.
@@ -20,17 +20,17 @@
     let mut fleet: Vec<Gateway> = (1..=size).map(gateway).collect();
     for (index, one) in fleet.iter_mut().enumerate() {
         for number in (1..=size).filter(|&number| usize::from(number) != index + 1) {
-            let said = match number <= SPEAKERS {
+            let datagram = match number <= BEACON_SENDERS {
                 true => beacon(number, 1, store_age_ms),
                 false => sign_of_life(number),
             };
-            hear(one, now, said);
+            receive(one, now, datagram);
         }
     }
     fleet
 }
 
-fn hear(one: &mut Gateway, now: Time, datagram: Datagram) {
+fn receive(one: &mut Gateway, now: Time, datagram: Datagram) {
     one.on_datagram(now, datagram).expect("it is of the fleet");
 }
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn as_many_watch_as_are_meant_to() {
+fn exactly_the_intended_number_watches() {
     let now = Time::from_secs(5);
 
     assert_eq!(watching(&fleet(6, now, 0), now), WATCHERS);
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn an_instance_that_knows_nobody_watches() {
+fn an_instance_without_peers_watches() {
     assert!(gateway(1).watches(Time::from_secs(5)));
 }
 
 /// Symptom: nobody hears of a change. Sequence: the store turns both watchers away.
 /// Cause: the others relied on them without asking whether they hear anything.
 #[test]
-fn all_of_a_few_watch_if_the_watchers_are_not_answered() {
+fn a_small_fleet_watches_if_no_watcher_is_answered() {
     let now = Time::from_secs(5);
     let silent = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small") + 500;
 
@@ -65,7 +65,7 @@
 /// for. Sequence: it answers nobody; every instance of a large fleet takes over the watch.
 /// Cause: nothing bounded who does.
 #[test]
-fn a_part_of_many_watches_if_the_watchers_are_not_answered() {
+fn part_of_a_large_fleet_watches_if_no_watcher_is_answered() {
     let now = Time::from_secs(30);
     let silent = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small");
 
@@ -80,39 +80,39 @@
 /// turns both watchers away and answers two others; each hears that the other is answered,
 /// and leaves the watch to it. Cause: who was answered did not go on.
 #[test]
-fn who_is_answered_goes_on_where_the_first_are_not() {
+fn an_answered_watcher_continues_while_the_first_in_rank_are_not() {
     let now = Time::from_secs(5);
     let stale = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small") + 500;
     let mut fleet = fleet(6, now, stale);
     let later = now + Duration::from_millis(100);
-    let meant_to = self::fleet(6, now, 0);
-    let normal: Vec<usize> = (0..6).filter(|&it| meant_to[it].watches(now)).collect();
+    let intended = self::fleet(6, now, 0);
+    let normal: Vec<usize> = (0..6).filter(|&it| intended[it].watches(now)).collect();
     let answered: Vec<usize> = (0..6).filter(|it| !normal.contains(it)).take(2).collect();
     for &index in &answered {
         fleet[index].reader.on_answer(later);
         for other in (0..6).filter(|&it| it != index) {
             let number = u16::try_from(index + 1).expect("few");
-            hear(&mut fleet[other], later, beacon(number, 2, 0));
+            receive(&mut fleet[other], later, beacon(number, 2, 0));
         }
     }
 
     for (index, one) in fleet.iter().enumerate() {
         let watches = one.watches(later);
-        let is_meant_to = normal.contains(&index) || answered.contains(&index);
-        assert_eq!(watches, is_meant_to, "instance {index}");
+        let is_intended = normal.contains(&index) || answered.contains(&index);
+        assert_eq!(watches, is_intended, "instance {index}");
     }
 }
 
 #[test]
 fn others_watch_if_the_watchers_are_gone() {
-    let heard = Time::from_secs(5);
-    let now = heard + WATCHER_TIMEOUT + Duration::from_millis(300);
+    let read_at = Time::from_secs(5);
+    let now = read_at + WATCHER_TIMEOUT + Duration::from_millis(300);
 
-    assert_eq!(watching(&fleet(6, heard, 0), now), 6);
+    assert_eq!(watching(&fleet(6, read_at, 0), now), 6);
 }
 
 #[test]
-fn an_instance_that_stops_leaves_the_watch_to_the_next() {
+fn a_stopping_instance_leaves_the_watch_to_the_next() {
     let now = Time::from_secs(5);
     let mut fleet = fleet(6, now, 0);
     let index = (0..6)
@@ -125,9 +125,9 @@
         ..alive(number)
     };
     for other in (0..6).filter(|&it| it != index) {
-        let mut said = sign_of_life(number);
-        said.from = stopping;
-        hear(&mut fleet[other], now, said);
+        let mut datagram = sign_of_life(number);
+        datagram.from = stopping;
+        receive(&mut fleet[other], now, datagram);
     }
 
     assert!(!fleet[index].watches(now));
@@ -137,7 +137,7 @@
 /// Bad input: what is of another deployment or version, or claims the own address, changes
 /// nothing.
 #[test]
-fn a_stranger_is_not_heard() {
+fn foreign_datagrams_are_dropped() {
     let mut one = gateway(1);
     let now = Time::from_secs(1);
     let foreign = Datagram {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn pauses_grow_and_end() {
+fn pauses_grow_up_to_a_bound() {
     let mut one = gateway(1);
     let mut now = Time::from_secs(1);
     assert_eq!(one.next_step(now), Step::Read);
@@ -205,18 +205,18 @@
 }
 
 #[test]
-fn entries_may_be_missing_during_an_outage_and_for_a_while_after_it() {
+fn records_may_be_missing_during_an_outage_and_for_a_while_after_it() {
     let mut one = gateway(1);
-    let heard = Time::from_secs(1);
-    one.reader.on_read(heard);
-    let now = heard + Duration::from_secs(4);
+    let read_at = Time::from_secs(1);
+    one.reader.on_read(read_at);
+    let now = read_at + Duration::from_secs(4);
 
     one.reader.on_failure(now, CallFailure::NoAnswer, 0.5);
     assert!(one.reader.may_miss_records(now));
     one.reader.on_read(now);
     assert!(
         one.reader.may_miss_records(now),
-        "entries may still be missing"
+        "records may still be missing"
     );
     assert!(!one.reader.may_miss_records(now + Duration::from_secs(3)));
 }
@@ -225,25 +225,27 @@
 /// a watch is cut; an engine's entry vanishes in the second after it. Cause: each
 /// failed call counted as an outage in which entries lapse, and the engine was kept.
 #[test]
-fn a_watch_that_was_cut_is_no_outage() {
+fn an_interrupted_watch_is_no_outage() {
     let mut one = gateway(1);
-    let heard = Time::from_secs(1);
-    one.reader.on_read(heard);
-    let cut = heard + Duration::from_secs(1);
+    let read_at = Time::from_secs(1);
+    one.reader.on_read(read_at);
+    let interrupted = read_at + Duration::from_secs(1);
 
-    one.reader.on_failure(cut, CallFailure::NoAnswer, 0.5);
-    let during = one.reader.may_miss_records(cut);
-    one.reader.on_answer(cut + Duration::from_millis(100));
+    one.reader
+        .on_failure(interrupted, CallFailure::NoAnswer, 0.5);
+    let during = one.reader.may_miss_records(interrupted);
+    one.reader
+        .on_answer(interrupted + Duration::from_millis(100));
 
     assert!(!during);
     assert!(
         !one.reader
-            .may_miss_records(cut + Duration::from_millis(200))
+            .may_miss_records(interrupted + Duration::from_millis(200))
     );
 }
 
 #[test]
-fn dropped_history_is_followed_by_a_whole_read_at_once() {
+fn lost_history_causes_a_full_read() {
     let mut one = gateway(1);
     let now = Time::from_secs(1);
     one.reader.on_read(now);
@@ -259,7 +261,7 @@
 /// one that does. Cause: it had made no call of its own, and took the removals for
 /// those of quiet times.
 #[test]
-fn an_outage_is_heard_of_from_those_that_watch() {
+fn beacons_announce_an_outage() {
     let now = Time::from_secs(5);
     let mut one = gateway(1);
     let record = EndpointRecord {
@@ -273,12 +275,12 @@
         cold: Duration::ZERO,
     };
     one.publish_endpoint(now, record.clone());
-    let mut unsettled = beacon(3, 1, 0);
-    if let Body::Gossip(news) = &mut unsettled.body {
-        news.beacons[0].may_miss_records = true;
+    let mut announced = beacon(3, 1, 0);
+    if let Body::Gossip(gossip) = &mut announced.body {
+        gossip.beacons[0].may_miss_records = true;
     }
 
-    hear(&mut one, now, unsettled);
+    receive(&mut one, now, announced);
     assert_eq!(one.endpoint_vanished(now, "e-1"), None);
     one.publish_endpoint(now, record);
 
@@ -290,11 +292,11 @@
 /// that are not meant to watch listen again. Cause: they counted the store as away
 /// from then on, and said so to all others.
 #[test]
-fn an_instance_that_listens_does_not_count_the_store_as_away() {
+fn a_standby_instance_does_not_consider_the_store_unavailable() {
     let mut one = gateway(1);
-    let heard = Time::from_secs(1);
-    one.reader.on_read(heard);
-    let failed = heard + Duration::from_secs(3);
+    let read_at = Time::from_secs(1);
+    one.reader.on_read(read_at);
+    let failed = read_at + Duration::from_secs(3);
     one.reader.on_failure(failed, CallFailure::NoAnswer, 0.5);
     assert!(one.may_miss_records(failed));
 
@@ -307,27 +309,27 @@
 /// nobody. Sequence: a change is known to four; all others are behind at the same moment.
 /// Cause: each asked the last of those that know most, which is the same one for all.
 #[test]
-fn those_that_are_behind_ask_different_peers() {
+fn instances_that_are_behind_ask_different_peers() {
     let now = Time::from_secs(5);
     let informed = [1, 2, 3, 4];
     let mut behind: Vec<Gateway> = (5..=44).map(gateway).collect();
     for one in &mut behind {
         for peer in informed {
-            let told = datagram(peer, 9, 1, Body::RequestMembers);
-            hear(one, now, told);
+            let ahead = datagram(peer, 9, 1, Body::RequestMembers);
+            receive(one, now, ahead);
         }
     }
 
     // Some of them watch, and are given time to hear of it by themselves first.
     let later = now + Duration::from_millis(200);
-    let asking = behind.iter_mut();
-    let asked: Vec<_> = asking
+    let instances = behind.iter_mut();
+    let chosen: Vec<_> = instances
         .filter_map(|one| one.choose_provider(later))
         .collect();
 
-    assert_eq!(asked.len(), 40, "each asks somebody");
+    assert_eq!(chosen.len(), 40, "each asks a peer");
     for peer in informed {
-        let share = asked.iter().filter(|&&it| it == address(peer)).count();
+        let share = chosen.iter().filter(|&&it| it == address(peer)).count();
         assert!((4..=16).contains(&share), "{share} of 40 ask {peer}");
     }
 }
--- a/crates/core/tests/gateway_replica.rs
+++ b/crates/core/tests/gateway_replica.rs
@@ -15,11 +15,11 @@
 
 /// Takes in a record that means what it holds, and returns whether it is news.
 fn apply(replica: &mut Replica, record: Record) -> bool {
-    let mark = match &record.value {
+    let hash = match &record.value {
         Some(value) => ContentHash::of(&record.key, &[value]),
         None => ContentHash::NOTHING,
     };
-    replica.apply(record, mark) == Applied::Changed
+    replica.apply(record, hash) == Applied::Changed
 }
 
 /// The entry of an endpoint at one of its heartbeats.
@@ -36,27 +36,27 @@
     };
     let written = format!("{revision} heartbeats, leaving: {leaving}");
     let record = record("e-1", revision, Some(&written));
-    let mark = ContentHash::of(&record.key, &[endpoint.meaning().as_bytes()]);
-    (record, mark)
+    let hash = ContentHash::of(&record.key, &[endpoint.meaning().as_bytes()]);
+    (record, hash)
 }
 
 /// Takes in what a peer told, as heartbeats of one endpoint.
-fn take(replica: &mut Replica, from: &Replica) {
-    let news = from.delta_since(replica.revision());
-    for record in news.records {
+fn apply_delta(replica: &mut Replica, from: &Replica) {
+    let delta = from.delta_since(replica.revision());
+    for record in delta.records {
         let leaving = record
             .value
             .as_ref()
             .is_some_and(|it| it.ends_with(b"true"));
-        let (_, mark) = heartbeat(record.revision, leaving);
-        replica.apply(record, mark);
+        let (_, hash) = heartbeat(record.revision, leaving);
+        replica.apply(record, hash);
     }
-    replica.advance_to(news.revision);
+    replica.advance_to(delta.revision);
 }
 
 fn known(replica: &Replica) -> BTreeMap<String, (u64, Option<Vec<u8>>)> {
-    let news = replica.delta_since(0);
-    let records = news.records.into_iter();
+    let delta = replica.delta_since(0);
+    let records = delta.records.into_iter();
     records
         .map(|it| (it.key, (it.revision, it.value)))
         .collect()
@@ -65,7 +65,7 @@
 /// Symptom: a key that was taken away works again. Sequence: a page read before the
 /// change arrives after the watch has told of it. Cause: the last arrival won.
 #[test]
-fn a_late_page_brings_nothing_back() {
+fn a_late_page_restores_nothing() {
     let mut replica = Replica::default();
     assert!(apply(&mut replica, record("config", 20, Some("new"))));
     assert!(apply(&mut replica, record("server", 21, None)));
@@ -81,7 +81,7 @@
 /// while the pages are read, behind the page that would have shown it. Cause: pages
 /// were taken for a snapshot.
 #[test]
-fn what_was_written_during_a_read_is_not_missing() {
+fn a_record_written_during_a_read_is_not_removed() {
     let mut replica = Replica::default();
     apply(&mut replica, record("a", 5, Some("old")));
     apply(&mut replica, record("b", 12, Some("came during the read")));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_peer_is_told_changes_only_if_all_of_them_were_seen() {
+fn a_delta_is_partial_only_if_all_changes_were_seen() {
     let mut replica = Replica::default();
     apply(&mut replica, record("a", 5, Some("1")));
     replica.finish_full_read(10);
@@ -112,17 +112,17 @@
 /// endpoints write their entries anew with each heartbeat; each is a new revision, which
 /// those that watch tell all others. Cause: a revision was taken for a change.
 #[test]
-fn a_heartbeat_alone_is_told_to_nobody() {
+fn a_heartbeat_alone_is_not_in_a_delta() {
     let mut watcher = Replica::default();
     let mut follower = Replica::default();
-    let (record, mark) = heartbeat(1, false);
-    assert_eq!(watcher.apply(record, mark), Applied::Changed);
+    let (record, hash) = heartbeat(1, false);
+    assert_eq!(watcher.apply(record, hash), Applied::Changed);
     watcher.finish_full_read(1);
-    take(&mut follower, &watcher);
+    apply_delta(&mut follower, &watcher);
 
     for revision in 2..100 {
-        let (record, mark) = heartbeat(revision, false);
-        assert_eq!(watcher.apply(record, mark), Applied::Heartbeat);
+        let (record, hash) = heartbeat(revision, false);
+        assert_eq!(watcher.apply(record, hash), Applied::Heartbeat);
         watcher.advance_to(revision);
     }
 
@@ -132,29 +132,29 @@
 }
 
 #[test]
-fn what_changed_between_heartbeats_is_told_as_it_was_written_last() {
+fn a_delta_holds_the_latest_version_of_a_changed_record() {
     let mut watcher = Replica::default();
     let mut follower = Replica::default();
     let writes = (1..=9).map(|revision| heartbeat(revision, revision >= 5));
-    for (record, mark) in writes {
+    for (record, hash) in writes {
         let revision = record.revision;
-        watcher.apply(record, mark);
+        watcher.apply(record, hash);
         watcher.finish_full_read(1);
         watcher.advance_to(revision);
         if revision == 3 {
-            take(&mut follower, &watcher);
+            apply_delta(&mut follower, &watcher);
         }
     }
-    let told = watcher.delta_since(follower.revision());
+    let delta = watcher.delta_since(follower.revision());
 
-    take(&mut follower, &watcher);
+    apply_delta(&mut follower, &watcher);
 
-    assert_eq!(told.records, [heartbeat(9, true).0]);
+    assert_eq!(delta.records, [heartbeat(9, true).0]);
     assert_eq!(follower.digest(), watcher.digest());
 }
 
 #[test]
-fn what_was_removed_no_longer_counts() {
+fn a_removed_record_is_not_in_the_digest() {
     let mut replica = Replica::default();
     apply(&mut replica, record("a", 1, Some("1")));
     let with_one = replica.digest();
@@ -169,7 +169,7 @@
     /// Whatever order records come in, and however often, the result is the same, and
     /// no key ever falls to a lower revision on the way.
     #[test]
-    fn records_in_any_order_give_the_same(
+    fn records_in_any_order_give_the_same_replica(
         writes in prop::collection::vec((0_u8..4, any::<bool>()), 1..24),
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..64),
     ) {
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -26,10 +26,10 @@
 const STEP: Duration = Duration::from_millis(1);
 
 /// How long an engine works on the request before it ends with it.
-const ENDS_AFTER: Duration = Duration::from_millis(700);
+const CRASHES_AFTER: Duration = Duration::from_millis(700);
 
 /// How long a caller waits for its request to be sent.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Bytes a second that control may take of an instance at the size that is designed for.
 const CONTROL_BYTES: u64 = 4_096;
@@ -49,8 +49,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     instance: usize,
-    turn: SuspectRun,
-    came: Time,
+    run: SuspectRun,
+    arrived_at: Time,
     /// Where it runs, since when.
     runs: Option<(EndpointKey, Time)>,
 }
@@ -61,7 +61,7 @@
     attempts: Vec<Attempt>,
     /// Engines that were given the request.
     sent: u32,
-    ended: BTreeSet<EndpointKey>,
+    crashed: BTreeSet<EndpointKey>,
     refused: usize,
     gave_up: usize,
     /// The most copies that ran at one time.
@@ -78,7 +78,7 @@
             fleet,
             attempts: Vec::new(),
             sent: 0,
-            ended: BTreeSet::new(),
+            crashed: BTreeSet::new(),
             refused: 0,
             gave_up: 0,
             most: 0,
@@ -90,14 +90,14 @@
     }
 
     /// Sends the request to one instance.
-    fn come(&mut self, instance: usize) {
-        let came = self.fleet.now;
+    fn send_request(&mut self, instance: usize) {
+        let arrived_at = self.fleet.now;
         if let Some(core) = self.core(instance) {
-            let turn = core.begin_run(fingerprint("fatal"));
+            let run = core.begin_run(fingerprint("fatal"));
             self.attempts.push(Attempt {
                 instance,
-                turn,
-                came,
+                run,
+                arrived_at,
                 runs: None,
             });
         }
@@ -106,7 +106,7 @@
     fn step(&mut self) {
         self.fleet.run(STEP);
         for attempt in core::mem::take(&mut self.attempts) {
-            if let Some(attempt) = self.look(attempt) {
+            if let Some(attempt) = self.advance(attempt) {
                 self.attempts.push(attempt);
             }
         }
@@ -115,54 +115,54 @@
     }
 
     /// Does for an attempt what the shell does.
-    fn look(&mut self, attempt: Attempt) -> Option<Attempt> {
+    fn advance(&mut self, attempt: Attempt) -> Option<Attempt> {
         let now = self.fleet.now;
         if self.fleet.nodes[attempt.instance].frozen {
             return Some(attempt);
         }
         self.core(attempt.instance)?;
         match attempt.runs {
-            Some((at, since)) if now.since(since) >= ENDS_AFTER => {
-                self.end(attempt, at);
+            Some((at, since)) if now.since(since) >= CRASHES_AFTER => {
+                self.crash(attempt, at);
                 None
             }
-            Some(_) => self.go_on_running(attempt),
-            None => self.go_on_waiting(attempt),
+            Some(_) => self.advance_running(attempt),
+            None => self.advance_waiting(attempt),
         }
     }
 
     /// The engine ends, and its instance finds nobody at its address.
-    fn end(&mut self, attempt: Attempt, at: EndpointKey) {
+    fn crash(&mut self, attempt: Attempt, at: EndpointKey) {
         let now = self.fleet.now;
-        self.ended.insert(at);
+        self.crashed.insert(at);
         let place = Placement {
             key: at,
             name: String::new(),
             address: address(1),
         };
         if let Some(core) = self.core(attempt.instance) {
-            core.on_endpoint_crash(now, attempt.turn.fingerprint, &place);
-            core.end_run(attempt.turn);
+            core.on_endpoint_crash(now, attempt.run.fingerprint, &place);
+            core.end_run(attempt.run);
         }
         self.fleet.hurry(attempt.instance);
     }
 
     /// A copy that is refused while it runs is cancelled.
-    fn go_on_running(&mut self, attempt: Attempt) -> Option<Attempt> {
+    fn advance_running(&mut self, attempt: Attempt) -> Option<Attempt> {
         let now = self.fleet.now;
         let core = self.core(attempt.instance)?;
-        if !core.is_refused(now, attempt.turn.fingerprint) {
+        if !core.is_refused(now, attempt.run.fingerprint) {
             return Some(attempt);
         }
-        core.end_run(attempt.turn);
+        core.end_run(attempt.run);
         self.refused += 1;
         None
     }
 
-    fn go_on_waiting(&mut self, attempt: Attempt) -> Option<Attempt> {
+    fn advance_waiting(&mut self, attempt: Attempt) -> Option<Attempt> {
         let now = self.fleet.now;
         let core = self.core(attempt.instance)?;
-        match core.admit_run(now, attempt.turn) {
+        match core.admit_run(now, attempt.run) {
             Admission::Go => {
                 self.sent += 1;
                 let at = EndpointKey::of(&format!("e-{}", self.sent));
@@ -170,16 +170,16 @@
                 Some(Attempt { runs, ..attempt })
             }
             Admission::Refused => {
-                core.end_run(attempt.turn);
+                core.end_run(attempt.run);
                 self.refused += 1;
                 None
             }
-            Admission::Wait if now.since(attempt.came) < PATIENCE => {
+            Admission::Wait if now.since(attempt.arrived_at) < CALLER_TIMEOUT => {
                 self.fleet.hurry(attempt.instance);
                 Some(attempt)
             }
             Admission::Wait | Admission::NoHome => {
-                core.end_run(attempt.turn);
+                core.end_run(attempt.run);
                 self.gave_up += 1;
                 None
             }
@@ -191,8 +191,8 @@
         let size = self.fleet.nodes.len();
         for ms in 0..time.as_millis() as u64 {
             if ms.is_multiple_of(each_ms) {
-                let turn = (ms / each_ms) as usize;
-                self.come(turn * 7 % size);
+                let count = (ms / each_ms) as usize;
+                self.send_request(count * 7 % size);
             }
             self.step();
         }
@@ -200,7 +200,7 @@
 
     fn home(&mut self, asked: usize) -> usize {
         let key = fingerprint("fatal").rank_key();
-        let homes = self.core(asked).expect("it is there").homes(key);
+        let homes = self.core(asked).expect("the instance runs").homes(key);
         let size = self.fleet.nodes.len();
         (0..size)
             .find(|&it| Some(address(it as u16 + 1)) == homes[0])
@@ -216,28 +216,28 @@
 #[case::small_with_loss(6, 0.02)]
 #[case::large(195, 0.02)]
 #[case::planned(390, 0.02)]
-fn three_engines_end_whatever_the_size(#[case] size: usize, #[case] loss: f64) {
+fn three_engines_crash_whatever_the_fleet_size(#[case] size: usize, #[case] loss: f64) {
     let mut scene = Scene::new(size, 5);
     scene.fleet.loss = loss;
-    scene.come(0);
+    scene.send_request(0);
     for _ in 0..800 {
         scene.step();
     }
 
     scene.play(Duration::from_secs(12), 400);
 
-    assert_eq!(scene.ended.len(), 3);
+    assert_eq!(scene.crashed.len(), 3);
     assert_eq!(scene.most, 1, "one at a time");
-    assert!(scene.refused > 20, "{} are refused", scene.refused);
+    assert!(scene.refused > 20, "{} were refused", scene.refused);
 }
 
 /// The same while the home of the request is frozen, and when it wakes.
 #[rstest]
 #[case::frozen(true)]
 #[case::killed(false)]
-fn a_home_that_is_away_lets_no_fourth_engine_end(#[case] freezes: bool) {
+fn an_unresponsive_home_causes_no_fourth_crash(#[case] freezes: bool) {
     let mut scene = Scene::new(30, 6);
-    scene.come(0);
+    scene.send_request(0);
     for _ in 0..800 {
         scene.step();
     }
@@ -253,17 +253,17 @@
     }
     scene.play(Duration::from_secs(4), 300);
 
-    assert_eq!(scene.ended.len(), 3);
-    assert!(scene.refused > 10, "{} are refused", scene.refused);
+    assert_eq!(scene.crashed.len(), 3);
+    assert!(scene.refused > 10, "{} were refused", scene.refused);
 }
 
 /// Symptom: a fourth engine ends. Sequence: three ended; an instance starts again, and the
 /// request comes there. Cause: what an instance knows goes with its process.
 #[test]
-fn an_instance_that_starts_again_learns_who_is_refused() {
+fn a_restarted_instance_learns_which_requests_are_refused() {
     let mut scene = Scene::new(30, 7);
     scene.play(Duration::from_secs(6), 400);
-    assert_eq!(scene.ended.len(), 3);
+    assert_eq!(scene.crashed.len(), 3);
     scene.fleet.kill(4);
     scene.fleet.run(Duration::from_millis(500));
     scene.fleet.start_one(4);
@@ -271,13 +271,13 @@
     scene.fleet.run(Duration::from_millis(500));
 
     let now = scene.fleet.now;
-    let core = scene.core(4).expect("it is there");
+    let core = scene.core(4).expect("the instance runs");
     assert!(core.is_refused(now, fingerprint("fatal")));
 }
 
 /// The same of a part of the fleet that was cut off while the engines ended.
 #[test]
-fn two_parts_that_lost_each_other_agree_on_who_is_refused() {
+fn partitioned_sides_agree_on_refused_requests() {
     let mut scene = Scene::new(30, 8);
     scene.fleet.passes = |from, to| (from < 10) == (to < 10);
     let now = scene.fleet.now;
@@ -287,12 +287,12 @@
             name: String::new(),
             address: address(1),
         };
-        let core = scene.core(0).expect("it is there");
+        let core = scene.core(0).expect("the instance runs");
         core.on_endpoint_crash(now, fingerprint("fatal"), &place);
     }
     scene.fleet.run(Duration::from_secs(5));
     let now = scene.fleet.now;
-    let core = scene.core(20).expect("it is there");
+    let core = scene.core(20).expect("the instance runs");
     assert!(
         !core.is_refused(now, fingerprint("fatal")),
         "it was cut off"
@@ -309,17 +309,17 @@
 
 /// After a while without a new end one copy is let through alone, and refuted or confirmed.
 #[test]
-fn one_copy_is_tried_when_nothing_ended_for_long() {
+fn one_attempt_is_admitted_after_the_refusal_expires() {
     let mut scene = Scene::new(6, 9);
     scene.play(Duration::from_secs(6), 400);
-    assert_eq!(scene.ended.len(), 3);
+    assert_eq!(scene.crashed.len(), 3);
     scene.attempts.clear();
     scene.most = 0;
     scene.fleet.run(REFUSAL_DURATION);
 
     scene.play(Duration::from_secs(6), 200);
 
-    assert_eq!(scene.ended.len(), 4);
+    assert_eq!(scene.crashed.len(), 4);
     assert_eq!(scene.most, 1, "one at a time");
 }
 
@@ -327,7 +327,7 @@
 /// engines when these lose their power, and runs well elsewhere in between. Cause: an end was
 /// taken for proof.
 #[test]
-fn a_request_that_ran_well_is_free_everywhere() {
+fn a_successful_request_is_cleared_everywhere() {
     let mut scene = Scene::new(30, 10);
     let popular = fingerprint("popular");
     let place = |number: u32| Placement {
@@ -337,7 +337,7 @@
     };
     for number in 0..2 {
         let now = scene.fleet.now;
-        let core = scene.core(number).expect("it is there");
+        let core = scene.core(number).expect("the instance runs");
         core.on_endpoint_crash(now, popular, &place(number as u32));
         scene.fleet.hurry(number);
     }
@@ -346,19 +346,19 @@
     let now = scene.fleet.now;
     scene
         .core(7)
-        .expect("it is there")
+        .expect("the instance runs")
         .on_run_succeeded(now, popular);
     scene.fleet.hurry(7);
     scene.fleet.run(Duration::from_millis(300));
     let now = scene.fleet.now;
-    let core = scene.core(3).expect("it is there");
+    let core = scene.core(3).expect("the instance runs");
     core.on_endpoint_crash(now, popular, &place(9));
     scene.fleet.hurry(3);
     scene.fleet.run(Duration::from_millis(300));
 
     let now = scene.fleet.now;
     for node in &scene.fleet.nodes {
-        let core = node.core.as_ref().expect("it is there");
+        let core = node.core.as_ref().expect("the instance runs");
         assert_eq!(core.crash_count(popular), 1);
         assert!(!core.is_refused(now, popular));
     }
@@ -370,7 +370,7 @@
 #[case::few(6)]
 #[case::large(195)]
 #[case::planned(390)]
-fn what_suspects_cost_does_not_grow_with_the_fleet(#[case] size: usize) {
+fn traffic_for_suspects_does_not_grow_with_the_fleet(#[case] size: usize) {
     let mut scene = Scene::new(size, 11);
     let now = scene.fleet.now;
     for number in 0..200 {
@@ -380,7 +380,7 @@
             name: String::new(),
             address: address(1),
         };
-        let core = scene.core(index).expect("it is there");
+        let core = scene.core(index).expect("the instance runs");
         core.on_endpoint_crash(now, fingerprint(&format!("r-{number}")), &place);
         scene.fleet.hurry(index);
     }
@@ -404,7 +404,7 @@
 /// behind them, and the next copy has its turn before. Cause: who ended the turn and who was
 /// given it knew of the ends by the usual news only.
 #[test]
-fn the_next_in_turn_knows_of_the_third_end() {
+fn the_next_lease_holder_knows_of_the_third_crash() {
     let mut scene = Scene::new(30, 12);
     let now = scene.fleet.now;
     for number in 0..600 {
@@ -414,23 +414,23 @@
             name: String::new(),
             address: address(1),
         };
-        let core = scene.core(index).expect("it is there");
+        let core = scene.core(index).expect("the instance runs");
         core.on_endpoint_crash(now, fingerprint(&format!("r-{number}")), &place);
         scene.fleet.hurry(index);
     }
-    scene.come(0);
+    scene.send_request(0);
     for _ in 0..800 {
         scene.step();
     }
 
     scene.play(Duration::from_secs(10), 150);
 
-    assert_eq!(scene.ended.len(), 3);
-    assert!(scene.refused > 40, "{} are refused", scene.refused);
+    assert_eq!(scene.crashed.len(), 3);
+    assert!(scene.refused > 40, "{} were refused", scene.refused);
 }
 
 /// An instance whose connection to an endpoint ended, without knowing whether the endpoint did.
-fn undecided() -> (Gateway, EndpointKey) {
+fn with_lost_connection() -> (Gateway, EndpointKey) {
     let mut gateway = instances::gateway(1);
     let record = engine("e-1");
     gateway.publish_endpoint(Time::from_secs(1), record.clone());
@@ -442,8 +442,8 @@
 }
 
 #[test]
-fn an_endpoint_whose_entry_vanishes_had_ended() {
-    let (mut gateway, _) = undecided();
+fn a_removed_endpoint_record_counts_as_a_crash() {
+    let (mut gateway, _) = with_lost_connection();
 
     gateway.endpoint_vanished(Time::from_secs(5), "e-1");
 
@@ -451,8 +451,8 @@
 }
 
 #[test]
-fn an_endpoint_that_started_again_had_ended() {
-    let (mut gateway, _) = undecided();
+fn a_restarted_endpoint_counts_as_a_crash() {
+    let (mut gateway, _) = with_lost_connection();
 
     gateway.publish_endpoint(
         Time::from_secs(4),
@@ -468,8 +468,8 @@
 /// Symptom: a sound request counts as one that ended its endpoint. Sequence: its connection is
 /// lost with a link; much later the endpoint is replaced as planned. Cause: what could not be told was kept for good.
 #[test]
-fn what_is_not_decided_soon_blames_nobody() {
-    let (mut gateway, _) = undecided();
+fn an_old_lost_connection_is_no_evidence() {
+    let (mut gateway, _) = with_lost_connection();
     gateway.tick(Time::from_secs(13));
 
     gateway.endpoint_vanished(Time::from_secs(14), "e-1");
@@ -477,40 +477,40 @@
     assert_eq!(gateway.crash_count(fingerprint("fatal")), 0);
 }
 
-fn told() -> impl Strategy<Value = Body> {
-    let turns = proptest::collection::vec((0u8..4, any::<u64>()), 0..300);
-    let turns = turns.prop_map(|turns| {
-        let turn = |(body, run): (u8, u64)| SuspectRun {
+fn any_body() -> impl Strategy<Value = Body> {
+    let runs = proptest::collection::vec((0u8..4, any::<u64>()), 0..300);
+    let runs = runs.prop_map(|runs| {
+        let to_run = |(body, run): (u8, u64)| SuspectRun {
             fingerprint: fingerprint(&body.to_string()),
             run,
         };
-        turns.into_iter().map(turn).collect::<Vec<_>>()
+        runs.into_iter().map(to_run).collect::<Vec<_>>()
     });
-    let blame = (any::<u16>(), any::<u32>(), 0u64..20, any::<u32>());
-    let blames = proptest::collection::vec(blame, 0..300).prop_map(|blames| {
-        let blame = |(body, round, ended, age_ms): (u16, u32, u64, u32)| CrashRecord {
+    let record = (any::<u16>(), any::<u32>(), 0u64..20, any::<u32>());
+    let records = proptest::collection::vec(record, 0..300).prop_map(|records| {
+        let to_record = |(body, round, ended, age_ms): (u16, u32, u64, u32)| CrashRecord {
             fingerprint: fingerprint(&body.to_string()),
             round,
             crashed: (0..ended).map(EndpointKey).collect(),
             age_ms,
         };
-        blames.into_iter().map(blame).collect::<Vec<_>>()
+        records.into_iter().map(to_record).collect::<Vec<_>>()
     });
-    (turns, blames, 0u8..4).prop_map(|(turns, blames, kind)| match kind {
-        0 => Body::Suspects(blames),
+    (runs, records, 0u8..4).prop_map(|(runs, records, kind)| match kind {
+        0 => Body::Suspects(records),
         1 => Body::RunLeaseReport(RunLeaseReport {
-            acquire: turns.clone(),
-            renew: turns.clone(),
-            release: turns,
-            records: blames,
+            acquire: runs.clone(),
+            renew: runs.clone(),
+            release: runs,
+            records,
         }),
         2 => Body::RunLeaseAnswer(RunLeaseAnswer {
-            granted: turns.clone(),
-            waiting: turns,
-            records: blames,
+            granted: runs.clone(),
+            waiting: runs,
+            records,
         }),
         _ => Body::Gossip(GossipItems {
-            crash_records: blames,
+            crash_records: records,
             ..GossipItems::default()
         }),
     })
@@ -522,14 +522,14 @@
     /// Whatever is told, no instance ends by it, and what it keeps and tells on stays bounded: a
     /// message that ends the process which reads it would be told on to the next.
     #[test]
-    fn nothing_that_is_told_ends_an_instance(bodies in proptest::collection::vec(told(), 1..12)) {
+    fn no_message_crashes_an_instance(bodies in proptest::collection::vec(any_body(), 1..12)) {
         let mut gateway = instances::gateway(1);
         for (number, body) in bodies.into_iter().enumerate() {
             let now = Time::from_millis(1_000 + 50 * number as u64);
             let datagram = instances::datagram(2, 0, 0, body);
-            let heard = gateway.on_datagram(now, datagram).expect("it is of the fleet");
-            let ticked = gateway.tick(now);
-            for (_, body) in heard.send.into_iter().chain(ticked.send) {
+            let outcome = gateway.on_datagram(now, datagram).expect("it is of the fleet");
+            let tick = gateway.tick(now);
+            for (_, body) in outcome.send.into_iter().chain(tick.send) {
                 if let Body::Gossip(items) = &body {
                     prop_assert!(items.crash_records.len() <= 8);
                 }
@@ -542,8 +542,8 @@
 
 /// What ends as it said it would is nobody's fault.
 #[test]
-fn an_endpoint_that_was_leaving_blames_nobody() {
-    let (mut gateway, key) = undecided();
+fn a_leaving_endpoint_is_no_evidence() {
+    let (mut gateway, key) = with_lost_connection();
     let place = gateway.place_at(key).expect("it takes work");
     gateway.publish_endpoint(
         Time::from_secs(4),
