--- a/crates/core/tests/gateway_catch_up.rs
+++ b/crates/core/tests/gateway_catch_up.rs
@@ -1,7 +1,7 @@
 //! How a large change of the store reaches instances that do not watch it.
 //!
-//! A change of most of a megabyte, on links of 10 Mbit/s, in virtual time: bytes flow over
-//! links that those who are told at once share. What the instances decide is their own.
+//! A change of most of a megabyte, on links of 10 Mbit/s, in virtual time: concurrent transfers
+//! share the bandwidth of their sender's link. The instances make their own decisions.
 
 #[path = "fixtures/gateway.rs"]
 mod instances;
@@ -18,19 +18,19 @@
 
 const STEP: Duration = Duration::from_millis(5);
 
-/// How often each instance tells the others who it is.
+/// Interval at which each instance sends its state to the others.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// 10 Mbit/s, the smallest link of an instance.
+/// Bytes per step of the smallest link of an instance, 10 Mbit/s.
 const LINK_BYTES_PER_STEP: f64 = 10_000_000.0 / 8.0 * 0.005;
 
-/// A catalogue of some 4,000 entries.
+/// The size of a catalogue of some 4,000 entries.
 const CHANGE_BYTES: f64 = 800_000.0;
 
 /// The revision of the change.
 const CHANGED: u64 = 9;
 
-/// The record that changes.
+/// The record that changes, and its hash.
 fn change() -> (Record, ContentHash) {
     let record = Record {
         key: "catalogue".to_owned(),
@@ -41,14 +41,14 @@
     (record, hash)
 }
 
-/// Lets an instance know the change.
+/// Applies the change to an instance.
 fn apply_change(one: &mut Gateway) {
     let (record, hash) = change();
     one.replica.apply(record, hash);
     one.replica.advance_to(CHANGED);
 }
 
-/// What an instance knows at a revision, as a hash.
+/// The digest of a replica at a revision.
 fn digest_at(revision: u64) -> u64 {
     let mut replica = Replica::default();
     if revision >= CHANGED {
@@ -65,7 +65,8 @@
     gateway
 }
 
-/// What an instance says that knows the store up to a revision, and is answered by it.
+/// A datagram of an instance whose replica is complete up to a revision and which the store
+/// answers.
 fn datagram_at(number: u16, revision: u64, count: u64) -> Datagram {
     let digest = digest_at(revision);
     let gossip = match instances::beacon(number, count, 0).body {
@@ -79,7 +80,7 @@
     one.on_datagram(now, datagram).expect("it is of the fleet");
 }
 
-/// Where an instance gets the change from, and how much is missing.
+/// The source of the change for one instance, and how many bytes are left.
 #[derive(Clone, Copy, PartialEq)]
 enum Fetch {
     Nothing,
@@ -87,7 +88,7 @@
     FromStore { left: f64 },
 }
 
-/// Instances of which some can read the store.
+/// A fleet in which the store answers some of the instances.
 struct Fleet {
     now: Time,
     instances: Vec<Gateway>,
@@ -96,7 +97,7 @@
     served: Vec<bool>,
     most_concurrent: usize,
     store_reads: usize,
-    /// Counts what instances said.
+    /// Number of datagrams that instances have sent.
     sent: u64,
 }
 
@@ -132,7 +133,7 @@
             .count()
     }
 
-    /// Lets one instance tell all others how far it is.
+    /// Sends the state of one instance to all others.
     fn announce(&mut self, from: usize) {
         self.sent += 1;
         let datagram = datagram_at(Fleet::number(from), self.revision(from), self.sent);
@@ -157,7 +158,7 @@
         self.fetches.iter().filter(from).count()
     }
 
-    /// Lets an instance that is behind ask, as its decisions say.
+    /// Lets an instance that is behind act on its decisions.
     fn act(&mut self, index: usize) {
         if matches!(self.fetches[index], Fetch::FromStore { .. }) {
             return;
@@ -187,7 +188,7 @@
         self.most_concurrent = self.most_concurrent.max(self.transfers_from(sender));
     }
 
-    /// Lets bytes flow for one step; returns whether the fetch is complete.
+    /// Transfers bytes for one step; returns whether the transfer is complete.
     fn transfer(&mut self, index: usize) -> bool {
         let share = match self.fetches[index] {
             Fetch::FromPeer { sender, .. } => {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Publishes the change and returns how long it takes until all have it.
+    /// Publishes the change and returns how long it takes to reach all instances.
     fn spread(&mut self) -> Duration {
         (0..self.instances.len()).for_each(|it| self.announce(it));
         let published = self.now;
@@ -239,17 +240,17 @@
     }
 }
 
-/// Returns whether an instance watches in a fleet of so many that have heard each other.
+/// Returns whether an instance is a watcher in a settled fleet of `size` instances.
 fn watches(size: u16, index: usize) -> bool {
     let mut fleet = Fleet::new(size, |_| true);
     (0..size.into()).for_each(|it| fleet.announce(it));
     fleet.instances[index].watches(fleet.now)
 }
 
-/// Symptom: a large change is in force at the instances that watch the store, and comes to
-/// the others seconds late or never. Sequence: all others ask the same one at once. Cause:
-/// see `core::gateway::catch_up`. A change must be in force within 3 s of its
-/// acknowledgement, here also where the store turns a third or nearly all away.
+/// Guards against a large change that reaches the instances that do not watch the store seconds
+/// late or never, because all of them ask the same peer at once; see `core::gateway::catch_up`. A
+/// change must be in force within 3 s of its acknowledgement, also while the store rejects a third
+/// or nearly all of the instances.
 #[rstest]
 #[case::the_store_serves_all(86, 0, Duration::from_millis(1_500))]
 #[case::the_store_turns_a_third_away(86, 29, Duration::from_millis(2_500))]
@@ -267,8 +268,8 @@
     assert!(fleet.most_concurrent <= MAX_LARGE_TRANSFERS);
 }
 
-/// The worst case: two of all instances hear from the store. Those that were told tell it
-/// on, so that the time grows with the logarithm of the fleet.
+/// The worst case: the store answers two of all instances. The others pass the change on, so that
+/// the time grows with the logarithm of the fleet.
 #[test]
 fn a_large_change_spreads_from_two_instances_alone() {
     let mut fleet = Fleet::new(86, |index| watches(86, index));
@@ -295,8 +296,8 @@
     assert_eq!(one.choose_provider(after), Some(address(2)));
 }
 
-/// Symptom: an instance goes on asking peers that cannot tell it. Cause: its being behind
-/// was counted anew with each question.
+/// Guards against an instance that keeps asking peers that send nothing: each request restarted the
+/// time that it counts as behind.
 #[test]
 fn an_instance_that_stays_behind_reads_the_store() {
     let now = Time::from_secs(5);
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -1,4 +1,4 @@
-//! What the home of a service's engines grants, and what instances do without one.
+//! What the home of a service's engines grants, and how instances place requests without one.
 
 #[path = "fixtures/gateway.rs"]
 mod instances;
@@ -31,7 +31,7 @@
     EndpointKey::of(&format!("e-{number}"))
 }
 
-/// So many empty engines.
+/// Returns a table of `count` empty engines.
 fn engines(count: usize) -> EndpointTable {
     let mut table = EndpointTable::default();
     for number in 0..count {
@@ -40,7 +40,7 @@
     table
 }
 
-/// A request of 3,000 tokens that arrived so many milliseconds ago.
+/// A request for 3,000 tokens that arrived `age_ms` milliseconds ago.
 fn request(id: u64, age_ms: u64, want: Want) -> PlacementRequest {
     let age = Duration::from_millis(age_ms);
     PlacementRequest {
@@ -73,7 +73,7 @@
     named: RateLimits,
     home: Home,
     reports: u64,
-    /// Engines that the next instance to report cannot use.
+    /// Engines that the next reporting instance cannot use.
     ejected: Vec<EndpointKey>,
 }
 
@@ -133,7 +133,7 @@
             .collect()
     }
 
-    /// Returns what was decided about a placement request, if anything was said.
+    /// Returns the decision about a placement request, if there is one.
     fn decision(&mut self, id: u64) -> Option<Decision> {
         let answers = self.decide();
         let mut decisions = answers.iter().flat_map(|(_, it)| &it.decisions);
@@ -148,8 +148,8 @@
     }
 }
 
-/// Symptom: an engine gets twice what it holds. Sequence: two instances ask within the time
-/// that a report takes. Cause: what was granted counted only once its instance had reported it.
+/// Guards against overcommitting an engine: two instances request a placement within the time that
+/// a report takes, and a grant counted only once its instance had reported it.
 #[test]
 fn a_grant_is_reserved_until_it_is_reported() {
     let mut scene = Scene::new(1);
@@ -177,7 +177,7 @@
     );
 }
 
-/// A grant that is lost on its way is told again, and is the same one.
+/// A grant that was lost on its way is sent again, and is the same one.
 #[test]
 fn a_repeated_request_gets_the_same_grant() {
     let mut scene = Scene::new(2);
@@ -196,8 +196,8 @@
     assert_eq!(reserved.running, 1, "room is reserved once");
 }
 
-/// Symptom: requests wait although engines have room. Sequence: the instance whose request is
-/// next freezes. Cause: its last word was believed for as long as it counted as there.
+/// Guards against requests that wait although engines have room: the instance whose request is next
+/// freezes, and its last report never expired.
 #[test]
 fn a_silent_instance_holds_nobody_up() {
     let mut scene = Scene::new(1);
@@ -227,9 +227,8 @@
     assert_eq!(scene.decision(1), Some(Decision::Granted(engine(0))));
 }
 
-/// Symptom: a generation that waits longest is served by an engine that another one was
-/// promised. Sequence: reports arrive in another order than they were sent. Cause: the last
-/// arrival won.
+/// Guards against granting an engine that was already granted to another request: reports arrive in
+/// another order than they were sent, and the last arrival won.
 #[test]
 fn an_outdated_report_is_ignored() {
     let mut scene = Scene::new(1);
@@ -259,8 +258,8 @@
     );
 }
 
-/// Copies of generations whose engine leaves go to different engines, since each is counted
-/// before the next is chosen, and before what only wants to be safer.
+/// Copies of generations whose engine leaves go to different engines, since each is counted before
+/// the next is chosen, and before standby copies.
 #[test]
 fn copies_from_one_engine_go_to_different_engines() {
     let mut scene = Scene::new(5);
@@ -300,8 +299,8 @@
     assert_eq!(scene.decision(2), Some(Decision::Denied(NoPlace::Full)));
 }
 
-/// Symptom: requests wait for as long as a frozen home does. Sequence: the home freezes before
-/// it answers, or after it said "wait". Cause: nothing bounded the wait for its word.
+/// Guards against requests that wait for as long as a home is frozen: the home freezes before it
+/// answers, or after it has queued the request, and nothing bounded the wait for its decision.
 #[test]
 fn an_unresponsive_home_times_out() {
     let mut asks = AskTable::default();
@@ -319,7 +318,7 @@
     assert_eq!(asks.verdict(much_later, 1), Verdict::Unanswered);
 }
 
-/// A "wait" that was sent before a grant and arrives after it takes nothing back.
+/// A "queued" answer that was sent before a grant and arrives after it does not revoke the grant.
 #[test]
 fn an_older_decision_does_not_revoke_a_grant() {
     let mut asks = AskTable::default();
@@ -332,10 +331,10 @@
     assert_eq!(asks.verdict(NOW, 1), Verdict::Decided(grant));
 }
 
-/// Symptom: 120 generations a second are refused within 50 ms, while engines have room.
-/// Sequence: twenty of 62 engines go while the store is silent, so that their entries stay.
-/// They look empty; the home sends everybody there, and each instance tries several of them
-/// before it knows. Cause: what one instance found out helped only itself.
+/// Guards against 120 generations a second that are refused within 50 ms while engines have room:
+/// twenty of 62 engines end while the store is unavailable, so that their records stay and they
+/// look empty. The home grants them to everybody, and each instance tried several of them, because
+/// what one instance found out helped only itself.
 #[test]
 fn an_engine_that_several_instances_cannot_use_is_ejected_for_all() {
     let mut scene = Scene::new(2);
@@ -365,8 +364,8 @@
     assert_eq!(scene.decision(2), Some(Decision::Granted(engine(0))));
 }
 
-/// An engine that is back gets work again within some seconds, and all engines are used when
-/// all of them are in doubt.
+/// An engine that recovers gets work again within some seconds, and ejected engines are used when
+/// all engines are ejected.
 #[test]
 fn an_ejection_expires() {
     let mut scene = Scene::new(1);
@@ -389,9 +388,9 @@
     assert!(scene.home.others(scene.now, None).passed_over.is_empty());
 }
 
-/// Symptom: an instance whose request waits for room gets no copy for its other generations,
-/// and passes over its home as silent. Sequence: it asks for a place, which it must wait for,
-/// and for a copy. Cause: what was said of the place replaced what was said of the copy.
+/// Guards against an instance whose queued request denies its other generations a copy: it requests
+/// a queued placement and a copy in one report, the decision about the placement replaced the
+/// decision about the copy, and the instance considered its home unresponsive.
 #[test]
 fn all_requests_of_one_report_are_answered() {
     let mut scene = Scene::new(3);
@@ -415,10 +414,9 @@
     assert_eq!(about(2), Some(Decision::Denied(NoPlace::Full)));
 }
 
-/// Symptom: a request waits until its target is over and is refused, though engines are free.
-/// Sequence: its engine begins to leave while the grant is under way; it asks again, and is
-/// granted the same engine again and again. Cause: what was granted was kept whatever became
-/// of the engine.
+/// Guards against a request that waits until its target and is refused though engines are free: its
+/// engine begins to leave while the grant is on its way, and the home granted the same engine again
+/// and again, because a reservation outlived the engine.
 #[test]
 fn an_engine_that_leaves_is_not_granted_again() {
     let mut scene = Scene::new(2);
@@ -433,8 +431,8 @@
     assert_ne!(second, first);
 }
 
-/// Guards against a home that grants an engine in need more than the engine takes from all, or
-/// keeps its room for copies.
+/// Guards against a home that grants an engine with a rate limit more than the limit, or reserves
+/// its room for copies.
 #[test]
 fn an_engine_is_granted_within_its_rate_limit() {
     let mut scene = Scene::new(1);
--- a/crates/core/tests/gateway_members.rs
+++ b/crates/core/tests/gateway_members.rs
@@ -1,4 +1,4 @@
-//! Who takes part, in fleets of real cores over links with delay and loss, and what that costs.
+//! Membership in simulated fleets over links with delay and loss, and its traffic.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -13,10 +13,11 @@
 
 const SEEDS: usize = 3;
 
-/// Bytes a second that control may take of an instance at the size that is designed for.
+/// Maximum bytes per second of control traffic of one instance, at the fleet size of the design.
 const CONTROL_BYTES: u64 = 4_096;
 
-/// A fleet that has settled, and loses so many of its datagrams.
+/// Returns a fleet in which all instances know each other; from then on it loses `loss` of its
+/// datagrams.
 fn settled(size: usize, loss: f64) -> Fleet {
     let mut fleet = Fleet::start(size, SEEDS, 7);
     let joined = fleet.until_all_count(size, Duration::from_secs(20));
@@ -26,7 +27,7 @@
     fleet
 }
 
-/// The fleet's cold start: all are started at once, and know three addresses each.
+/// Cold start of the fleet: all instances start at once and know three addresses each.
 #[rstest]
 #[case::few(6, 2)]
 #[case::some(30, 3)]
@@ -40,8 +41,8 @@
     assert!(took.is_some(), "{:?}", fleet.counts());
 }
 
-/// Symptom: an instance that starts finds nobody. Sequence: the addresses that it was given
-/// are old, and nobody answers at all but one of them.
+/// Guards against an instance that starts and finds nobody: the addresses that it was given are
+/// outdated, and only one of them answers.
 #[test]
 fn one_seed_that_answers_is_enough() {
     let mut fleet = Fleet::start(12, 8, 2);
@@ -52,8 +53,7 @@
     assert!(took.is_some(), "{:?}", fleet.counts());
 }
 
-/// Symptom: what one instance sends grows with the fleet. Sequence: each tells every other
-/// who it is. Cause: membership was all to all.
+/// Guards against traffic that grows with the fleet, as with all-to-all membership.
 #[rstest]
 #[case::some(30, true)]
 #[case::large(195, true)]
@@ -90,8 +90,8 @@
     assert!(most <= Some(1), "another instance was considered gone");
 }
 
-/// Symptom: an instance that was frozen is never counted again. Sequence: all others took it
-/// for gone; it wakes, and says what it said before. Cause: the last word was the highest.
+/// Guards against a frozen instance that stays gone for the others: it resumes with its earlier
+/// state, which did not override the state that the others had.
 #[test]
 fn a_resumed_instance_refutes_that_it_is_gone() {
     let mut fleet = settled(12, 0.0);
@@ -109,8 +109,8 @@
     assert!(took.is_some(), "{:?}", fleet.counts());
 }
 
-/// Symptom: after a pause of its own an instance counts its peers as gone. Cause: it held
-/// them to answers that came while it could not hear.
+/// Guards against an instance that considers its peers gone after a pause of its own, because they
+/// seemed not to answer while it could not receive.
 #[test]
 fn a_paused_instance_considers_no_peer_gone() {
     let mut fleet = settled(12, 0.0);
@@ -124,7 +124,7 @@
     assert!(fleet.all_count(12), "{:?}", fleet.counts());
 }
 
-/// One link that is cut, in one direction or both, condemns nobody: others vouch.
+/// One broken link, in one direction or both, makes no instance gone: indirect probes succeed.
 #[rstest]
 #[case::one_way(|from, to| (from, to) != (2, 3))]
 #[case::both_ways(|from, to| (from, to) != (2, 3) && (from, to) != (3, 2))]
@@ -137,8 +137,7 @@
     assert!(fleet.all_count(12), "{:?}", fleet.counts());
 }
 
-/// Two halves that lost each other find each other again, though each took all of the other
-/// for gone.
+/// The two sides of a partition find each other again, though each considers the other gone.
 #[test]
 fn partitioned_sides_find_each_other() {
     let mut fleet = settled(24, 0.0);
@@ -152,8 +151,8 @@
     assert!(took.is_some(), "{:?}", fleet.counts());
 }
 
-/// A process that starts again at its address is known in its new life, and the word that
-/// its former life is gone does not take it away.
+/// A restarted process at the same address is known as a new incarnation, and gossip that the
+/// earlier incarnation is gone does not remove it.
 #[test]
 fn a_new_incarnation_at_an_address_is_known_to_all() {
     let mut fleet = settled(12, 0.0);
@@ -166,8 +165,8 @@
     assert!(fleet.all_count(12), "{:?}", fleet.counts());
 }
 
-/// Symptom: requests go to an endpoint that leaves, at instances that the store turns away.
-/// The news must be everywhere within half a second, at the size that is designed for.
+/// Guards against requests to a leaving endpoint from instances that the store rejects. The gossip
+/// must reach all instances within half a second, at the fleet size of the design.
 #[rstest]
 #[case::few(6, 0.0)]
 #[case::large(195, 0.02)]
@@ -192,11 +191,10 @@
     assert_eq!(heard.count(), size, "the last at {last:?}");
 }
 
-/// Symptom: 302 instances that lose power together serve again after half a minute, where 32
-/// take half a second. Sequence: each reads the store and then watches it until it has heard
-/// two others that rank before it; each heartbeat of an endpoint ends all watches, which are
-/// begun anew at once, and the calls of those that have read leave no room for those that
-/// have not. Cause: nothing bounded what a start asks of the store.
+/// Guards against a slow cold start: 302 instances that lose power together served again after half
+/// a minute, where 32 take half a second. Each read the store and then watched it until it knew two
+/// watchers that rank before it; each heartbeat of an endpoint ended all watches, which began again
+/// at once, and these calls left no room for the reads of the others.
 #[rstest]
 #[case::some(30, 2_000)]
 #[case::large(195, 16_000)]
@@ -220,7 +218,7 @@
     let last = read.clone().max().map(|at| at.since(started));
     assert_eq!(read.count(), size);
     assert!(last <= Some(Duration::from_millis(1_500)), "{last:?}");
-    // One read each, and little more until it is known who watches.
+    // One read each, and little more until the watchers are known.
     let calls: usize = fleet.calls.values().sum();
     assert!(calls <= 2 * size + 100, "{calls} calls in 3 s");
 }
--- a/crates/core/tests/gateway_places.rs
+++ b/crates/core/tests/gateway_places.rs
@@ -1,5 +1,5 @@
-//! Places at engines in fleets of real cores: what a request costs, and homes that freeze, are
-//! killed, or stand twice.
+//! Placement at engines in simulated fleets: its traffic, and homes that freeze, are killed or
+//! exist twice.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -30,34 +30,34 @@
 /// Tokens of one generation: six of them fill an engine.
 const TOKENS: u32 = 3_000;
 
-/// How long a generation runs.
+/// Duration of a generation.
 const RUNS: Duration = Duration::from_secs(2);
 
 const STEP: Duration = Duration::from_millis(1);
 
-/// A request that asks for a place at one instance.
+/// A placement request that is open at one instance.
 struct OpenRequest {
     instance: usize,
     id: u64,
     since: Time,
 }
 
-/// A generation that runs.
+/// A running generation.
 struct Running {
     instance: usize,
     at: EndpointKey,
     ends: Time,
 }
 
-/// A fleet before engines, and the requests that it places.
+/// A fleet with engines, and the requests that it places.
 struct Scene {
     fleet: Fleet,
     open: Vec<OpenRequest>,
     running: Vec<Running>,
     requests: u64,
-    /// The longest time that a request waited for its place.
+    /// The longest time that a request waited for its placement.
     longest: Duration,
-    /// The most memory that generations took at one engine.
+    /// The most tokens of generations at one engine.
     fullest: u32,
     /// Requests that were placed without a home.
     without_home: usize,
@@ -76,7 +76,7 @@
 }
 
 impl Scene {
-    /// A settled fleet that knows the engines.
+    /// Returns a settled fleet that knows the engines.
     fn new(size: usize) -> Self {
         let mut fleet = Fleet::start(size, SEEDS, 3);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
@@ -105,7 +105,7 @@
             .expect("the instance runs")
     }
 
-    /// Returns the home of the engines, by the word of one instance.
+    /// Returns the home of the engines, as one instance knows it.
     fn home(&mut self, instance: usize) -> usize {
         let homes = self.core(instance).homes(service_hash("model"));
         let size = self.fleet.nodes.len();
@@ -140,7 +140,7 @@
         });
     }
 
-    /// Lets one millisecond pass, and instances act on what they know.
+    /// Advances by one millisecond; instances act on the decisions that they have received.
     fn step(&mut self) {
         self.fleet.run(STEP);
         for request in core::mem::take(&mut self.open) {
@@ -205,7 +205,8 @@
         self.fullest = self.fullest.max(fullest);
     }
 
-    /// Lets requests come at instances in turn, but for `except`, each so many milliseconds.
+    /// Sends a request every `each_ms` milliseconds, at one instance after the other except
+    /// `except`.
     fn play(&mut self, time: Duration, each_ms: u64, except: Option<usize>) {
         let steps = time.as_millis() as u64;
         let size = self.fleet.nodes.len();
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Prints what one instance sends a second, by purpose (`-- --nocapture`).
+    /// Prints the traffic per instance and second by purpose (`-- --nocapture`).
     fn print_sent(&self, time: Duration) {
         let size = self.fleet.nodes.len();
         let seconds = size as f64 * time.as_secs_f64();
@@ -257,9 +258,9 @@
     }
 }
 
-/// Symptom: what a request costs grows with the fleet. Sequence: each placement, first event
-/// and end is told to every instance. Cause: each instance decided alone and had to know what
-/// all others run. Control may take 4 KB a second of an instance, at 3.6 requests a second.
+/// Guards against traffic per request that grows with the fleet, as when each placement, first
+/// event and end is sent to every instance. Control traffic may take 4 KB per second of an
+/// instance, at 3.6 requests per second.
 #[rstest]
 #[case::few(6)]
 #[case::some(30)]
@@ -278,8 +279,8 @@
     assert!(datagrams <= 30, "{bytes} bytes in {datagrams} datagrams");
 }
 
-/// A home knows all it gave away: no engine is given more than it holds, however many instances
-/// ask at once, and who finds no room waits.
+/// A home knows all its grants: no engine is overcommitted, however many instances send requests at
+/// once, and requests that find no room are queued.
 #[test]
 fn no_engine_is_overcommitted() {
     let mut scene = Scene::new(12);
@@ -290,9 +291,8 @@
     assert!(scene.fullest <= ENGINE.memory_tokens, "{}", scene.fullest);
 }
 
-/// Symptom: requests stand still for as long as the home does. Sequence: the home freezes, is
-/// killed, or is cut off from the instance; it takes seconds until it counts as gone. Cause: its
-/// answer was waited for.
+/// Guards against requests that wait for as long as their home does not answer: it freezes, is
+/// killed or is partitioned from the instance, and it takes seconds until it is considered gone.
 #[rstest]
 #[case::frozen(true)]
 #[case::killed(false)]
@@ -314,8 +314,8 @@
     assert!(scene.fullest <= ENGINE.memory_tokens, "{}", scene.fullest);
 }
 
-/// A home that was frozen and wakes still holds its old view; instances ask the one that took
-/// its place until it is known to be there again, and reports replace what it believed.
+/// A home that was frozen still has its old view when it resumes. Instances ask the next in rank
+/// until it is live again, and reports replace its view.
 #[test]
 fn a_resumed_home_uses_new_reports() {
     let mut scene = Scene::new(12);
@@ -331,13 +331,14 @@
     assert!(scene.fullest <= ENGINE.memory_tokens, "{}", scene.fullest);
 }
 
-/// Two homes at once: some instances cannot reach the first and ask the next. Both know all
-/// reports, so that they give away the same room only while a report is under way.
+/// Two homes at once: some instances cannot reach the first and ask the next in rank. Both receive
+/// all reports, so that they grant the same room only while a report is on its way.
 #[test]
 fn two_homes_barely_overcommit_engines() {
     let mut scene = Scene::new(12);
     scene.play(Duration::from_secs(1), 50, None);
-    // Whatever the home is: the instances of even number do not hear it, and it not them.
+    // Instances with even and odd numbers among the first six cannot reach each other, whichever of
+    // them is the home.
     scene.fleet.passes = |from, to| from % 2 == to % 2 || from > 5 || to > 5;
 
     scene.play(Duration::from_secs(8), 25, None);
@@ -351,9 +352,9 @@
     );
 }
 
-/// Symptom: a request at the home itself waits for 50 ms longer than others. Sequence: room
-/// comes with the report of another instance, and the home gives it to its own request. Cause:
-/// only answers of other homes woke those that wait.
+/// Guards against requests at the home itself that wait 50 ms longer than others: room is freed by
+/// the report of another instance and granted to the home's own request, but only answers of other
+/// homes woke waiting requests.
 #[test]
 fn a_home_wakes_its_own_requests() {
     let mut scene = Scene::new(6);
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -1,4 +1,4 @@
-//! Who watches the store, when it is called, and what is known of its state.
+//! Which instances watch the store, when it is called, and what is known of its state.
 
 #[path = "fixtures/gateway.rs"]
 mod instances;
@@ -11,11 +11,11 @@
 use oriolemux_core::gateway::{Body, Datagram, EndpointRecord, Gateway};
 use oriolemux_core::{EndpointKey, Time};
 
-/// Instances that say how the store answers them.
+/// Number of instances that send beacons.
 const BEACON_SENDERS: u16 = 8;
 
-/// Instances that have all heard each other, and from some of them how long ago the store
-/// answered.
+/// Returns instances that have all received datagrams of each other, and beacons of some of them
+/// with the time since the store last answered.
 fn fleet(size: u16, now: Time, store_age_ms: u32) -> Vec<Gateway> {
     let mut fleet: Vec<Gateway> = (1..=size).map(gateway).collect();
     for (index, one) in fleet.iter_mut().enumerate() {
@@ -51,8 +51,8 @@
     assert!(gateway(1).watches(Time::from_secs(5)));
 }
 
-/// Symptom: nobody hears of a change. Sequence: the store turns both watchers away.
-/// Cause: the others relied on them without asking whether they hear anything.
+/// Guards against a change that nobody notices: the store rejects both watchers, and the others
+/// relied on them without checking that the store answers them.
 #[test]
 fn a_small_fleet_watches_if_no_watcher_is_answered() {
     let now = Time::from_secs(5);
@@ -61,9 +61,8 @@
     assert_eq!(watching(&fleet(6, now, silent), now), 6);
 }
 
-/// Symptom: a store that is silent gets hundreds of calls a second, each of which is paid
-/// for. Sequence: it answers nobody; every instance of a large fleet takes over the watch.
-/// Cause: nothing bounded who does.
+/// Guards against hundreds of calls a second, each of which is billed, to a store that does not
+/// answer: every instance of a large fleet became a watcher.
 #[test]
 fn part_of_a_large_fleet_watches_if_no_watcher_is_answered() {
     let now = Time::from_secs(30);
@@ -76,9 +75,9 @@
     assert!((32..=64).contains(&long_silent), "{long_silent}");
 }
 
-/// Symptom: a change is heard of two seconds late, again and again. Sequence: the store
-/// turns both watchers away and answers two others; each hears that the other is answered,
-/// and leaves the watch to it. Cause: who was answered did not go on.
+/// Guards against changes that are noticed two seconds late, again and again: the store rejects the
+/// first two in rank and answers two others, and each of these left the watch to the other when it
+/// received the other's beacon.
 #[test]
 fn an_answered_watcher_continues_while_the_first_in_rank_are_not() {
     let now = Time::from_secs(5);
@@ -134,8 +133,8 @@
     assert_eq!(watching(&fleet, now), WATCHERS);
 }
 
-/// Bad input: what is of another deployment or version, or claims the own address, changes
-/// nothing.
+/// Invalid datagrams, of another deployment or version or with this instance's address as sender,
+/// change nothing.
 #[test]
 fn foreign_datagrams_are_dropped() {
     let mut one = gateway(1);
@@ -174,9 +173,8 @@
     assert!(pauses[3] <= Duration::from_millis(500));
 }
 
-/// Symptom: two instances make 55 calls a second to the store before 67 endpoints.
-/// Sequence: each heartbeat of an endpoint ends a watch; the next one is begun at once, and
-/// ends with the next heartbeat. Cause: nothing parted the watches.
+/// Guards against 55 calls a second to the store by two instances with 67 endpoints: each heartbeat
+/// of an endpoint ended a watch, and the next one began at once.
 #[test]
 fn the_calls_to_the_store_do_not_grow_with_the_endpoints() {
     let calls_within_a_second = |heartbeats: u64| {
@@ -221,9 +219,9 @@
     assert!(!one.reader.may_miss_records(now + Duration::from_secs(3)));
 }
 
-/// Symptom: generations are lost with engines whose entries were removed. Sequence:
-/// a watch is cut; an engine's entry vanishes in the second after it. Cause: each
-/// failed call counted as an outage in which entries lapse, and the engine was kept.
+/// Guards against generations that are lost with engines whose records were removed: a watch is
+/// interrupted, an engine's record is removed in the second after it, and each failed call counted
+/// as an outage in which records expire, so that the engine was kept.
 #[test]
 fn an_interrupted_watch_is_no_outage() {
     let mut one = gateway(1);
@@ -256,10 +254,9 @@
     assert_eq!(one.next_step(now), Step::Read);
 }
 
-/// Symptom: after an outage of the store no endpoint is left. Sequence: entries lapse
-/// while the store is away; an instance that does not watch hears of the removals from
-/// one that does. Cause: it had made no call of its own, and took the removals for
-/// those of quiet times.
+/// Guards against the loss of all endpoints after an outage of the store: records expire during the
+/// outage, and an instance that does not watch learns of the removals from a watcher. Without calls
+/// of its own it took them for real removals.
 #[test]
 fn beacons_announce_an_outage() {
     let now = Time::from_secs(5);
@@ -287,10 +284,9 @@
     assert!(one.is_usable(EndpointKey::of("e-1")));
 }
 
-/// Symptom: engines that are gone are used for minutes. Sequence: all instances watch
-/// for a moment, since the watchers heard nothing, and all their calls fail; then those
-/// that are not meant to watch listen again. Cause: they counted the store as away
-/// from then on, and said so to all others.
+/// Guards against use of engines that are gone for minutes: while the watchers were not answered,
+/// all instances watched for a moment, and all their calls failed. Those that went back to standby
+/// considered the store unavailable from then on, and gossiped that.
 #[test]
 fn a_standby_instance_does_not_consider_the_store_unavailable() {
     let mut one = gateway(1);
@@ -305,9 +301,9 @@
     assert!(!one.may_miss_records(failed + Duration::from_secs(1)));
 }
 
-/// Symptom: one of several instances that know more is overrun, the others are asked by
-/// nobody. Sequence: a change is known to four; all others are behind at the same moment.
-/// Cause: each asked the last of those that know most, which is the same one for all.
+/// Guards against one overloaded peer: four instances know a change and all others are behind at
+/// the same moment; each asked the last of those that are furthest ahead, which is the same one for
+/// all.
 #[test]
 fn instances_that_are_behind_ask_different_peers() {
     let now = Time::from_secs(5);
@@ -320,7 +316,7 @@
         }
     }
 
-    // Some of them watch, and are given time to hear of it by themselves first.
+    // Watchers wait some time for the change from the store itself.
     let later = now + Duration::from_millis(200);
     let instances = behind.iter_mut();
     let chosen: Vec<_> = instances
--- a/crates/core/tests/gateway_replica.rs
+++ b/crates/core/tests/gateway_replica.rs
@@ -1,4 +1,4 @@
-//! What is known of the store never steps back, however records arrive.
+//! The replica of the store never steps back, in whatever order records arrive.
 
 use core::time::Duration;
 use oriolemux_core::gateway::{Applied, ContentHash, EndpointRecord, Record, Replica};
@@ -13,7 +13,7 @@
     }
 }
 
-/// Takes in a record that means what it holds, and returns whether it is news.
+/// Applies a record whose content is its value; returns whether the content changed.
 fn apply(replica: &mut Replica, record: Record) -> bool {
     let hash = match &record.value {
         Some(value) => ContentHash::of(&record.key, &[value]),
@@ -22,7 +22,7 @@
     replica.apply(record, hash) == Applied::Changed
 }
 
-/// The entry of an endpoint at one of its heartbeats.
+/// The record of an endpoint at one of its heartbeats.
 fn heartbeat(revision: u64, leaving: bool) -> (Record, ContentHash) {
     let endpoint = EndpointRecord {
         name: "e-1".to_owned(),
@@ -40,7 +40,7 @@
     (record, hash)
 }
 
-/// Takes in what a peer told, as heartbeats of one endpoint.
+/// Applies a peer's delta of heartbeats of one endpoint.
 fn apply_delta(replica: &mut Replica, from: &Replica) {
     let delta = from.delta_since(replica.revision());
     for record in delta.records {
@@ -62,8 +62,8 @@
         .collect()
 }
 
-/// Symptom: a key that was taken away works again. Sequence: a page read before the
-/// change arrives after the watch has told of it. Cause: the last arrival won.
+/// Guards against a removed key that works again: a page that was read before the change arrives
+/// after the watch has returned it, and the last arrival won.
 #[test]
 fn a_late_page_restores_nothing() {
     let mut replica = Replica::default();
@@ -77,9 +77,8 @@
     assert_eq!(known(&replica)["server"], (21, None));
 }
 
-/// Symptom: an endpoint that has just come is taken as gone. Sequence: it registers
-/// while the pages are read, behind the page that would have shown it. Cause: pages
-/// were taken for a snapshot.
+/// Guards against a new endpoint that is considered gone: it registers while the pages are read,
+/// behind the page that would have shown it, and the pages were taken for a snapshot.
 #[test]
 fn a_record_written_during_a_read_is_not_removed() {
     let mut replica = Replica::default();
@@ -108,9 +107,9 @@
     assert_eq!(too_old.records.len(), 2);
 }
 
-/// Symptom: every instance asks a peer for records some fifty times a second. Sequence:
-/// endpoints write their entries anew with each heartbeat; each is a new revision, which
-/// those that watch tell all others. Cause: a revision was taken for a change.
+/// Guards against every instance fetching records from a peer some fifty times a second: endpoints
+/// write their records again with each heartbeat, each write is a new revision, and the watchers
+/// announced it as a change.
 #[test]
 fn a_heartbeat_alone_is_not_in_a_delta() {
     let mut watcher = Replica::default();
@@ -166,8 +165,8 @@
 }
 
 proptest! {
-    /// Whatever order records come in, and however often, the result is the same, and
-    /// no key ever falls to a lower revision on the way.
+    /// Records in any order and any number of times give the same replica, and no key ever falls
+    /// back to a lower revision.
     #[test]
     fn records_in_any_order_give_the_same_replica(
         writes in prop::collection::vec((0_u8..4, any::<bool>()), 1..24),
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that end endpoints, in fleets of real cores over links with delay and loss.
+//! Requests that crash endpoints, in simulated fleets over links with delay and loss.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -25,13 +25,13 @@
 
 const STEP: Duration = Duration::from_millis(1);
 
-/// How long an engine works on the request before it ends with it.
+/// How long an engine runs the request before it crashes.
 const CRASHES_AFTER: Duration = Duration::from_millis(700);
 
 /// How long a caller waits for its request to be sent.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Bytes a second that control may take of an instance at the size that is designed for.
+/// Maximum bytes per second of control traffic of one instance, at the fleet size of the design.
 const CONTROL_BYTES: u64 = 4_096;
 
 fn fingerprint(body: &str) -> Fingerprint {
@@ -45,26 +45,26 @@
     })
 }
 
-/// A copy of the request, at an instance.
+/// An attempt to run the request, at one instance.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     instance: usize,
     run: SuspectRun,
     arrived_at: Time,
-    /// Where it runs, since when.
+    /// The engine that runs it, and since when.
     runs: Option<(EndpointKey, Time)>,
 }
 
-/// A fleet that is sent one request again and again, which ends each engine that begins it.
+/// A fleet that receives one request again and again, which crashes each engine that runs it.
 struct Scene {
     fleet: Fleet,
     attempts: Vec<Attempt>,
-    /// Engines that were given the request.
+    /// Engines to which the request was sent.
     sent: u32,
     crashed: BTreeSet<EndpointKey>,
     refused: usize,
     gave_up: usize,
-    /// The most copies that ran at one time.
+    /// The most attempts that ran at one time.
     most: usize,
 }
 
@@ -114,7 +114,7 @@
         self.most = self.most.max(running);
     }
 
-    /// Does for an attempt what the shell does.
+    /// Advances an attempt as the gateway does.
     fn advance(&mut self, attempt: Attempt) -> Option<Attempt> {
         let now = self.fleet.now;
         if self.fleet.nodes[attempt.instance].frozen {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The engine ends, and its instance finds nobody at its address.
+    /// The engine crashes, and its instance finds that nothing listens at its address.
     fn crash(&mut self, attempt: Attempt, at: EndpointKey) {
         let now = self.fleet.now;
         self.crashed.insert(at);
@@ -147,7 +147,7 @@
         self.fleet.hurry(attempt.instance);
     }
 
-    /// A copy that is refused while it runs is cancelled.
+    /// An attempt that is refused while it runs is cancelled.
     fn advance_running(&mut self, attempt: Attempt) -> Option<Attempt> {
         let now = self.fleet.now;
         let core = self.core(attempt.instance)?;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Lets the request come each so many milliseconds, at one instance after the other.
+    /// Sends the request every `each_ms` milliseconds, at one instance after the other.
     fn play(&mut self, time: Duration, each_ms: u64) {
         let size = self.fleet.nodes.len();
         for ms in 0..time.as_millis() as u64 {
@@ -208,9 +208,10 @@
     }
 }
 
-/// Symptom: eleven engines end, each with all that runs there. Sequence: a request that ends its engine comes
-/// each 400 ms, at another instance each time, while former copies still wait at their engines.
-/// Cause: no instance knew what the request had done elsewhere, or that it ran there now.
+/// Guards against eleven engine crashes, each with everything that runs there: a request that
+/// crashes its engine is sent every 400 ms, at another instance each time, while earlier attempts
+/// still wait at their engines. No instance knew what the request had done elsewhere, or that it
+/// was running there.
 #[rstest]
 #[case::small(6, 0.0)]
 #[case::small_with_loss(6, 0.02)]
@@ -231,7 +232,7 @@
     assert!(scene.refused > 20, "{} were refused", scene.refused);
 }
 
-/// The same while the home of the request is frozen, and when it wakes.
+/// The same while the home of the request is frozen or killed, and when it resumes.
 #[rstest]
 #[case::frozen(true)]
 #[case::killed(false)]
@@ -257,8 +258,8 @@
     assert!(scene.refused > 10, "{} were refused", scene.refused);
 }
 
-/// Symptom: a fourth engine ends. Sequence: three ended; an instance starts again, and the
-/// request comes there. Cause: what an instance knows goes with its process.
+/// Guards against a fourth crash after a restart: what an instance knows ends with its process, so
+/// it must learn from its peers that the request is refused.
 #[test]
 fn a_restarted_instance_learns_which_requests_are_refused() {
     let mut scene = Scene::new(30, 7);
@@ -275,7 +276,7 @@
     assert!(core.is_refused(now, fingerprint("fatal")));
 }
 
-/// The same of a part of the fleet that was cut off while the engines ended.
+/// The same for one side of a partition while the engines crashed on the other.
 #[test]
 fn partitioned_sides_agree_on_refused_requests() {
     let mut scene = Scene::new(30, 8);
@@ -307,7 +308,7 @@
     assert_eq!(cores.filter(knows).count(), 30);
 }
 
-/// After a while without a new end one copy is let through alone, and refuted or confirmed.
+/// After a while without a crash one attempt is admitted, alone, and its result decides.
 #[test]
 fn one_attempt_is_admitted_after_the_refusal_expires() {
     let mut scene = Scene::new(6, 9);
@@ -323,9 +324,8 @@
     assert_eq!(scene.most, 1, "one at a time");
 }
 
-/// Symptom: callers of one popular request are refused for good. Sequence: it is at three
-/// engines when these lose their power, and runs well elsewhere in between. Cause: an end was
-/// taken for proof.
+/// Guards against refusing a popular request for good: it runs at three engines when they lose
+/// power, and succeeds elsewhere in between. A crash alone is no proof.
 #[test]
 fn a_successful_request_is_cleared_everywhere() {
     let mut scene = Scene::new(30, 10);
@@ -364,8 +364,8 @@
     }
 }
 
-/// What an instance sends because of suspects does not grow with the fleet, also when many
-/// engines end at once with many requests.
+/// The traffic caused by suspects does not grow with the fleet, also when many engines end at once
+/// with many requests.
 #[rstest]
 #[case::few(6)]
 #[case::large(195)]
@@ -399,10 +399,9 @@
     assert!(a_second <= CONTROL_BYTES, "{a_second} bytes a second");
 }
 
-/// Symptom: a fourth engine ends while many others end for another reason. Sequence: hundreds of
-/// requests are told of that were at engines that ended; the third end of one request waits
-/// behind them, and the next copy has its turn before. Cause: who ended the turn and who was
-/// given it knew of the ends by the usual news only.
+/// Guards against a fourth crash while many engines end for another reason: crash records of
+/// hundreds of requests are queued, the third crash of one request waits behind them, and the next
+/// attempt is granted its lease before. The run lease messages must carry the records themselves.
 #[test]
 fn the_next_lease_holder_knows_of_the_third_crash() {
     let mut scene = Scene::new(30, 12);
@@ -429,7 +428,8 @@
     assert!(scene.refused > 40, "{} were refused", scene.refused);
 }
 
-/// An instance whose connection to an endpoint ended, without knowing whether the endpoint did.
+/// Returns an instance whose connection to an endpoint was lost, without knowing whether the
+/// endpoint crashed.
 fn with_lost_connection() -> (Gateway, EndpointKey) {
     let mut gateway = instances::gateway(1);
     let record = engine("e-1");
@@ -465,8 +465,8 @@
     assert_eq!(gateway.crash_count(fingerprint("fatal")), 1);
 }
 
-/// Symptom: a sound request counts as one that ended its endpoint. Sequence: its connection is
-/// lost with a link; much later the endpoint is replaced as planned. Cause: what could not be told was kept for good.
+/// Guards against a harmless request that counts as having crashed its endpoint: its connection is
+/// lost with a link, and much later the endpoint is replaced as planned.
 #[test]
 fn an_old_lost_connection_is_no_evidence() {
     let (mut gateway, _) = with_lost_connection();
@@ -519,8 +519,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(32))]
 
-    /// Whatever is told, no instance ends by it, and what it keeps and tells on stays bounded: a
-    /// message that ends the process which reads it would be told on to the next.
+    /// No message crashes the instance that receives it, and what the instance keeps and gossips
+    /// stays bounded: a message that crashed its receiver would be gossiped to the next instance.
     #[test]
     fn no_message_crashes_an_instance(bodies in proptest::collection::vec(any_body(), 1..12)) {
         let mut gateway = instances::gateway(1);
@@ -540,7 +540,7 @@
     }
 }
 
-/// What ends as it said it would is nobody's fault.
+/// An endpoint that ends as announced is no evidence against a request.
 #[test]
 fn a_leaving_endpoint_is_no_evidence() {
     let (mut gateway, key) = with_lost_connection();
--- a/crates/core/tests/suspects_ledger.rs
+++ b/crates/core/tests/suspects_ledger.rs
@@ -1,4 +1,5 @@
-//! What is known of suspects: merged from messages in any order, bounded, and forgotten.
+//! The ledger of suspects merges messages in any order, is bounded and forgets; and the leases of
+//! runs.
 
 use core::time::Duration;
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
@@ -27,7 +28,7 @@
     EndpointKey::of(&format!("e-{number}"))
 }
 
-/// A ledger in which a request ended so many engines.
+/// Returns a ledger in which a request crashed `engines` engines.
 fn ledger_with_crashes(request: Fingerprint, engines: u8) -> Ledger {
     let mut ledger = Ledger::default();
     for number in 0..engines {
@@ -68,8 +69,8 @@
     assert_eq!(ledger.standing(later, request(1)), Standing::Refused);
 }
 
-/// Symptom: a request that was cleared is refused again. Sequence: it ran well; news of what it
-/// was blamed for before arrives late. Cause: old news was counted anew.
+/// Guards against a cleared request that is refused again: it succeeds, and a crash record from
+/// before arrives late.
 #[test]
 fn a_late_record_does_not_undo_a_success() {
     let mut ledger = ledger_with_crashes(request(1), 3);
@@ -81,8 +82,8 @@
     assert_eq!(ledger.standing(NOW, request(1)), Standing::Free);
 }
 
-/// Symptom: a suspect is never forgotten. Sequence: two instances forget it at slightly different times, and the
-/// one that still knows it tells the other. Cause: what was heard counted as new.
+/// Guards against a suspect that is never forgotten: two instances forget it at slightly different
+/// times, and the one that still knows it sends the record to the other, which counted it as new.
 #[test]
 fn a_received_record_keeps_its_age() {
     let mut sender = ledger_with_crashes(request(1), 3);
@@ -99,8 +100,8 @@
     assert!(receiver.is_empty());
 }
 
-/// Whatever is told, by whomever, no more is kept than the bound, and those stay that ended the
-/// most.
+/// Whatever records arrive, the ledger stays within its bound and keeps the suspects with the most
+/// crashes.
 #[test]
 fn the_ledger_is_bounded() {
     let mut ledger = ledger_with_crashes(request(0), 3);
@@ -129,7 +130,8 @@
 }
 
 proptest! {
-    /// Instances that hear the same, in any order and any number of times, know the same.
+    /// Instances that receive the same records, in any order and any number of times, have the same
+    /// ledger.
     #[test]
     fn order_and_repetition_make_no_difference(
         sent in proptest::collection::vec((0u32..4, 0u32..3, 0u8..8), 1..40),
@@ -176,7 +178,7 @@
     }
 }
 
-/// A home that has listened long enough.
+/// Returns a home whose grace period is over.
 fn home() -> RunLeases<u16> {
     RunLeases::new(Time::ZERO)
 }
@@ -217,8 +219,8 @@
     );
 }
 
-/// Symptom: two copies run at once. Sequence: a home starts anew while a suspect runs, and is asked
-/// before it hears of that. Cause: it took what it had not heard for what is not there.
+/// Guards against two attempts that run at once: a home starts while a suspect runs, and is asked
+/// for a lease before it receives the holder's report.
 #[test]
 fn a_new_home_grants_no_lease() {
     let mut home = RunLeases::new(NOW);
@@ -239,8 +241,8 @@
     );
 }
 
-/// Symptom: two copies wait for ever. Sequence: both ran when the request became a suspect, and
-/// both ask for the turn before they are sent once more. Cause: each still counted as running.
+/// Guards against two attempts that wait for ever: both ran when the request became a suspect, both
+/// request a lease for their next attempt, and each still counted as running.
 #[test]
 fn two_waiting_runs_do_not_block_each_other() {
     let mut home = home();
