--- a/crates/core/src/gateway/beacons.rs
+++ b/crates/core/src/gateway/beacons.rs
@@ -108,8 +108,8 @@
             .values()
             .map(ReceivedBeacon::store_answered_at)
             .max();
-        let silent = now.since(last.unwrap_or(since).max(since));
-        let beyond = silent.saturating_sub(WATCHER_TIMEOUT);
+        let unanswered = now.since(last.unwrap_or(since).max(since));
+        let beyond = unanswered.saturating_sub(WATCHER_TIMEOUT);
         if beyond.is_zero() {
             return WATCHERS;
         }
--- a/crates/core/src/gateway/reader.rs
+++ b/crates/core/src/gateway/reader.rs
@@ -15,8 +15,8 @@
 /// not grow with the fleet; two, so that one may fail unnoticed.
 pub const WATCHERS: usize = 2;
 
-/// A watcher that the store has not answered for this long counts as cut off. A watch is answered
-/// after [`WATCH_WAIT`] at the latest, and others learn of it within
+/// A watcher that the store has not answered for this long counts as disconnected. A watch is
+/// answered after [`WATCH_WAIT`] at the latest, and others learn of it within
 /// [`BEACON_INTERVAL`](super::beacons::BEACON_INTERVAL); the rest of the two seconds within which
 /// changes must be in force suffices for another instance to read in its place.
 pub const WATCHER_TIMEOUT: Duration = Duration::from_millis(1_350);
@@ -160,8 +160,8 @@
         if failure == CallFailure::TooLarge {
             // A watch returns every version that was published since, and several versions of a
             // large catalogue exceed the limit; the pages of a read hold only the last one.
-            // Otherwise the same watch would be retried in vain until the store forgets that
-            // history.
+            // Otherwise the same watch would be retried without success until the store forgets
+            // that history.
             self.needs_read = true;
         }
         let was_available = self.failures == 0;
--- a/crates/core/tests/gateway_members.rs
+++ b/crates/core/tests/gateway_members.rs
@@ -183,12 +183,12 @@
     fleet.tell_leaving(0, endpoint);
     fleet.run(Duration::from_millis(500));
 
-    let heard = fleet
+    let received = fleet
         .nodes
         .iter()
         .filter_map(|it| it.heard_leaving.get(&endpoint));
-    let last = heard.clone().max().map(|at| at.since(sent));
-    assert_eq!(heard.count(), size, "the last at {last:?}");
+    let last = received.clone().max().map(|at| at.since(sent));
+    assert_eq!(received.count(), size, "the last at {last:?}");
 }
 
 /// Guards against a slow cold start: 302 instances that lose power together served again after half
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -56,9 +56,9 @@
 #[test]
 fn a_small_fleet_watches_if_no_watcher_is_answered() {
     let now = Time::from_secs(5);
-    let silent = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small") + 500;
+    let age_ms = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small") + 500;
 
-    assert_eq!(watching(&fleet(6, now, silent), now), 6);
+    assert_eq!(watching(&fleet(6, now, age_ms), now), 6);
 }
 
 /// Guards against hundreds of calls a second, each of which is billed, to a store that does not
@@ -66,10 +66,10 @@
 #[test]
 fn part_of_a_large_fleet_watches_if_no_watcher_is_answered() {
     let now = Time::from_secs(30);
-    let silent = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small");
+    let age_ms = u32::try_from(WATCHER_TIMEOUT.as_millis()).expect("small");
 
-    let just_silent = watching(&fleet(390, now, silent + 100), now);
-    let long_silent = watching(&fleet(390, now, silent + 10_000), now);
+    let just_silent = watching(&fleet(390, now, age_ms + 100), now);
+    let long_silent = watching(&fleet(390, now, age_ms + 10_000), now);
 
     assert!((WATCHERS..=8).contains(&just_silent), "{just_silent}");
     assert!((32..=64).contains(&long_silent), "{long_silent}");
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -296,7 +296,7 @@
     let core = scene.core(20).expect("the instance runs");
     assert!(
         !core.is_refused(now, fingerprint("fatal")),
-        "it was cut off"
+        "it was partitioned"
     );
 
     scene.fleet.passes = |_, _| true;
