--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -97,7 +97,7 @@
 }
 
 impl Datagram {
-    /// Returns the revisions and digests of the store that some instance has reached, as the datagram states.
+    /// Returns the revisions and digests of the store that the datagram claims some instance has.
     pub fn claims(&self) -> impl Iterator<Item = (u64, u64)> {
         let news = match &self.body {
             Body::Probe { gossip: news, .. }
--- a/crates/core/tests/suspects_ledger.rs
+++ b/crates/core/tests/suspects_ledger.rs
@@ -159,7 +159,8 @@
 
         prop_assert_eq!(first.digest(), second.digest());
         for number in 0..4 {
-            prop_assert_eq!(first.crash_count(request(number)), second.crash_count(request(number)));
+            let request = request(number);
+            prop_assert_eq!(first.crash_count(request), second.crash_count(request));
         }
     }
 }
