--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -1,10 +1,11 @@
-//! What the home of a service's engines knows, and how it gives away their room.
+//! The home of a service's engines, and how it grants their room.
 //!
-//! Instances report what they run and what they wait for ([`placement`](super::placement)). The home keeps
-//! the last report of each, works out who is next ([`queue`](super::queue)) and reserves what
-//! it grants until the instance's next report shows it. An instance that falls silent is forgotten
-//! after a second, with its use, its placement requests and its reservations: a frozen instance
-//! must hold nobody up for longer.
+//! The home is the instance that decides for a key, chosen by rendezvous hashing. Instances report
+//! what they run and which placements they request ([`placement`](super::placement)). The home keeps the last
+//! report of each instance, decides whose request is next ([`queue`](super::queue)) and reserves
+//! what it grants until a report of the instance includes it. The report of an instance expires
+//! after a second, with its usage, its placement requests and its reservations, so that a frozen
+//! instance holds nobody up for longer.
 
 mod ejections;
 mod message;
@@ -26,17 +27,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How often an instance reports that has something at the engines of a service, though nothing
-/// changed.
+/// Interval at which an instance that uses or requests engines of a service reports, even if
+/// nothing changed.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long the word of an instance is believed: two reports in a row may be lost.
+/// Time to live of a report: two reports in a row may be lost.
 pub const REPORT_TTL: Duration = Duration::from_millis(1_000);
 
-/// How often one instance is told what others run. It goes by that only where no home answers.
+/// Minimum interval at which one instance is sent what other instances run. It uses that only where
+/// no home answers.
 const VIEW_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of one instance.
+/// The last report of one instance.
 #[derive(Clone, Debug)]
 struct Reporter {
     incarnation: Incarnation,
@@ -46,53 +48,54 @@
     used: Vec<(EndpointKey, Usage)>,
     failing: Vec<EndpointKey>,
     ejected: Vec<EndpointKey>,
-    /// How many instances it knows, those that were lost included.
+    /// How many instances it knows, recently lost ones included.
     known: u32,
     requests: Vec<PlacementRequest>,
-    /// Whether this instance is to decide about the placement requests.
+    /// Whether this instance is the one to decide about the placement requests.
     decides: bool,
-    /// Whether an answer is due even if nothing was decided anew.
+    /// Whether an answer is due even if all requests stay queued.
     owes_answer: bool,
     view_sent_at: Option<Time>,
-    /// What was granted and is not in a report yet.
+    /// Grants that no report includes yet.
     reserved: BTreeMap<u64, (EndpointKey, Usage)>,
 }
 
-/// The instances that reported about one service.
+/// The instances that report about one service.
 #[derive(Clone, Debug, Default)]
 pub struct Home {
     reporters: BTreeMap<SocketAddrV4, Reporter>,
-    /// Engines that instances could not use lately.
+    /// Engines that instances recently found unusable.
     ejections: Ejections,
-    /// Requests that were granted at engines that bear few.
-    bounded_granted: SlidingWindowCounter,
+    /// Requests granted at engines with a rate limit.
+    limited_grants: SlidingWindowCounter,
 }
 
-/// What was decided, by the instance that is to be told.
-type Decided = BTreeMap<SocketAddrV4, Vec<(u64, PlacementDecision)>>;
+/// Decisions by the instance to which they are sent.
+type Decisions = BTreeMap<SocketAddrV4, Vec<(u64, PlacementDecision)>>;
 
 /// What a home needs to know of a service to decide.
 #[derive(Clone, Copy, Debug)]
 pub struct Engines<'a> {
     /// The service's name.
     pub service: &'a str,
-    /// What its engines bear.
+    /// The capacity of its engines.
     pub limits: EngineLimits,
     /// All endpoints.
     pub endpoints: &'a EndpointTable,
-    /// What its engines bear while they are cold, if that is less.
+    /// The capacity of its engines while they are cold, if that is less.
     pub cold: Option<ColdLimits>,
-    /// The limits that endpoints named.
+    /// The rate limits that endpoints set.
     pub named: &'a RateLimits,
-    /// How many instances this one knows, those that were lost included.
+    /// How many instances this one knows, recently lost ones included.
     pub known: usize,
-    /// How many of them take part.
+    /// How many of them are live.
     pub live: usize,
 }
 
 impl Engines<'_> {
-    /// Returns how many requests a second an engine bears from all instances, if that is bounded.
-    fn rate_bound(&self, now: Time, engine: EndpointKey) -> Option<f64> {
+    /// Returns how many requests per second an engine takes from all instances together, if that is
+    /// limited.
+    fn rate_limit(&self, now: Time, engine: EndpointKey) -> Option<f64> {
         cold::rate_limit(now, engine, self.endpoints, self.cold.as_ref(), self.named)
     }
 
@@ -101,24 +104,24 @@
             return Vec::new();
         }
         let usable = self.endpoints.usable_of(self.service).map(|it| it.key);
-        let is_bounded = |key: &EndpointKey| self.rate_bound(now, *key).is_some();
-        usable.filter(is_bounded).collect()
+        let is_limited = |key: &EndpointKey| self.rate_limit(now, *key).is_some();
+        usable.filter(is_limited).collect()
     }
 }
 
 impl Home {
-    /// Takes a report in. One that is older than the last one changes nothing.
+    /// Stores a report. One that is older than the last one of the same incarnation is ignored.
     pub fn on_report(
         &mut self,
         now: Time,
         from: SocketAddrV4,
-        life: Incarnation,
+        incarnation: Incarnation,
         report: PlacementReport,
     ) {
         let known = self
             .reporters
             .get_mut(&from)
-            .filter(|it| it.incarnation == life);
+            .filter(|it| it.incarnation == incarnation);
         let (viewed, mut reserved) = match known {
             Some(known) if known.number >= report.number => return,
             Some(known) => (known.view_sent_at, core::mem::take(&mut known.reserved)),
@@ -134,7 +137,7 @@
             }
         }
         let reporter = Reporter {
-            incarnation: life,
+            incarnation,
             number: report.number,
             received_at: now,
             data_centre: report.data_centre,
@@ -151,36 +154,36 @@
         self.reporters.insert(from, reporter);
     }
 
-    /// Forgets instances that fell silent.
+    /// Removes expired reports.
     pub fn tick(&mut self, now: Time) {
         self.reporters
             .retain(|_, it| now.since(it.received_at) < REPORT_TTL);
         self.ejections.tick(now);
-        self.bounded_granted.tick(now);
+        self.limited_grants.tick(now);
     }
 
-    /// Returns whether nobody reports.
+    /// Returns whether there are no reports.
     pub fn is_empty(&self) -> bool {
         self.reporters.is_empty()
     }
 
-    /// Returns whether somebody waits for a decision of this instance.
+    /// Returns whether an instance waits for a decision of this instance.
     pub fn has_requests(&self) -> bool {
         self.reporters
             .values()
             .any(|it| it.decides && !it.requests.is_empty())
     }
 
-    /// Returns how many requests wait for a place that this instance is to give.
+    /// Returns how many requests are queued for a decision of this instance.
     pub fn queued_count(&self) -> usize {
-        let asking = self.reporters.values().filter(|it| it.decides);
-        let requests = asking.flat_map(|it| &it.requests);
+        let queued = self.reporters.values().filter(|it| it.decides);
+        let requests = queued.flat_map(|it| &it.requests);
         requests
             .filter(|it| it.kind == PlacementKind::Queued)
             .count()
     }
 
-    /// Returns what all instances but `except` run.
+    /// Returns what all instances except `except` run.
     pub fn others(&self, now: Time, except: Option<SocketAddrV4>) -> PeerUsage {
         let mut others = PeerUsage::default();
         others.ejected.extend(self.ejections.ejected(now));
@@ -194,7 +197,7 @@
         others
     }
 
-    /// Decides about all placement requests, and returns what instances are to be told.
+    /// Decides about all placement requests, and returns the answers to send.
     pub fn decide(
         &mut self,
         now: Time,
@@ -203,16 +206,16 @@
         let service = service_hash(engines.service);
         self.release_unusable(engines.endpoints);
         let mut others = self.others(now, None);
-        let mut decided = Decided::new();
-        self.decide_at_once(now, engines, &mut others, &mut decided);
-        self.decide_in_turn(now, engines, &others, &mut decided);
+        let mut decided = Decisions::new();
+        self.decide_immediate(now, engines, &mut others, &mut decided);
+        self.decide_queued(now, engines, &others, &mut decided);
         let mut answers = Vec::new();
         for (from, reporter) in &mut self.reporters {
-            let told = decided.remove(from).unwrap_or_default();
-            let has_grant = told
+            let decisions = decided.remove(from).unwrap_or_default();
+            let has_grant = decisions
                 .iter()
                 .any(|(_, it)| !matches!(it, PlacementDecision::Queued(_)));
-            if told.is_empty() || !(has_grant || reporter.owes_answer) {
+            if decisions.is_empty() || !(has_grant || reporter.owes_answer) {
                 continue;
             }
             reporter.owes_answer = false;
@@ -220,9 +223,9 @@
                 let is_denied = |&(id, it): &(u64, PlacementDecision)| {
                     id == request.queued.id && matches!(it, PlacementDecision::Denied(_))
                 };
-                !told.iter().any(is_denied)
+                !decisions.iter().any(is_denied)
             });
-            answers.push((*from, told));
+            answers.push((*from, decisions));
         }
         let mut send = Vec::with_capacity(answers.len());
         for (from, decisions) in answers {
@@ -239,8 +242,8 @@
         send
     }
 
-    /// Gives up what was granted at engines that leave or whose data centre was closed. A request
-    /// that cannot take its grant for that asks again, and must not be granted the same one.
+    /// Releases grants at engines that leave or are cordoned. A request that cannot use its grant
+    /// for that reason asks again, and must not be granted the same engine.
     fn release_unusable(&mut self, endpoints: &EndpointTable) {
         for reporter in self.reporters.values_mut() {
             reporter
@@ -249,16 +252,17 @@
         }
     }
 
-    /// Returns the part that this home may grant of what an engine bears. Each instance of the
-    /// fleet has a part of the bound, and a home disposes of the parts of those that it hears: it
-    /// may be new and not know of those on the other side of a cut, but who reports to it does.
-    fn granted_part(&self, engines: &Engines<'_>) -> f64 {
-        let told = self.reporters.values().map(|it| it.known as usize).max();
-        let known = engines.known.max(told.unwrap_or(0)).max(engines.live);
+    /// Returns the share of an engine's rate limit that this home may grant. Each instance of the
+    /// fleet has a share, and a home grants the shares of the instances that report to it. A new
+    /// home may not know the instances on the other side of a partition, but those that report to
+    /// it do.
+    fn granted_share(&self, engines: &Engines<'_>) -> f64 {
+        let reported = self.reporters.values().map(|it| it.known as usize).max();
+        let known = engines.known.max(reported.unwrap_or(0)).max(engines.live);
         HOME_SHARE * engines.live as f64 / known.max(1) as f64
     }
 
-    /// Returns what others run, if the instance at `from` is to be told now.
+    /// Returns what others run, if it is due to be sent to the instance at `from`.
     fn view_for(&mut self, now: Time, from: SocketAddrV4) -> Option<PeerUsage> {
         let reporter = self.reporters.get_mut(&from)?;
         let is_due = reporter
@@ -271,16 +275,16 @@
         Some(self.others(now, Some(from)))
     }
 
-    /// Decides about copies and about what is set aside, which wait for nothing. Copies of
-    /// generations whose engine leaves go first: without one they are lost.
-    fn decide_at_once(
+    /// Decides about copies and immediate placements, which are never queued. Copies of generations
+    /// whose engine leaves come first: those generations are lost without one.
+    fn decide_immediate(
         &mut self,
         now: Time,
         engines: Engines<'_>,
         others: &mut PeerUsage,
-        decided: &mut Decided,
+        decided: &mut Decisions,
     ) {
-        let any_waits = self.reporters.values().any(Reporter::waits_in_turn);
+        let any_queued = self.reporters.values().any(Reporter::has_queued_request);
         let none = UsageTable::default();
         for urgent in [true, false] {
             for (from, reporter) in self.reporters.iter_mut().filter(|(_, it)| it.decides) {
@@ -299,10 +303,10 @@
                     };
                     let place = match granted {
                         Some(key) => Ok(key),
-                        None if request.kind == PlacementKind::Immediate && any_waits => {
+                        None if request.kind == PlacementKind::Immediate && any_queued => {
                             Err(PlacementError::Full)
                         }
-                        None => at_once(world, engines, request),
+                        None => choose_immediate(world, engines, request),
                     };
                     let decision = match place {
                         Ok(key) => PlacementDecision::Granted(key),
@@ -319,13 +323,13 @@
         }
     }
 
-    /// Gives places to those that wait, each in its turn.
-    fn decide_in_turn(
+    /// Grants placements to queued requests in the order of the queue.
+    fn decide_queued(
         &mut self,
         now: Time,
         engines: Engines<'_>,
         others: &PeerUsage,
-        decided: &mut Decided,
+        decided: &mut Decisions,
     ) {
         let none = UsageTable::default();
         let world = PlacementContext {
@@ -344,37 +348,37 @@
             {
                 match reporter.reserved.get(&request.queued.id) {
                     Some((key, _)) => {
-                        let told = (request.queued.id, PlacementDecision::Granted(*key));
-                        decided.entry(*from).or_default().push(told);
+                        let decision = (request.queued.id, PlacementDecision::Granted(*key));
+                        decided.entry(*from).or_default().push(decision);
                     }
                     None => waiting.push((*from, reporter.queued(request))),
                 }
             }
         }
-        let part = self.granted_part(&engines);
+        let share = self.granted_share(&engines);
         let left = |engine| {
-            let bound = engines.rate_bound(now, engine);
-            bound.map(|rate| self.bounded_granted.remaining(now, engine, rate * part))
+            let bound = engines.rate_limit(now, engine);
+            bound.map(|rate| self.limited_grants.remaining(now, engine, rate * share))
         };
         let places = assign(
             world,
             engines,
             left,
-            waiting.iter().map(|(_, asking)| asking),
+            waiting.iter().map(|(_, queued)| queued),
         );
-        for ((from, asking), place) in waiting.iter().zip(places) {
-            let id = asking.request.queued.id;
+        for ((from, queued), place) in waiting.iter().zip(places) {
+            let id = queued.request.queued.id;
             let decision = match place {
                 Ok(key) => PlacementDecision::Granted(key),
                 Err(why) => PlacementDecision::Queued(why),
             };
             if let (Ok(key), Some(reporter)) = (place, self.reporters.get_mut(from)) {
-                if engines.rate_bound(now, key).is_some() {
-                    self.bounded_granted.record(now, key);
+                if engines.rate_limit(now, key).is_some() {
+                    self.limited_grants.record(now, key);
                 }
                 reporter
                     .reserved
-                    .insert(id, (key, asking.request.reserved_usage()));
+                    .insert(id, (key, queued.request.reserved_usage()));
             }
             decided.entry(*from).or_default().push((id, decision));
         }
@@ -390,7 +394,7 @@
         }
     }
 
-    fn waits_in_turn(&self) -> bool {
+    fn has_queued_request(&self) -> bool {
         let mut requests = self.requests.iter();
         requests.any(|it| {
             it.kind == PlacementKind::Queued && !self.reserved.contains_key(&it.queued.id)
@@ -398,13 +402,13 @@
     }
 }
 
-/// Chooses for a placement request that waits for nothing.
-fn at_once(
+/// Chooses an engine for a placement request that is not queued.
+fn choose_immediate(
     world: PlacementContext<'_>,
     engines: Engines<'_>,
     request: &PlacementRequest,
 ) -> Result<EndpointKey, PlacementError> {
-    // What bears few requests gets them in their turn only, within its bound.
+    // Engines with a rate limit are granted only through the queue, within the limit.
     let mut exclude = request.exclude.clone();
     exclude.extend(engines.rate_limited(world.now));
     let demand = Demand {
@@ -413,7 +417,7 @@
         tokens: request.queued.tokens,
         exclude: &exclude,
     };
-    // One instance decides for all, one request after the other: nothing is to be parted.
+    // One instance decides all requests one after the other: no random spread is needed.
     let no_draw = || 0.0;
     match request.kind {
         PlacementKind::Queued | PlacementKind::Immediate => choose(world, &demand, no_draw),
--- a/crates/core/src/gateway/state/places.rs
+++ b/crates/core/src/gateway/state/places.rs
@@ -1,4 +1,6 @@
-//! Where requests go: what this instance asks of homes, and what it decides as one.
+//! Placement of requests: what this instance requests from homes, and what it decides as a home.
+//!
+//! The home of a service is the instance that decides for a key, chosen by rendezvous hashing.
 
 use super::{Gateway, Placement};
 use crate::gateway::choose::{self, Demand, PlacementContext, PlacementError};
@@ -22,53 +24,53 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// How old what a home told may be to say whether prompts wait at an engine: about as long
-/// as one is read.
-const UNREAD_FRESH: Duration = Duration::from_millis(500);
+/// Maximum age of a home's view when it is used to decide whether prompts wait for prefill at an
+/// engine: about the duration of one prefill.
+const PREFILL_VIEW_TTL: Duration = Duration::from_millis(500);
 
 /// The home of a service and the next in rank.
 type Ranks = [Option<SocketAddrV4>; 2];
 
-/// What was last reported about a service.
+/// The last report about a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Reported {
     at: Time,
-    /// The changes that it counted.
+    /// The count of changes that it covered.
     changes: u64,
     ranks: Ranks,
-    /// Whether there was nothing to say.
-    empty: bool,
+    /// Whether it had no content.
+    is_empty: bool,
 }
 
 impl Gateway {
-    /// Chooses the endpoint for a request by what this instance knows.
+    /// Chooses the endpoint for a request with the knowledge of this instance.
     ///
     /// # Errors
     ///
     /// Returns why there is none.
     pub fn place(&mut self, now: Time, demand: &Demand<'_>) -> Result<Placement, PlacementError> {
-        let barred = self.barred(now, demand);
+        let at_limit = self.at_limit(now, demand);
         let both;
-        let exclude = match barred.is_empty() {
+        let exclude = match at_limit.is_empty() {
             true => demand.exclude,
             false => {
-                both = [demand.exclude, &barred].concat();
+                both = [demand.exclude, &at_limit].concat();
                 &both
             }
         };
         let demand = Demand { exclude, ..*demand };
-        let mut rng = self.draws();
-        let key = choose::choose(self.world(now, demand.service), &demand, || rng.random());
+        let mut rng = self.fork_rng();
+        let key = choose::choose(self.context(now, demand.service), &demand, || rng.random());
         let has_limit = |key: &EndpointKey| self.limits.of(*key).is_some();
         let key = key.map_err(|why| match why {
-            PlacementError::NoEndpoint if barred.iter().any(has_limit) => {
+            PlacementError::NoEndpoint if at_limit.iter().any(has_limit) => {
                 PlacementError::RateLimited
             }
-            PlacementError::NoEndpoint if !barred.is_empty() => PlacementError::Full,
+            PlacementError::NoEndpoint if !at_limit.is_empty() => PlacementError::Full,
             why => why,
         })?;
-        if self.rate_bound(now, key).is_some() {
-            self.note_bounded(now, key);
+        if self.rate_limit(now, key).is_some() {
+            self.count_limited_request(now, key);
         }
         self.place_at(key).ok_or(PlacementError::NoEndpoint)
     }
@@ -77,80 +79,80 @@
         self.catalogue.as_ref()?.cold_limits(service)
     }
 
-    /// Returns how many requests a second an endpoint bears from all instances, if that is
-    /// bounded.
-    fn rate_bound(&self, now: Time, key: EndpointKey) -> Option<f64> {
+    /// Returns how many requests per second an endpoint takes from all instances together, if that
+    /// is limited.
+    fn rate_limit(&self, now: Time, key: EndpointKey) -> Option<f64> {
         let endpoint = self.endpoints.get(key)?;
         let cold = self.cold_limits(&endpoint.record.service);
         cold::rate_limit(now, key, &self.endpoints, cold.as_ref(), &self.limits)
     }
 
-    /// Counts a request to an endpoint that bears a bounded rate.
-    fn note_bounded(&mut self, now: Time, key: EndpointKey) {
+    /// Counts a request to an endpoint with a rate limit.
+    fn count_limited_request(&mut self, now: Time, key: EndpointKey) {
         self.shares.record(now, key);
         self.limits.on_request(now, key);
     }
 
-    /// Returns the endpoints to which this instance may send nothing now, because they bear few
-    /// requests. Engines get requests through their home alone.
-    fn barred(&self, now: Time, demand: &Demand<'_>) -> Vec<EndpointKey> {
+    /// Returns the endpoints to which this instance may send nothing now because of their rate
+    /// limit. Engines with a rate limit get requests only through their home.
+    fn at_limit(&self, now: Time, demand: &Demand<'_>) -> Vec<EndpointKey> {
         if self.limits.is_empty() && self.cold_limits(demand.service).is_none() {
             return Vec::new();
         }
         let usable = self.endpoints.usable_of(demand.service).map(|it| it.key);
-        let is_barred = |key: &EndpointKey| {
-            let bound = self.rate_bound(now, *key);
-            bound.is_some_and(|rate| demand.engine.is_some() || !self.has_part(now, *key, rate))
+        let is_at_limit = |key: &EndpointKey| {
+            let bound = self.rate_limit(now, *key);
+            bound.is_some_and(|rate| demand.engine.is_some() || !self.has_share(now, *key, rate))
         };
-        usable.filter(is_barred).collect()
+        usable.filter(is_at_limit).collect()
     }
 
-    /// Returns whether this instance may send a request to an endpoint that bears `rate` a second
-    /// without asking anybody.
-    fn has_part(&self, now: Time, key: EndpointKey, rate: f64) -> bool {
-        self.part_left(now, key, rate) > 0 || {
+    /// Returns whether this instance may send a request to an endpoint that takes `rate` requests
+    /// per second without asking a home.
+    fn has_share(&self, now: Time, key: EndpointKey, rate: f64) -> bool {
+        self.share_left(now, key, rate) > 0 || {
             let rank = cold::rank(self.cfg.address, &self.fleet, key);
             self.limits.may_probe(now, key, rank)
         }
     }
 
-    fn part_left(&self, now: Time, key: EndpointKey, rate: f64) -> u32 {
+    fn share_left(&self, now: Time, key: EndpointKey, rate: f64) -> u32 {
         let own = self.cfg.address;
         self.shares.remaining(now, own, &self.fleet, key, rate)
     }
 
     /// Returns whether a request for which an endpoint was chosen at `chosen` may still be sent
-    /// there, and counts it there if a limit was named since.
+    /// there. Counts it if the endpoint has set a rate limit since then.
     pub fn admit_to_limit(&mut self, now: Time, key: EndpointKey, chosen: Time) -> bool {
         let is_new = self.limits.since(key).is_some_and(|at| at > chosen);
-        let Some(rate) = self.rate_bound(now, key).filter(|_| is_new) else {
+        let Some(rate) = self.rate_limit(now, key).filter(|_| is_new) else {
             return true;
         };
-        let is_admitted = self.has_part(now, key, rate);
+        let is_admitted = self.has_share(now, key, rate);
         if is_admitted {
-            self.note_bounded(now, key);
+            self.count_limited_request(now, key);
         }
         is_admitted
     }
 
-    /// Returns whether a generation may go on at an engine, as far as that bears few requests, and
-    /// counts it there.
+    /// Returns whether a generation may resume at an engine within the engine's rate limit, and
+    /// counts it.
     pub fn admit_resumed(&mut self, now: Time, key: EndpointKey) -> bool {
-        let Some(bound) = self.rate_bound(now, key) else {
+        let Some(bound) = self.rate_limit(now, key) else {
             return true;
         };
-        let is_admitted = self.part_left(now, key, bound * LOCAL_SHARE) > 0;
+        let is_admitted = self.share_left(now, key, bound * LOCAL_SHARE) > 0;
         if is_admitted {
-            self.note_bounded(now, key);
+            self.count_limited_request(now, key);
         }
         is_admitted
     }
 
-    /// Chooses for `want` by what this instance knows, because no home answers.
+    /// Chooses for `want` with the knowledge of this instance, because no home answers.
     ///
     /// # Errors
     ///
-    /// Returns why there is no place.
+    /// Returns why there is no placement.
     pub fn place_without_home(
         &mut self,
         now: Time,
@@ -160,14 +162,14 @@
         let PlacementKind::Copy { source, kind } = want else {
             return self.place(now, demand);
         };
-        let mut rng = self.draws();
-        let world = self.world(now, demand.service);
+        let mut rng = self.fork_rng();
+        let world = self.context(now, demand.service);
         let source = world
             .endpoints
             .get(source)
             .ok_or(PlacementError::NoEndpoint)?;
-        let barred = self.barred(now, demand);
-        let exclude = [demand.exclude, &barred].concat();
+        let at_limit = self.at_limit(now, demand);
+        let exclude = [demand.exclude, &at_limit].concat();
         let demand = Demand {
             exclude: &exclude,
             ..*demand
@@ -177,29 +179,29 @@
             .ok_or(PlacementError::Full)
     }
 
-    /// Returns an endpoint to which new work may be sent as a place.
+    /// Returns the placement at an endpoint, if new work may be sent there.
     pub fn place_at(&self, key: EndpointKey) -> Option<Placement> {
         self.endpoints.usable(key).map(Placement::of)
     }
 
-    /// Asks for a place.
+    /// Adds a placement request.
     pub fn request_placement(&mut self, now: Time, request: PlacementRequest) {
         self.placements.insert(now, request);
         self.placement_changes += 1;
     }
 
-    /// Asks no longer, because the request has its place or gave up.
+    /// Removes a placement request, because the request has its placement or gave up.
     pub fn withdraw_placement(&mut self, id: u64) {
         self.placements.remove(id);
         self.placement_changes += 1;
     }
 
-    /// Returns what a request that asked for a place goes by.
+    /// Returns the state of a placement request.
     pub fn verdict(&self, now: Time, id: u64) -> PlacementStatus {
         self.placements.status(now, id)
     }
 
-    /// Notes that no home answered a request for a place of `service`: the next in rank is
+    /// Records that the home of `service` did not answer a placement request: the next in rank is
     /// asked.
     pub fn on_home_timeout(&mut self, now: Time, service: u64, id: u64) {
         if let Some(home) = self.acting_home(now, service) {
@@ -208,13 +210,13 @@
         self.retry_placement(now, id);
     }
 
-    /// Asks anew, because what was granted cannot be taken.
+    /// Makes a placement request again, because its grant cannot be used.
     pub fn retry_placement(&mut self, now: Time, id: u64) {
         self.placements.reset(now, id);
         self.placement_changes += 1;
     }
 
-    /// Returns what runs at an endpoint, as far as this instance knows.
+    /// Returns the usage of an endpoint, as far as this instance knows it.
     pub fn used(&self, key: EndpointKey) -> Usage {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
@@ -223,12 +225,12 @@
         self.usage.own(key).plus(others)
     }
 
-    /// Returns whether no prompt waits at an engine, as far as is known. A generation
-    /// that goes on there would wait behind it.
+    /// Returns whether no prompt waits for prefill at an engine, as far as is known. A generation
+    /// that resumes there would wait behind it.
     pub fn has_no_pending_prefill(&self, now: Time, key: EndpointKey) -> bool {
         let endpoint = self.endpoints.get(key);
         let service = endpoint.map(|it| service_hash(&it.record.service));
-        let others = service.and_then(|it| self.placements.fresh_view(now, it, UNREAD_FRESH));
+        let others = service.and_then(|it| self.placements.fresh_view(now, it, PREFILL_VIEW_TTL));
         let others = others.map_or(0, |it| it.of(key).pending_prefill);
         self.usage.own(key).pending_prefill + others == 0
     }
@@ -248,27 +250,28 @@
             }
         }
         if best[0].is_none() {
-            // All others are gone, and this instance serves what it has still to serve.
+            // All other instances are gone, and this one serves the requests that are left.
             return [Some(self.cfg.address), None];
         }
         best.map(|it| it.map(|(_, address)| address))
     }
 
-    /// Returns the home that is asked about a service now.
+    /// Returns the home to ask about a service now.
     pub fn acting_home(&self, now: Time, service: u64) -> Option<SocketAddrV4> {
         let [first, second] = self.homes(service);
         let answers = |it: &SocketAddrV4| !self.placements.is_unresponsive(now, *it);
         first.filter(answers).or(second.filter(answers)).or(first)
     }
 
-    /// Returns how many requests wait for a decision of this instance as the home of a service.
+    /// Returns how many requests are queued for a decision of this instance as the home of a
+    /// service.
     pub fn queued_at_home(&self, service: u64) -> usize {
         self.homes.get(&service).map_or(0, |it| it.queued_count())
     }
 
-    /// Takes a report in and decides what follows from it; returns whether a request of this
-    /// instance may have a decision.
-    pub(super) fn hear_report(
+    /// Handles a report as a home, and decides the requests that it makes possible; returns whether
+    /// a request of this instance may have a decision.
+    pub(super) fn on_placement_report(
         &mut self,
         now: Time,
         from: MemberUpdate,
@@ -281,8 +284,8 @@
         self.decide(now, service, send)
     }
 
-    /// Takes in what a home answered.
-    pub(super) fn hear_answer(&mut self, now: Time, answer: PlacementAnswer) {
+    /// Handles a home's answer.
+    pub(super) fn on_placement_answer(&mut self, now: Time, answer: PlacementAnswer) {
         for (id, decision) in answer.decisions {
             self.placements.on_decision(now, id, decision);
         }
@@ -291,11 +294,11 @@
         }
     }
 
-    /// Reports what is due to homes, and decides as one; returns whether a request of this
-    /// instance may have a decision.
+    /// Sends the reports that are due to homes, and decides as a home; returns whether a request of
+    /// this instance may have a decision.
     pub(super) fn report(&mut self, now: Time, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
         for service in self.reported_services() {
-            self.report_about(now, service, send);
+            self.report_service(now, service, send);
         }
         let services: Vec<u64> = self.homes.keys().copied().collect();
         let mut decided = false;
@@ -312,19 +315,19 @@
         decided
     }
 
-    /// Returns the services of whose engines there is something to report.
+    /// Returns the services about which there is something to report.
     fn reported_services(&self) -> BTreeSet<u64> {
         let used = self.usage.engine_usage();
         let endpoints = used.filter_map(|(key, _)| self.endpoints.get(key));
         let used = endpoints.map(|it| service_hash(&it.record.service));
-        let spoken = self.reported.iter().filter(|(_, it)| !it.empty);
-        let spoken = spoken.map(|(service, _)| *service);
-        used.chain(spoken)
+        let reported = self.reported.iter().filter(|(_, it)| !it.is_empty);
+        let reported = reported.map(|(service, _)| *service);
+        used.chain(reported)
             .chain(self.placements.services())
             .collect()
     }
 
-    fn report_about(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) {
+    fn report_service(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) {
         let changes = self.usage.changes() + self.placement_changes;
         let ranks = self.homes(service);
         let interval = match self.placements.is_unanswered(service) {
@@ -363,14 +366,14 @@
                 .collect(),
         };
         self.reports_sent += 1;
-        let empty = report.used.is_empty() && report.requests.is_empty();
+        let is_empty = report.used.is_empty() && report.requests.is_empty();
         self.reported.insert(
             service,
             Reported {
                 at: now,
                 changes,
                 ranks,
-                empty,
+                is_empty,
             },
         );
         for to in ranks.into_iter().flatten() {
@@ -387,8 +390,8 @@
         }
     }
 
-    /// Decides as the home of a service; returns whether a request of this instance may have
-    /// a decision.
+    /// Decides as the home of a service; returns whether a request of this instance may have a
+    /// decision.
     fn decide(&mut self, now: Time, service: u64, send: &mut Vec<(SocketAddrV4, Body)>) -> bool {
         let Some(home) = self.homes.get_mut(&service).filter(|it| it.has_requests()) else {
             return false;
@@ -416,7 +419,7 @@
         for (to, answer) in answers {
             if to == self.cfg.address {
                 decided = true;
-                self.hear_answer(now, answer);
+                self.on_placement_answer(now, answer);
             } else {
                 send.push((to, Body::PlacementAnswer(answer)));
             }
@@ -424,20 +427,21 @@
         decided
     }
 
-    /// Returns a source of draws of its own, so that a choice draws while it looks at tables.
-    fn draws(&mut self) -> SmallRng {
+    /// Returns a separate random generator, so that a choice can draw numbers while it borrows the
+    /// tables.
+    fn fork_rng(&mut self) -> SmallRng {
         SmallRng::seed_from_u64(self.rng.random())
     }
 
-    /// Returns the tables that a choice for `service` looks at.
-    fn world(&self, now: Time, service: &str) -> PlacementContext<'_> {
-        static NOTHING: PeerUsage = PeerUsage::empty();
+    /// Returns the tables that a placement for `service` reads.
+    fn context(&self, now: Time, service: &str) -> PlacementContext<'_> {
+        static NO_PEERS: PeerUsage = PeerUsage::empty();
         let others = self.placements.view(service_hash(service));
         PlacementContext {
             now,
             endpoints: &self.endpoints,
             usage: &self.usage,
-            others: others.unwrap_or(&NOTHING),
+            others: others.unwrap_or(&NO_PEERS),
             data_centre: &self.cfg.data_centre,
         }
     }
--- a/crates/core/src/suspects/runs.rs
+++ b/crates/core/src/suspects/runs.rs
@@ -1,4 +1,4 @@
-//! What this instance runs, and what it asks of the homes of suspects.
+//! The runs of this instance, and the leases that it requests from the homes of suspects.
 
 use super::{RunLeaseAnswer, Standing};
 use crate::fingerprint::Fingerprint;
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How often a home that has not answered, or gave no turn, is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(10);
+/// Interval at which a home that has not answered, or granted no lease, is asked again.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often homes are told of a run that goes on.
-const HOLD_AGAIN: Duration = Duration::from_millis(200);
+/// Interval at which homes are notified that a run continues.
+const RENEW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Homes that may leave a request unanswered, one after the other, before it is refused: the
-/// first in rank, the next, and the first again.
-const HOMES_ASKED: u32 = 3;
+/// Home timeouts in a row after which a request is refused: the first home in rank, the next, and
+/// the first again.
+const MAX_HOME_TIMEOUTS: u32 = 3;
 
-/// A run of a suspect, as instances tell each other.
+/// A run of a suspect, as sent between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SuspectRun {
     /// The request.
@@ -26,14 +26,14 @@
     pub run: u64,
 }
 
-/// What a request goes by before it is sent to an endpoint.
+/// Whether a request may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It may be sent.
     Go,
-    /// It is a suspect, and waits for its turn.
+    /// It is a suspect and waits for its lease.
     Wait,
-    /// It is a suspect, and no home answers that could give it a turn.
+    /// It is a suspect, and no home answers that could grant a lease.
     NoHome,
     /// It is refused.
     Refused,
@@ -41,43 +41,43 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// It runs without a turn: it was no suspect when it began.
+    /// It runs without a lease: it was no suspect when it began.
     Free,
-    /// It asks for a turn.
+    /// It requests a lease.
     Requesting {
-        /// Since when the present home may answer.
+        /// Start of the timeout of the current home.
         since: Time,
-        /// When a home was asked last.
+        /// When a home was last sent the request.
         requested_at: Option<Time>,
-        /// Homes that did not answer since one did.
+        /// Homes that timed out in a row.
         timeouts: u32,
     },
-    /// It has the turn.
+    /// It holds the lease.
     Granted,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
     stage: Stage,
-    /// When homes were told last that it runs.
+    /// When homes were last notified that it runs.
     reported_at: Option<Time>,
 }
 
-/// What homes are to be told of one request.
+/// What homes must be sent about one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
-    /// Runs that ask the present home for the turn.
+    /// Runs that request a lease from the current home.
     pub acquire: Vec<SuspectRun>,
-    /// Runs that go on.
+    /// Runs that continue.
     pub renew: Vec<SuspectRun>,
     /// Runs that ended.
     pub release: Vec<SuspectRun>,
-    /// Whether the present home did not answer in time.
+    /// Whether the current home did not answer in time.
     pub is_unanswered: bool,
 }
 
 impl Due {
-    /// Returns whether there is nothing to tell.
+    /// Returns whether there is nothing to send.
     pub fn is_empty(&self) -> bool {
         self.acquire.is_empty() && self.renew.is_empty() && self.release.is_empty()
     }
@@ -89,34 +89,34 @@
     /// How long a home may take to answer before the next in rank is asked.
     home_timeout: Duration,
     runs: BTreeMap<Fingerprint, BTreeMap<u64, Run>>,
-    /// Runs that ended and of which homes had been told.
+    /// Ended runs that homes know of.
     ended: Vec<SuspectRun>,
 }
 
 impl Runs {
-    /// Returns an instance that runs nothing, whose homes may take so long to answer.
-    pub fn new(home_patience: Duration) -> Self {
+    /// Returns an instance without runs. `home_timeout` is the time that a home has to answer.
+    pub fn new(home_timeout: Duration) -> Self {
         Runs {
-            home_timeout: home_patience,
+            home_timeout,
             runs: BTreeMap::new(),
             ended: Vec::new(),
         }
     }
 
-    /// Takes in a run that begins.
-    pub fn begin(&mut self, turn: SuspectRun) {
+    /// Adds a run that begins.
+    pub fn begin(&mut self, suspect_run: SuspectRun) {
         let run = Run {
             stage: Stage::Free,
             reported_at: None,
         };
-        let runs = self.runs.entry(turn.fingerprint).or_default();
-        runs.insert(turn.run, run);
+        let runs = self.runs.entry(suspect_run.fingerprint).or_default();
+        runs.insert(suspect_run.run, run);
     }
 
-    /// Returns whether a run may be sent to an endpoint now, and asks for its turn where it
+    /// Returns whether a run may be sent to an endpoint now, and begins to request a lease if it
     /// needs one.
-    pub fn admit(&mut self, now: Time, turn: SuspectRun, standing: Standing) -> Admission {
-        let Some(run) = self.get(turn) else {
+    pub fn admit(&mut self, now: Time, suspect_run: SuspectRun, standing: Standing) -> Admission {
+        let Some(run) = self.get(suspect_run) else {
             return Admission::Refused;
         };
         match (standing, run.stage) {
@@ -126,12 +126,11 @@
                 Admission::Go
             }
             (Standing::Suspect, Stage::Granted) => Admission::Go,
-            (
-                Standing::Suspect,
-                Stage::Requesting {
-                    timeouts: missed, ..
-                },
-            ) if missed >= HOMES_ASKED => Admission::NoHome,
+            (Standing::Suspect, Stage::Requesting { timeouts, .. })
+                if timeouts >= MAX_HOME_TIMEOUTS =>
+            {
+                Admission::NoHome
+            }
             (Standing::Suspect, Stage::Requesting { .. }) => Admission::Wait,
             (Standing::Suspect, Stage::Free) => {
                 run.stage = Stage::Requesting {
@@ -144,61 +143,61 @@
         }
     }
 
-    /// Takes a run out; returns whether homes are to be told.
-    pub fn end(&mut self, turn: SuspectRun) -> bool {
-        let Some(runs) = self.runs.get_mut(&turn.fingerprint) else {
+    /// Removes a run; returns whether homes must be notified.
+    pub fn end(&mut self, suspect_run: SuspectRun) -> bool {
+        let Some(runs) = self.runs.get_mut(&suspect_run.fingerprint) else {
             return false;
         };
-        let run = runs.remove(&turn.run);
+        let run = runs.remove(&suspect_run.run);
         if runs.is_empty() {
-            self.runs.remove(&turn.fingerprint);
+            self.runs.remove(&suspect_run.fingerprint);
         }
         let homes_know =
             run.is_some_and(|it| it.reported_at.is_some() || !matches!(it.stage, Stage::Free));
         if homes_know {
-            self.ended.push(turn);
+            self.ended.push(suspect_run);
         }
         homes_know
     }
 
-    /// Takes in what a home answered.
+    /// Applies the answer of a home.
     pub fn on_answer(&mut self, now: Time, answer: &RunLeaseAnswer) {
-        for &turn in &answer.granted {
-            self.answered(now, turn, true);
+        for &suspect_run in &answer.granted {
+            self.on_home_answer(now, suspect_run, true);
         }
-        for &turn in &answer.waiting {
-            self.answered(now, turn, false);
+        for &suspect_run in &answer.waiting {
+            self.on_home_answer(now, suspect_run, false);
         }
     }
 
-    fn answered(&mut self, now: Time, turn: SuspectRun, given: bool) {
-        let Some(run) = self.get(turn) else { return };
+    fn on_home_answer(&mut self, now: Time, suspect_run: SuspectRun, granted: bool) {
+        let Some(run) = self.get(suspect_run) else {
+            return;
+        };
         if let Stage::Requesting {
-            since,
-            timeouts: missed,
-            ..
+            since, timeouts, ..
         } = &mut run.stage
         {
             *since = now;
-            *missed = 0;
-            if given {
+            *timeouts = 0;
+            if granted {
                 run.stage = Stage::Granted;
             }
         }
     }
 
-    /// Returns whether no home is to be told of the end of a run.
+    /// Returns whether no home must be notified of the end of a run.
     pub fn no_run_ended(&self) -> bool {
         self.ended.is_empty()
     }
 
-    /// Returns whether a run waits for a home.
+    /// Returns whether a run waits for a lease.
     pub fn any_waiting(&self) -> bool {
         let mut runs = self.runs.values().flat_map(BTreeMap::values);
         runs.any(|it| matches!(it.stage, Stage::Requesting { .. }))
     }
 
-    /// Returns the requests of which homes may have to be told.
+    /// Returns the requests about which homes may have to be notified.
     pub fn fingerprints(&self) -> Vec<Fingerprint> {
         let ended = self.ended.iter().map(|it| it.fingerprint);
         let mut all: Vec<Fingerprint> = self.runs.keys().copied().chain(ended).collect();
@@ -207,7 +206,7 @@
         all
     }
 
-    /// Returns what homes are to be told of a request now.
+    /// Returns what homes must be sent about a request now.
     pub fn due(&mut self, now: Time, fingerprint: Fingerprint, standing: Standing) -> Due {
         let mut due = Due::default();
         let is_of = |it: &SuspectRun| it.fingerprint == fingerprint;
@@ -218,30 +217,30 @@
         }
         let runs = self.runs.get_mut(&fingerprint).into_iter().flatten();
         for (&run, state) in runs {
-            let turn = SuspectRun { fingerprint, run };
+            let suspect_run = SuspectRun { fingerprint, run };
             match &mut state.stage {
                 Stage::Requesting {
                     since,
-                    requested_at: asked,
-                    timeouts: missed,
+                    requested_at,
+                    timeouts,
                 } => {
                     if now.since(*since) >= self.home_timeout {
                         due.is_unanswered = true;
-                        *missed += 1;
+                        *timeouts += 1;
                         *since = now;
                     }
-                    if asked.is_none_or(|at| now.since(at) >= ASK_AGAIN) {
-                        *asked = Some(now);
-                        due.acquire.push(turn);
+                    if requested_at.is_none_or(|at| now.since(at) >= REQUEST_INTERVAL) {
+                        *requested_at = Some(now);
+                        due.acquire.push(suspect_run);
                     }
                 }
                 Stage::Free | Stage::Granted => {
                     if state
                         .reported_at
-                        .is_none_or(|at| now.since(at) >= HOLD_AGAIN)
+                        .is_none_or(|at| now.since(at) >= RENEW_INTERVAL)
                     {
                         state.reported_at = Some(now);
-                        due.renew.push(turn);
+                        due.renew.push(suspect_run);
                     }
                 }
             }
@@ -249,7 +248,9 @@
         due
     }
 
-    fn get(&mut self, turn: SuspectRun) -> Option<&mut Run> {
-        self.runs.get_mut(&turn.fingerprint)?.get_mut(&turn.run)
+    fn get(&mut self, suspect_run: SuspectRun) -> Option<&mut Run> {
+        self.runs
+            .get_mut(&suspect_run.fingerprint)?
+            .get_mut(&suspect_run.run)
     }
 }
--- a/crates/core/tests/gateway_catch_up.rs
+++ b/crates/core/tests/gateway_catch_up.rs
@@ -1,7 +1,7 @@
 //! How a large change of the store reaches instances that do not watch it.
 //!
-//! A change of most of a megabyte, on links of 10 Mbit/s, in virtual time: bytes flow over
-//! links that those who are told at once share. What the instances decide is their own.
+//! A change of most of a megabyte, on links of 10 Mbit/s, in virtual time: concurrent transfers
+//! share the bandwidth of their sender's link. The instances make their own decisions.
 
 #[path = "fixtures/gateway.rs"]
 mod instances;
@@ -18,42 +18,42 @@
 
 const STEP: Duration = Duration::from_millis(5);
 
-/// How often each instance tells the others who it is.
-const BULLETINS_EACH: Duration = Duration::from_millis(200);
+/// Interval at which each instance sends its state to the others.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// 10 Mbit/s, the smallest link of an instance.
+/// Bytes per step of the smallest link of an instance, 10 Mbit/s.
 const LINK_BYTES_PER_STEP: f64 = 10_000_000.0 / 8.0 * 0.005;
 
-/// A catalogue of some 4,000 entries.
+/// The size of a catalogue of some 4,000 entries.
 const CHANGE_BYTES: f64 = 800_000.0;
 
 /// The revision of the change.
 const CHANGED: u64 = 9;
 
-/// The record that changes.
+/// The record that changes, and its hash.
 fn change() -> (Record, ContentHash) {
     let record = Record {
         key: "catalogue".to_owned(),
         revision: CHANGED,
         value: Some(b"new".to_vec()),
     };
-    let mark = ContentHash::of(&record.key, &[b"new"]);
-    (record, mark)
+    let hash = ContentHash::of(&record.key, &[b"new"]);
+    (record, hash)
 }
 
-/// Lets an instance know the change.
-fn learn(one: &mut Gateway) {
-    let (record, mark) = change();
-    one.replica.apply(record, mark);
+/// Applies the change to an instance.
+fn apply_change(one: &mut Gateway) {
+    let (record, hash) = change();
+    one.replica.apply(record, hash);
     one.replica.advance_to(CHANGED);
 }
 
-/// What an instance knows at a revision, as a hash.
+/// The digest of a replica at a revision.
 fn digest_at(revision: u64) -> u64 {
     let mut replica = Replica::default();
     if revision >= CHANGED {
-        let (record, mark) = change();
-        replica.apply(record, mark);
+        let (record, hash) = change();
+        replica.apply(record, hash);
     }
     replica.digest()
 }
@@ -65,39 +65,40 @@
     gateway
 }
 
-/// What an instance says that knows the store up to a revision, and is answered by it.
-fn told(number: u16, revision: u64, count: u64) -> Datagram {
+/// A datagram of an instance whose replica is complete up to a revision and which the store
+/// answers.
+fn datagram_at(number: u16, revision: u64, count: u64) -> Datagram {
     let digest = digest_at(revision);
-    let news = match instances::beacon(number, count, 0).body {
-        Body::Gossip(news) => news,
+    let gossip = match instances::beacon(number, count, 0).body {
+        Body::Gossip(gossip) => gossip,
         _ => GossipItems::default(),
     };
-    datagram(number, revision, digest, Body::Gossip(news))
+    datagram(number, revision, digest, Body::Gossip(gossip))
 }
 
-fn hear(one: &mut Gateway, now: Time, said: Datagram) {
-    one.on_datagram(now, said).expect("it is of the fleet");
+fn receive(one: &mut Gateway, now: Time, datagram: Datagram) {
+    one.on_datagram(now, datagram).expect("it is of the fleet");
 }
 
-/// Where an instance gets the change from, and how much is missing.
+/// The source of the change for one instance, and how many bytes are left.
 #[derive(Clone, Copy, PartialEq)]
 enum Fetch {
     Nothing,
-    FromPeer { teller: usize, left: f64 },
+    FromPeer { sender: usize, left: f64 },
     FromStore { left: f64 },
 }
 
-/// Instances of which some can read the store.
+/// A fleet in which the store answers some of the instances.
 struct Fleet {
     now: Time,
     instances: Vec<Gateway>,
     fetches: Vec<Fetch>,
     /// Whether the store answers each of them.
     served: Vec<bool>,
-    most_told_at_once: usize,
+    most_concurrent: usize,
     store_reads: usize,
-    /// Counts what instances said.
-    said: u64,
+    /// Number of datagrams that instances have sent.
+    sent: u64,
 }
 
 impl Fleet {
@@ -107,9 +108,9 @@
             instances: (1..=size).map(gateway).collect(),
             fetches: vec![Fetch::Nothing; size.into()],
             served: (0..size.into()).map(served).collect(),
-            most_told_at_once: 0,
+            most_concurrent: 0,
             store_reads: 0,
-            said: 0,
+            sent: 0,
         }
     }
 
@@ -132,33 +133,33 @@
             .count()
     }
 
-    /// Lets one instance tell all others how far it is.
-    fn tell(&mut self, from: usize) {
-        self.said += 1;
-        let said = told(Fleet::number(from), self.revision(from), self.said);
+    /// Sends the state of one instance to all others.
+    fn announce(&mut self, from: usize) {
+        self.sent += 1;
+        let datagram = datagram_at(Fleet::number(from), self.revision(from), self.sent);
         for (index, one) in self.instances.iter_mut().enumerate() {
             if index != from {
-                hear(one, self.now, said.clone());
+                receive(one, self.now, datagram.clone());
             }
         }
     }
 
-    fn inform(&mut self, index: usize) {
+    fn complete(&mut self, index: usize) {
         let one = &mut self.instances[index];
-        learn(one);
+        apply_change(one);
         one.reader.on_answer(self.now);
         one.update_behind(self.now);
         self.fetches[index] = Fetch::Nothing;
-        self.tell(index);
+        self.announce(index);
     }
 
-    fn told_by(&self, teller: usize) -> usize {
-        let from = |it: &&Fetch| matches!(it, Fetch::FromPeer { teller: at, .. } if *at == teller);
+    fn transfers_from(&self, sender: usize) -> usize {
+        let from = |it: &&Fetch| matches!(it, Fetch::FromPeer { sender: at, .. } if *at == sender);
         self.fetches.iter().filter(from).count()
     }
 
-    /// Lets an instance that is behind ask, as its decisions say.
-    fn ask(&mut self, index: usize) {
+    /// Lets an instance that is behind act on its decisions.
+    fn act(&mut self, index: usize) {
         if matches!(self.fetches[index], Fetch::FromStore { .. }) {
             return;
         }
@@ -175,22 +176,24 @@
         let Some(peer) = one.choose_provider(now) else {
             return;
         };
-        let teller = Fleet::index(peer);
-        if self.told_by(teller) >= MAX_LARGE_TRANSFERS {
+        let sender = Fleet::index(peer);
+        if self.transfers_from(sender) >= MAX_LARGE_TRANSFERS {
             self.instances[index].on_fetch_failure(now, peer, FetchFailure::Refused);
             return;
         }
         self.fetches[index] = Fetch::FromPeer {
-            teller,
+            sender,
             left: CHANGE_BYTES,
         };
-        self.most_told_at_once = self.most_told_at_once.max(self.told_by(teller));
+        self.most_concurrent = self.most_concurrent.max(self.transfers_from(sender));
     }
 
-    /// Lets bytes flow for one step; returns whether the fetch is complete.
-    fn flow(&mut self, index: usize) -> bool {
+    /// Transfers bytes for one step; returns whether the transfer is complete.
+    fn transfer(&mut self, index: usize) -> bool {
         let share = match self.fetches[index] {
-            Fetch::FromPeer { teller, .. } => LINK_BYTES_PER_STEP / self.told_by(teller) as f64,
+            Fetch::FromPeer { sender, .. } => {
+                LINK_BYTES_PER_STEP / self.transfers_from(sender) as f64
+            }
             _ => LINK_BYTES_PER_STEP,
         };
         match &mut self.fetches[index] {
@@ -205,29 +208,29 @@
     fn step(&mut self) {
         self.now += STEP;
         let since = self.now.since(Time::ZERO).as_millis();
-        if since.is_multiple_of(BULLETINS_EACH.as_millis()) {
-            (0..self.instances.len()).for_each(|it| self.tell(it));
+        if since.is_multiple_of(ANNOUNCE_INTERVAL.as_millis()) {
+            (0..self.instances.len()).for_each(|it| self.announce(it));
         }
         for index in 0..self.instances.len() {
             if self.revision(index) < CHANGED {
-                self.ask(index);
+                self.act(index);
             }
         }
         for index in 0..self.instances.len() {
-            if self.flow(index) {
-                self.inform(index);
+            if self.transfer(index) {
+                self.complete(index);
             }
         }
     }
 
-    /// Publishes the change and returns how long it takes until all have it.
+    /// Publishes the change and returns how long it takes to reach all instances.
     fn spread(&mut self) -> Duration {
-        (0..self.instances.len()).for_each(|it| self.tell(it));
+        (0..self.instances.len()).for_each(|it| self.announce(it));
         let published = self.now;
         let readers: Vec<usize> = (0..self.instances.len())
             .filter(|&it| self.served[it] && self.instances[it].watches(self.now))
             .collect();
-        readers.into_iter().for_each(|it| self.inform(it));
+        readers.into_iter().for_each(|it| self.complete(it));
         while self.informed() < self.instances.len() {
             self.step();
             let took = self.now.since(published);
@@ -237,17 +240,17 @@
     }
 }
 
-/// Returns whether an instance watches in a fleet of so many that have heard each other.
+/// Returns whether an instance is a watcher in a settled fleet of `size` instances.
 fn watches(size: u16, index: usize) -> bool {
     let mut fleet = Fleet::new(size, |_| true);
-    (0..size.into()).for_each(|it| fleet.tell(it));
+    (0..size.into()).for_each(|it| fleet.announce(it));
     fleet.instances[index].watches(fleet.now)
 }
 
-/// Symptom: a large change is in force at the instances that watch the store, and comes to
-/// the others seconds late or never. Sequence: all others ask the same one at once. Cause:
-/// see `core::gateway::catch_up`. A change must be in force within 3 s of its
-/// acknowledgement, here also where the store turns a third or nearly all away.
+/// Guards against a large change that reaches the instances that do not watch the store seconds
+/// late or never, because all of them ask the same peer at once; see `core::gateway::catch_up`. A
+/// change must be in force within 3 s of its acknowledgement, also while the store rejects a third
+/// or nearly all of the instances.
 #[rstest]
 #[case::the_store_serves_all(86, 0, Duration::from_millis(1_500))]
 #[case::the_store_turns_a_third_away(86, 29, Duration::from_millis(2_500))]
@@ -262,11 +265,11 @@
     let took = fleet.spread();
 
     assert!(took <= within, "{took:?}");
-    assert!(fleet.most_told_at_once <= MAX_LARGE_TRANSFERS);
+    assert!(fleet.most_concurrent <= MAX_LARGE_TRANSFERS);
 }
 
-/// The worst case: two of all instances hear from the store. Those that were told tell it
-/// on, so that the time grows with the logarithm of the fleet.
+/// The worst case: the store answers two of all instances. The others pass the change on, so that
+/// the time grows with the logarithm of the fleet.
 #[test]
 fn a_large_change_spreads_from_two_instances_alone() {
     let mut fleet = Fleet::new(86, |index| watches(86, index));
@@ -274,15 +277,15 @@
     let took = fleet.spread();
 
     assert!(took <= Duration::from_secs(8), "{took:?}");
-    assert!(fleet.most_told_at_once <= MAX_LARGE_TRANSFERS);
+    assert!(fleet.most_concurrent <= MAX_LARGE_TRANSFERS);
     assert_eq!(fleet.store_reads, 0);
 }
 
 #[test]
-fn a_peer_that_refused_is_passed_over_for_a_while() {
+fn a_peer_that_refused_is_skipped_for_a_while() {
     let now = Time::from_secs(5);
     let mut one = gateway(1);
-    hear(&mut one, now, told(2, CHANGED, 1));
+    receive(&mut one, now, datagram_at(2, CHANGED, 1));
     let later = now + Duration::from_millis(200);
     assert_eq!(one.choose_provider(later), Some(address(2)));
 
@@ -293,16 +296,16 @@
     assert_eq!(one.choose_provider(after), Some(address(2)));
 }
 
-/// Symptom: an instance goes on asking peers that cannot tell it. Cause: its being behind
-/// was counted anew with each question.
+/// Guards against an instance that keeps asking peers that send nothing: each request restarted the
+/// time that it counts as behind.
 #[test]
-fn who_is_behind_for_long_reads_the_store_however_often_it_asked() {
+fn an_instance_that_stays_behind_reads_the_store() {
     let now = Time::from_secs(5);
     let number = (1..=9).find(|&it| !watches(9, usize::from(it) - 1));
     let number = number.expect("two of nine watch");
     let mut one = gateway(number);
     for peer in (1..=9).filter(|&it| it != number) {
-        hear(&mut one, now, told(peer, CHANGED, 1));
+        receive(&mut one, now, datagram_at(peer, CHANGED, 1));
     }
     assert!(matches!(one.next_step(now), Step::StandBy(_)));
 
@@ -318,11 +321,11 @@
 }
 
 #[test]
-fn who_has_it_from_a_peer_does_not_read_the_store() {
+fn an_instance_that_caught_up_does_not_read_the_store() {
     let now = Time::from_secs(5);
     let mut one = gateway(1);
-    hear(&mut one, now, told(2, CHANGED, 1));
-    learn(&mut one);
+    receive(&mut one, now, datagram_at(2, CHANGED, 1));
+    apply_change(&mut one);
 
     one.update_behind(now + Duration::from_millis(20));
 
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -1,4 +1,4 @@
-//! What the home of a service's engines grants, and what instances do without one.
+//! What the home of a service's engines grants, and how instances place requests without one.
 
 #[path = "fixtures/gateway.rs"]
 mod instances;
@@ -32,7 +32,7 @@
     EndpointKey::of(&format!("e-{number}"))
 }
 
-/// So many empty engines.
+/// Returns a table of `count` empty engines.
 fn engines(count: usize) -> EndpointTable {
     let mut table = EndpointTable::default();
     for number in 0..count {
@@ -41,7 +41,7 @@
     table
 }
 
-/// A request of 3,000 tokens that arrived so many milliseconds ago.
+/// A request for 3,000 tokens that arrived `age_ms` milliseconds ago.
 fn request(id: u64, age_ms: u64, want: PlacementKind) -> PlacementRequest {
     let age = Duration::from_millis(age_ms);
     PlacementRequest {
@@ -74,8 +74,8 @@
     named: RateLimits,
     home: Home,
     reports: u64,
-    /// Engines that the next instance to report cannot use.
-    passed_over: Vec<EndpointKey>,
+    /// Engines that the next reporting instance cannot use.
+    ejected: Vec<EndpointKey>,
 }
 
 impl Scene {
@@ -86,7 +86,7 @@
             named: RateLimits::default(),
             home: Home::default(),
             reports: 0,
-            passed_over: Vec::new(),
+            ejected: Vec::new(),
         }
     }
 
@@ -104,13 +104,13 @@
             decides: true,
             used: used.to_vec(),
             failing: Vec::new(),
-            ejected: self.passed_over.clone(),
+            ejected: self.ejected.clone(),
             known: 1,
             requests: requests.iter().map(|it| it.to_message(self.now)).collect(),
         };
-        let life = Incarnation(instance.into());
+        let incarnation = Incarnation(instance.into());
         self.home
-            .on_report(self.now, address(instance), life, report);
+            .on_report(self.now, address(instance), incarnation, report);
     }
 
     fn decide(&mut self) -> Vec<(u16, PlacementAnswer)> {
@@ -134,11 +134,11 @@
             .collect()
     }
 
-    /// Returns what was decided about a placement request, if anything was said.
+    /// Returns the decision about a placement request, if there is one.
     fn decision(&mut self, id: u64) -> Option<PlacementDecision> {
         let answers = self.decide();
-        let mut told = answers.iter().flat_map(|(_, it)| &it.decisions);
-        told.find(|it| it.0 == id).map(|it| it.1)
+        let mut decisions = answers.iter().flat_map(|(_, it)| &it.decisions);
+        decisions.find(|it| it.0 == id).map(|it| it.1)
     }
 }
 
@@ -149,13 +149,13 @@
     }
 }
 
-/// Symptom: an engine gets twice what it holds. Sequence: two instances ask within the time
-/// that a report takes. Cause: what was granted counted only once its instance had reported it.
+/// Guards against overcommitting an engine: two instances request a placement within the time that
+/// a report takes, and a grant counted only once its instance had reported it.
 #[test]
-fn what_was_granted_is_kept_until_it_is_reported() {
+fn a_grant_is_reserved_until_it_is_reported() {
     let mut scene = Scene::new(1);
-    let taken = [(engine(0), used(15_000))];
-    scene.report(9, &taken, &[]);
+    let used_room = [(engine(0), used(15_000))];
+    scene.report(9, &used_room, &[]);
     scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
     assert_eq!(
         scene.decision(1),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_was_granted_counts_once_when_it_is_reported() {
+fn a_reported_grant_is_counted_once() {
     let mut scene = Scene::new(1);
     scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
     scene.decide();
@@ -184,9 +184,9 @@
     );
 }
 
-/// A grant that is lost on its way is told again, and is the same one.
+/// A grant that was lost on its way is sent again, and is the same one.
 #[test]
-fn a_grant_is_repeated_to_who_asks_again() {
+fn a_repeated_request_gets_the_same_grant() {
     let mut scene = Scene::new(2);
     let ask = [request(1, 5, PlacementKind::Queued)];
     scene.report(1, &[], &ask);
@@ -196,22 +196,22 @@
 
     assert!(first.is_some());
     assert_eq!(granted(scene.decision(1)), first);
-    let kept = scene
+    let reserved = scene
         .home
         .others(scene.now, None)
         .of(first.expect("granted"));
-    assert_eq!(kept.running, 1, "room is kept once");
+    assert_eq!(reserved.running, 1, "room is reserved once");
 }
 
-/// Symptom: requests wait although engines have room. Sequence: the instance whose request is
-/// next freezes. Cause: its last word was believed for as long as it counted as there.
+/// Guards against requests that wait although engines have room: the instance whose request is next
+/// freezes, and its last report never expired.
 #[test]
-fn an_instance_that_falls_silent_holds_nobody_up() {
+fn a_silent_instance_holds_nobody_up() {
     let mut scene = Scene::new(1);
     scene.report(9, &[(engine(0), used(16_000))], &[]);
     scene.report(1, &[], &[request(1, 10, PlacementKind::Queued)]);
-    let me = request(2, 600, PlacementKind::Queued);
-    scene.report(2, &[], std::slice::from_ref(&me));
+    let own = request(2, 600, PlacementKind::Queued);
+    scene.report(2, &[], std::slice::from_ref(&own));
     assert_eq!(
         scene.decision(2),
         Some(PlacementDecision::Queued(PlacementError::Full))
@@ -220,7 +220,7 @@
     scene.now += REPORT_TTL;
     scene.home.tick(scene.now);
     scene.report(9, &[(engine(0), used(16_000))], &[]);
-    scene.report(2, &[], &[me]);
+    scene.report(2, &[], &[own]);
 
     assert_eq!(
         scene.decision(2),
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn room_that_comes_is_granted_unasked() {
+fn freed_room_is_granted_to_queued_requests() {
     let mut scene = Scene::new(1);
     scene.report(9, &[(engine(0), used(19_000))], &[]);
     scene.report(1, &[], &[request(1, 10, PlacementKind::Queued)]);
@@ -246,11 +246,10 @@
     );
 }
 
-/// Symptom: a generation that waits longest is served by an engine that another one was
-/// promised. Sequence: reports arrive in another order than they were sent. Cause: the last
-/// arrival won.
+/// Guards against granting an engine that was already granted to another request: reports arrive in
+/// another order than they were sent, and the last arrival won.
 #[test]
-fn a_report_that_was_overtaken_changes_nothing() {
+fn an_outdated_report_is_ignored() {
     let mut scene = Scene::new(1);
     scene.report(1, &[(engine(0), used(3_000))], &[]);
     let late = PlacementReport {
@@ -268,20 +267,20 @@
     scene
         .home
         .on_report(NOW, address(1), Incarnation(1), late.clone());
-    let of_this_life = scene.home.others(scene.now, None).of(engine(0));
+    let of_this_incarnation = scene.home.others(scene.now, None).of(engine(0));
     scene.home.on_report(NOW, address(1), Incarnation(2), late);
 
-    assert_eq!(of_this_life, used(3_000));
+    assert_eq!(of_this_incarnation, used(3_000));
     assert_eq!(
         scene.home.others(scene.now, None).of(engine(0)),
         Usage::default()
     );
 }
 
-/// Copies of generations whose engine leaves go to different engines, since each is counted
-/// before the next is chosen, and before what only wants to be safer.
+/// Copies of generations whose engine leaves go to different engines, since each is counted before
+/// the next is chosen, and before standby copies.
 #[test]
-fn copies_of_one_engine_part() {
+fn copies_from_one_engine_go_to_different_engines() {
     let mut scene = Scene::new(5);
     let ahead = PlacementKind::Copy {
         source: engine(0),
@@ -304,7 +303,7 @@
 }
 
 #[test]
-fn what_has_an_engine_gets_no_other_while_somebody_waits() {
+fn immediate_placement_is_denied_while_requests_are_queued() {
     let mut scene = Scene::new(2);
     scene.report(
         9,
@@ -322,10 +321,10 @@
     );
 }
 
-/// Symptom: requests wait for as long as a frozen home does. Sequence: the home freezes before
-/// it answers, or after it said "wait". Cause: nothing bounded the wait for its word.
+/// Guards against requests that wait for as long as a home is frozen: the home freezes before it
+/// answers, or after it has queued the request, and nothing bounded the wait for its decision.
 #[test]
-fn a_home_that_says_nothing_is_not_waited_for() {
+fn an_unresponsive_home_times_out() {
     let mut asks = PlacementTable::default();
     asks.insert(NOW, request(1, 0, PlacementKind::Queued));
     let soon = NOW + Duration::from_millis(5);
@@ -344,9 +343,9 @@
     assert_eq!(asks.status(much_later, 1), PlacementStatus::TimedOut);
 }
 
-/// A "wait" that was sent before a grant and arrives after it takes nothing back.
+/// A "queued" answer that was sent before a grant and arrives after it does not revoke the grant.
 #[test]
-fn a_grant_is_not_taken_back_by_an_older_word() {
+fn an_older_decision_does_not_revoke_a_grant() {
     let mut asks = PlacementTable::default();
     asks.insert(NOW, request(1, 0, PlacementKind::Queued));
     let grant = PlacementDecision::Granted(engine(3));
@@ -357,17 +356,17 @@
     assert_eq!(asks.status(NOW, 1), PlacementStatus::Decided(grant));
 }
 
-/// Symptom: 120 generations a second are refused within 50 ms, while engines have room.
-/// Sequence: twenty of 62 engines go while the store is silent, so that their entries stay.
-/// They look empty; the home sends everybody there, and each instance tries several of them
-/// before it knows. Cause: what one instance found out helped only itself.
+/// Guards against 120 generations a second that are refused within 50 ms while engines have room:
+/// twenty of 62 engines end while the store is unavailable, so that their records stay and they
+/// look empty. The home grants them to everybody, and each instance tried several of them, because
+/// what one instance found out helped only itself.
 #[test]
-fn an_engine_that_several_instances_cannot_use_is_passed_over_for_all() {
+fn an_engine_that_several_instances_cannot_use_is_ejected_for_all() {
     let mut scene = Scene::new(2);
-    scene.passed_over = vec![engine(0)];
+    scene.ejected = vec![engine(0)];
     scene.report(8, &[], &[]);
     scene.report(9, &[], &[]);
-    scene.passed_over.clear();
+    scene.ejected.clear();
 
     for id in 1..=3 {
         scene.report(id, &[], &[request(id.into(), 5, PlacementKind::Queued)]);
@@ -377,17 +376,17 @@
 }
 
 #[test]
-fn what_one_instance_alone_cannot_use_is_passed_over_for_it_alone() {
+fn an_engine_that_one_instance_cannot_use_is_ejected_for_it_alone() {
     let mut scene = Scene::new(2);
     scene.report(5, &[(engine(1), used(9_000))], &[]);
-    scene.passed_over = vec![engine(0)];
+    scene.ejected = vec![engine(0)];
     scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
     assert_eq!(
         scene.decision(1),
         Some(PlacementDecision::Granted(engine(1)))
     );
 
-    scene.passed_over.clear();
+    scene.ejected.clear();
     scene.report(2, &[], &[request(2, 5, PlacementKind::Queued)]);
 
     assert_eq!(
@@ -396,12 +395,12 @@
     );
 }
 
-/// An engine that is back gets work again within some seconds, and all engines are used when
-/// all of them are in doubt.
+/// An engine that recovers gets work again within some seconds, and ejected engines are used when
+/// all engines are ejected.
 #[test]
-fn doubt_ends() {
+fn an_ejection_expires() {
     let mut scene = Scene::new(1);
-    scene.passed_over = vec![engine(0)];
+    scene.ejected = vec![engine(0)];
     scene.report(8, &[], &[]);
     scene.report(9, &[], &[]);
     assert!(
@@ -411,7 +410,7 @@
             .ejected
             .contains(&engine(0))
     );
-    scene.passed_over.clear();
+    scene.ejected.clear();
 
     scene.report(1, &[], &[request(1, 5, PlacementKind::Queued)]);
     assert_eq!(
@@ -423,11 +422,11 @@
     assert!(scene.home.others(scene.now, None).ejected.is_empty());
 }
 
-/// Symptom: an instance whose request waits for room gets no copy for its other generations,
-/// and passes over its home as silent. Sequence: it asks for a place, which it must wait for,
-/// and for a copy. Cause: what was said of the place replaced what was said of the copy.
+/// Guards against an instance whose queued request denies its other generations a copy: it requests
+/// a queued placement and a copy in one report, the decision about the placement replaced the
+/// decision about the copy, and the instance considered its home unresponsive.
 #[test]
-fn all_that_one_instance_asks_is_answered_at_once() {
+fn all_requests_of_one_report_are_answered() {
     let mut scene = Scene::new(3);
     let nearly_full = [(engine(1), used(17_500)), (engine(2), used(17_500))];
     scene.report(9, &nearly_full, &[]);
@@ -455,10 +454,9 @@
     );
 }
 
-/// Symptom: a request waits until its target is over and is refused, though engines are free.
-/// Sequence: its engine begins to leave while the grant is under way; it asks again, and is
-/// granted the same engine again and again. Cause: what was granted was kept whatever became
-/// of the engine.
+/// Guards against a request that waits until its target and is refused though engines are free: its
+/// engine begins to leave while the grant is on its way, and the home granted the same engine again
+/// and again, because a reservation outlived the engine.
 #[test]
 fn an_engine_that_leaves_is_not_granted_again() {
     let mut scene = Scene::new(2);
@@ -473,15 +471,15 @@
     assert_ne!(second, first);
 }
 
-/// Guards against a home that grants an engine in need more than the engine takes from all, or
-/// keeps its room for copies.
+/// Guards against a home that grants an engine with a rate limit more than the limit, or reserves
+/// its room for copies.
 #[test]
-fn an_engine_that_named_a_limit_is_granted_within_it() {
+fn an_engine_is_granted_within_its_rate_limit() {
     let mut scene = Scene::new(1);
-    let told = ResponseLimit::PerSecond(4.0);
+    let limit = ResponseLimit::PerSecond(4.0);
     scene
         .named
-        .observe_limit(scene.now, engine(0), scene.now, told);
+        .observe_limit(scene.now, engine(0), scene.now, limit);
     let ask: Vec<PlacementRequest> = (1..=6)
         .map(|id| request(id, 5, PlacementKind::Queued))
         .collect();
--- a/crates/core/tests/gateway_places.rs
+++ b/crates/core/tests/gateway_places.rs
@@ -1,5 +1,5 @@
-//! Places at engines in fleets of real cores: what a request costs, and homes that freeze, are
-//! killed, or stand twice.
+//! Placement at engines in simulated fleets: its traffic, and homes that freeze, are killed or
+//! exist twice.
 
 #[path = "fixtures/gateway_fleet.rs"]
 mod fleet;
@@ -32,37 +32,37 @@
 /// Tokens of one generation: six of them fill an engine.
 const TOKENS: u32 = 3_000;
 
-/// How long a generation runs.
+/// Duration of a generation.
 const RUNS: Duration = Duration::from_secs(2);
 
 const STEP: Duration = Duration::from_millis(1);
 
-/// A request that asks for a place at one instance.
-struct Asking {
+/// A placement request that is open at one instance.
+struct OpenRequest {
     instance: usize,
     id: u64,
     since: Time,
 }
 
-/// A generation that runs.
+/// A running generation.
 struct Running {
     instance: usize,
     at: EndpointKey,
     ends: Time,
 }
 
-/// A fleet before engines, and the requests that it places.
+/// A fleet with engines, and the requests that it places.
 struct Scene {
     fleet: Fleet,
-    asking: Vec<Asking>,
+    open: Vec<OpenRequest>,
     running: Vec<Running>,
-    asked: u64,
-    /// The longest time that a request waited for its place.
+    requests: u64,
+    /// The longest time that a request waited for its placement.
     longest: Duration,
-    /// The most memory that generations took at one engine.
+    /// The most tokens of generations at one engine.
     fullest: u32,
     /// Requests that were placed without a home.
-    alone: usize,
+    without_home: usize,
 }
 
 fn catalogue() -> CatalogueSource {
@@ -78,7 +78,7 @@
 }
 
 impl Scene {
-    /// A settled fleet that knows the engines.
+    /// Returns a settled fleet that knows the engines.
     fn new(size: usize) -> Self {
         let mut fleet = Fleet::start(size, SEEDS, 3);
         let joined = fleet.until_all_count(size, Duration::from_secs(20));
@@ -91,31 +91,34 @@
         }
         Scene {
             fleet,
-            asking: Vec::new(),
+            open: Vec::new(),
             running: Vec::new(),
-            asked: 0,
+            requests: 0,
             longest: Duration::ZERO,
             fullest: 0,
-            alone: 0,
+            without_home: 0,
         }
     }
 
     fn core(&mut self, index: usize) -> &mut Gateway {
-        self.fleet.nodes[index].core.as_mut().expect("it is there")
+        self.fleet.nodes[index]
+            .core
+            .as_mut()
+            .expect("the instance runs")
     }
 
-    /// Returns the home of the engines, by the word of one instance.
-    fn home(&mut self, asked: usize) -> usize {
-        let homes = self.core(asked).homes(service_hash("model"));
+    /// Returns the home of the engines, as one instance knows it.
+    fn home(&mut self, instance: usize) -> usize {
+        let homes = self.core(instance).homes(service_hash("model"));
         let size = self.fleet.nodes.len();
         (0..size)
             .find(|&it| Some(address(it as u16 + 1)) == homes[0])
             .expect("there is a home")
     }
 
-    fn ask(&mut self, instance: usize) {
-        self.asked += 1;
-        let (id, now) = (self.asked, self.fleet.now);
+    fn request(&mut self, instance: usize) {
+        self.requests += 1;
+        let (id, now) = (self.requests, self.fleet.now);
         let waiter = QueuedRequest {
             id,
             service: service_hash("model"),
@@ -132,19 +135,19 @@
         };
         self.core(instance).request_placement(now, request);
         self.fleet.hurry(instance);
-        self.asking.push(Asking {
+        self.open.push(OpenRequest {
             instance,
             id,
             since: now,
         });
     }
 
-    /// Lets one millisecond pass, and instances act on what they know.
+    /// Advances by one millisecond; instances act on the decisions that they have received.
     fn step(&mut self) {
         self.fleet.run(STEP);
-        for asking in core::mem::take(&mut self.asking) {
-            if let Some(still) = self.look(asking) {
-                self.asking.push(still);
+        for request in core::mem::take(&mut self.open) {
+            if let Some(still_open) = self.advance(request) {
+                self.open.push(still_open);
             }
         }
         let now = self.fleet.now;
@@ -161,13 +164,13 @@
         self.note_fullest();
     }
 
-    fn look(&mut self, asking: Asking) -> Option<Asking> {
+    fn advance(&mut self, request: OpenRequest) -> Option<OpenRequest> {
         let now = self.fleet.now;
-        let core = self.fleet.nodes[asking.instance].core.as_mut()?;
-        let place = match core.verdict(now, asking.id) {
+        let core = self.fleet.nodes[request.instance].core.as_mut()?;
+        let place = match core.verdict(now, request.id) {
             PlacementStatus::Decided(PlacementDecision::Granted(key)) => Some(key),
             PlacementStatus::TimedOut => {
-                core.on_home_timeout(now, service_hash("model"), asking.id);
+                core.on_home_timeout(now, service_hash("model"), request.id);
                 let demand = Demand {
                     service: "model",
                     engine: Some(ENGINE),
@@ -177,20 +180,20 @@
                 let place = core
                     .place_without_home(now, &demand, PlacementKind::Queued)
                     .ok();
-                self.alone += usize::from(place.is_some());
+                self.without_home += usize::from(place.is_some());
                 place.map(|it| it.key)
             }
             _ => None,
         };
         let Some(at) = place else {
-            return Some(asking);
+            return Some(request);
         };
         core.usage.begin(at, TOKENS, 0);
-        core.withdraw_placement(asking.id);
-        self.fleet.hurry(asking.instance);
-        self.longest = self.longest.max(now.since(asking.since));
+        core.withdraw_placement(request.id);
+        self.fleet.hurry(request.instance);
+        self.longest = self.longest.max(now.since(request.since));
         self.running.push(Running {
-            instance: asking.instance,
+            instance: request.instance,
             at,
             ends: now + RUNS,
         });
@@ -198,15 +201,16 @@
     }
 
     fn note_fullest(&mut self) {
-        let mut taken: BTreeMap<EndpointKey, u32> = BTreeMap::new();
+        let mut used: BTreeMap<EndpointKey, u32> = BTreeMap::new();
         for it in &self.running {
-            *taken.entry(it.at).or_default() += TOKENS;
+            *used.entry(it.at).or_default() += TOKENS;
         }
-        let fullest = taken.values().copied().max().unwrap_or(0);
+        let fullest = used.values().copied().max().unwrap_or(0);
         self.fullest = self.fullest.max(fullest);
     }
 
-    /// Lets requests come at instances in turn, but for `except`, each so many milliseconds.
+    /// Sends a request every `each_ms` milliseconds, at one instance after the other except
+    /// `except`.
     fn play(&mut self, time: Duration, each_ms: u64, except: Option<usize>) {
         let steps = time.as_millis() as u64;
         let size = self.fleet.nodes.len();
@@ -215,14 +219,14 @@
             if step.is_multiple_of(each_ms) {
                 instance = (instance + 7) % size;
                 if Some(instance) != except {
-                    self.ask(instance);
+                    self.request(instance);
                 }
             }
             self.step();
         }
     }
 
-    /// Prints what one instance sends a second, by purpose (`-- --nocapture`).
+    /// Prints the traffic per instance and second by purpose (`-- --nocapture`).
     fn print_sent(&self, time: Duration) {
         let size = self.fleet.nodes.len();
         let seconds = size as f64 * time.as_secs_f64();
@@ -258,15 +262,15 @@
     }
 }
 
-/// Symptom: what a request costs grows with the fleet. Sequence: each placement, first event
-/// and end is told to every instance. Cause: each instance decided alone and had to know what
-/// all others run. Control may take 4 KB a second of an instance, at 3.6 requests a second.
+/// Guards against traffic per request that grows with the fleet, as when each placement, first
+/// event and end is sent to every instance. Control traffic may take 4 KB per second of an
+/// instance, at 3.6 requests per second.
 #[rstest]
 #[case::few(6)]
 #[case::some(30)]
 #[case::large(195)]
 #[case::planned(390)]
-fn what_a_request_costs_does_not_grow_with_the_fleet(#[case] size: usize) {
+fn traffic_per_request_does_not_grow_with_the_fleet(#[case] size: usize) {
     let mut scene = Scene::new(size);
     scene.fleet.forget_sent();
 
@@ -274,30 +278,29 @@
 
     scene.print_sent(Duration::from_secs(4));
     let sent = scene.sent_for_places();
-    let (bytes, datagrams) = (sent.bytes / scene.asked, sent.datagrams / scene.asked);
+    let (bytes, datagrams) = (sent.bytes / scene.requests, sent.datagrams / scene.requests);
     assert!(bytes <= 4_096, "{bytes} bytes in {datagrams} datagrams");
     assert!(datagrams <= 30, "{bytes} bytes in {datagrams} datagrams");
 }
 
-/// A home knows all it gave away: no engine is given more than it holds, however many instances
-/// ask at once, and who finds no room waits.
+/// A home knows all its grants: no engine is overcommitted, however many instances send requests at
+/// once, and requests that find no room are queued.
 #[test]
-fn no_engine_is_given_more_than_it_holds() {
+fn no_engine_is_overcommitted() {
     let mut scene = Scene::new(12);
 
     scene.play(Duration::from_secs(4), 20, None);
 
-    assert_eq!(scene.alone, 0);
+    assert_eq!(scene.without_home, 0);
     assert!(scene.fullest <= ENGINE.kv_cache_tokens, "{}", scene.fullest);
 }
 
-/// Symptom: requests stand still for as long as the home does. Sequence: the home freezes, is
-/// killed, or is cut off from the instance; it takes seconds until it counts as gone. Cause: its
-/// answer was waited for.
+/// Guards against requests that wait for as long as their home does not answer: it freezes, is
+/// killed or is partitioned from the instance, and it takes seconds until it is considered gone.
 #[rstest]
 #[case::frozen(true)]
 #[case::killed(false)]
-fn no_request_waits_for_a_home_that_is_not_there(#[case] frozen: bool) {
+fn no_request_waits_for_an_unresponsive_home(#[case] frozen: bool) {
     let mut scene = Scene::new(12);
     scene.play(Duration::from_secs(2), 50, None);
     let home = scene.home(0);
@@ -315,10 +318,10 @@
     assert!(scene.fullest <= ENGINE.kv_cache_tokens, "{}", scene.fullest);
 }
 
-/// A home that was frozen and wakes still holds its old view; instances ask the one that took
-/// its place until it is known to be there again, and reports replace what it believed.
+/// A home that was frozen still has its old view when it resumes. Instances ask the next in rank
+/// until it is live again, and reports replace its view.
 #[test]
-fn a_home_that_wakes_goes_by_new_reports() {
+fn a_resumed_home_uses_new_reports() {
     let mut scene = Scene::new(12);
     scene.play(Duration::from_secs(2), 50, None);
     let home = scene.home(0);
@@ -332,19 +335,20 @@
     assert!(scene.fullest <= ENGINE.kv_cache_tokens, "{}", scene.fullest);
 }
 
-/// Two homes at once: some instances cannot reach the first and ask the next. Both know all
-/// reports, so that they give away the same room only while a report is under way.
+/// Two homes at once: some instances cannot reach the first and ask the next in rank. Both receive
+/// all reports, so that they grant the same room only while a report is on its way.
 #[test]
-fn two_homes_give_away_hardly_more_than_there_is() {
+fn two_homes_barely_overcommit_engines() {
     let mut scene = Scene::new(12);
     scene.play(Duration::from_secs(1), 50, None);
-    // Whatever the home is: the instances of even number do not hear it, and it not them.
+    // Instances with even and odd numbers among the first six cannot reach each other, whichever of
+    // them is the home.
     scene.fleet.passes = |from, to| from % 2 == to % 2 || from > 5 || to > 5;
 
     scene.play(Duration::from_secs(8), 25, None);
 
-    let one_more = ENGINE.kv_cache_tokens + 2 * TOKENS;
-    assert!(scene.fullest <= one_more, "{}", scene.fullest);
+    let bound = ENGINE.kv_cache_tokens + 2 * TOKENS;
+    assert!(scene.fullest <= bound, "{}", scene.fullest);
     assert!(
         scene.longest <= Duration::from_millis(400),
         "{:?}",
@@ -352,11 +356,11 @@
     );
 }
 
-/// Symptom: a request at the home itself waits for 50 ms longer than others. Sequence: room
-/// comes with the report of another instance, and the home gives it to its own request. Cause:
-/// only answers of other homes woke those that wait.
+/// Guards against requests at the home itself that wait 50 ms longer than others: room is freed by
+/// the report of another instance and granted to the home's own request, but only answers of other
+/// homes woke waiting requests.
 #[test]
-fn a_home_hears_of_its_own_decisions() {
+fn a_home_wakes_its_own_requests() {
     let mut scene = Scene::new(6);
     let home = scene.home(0);
     let other = (home + 1) % 6;
@@ -366,9 +370,9 @@
     }
     scene.fleet.hurry(other);
     (0..10).for_each(|_| scene.step());
-    scene.ask(home);
+    scene.request(home);
     (0..20).for_each(|_| scene.step());
-    assert_eq!(scene.asking.len(), 1, "there is no room");
+    assert_eq!(scene.open.len(), 1, "there is no room");
     scene.fleet.nodes[home].told_decided = 0;
 
     let key = EndpointKey::of("e-0");
@@ -376,6 +380,6 @@
     scene.fleet.hurry(other);
     (0..6).for_each(|_| scene.step());
 
-    assert!(scene.asking.is_empty(), "it has its place");
+    assert!(scene.open.is_empty(), "it is placed");
     assert!(scene.fleet.nodes[home].told_decided > 0);
 }
