--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -246,7 +246,7 @@
         let reason = match reason {
             // An earlier attempt may have run, so the response must not promise that the call did
             // not run.
-            Reason::TurnTaken if self.attempts.may_have_run() => Reason::ResponseLost,
+            Reason::NoRunLease if self.attempts.may_have_run() => Reason::ResponseLost,
             reason => reason,
         };
         self.log_failure("-", reason);
@@ -292,7 +292,7 @@
             AttemptOutcome::Lost { .. } => Reason::ResponseLost,
             AttemptOutcome::WrongAttempt => Reason::WrongAttempt,
             AttemptOutcome::Timeout => Reason::Timeout,
-            AttemptOutcome::Refused => Reason::EndsEndpoints,
+            AttemptOutcome::Refused => Reason::CrashesEndpoints,
         };
         self.log_failure(&place.name, reason);
         self.job.refuse(reason)
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -133,7 +133,7 @@
         /// The cordon. A value that cannot be parsed cordons the data centre as well.
         cordon: Cordon,
         /// What is wrong with the value, if anything.
-        why: Option<String>,
+        error: Option<String>,
     },
     /// A record that does not concern this product.
     Other,
@@ -142,7 +142,7 @@
         /// The published name.
         name: String,
         /// What is wrong with the record.
-        why: String,
+        error: String,
     },
     /// The record cannot be parsed.
     Unreadable(String),
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -72,9 +72,9 @@
     /// budget_spent
     BudgetSpent,
     /// ends_endpoints
-    EndsEndpoints,
+    CrashesEndpoints,
     /// turn_taken
-    TurnTaken,
+    NoRunLease,
 }
 
 impl Reason {
@@ -87,7 +87,7 @@
             Reason::NoEntry => StatusCode::NOT_FOUND,
             Reason::UnknownKey => StatusCode::UNAUTHORIZED,
             Reason::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Reason::BodyBroken | Reason::NoSuchEvent | Reason::EndsEndpoints => {
+            Reason::BodyBroken | Reason::NoSuchEvent | Reason::CrashesEndpoints => {
                 StatusCode::BAD_REQUEST
             }
             Reason::NoCatalogue
@@ -98,7 +98,7 @@
             | Reason::WaitTooLong
             | Reason::NotRunAtEndpoint
             | Reason::NoConnection
-            | Reason::TurnTaken
+            | Reason::NoRunLease
             | Reason::Stopping => StatusCode::SERVICE_UNAVAILABLE,
             Reason::ResponseLost | Reason::WrongAttempt | Reason::BudgetSpent => {
                 StatusCode::BAD_GATEWAY
--- a/crates/gateway/src/run_lease.rs
+++ b/crates/gateway/src/run_lease.rs
@@ -83,8 +83,8 @@
             match self.run.admission() {
                 Admission::Go => return Ok(()),
                 Admission::Refused => return Err(self.log_refusal()),
-                Admission::NoHome => return Err(Reason::TurnTaken),
-                Admission::Wait if Instant::now() >= deadline => return Err(Reason::TurnTaken),
+                Admission::NoHome => return Err(Reason::NoRunLease),
+                Admission::Wait if Instant::now() >= deadline => return Err(Reason::NoRunLease),
                 Admission::Wait => cx.gossip_due.notify_one(),
             }
             // Nothing notifies when a deadline passes, so the wait is bounded.
@@ -130,6 +130,6 @@
         let ended = self.cx.state().ended_by(self.fingerprint);
         log_event!(SuspectRefused, attempt = self.name(), request:% = self.fingerprint,
             entry = self.entry().name.as_str(), ended = ended);
-        Reason::EndsEndpoints
+        Reason::CrashesEndpoints
     }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -211,19 +211,19 @@
             Published::EndpointGone(name) => {
                 leaving.extend(cx.state().endpoint_vanished(now, &name));
             }
-            Published::Cordon { cordon, why } => {
-                if let Some(why) = why {
-                    log_unreadable(&record, &why);
+            Published::Cordon { cordon, error } => {
+                if let Some(error) = error {
+                    log_unreadable(&record, &error);
                 }
                 let effect = cx.state().publish_cordon(now, cordon.clone());
                 cx.announce_cordon(&cordon, effect, from);
             }
             Published::Other => {}
-            Published::EndpointUnreadable { name, why } => {
+            Published::EndpointUnreadable { name, error } => {
                 cx.state().endpoints.cannot_read(&name);
-                log_unreadable(&record, &why);
+                log_unreadable(&record, &error);
             }
-            Published::Unreadable(why) => log_unreadable(&record, &why),
+            Published::Unreadable(error) => log_unreadable(&record, &error),
         }
     }
     cx.announce_leaving(&leaving);
@@ -233,12 +233,12 @@
     has_changes
 }
 
-fn log_unreadable(record: &Record, why: &str) {
+fn log_unreadable(record: &Record, error: &str) {
     log_event!(
         RecordUnreadable,
         key = record.key.as_str(),
         revision = record.revision,
-        why = why
+        why = error
     );
 }
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -195,7 +195,7 @@
 ) -> Response<ResponseBody> {
     // The generation may have run, so the response must not promise that it did not.
     let reason = match reason {
-        Reason::EndsEndpoints => reason,
+        Reason::CrashesEndpoints => reason,
         _ if attempts.may_have_run() => Reason::ResponseLost,
         _ => reason,
     };
