--- a/crates/core/src/limits/fair.rs
+++ b/crates/core/src/limits/fair.rs
@@ -14,21 +14,21 @@
 
 impl FairLevel {
     /// Shares `total` among takers that want `wants`.
-    pub fn of(total: u32, wants: impl Iterator<Item = u32>) -> Self {
-        let mut wants: Vec<u32> = wants.collect();
-        wants.sort_unstable();
+    pub fn of(total: u32, demands: impl Iterator<Item = u32>) -> Self {
+        let mut demands: Vec<u32> = demands.collect();
+        demands.sort_unstable();
         let mut rest = total;
-        let mut takers = u32::try_from(wants.len()).unwrap_or(u32::MAX);
-        for want in wants {
-            let even = rest / takers;
-            if want > even {
+        let mut parties = u32::try_from(demands.len()).unwrap_or(u32::MAX);
+        for demand in demands {
+            let even = rest / parties;
+            if demand > even {
                 return FairLevel {
                     level: even,
-                    remainder: rest - even * takers,
+                    remainder: rest - even * parties,
                 };
             }
-            rest -= want;
-            takers -= 1;
+            rest -= demand;
+            parties -= 1;
         }
         FairLevel {
             level: u32::MAX,
@@ -37,7 +37,7 @@
     }
 
     /// Returns what a taker that wants `wanted` gets.
-    pub fn share(&self, wanted: u32) -> u32 {
-        wanted.min(self.level)
+    pub fn share(&self, demand: u32) -> u32 {
+        demand.min(self.level)
     }
 }
--- a/crates/core/src/limits/home.rs
+++ b/crates/core/src/limits/home.rs
@@ -35,7 +35,7 @@
 struct Holding {
     /// Places that it may be using.
     slots: u32,
-    wants: u32,
+    wanted_slots: u32,
     expires: Time,
     seq: u32,
     /// The share that it was asked to come down to since it last asked.
@@ -102,21 +102,22 @@
         &mut self,
         now: Time,
         from: PeerId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
         out: &mut Vec<LimitsAction>,
     ) {
         let fleet = self.fleet;
-        let account = self.accounts.entry(ask.key);
+        let account = self.accounts.entry(request.key);
         let others_may_hold = self.homes_moved_at.is_some_and(|it| now < it + LEASE_TTL);
-        let account = account.or_insert_with(|| Account::new(now, ask.allowance, others_may_hold));
-        account.update_allowance(now, ask.allowance);
+        let account =
+            account.or_insert_with(|| Account::new(now, request.allowance, others_may_hold));
+        account.update_allowance(now, request.allowance);
         account.expire(now);
-        if account.is_superseded(from, ask) {
+        if account.is_superseded(from, request) {
             return;
         }
-        let lease = account.lease(now, from, ask, fleet);
+        let lease = account.lease(now, from, request, fleet);
         out.push(send_lease(from.instance, lease));
-        account.revoke_excess(now, from, ask, fleet, out);
+        account.revoke_excess(now, from, request, fleet, out);
         self.sweep_due.get_or_insert(now + SWEEP_INTERVAL);
     }
 
@@ -156,17 +157,17 @@
 
 /// Returns the part of `whole` for the usable instances of those listed. At
 /// least one is left, or a small limit would stop its workspace in a partition.
-fn reachable_share(whole: u32, (usable, listed): (u32, u32)) -> u32 {
-    if usable >= listed || whole == 0 {
-        return whole;
+fn reachable_share(total: u32, (usable, listed): (u32, u32)) -> u32 {
+    if usable >= listed || total == 0 {
+        return total;
     }
-    let part = u64::from(whole) * u64::from(usable) / u64::from(listed);
-    u32::try_from(part).unwrap_or(whole).max(1)
+    let share = u64::from(total) * u64::from(usable) / u64::from(listed);
+    u32::try_from(share).unwrap_or(total).max(1)
 }
 
 impl Account {
     fn new(now: Time, allowance: Allowance, others_may_hold: bool) -> Self {
-        let meeting_until = match others_may_hold {
+        let equal_shares_until = match others_may_hold {
             true => now + HANDOVER_TIME,
             false => Time::ZERO,
         };
@@ -174,7 +175,7 @@
             allowance,
             holdings: BTreeMap::new(),
             bucket: TokenBucket::new(now, allowance.tokens_per_minute),
-            equal_shares_until: meeting_until,
+            equal_shares_until,
             revoked_at: Time::ZERO,
         }
     }
@@ -194,9 +195,9 @@
     }
 
     /// Returns whether a later ask of the same life was answered before.
-    fn is_superseded(&self, from: PeerId, ask: &LeaseRequest) -> bool {
+    fn is_superseded(&self, from: PeerId, request: &LeaseRequest) -> bool {
         let holding = self.holdings.get(&from);
-        holding.is_some_and(|it| it.seq >= ask.seq)
+        holding.is_some_and(|it| it.seq >= request.seq)
     }
 
     fn slots_of_others(&self, from: PeerId) -> u32 {
@@ -205,17 +206,17 @@
     }
 
     /// Returns how the places are shared if `from` wants `wants`.
-    fn fair_level(&self, total: u32, from: PeerId, wants: u32) -> FairLevel {
+    fn fair_level(&self, total: u32, from: PeerId, wanted_slots: u32) -> FairLevel {
         let others = self.holdings.iter().filter(|(it, _)| **it != from);
-        let others = others.map(|(_, it)| it.wants);
-        FairLevel::of(total, others.chain([wants]))
+        let others = others.map(|(_, it)| it.wanted_slots);
+        FairLevel::of(total, others.chain([wanted_slots]))
     }
 
     /// Returns what does not divide evenly and is not held by another.
     fn remainder_left(&self, from: PeerId, fair: FairLevel) -> u32 {
         let others = self.holdings.iter().filter(|(it, _)| **it != from);
         let above: u32 = others
-            .map(|(_, it)| it.slots.saturating_sub(fair.share(it.wants)))
+            .map(|(_, it)| it.slots.saturating_sub(fair.share(it.wanted_slots)))
             .sum();
         fair.remainder.saturating_sub(above)
     }
@@ -224,35 +225,35 @@
         &mut self,
         now: Time,
         from: PeerId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
         fleet: (u32, u32),
     ) -> LimitLease {
         let total = reachable_share(self.allowance.concurrent, fleet);
         let free = total.saturating_sub(self.slots_of_others(from));
-        let fair = self.fair_level(total, from, ask.wanted_slots);
-        let share = fair.share(ask.wanted_slots) + self.remainder_left(from, fair);
+        let fair = self.fair_level(total, from, request.wanted_slots);
+        let share = fair.share(request.wanted_slots) + self.remainder_left(from, fair);
         let slots = share
             .min(free)
-            .min(ask.wanted_slots)
+            .min(request.wanted_slots)
             .min(self.handover_cap(now, total, fleet));
-        if ask.wanted_slots == 0 && ask.held_slots == 0 {
+        if request.wanted_slots == 0 && request.held_slots == 0 {
             self.holdings.remove(&from);
         } else {
             // What the asker regards as its own counts until it asks again: the
             // answer that takes some of it back may be lost.
             let holding = Holding {
-                slots: slots.max(ask.held_slots),
-                wants: ask.wanted_slots.max(ask.held_slots),
+                slots: slots.max(request.held_slots),
+                wanted_slots: request.wanted_slots.max(request.held_slots),
                 expires: now + LEASE_TTL,
-                seq: ask.seq,
+                seq: request.seq,
                 revoked_to: None,
             };
             self.holdings.insert(from, holding);
         }
-        let (tokens, wait) = self.lease_tokens(now, ask, fleet);
+        let (tokens, wait) = self.lease_tokens(now, request, fleet);
         LimitLease {
-            key: ask.key,
-            seq: ask.seq,
+            key: request.key,
+            seq: request.seq,
             slots,
             tokens,
             ttl_ms: u32::try_from(LEASE_TTL.as_millis()).unwrap_or(u32::MAX),
@@ -280,7 +281,7 @@
     fn lease_tokens(
         &mut self,
         now: Time,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
         fleet: (u32, u32),
     ) -> (u64, Duration) {
         if self.allowance.tokens_per_minute == 0 {
@@ -292,15 +293,15 @@
             false => self.allowance.tokens_per_minute,
         };
         self.bucket.set_rate(now, rate);
-        self.bucket.put_back(now, ask.tokens_returned);
-        self.bucket.overdraw(now, ask.tokens_owed);
-        if ask.tokens_wanted == 0 {
+        self.bucket.put_back(now, request.tokens_returned);
+        self.bucket.overdraw(now, request.tokens_owed);
+        if request.tokens_wanted == 0 {
             return (0, Duration::ZERO);
         }
-        let there = self.bucket.clone().take_up_to(now, u64::MAX);
+        let available = self.bucket.clone().take_up_to(now, u64::MAX);
         let tokens = self
             .bucket
-            .take_up_to(now, ask.tokens_wanted.min(there.div_ceil(2)));
+            .take_up_to(now, request.tokens_wanted.min(available.div_ceil(2)));
         let wait = match tokens {
             0 => self.bucket.time_until(now, MIN_TOKENS_AWAITED),
             _ => Duration::ZERO,
@@ -316,26 +317,26 @@
         &mut self,
         now: Time,
         from: PeerId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
         fleet: (u32, u32),
         out: &mut Vec<LimitsAction>,
     ) {
         let total = reachable_share(self.allowance.concurrent, fleet);
-        let fair = self.fair_level(total, from, ask.wanted_slots);
-        let due = fair.share(ask.wanted_slots);
+        let fair = self.fair_level(total, from, request.wanted_slots);
+        let own_share = fair.share(request.wanted_slots);
         let has = self.holdings.get(&from).map_or(0, |it| it.slots);
-        if has >= due || now < self.revoked_at + MIN_REVOKE_INTERVAL {
+        if has >= own_share || now < self.revoked_at + MIN_REVOKE_INTERVAL {
             return;
         }
         self.revoked_at = now;
         let others = self.holdings.iter_mut().filter(|(it, _)| **it != from);
         for (peer, holding) in others {
-            let share = fair.share(holding.wants);
-            let is_told = holding.revoked_to.is_some_and(|it| it <= share);
-            if holding.slots > share && !is_told {
+            let share = fair.share(holding.wanted_slots);
+            let is_notified = holding.revoked_to.is_some_and(|it| it <= share);
+            if holding.slots > share && !is_notified {
                 holding.revoked_to = Some(share);
                 let lease = LimitLease {
-                    key: ask.key,
+                    key: request.key,
                     seq: holding.seq,
                     slots: share,
                     tokens: 0,
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -179,10 +179,10 @@
         let Some(share) = self.shares.get_mut(&lease.key) else {
             return;
         };
-        let gave_up = share.apply_lease(now, lease);
+        let must_report = share.apply_lease(now, lease);
         self.admit_waiting(now, out);
         self.refuse_waiting(now, lease.key, out);
-        if gave_up {
+        if must_report {
             self.request_lease(now, lease.key, true, fleet, out);
         } else {
             self.request_leases(now, &[lease.key], fleet, out);
@@ -376,10 +376,10 @@
 
     /// Returns how long the last of a line will wait, if that can be told.
     fn expected_wait(&mut self, now: Time, pair: Pair, uses_tokens: bool) -> Option<Duration> {
-        let obstacle = self.blocking_limit(now, pair, uses_tokens)?;
+        let blocking = self.blocking_limit(now, pair, uses_tokens)?;
         let instances = self.instances;
-        let share = self.shares.get_mut(&obstacle.key)?;
-        if obstacle.reason == Reason::TokenRate {
+        let share = self.shares.get_mut(&blocking.key)?;
+        if blocking.reason == Reason::TokenRate {
             return Some(share.tokens_wait(now));
         }
         if !share.is_exhausted() {
@@ -398,12 +398,12 @@
         }
         let most = (queue / self.instances.max(1)).max(1) as usize;
         loop {
-            let lines = self.queue.of_entry(entry);
-            let lines: Vec<(usize, u64)> = lines
-                .filter_map(|(_, line)| Some((line.len(), *line.back()?)))
+            let queues = self.queue.of_entry(entry);
+            let queues: Vec<(usize, u64)> = queues
+                .filter_map(|(_, requests)| Some((requests.len(), *requests.back()?)))
                 .collect();
-            let waiting: usize = lines.iter().map(|it| it.0).sum();
-            let Some(&(_, newest)) = lines.iter().max().filter(|_| waiting > most) else {
+            let waiting: usize = queues.iter().map(|it| it.0).sum();
+            let Some(&(_, newest)) = queues.iter().max().filter(|_| waiting > most) else {
                 return;
             };
             self.refuse_for(now, newest, Reason::QueueFull, out);
@@ -415,8 +415,8 @@
             return;
         };
         let uses_tokens = waiting.claim.tokens.is_some();
-        let obstacle = self.blocking_limit(now, waiting.claim.pair(), uses_tokens);
-        let reason = obstacle.map_or(Reason::WaitExpired, |it| it.reason);
+        let blocking = self.blocking_limit(now, waiting.claim.pair(), uses_tokens);
+        let reason = blocking.map_or(Reason::WaitExpired, |it| it.reason);
         self.refuse_for(now, request, reason, out);
     }
 
@@ -465,8 +465,8 @@
         if let Some(to) = home
             && (force || share.is_request_due(now, to))
         {
-            let ask = share.make_request(now, to);
-            let message = LimitsMessage::Request(ask);
+            let request = share.make_request(now, to);
+            let message = LimitsMessage::Request(request);
             out.push(LimitsAction::Send { to, message });
         }
         self.shares_due = self.shares_due.min(share.next_wake());
--- a/crates/core/src/limits/queue.rs
+++ b/crates/core/src/limits/queue.rs
@@ -25,8 +25,8 @@
 
 impl WaitQueue {
     pub fn push(&mut self, request: u64, waiting: Waiting) {
-        let line = self.by_pair.entry(waiting.claim.pair()).or_default();
-        line.push_back(request);
+        let queue = self.by_pair.entry(waiting.claim.pair()).or_default();
+        queue.push_back(request);
         self.due.insert((waiting.claim.deadline, request));
         self.waiting.insert(request, waiting);
     }
@@ -35,9 +35,9 @@
         let waiting = self.waiting.remove(&request)?;
         self.due.remove(&(waiting.claim.deadline, request));
         let pair = waiting.claim.pair();
-        if let Some(line) = self.by_pair.get_mut(&pair) {
-            line.retain(|&it| it != request);
-            if line.is_empty() {
+        if let Some(queue) = self.by_pair.get_mut(&pair) {
+            queue.retain(|&it| it != request);
+            if queue.is_empty() {
                 self.by_pair.remove(&pair);
             }
         }
@@ -54,21 +54,21 @@
 
     /// Returns the pairs that wait, each with its first request.
     pub fn heads(&self) -> impl Iterator<Item = (Pair, u64)> + '_ {
-        let lines = self.by_pair.iter();
-        lines.filter_map(|(&pair, line)| Some((pair, *line.front()?)))
+        let queues = self.by_pair.iter();
+        queues.filter_map(|(&pair, queue)| Some((pair, *queue.front()?)))
     }
 
     /// Returns the lines of an entry.
     pub fn of_entry(&self, entry: EntryKey) -> impl Iterator<Item = (Pair, &VecDeque<u64>)> + '_ {
-        let lines = self.by_pair.iter();
-        let of_entry = lines.filter(move |(pair, _)| pair.0 == entry);
-        of_entry.map(|(&pair, line)| (pair, line))
+        let queues = self.by_pair.iter();
+        let of_entry = queues.filter(move |(pair, _)| pair.0 == entry);
+        of_entry.map(|(&pair, queue)| (pair, queue))
     }
 
     /// Returns the requests of a pair, first come first.
     pub fn of_pair(&self, pair: Pair) -> Vec<u64> {
-        let line = self.by_pair.get(&pair);
-        line.map_or_else(Vec::new, |it| it.iter().copied().collect())
+        let queue = self.by_pair.get(&pair);
+        queue.map_or_else(Vec::new, |it| it.iter().copied().collect())
     }
 
     /// Returns the next request whose time is up.
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -47,8 +47,8 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     seq: u32,
-    at: Time,
-    wants: u32,
+    sent_at: Time,
+    wanted_slots: u32,
     tokens_wanted: u64,
     tokens_owed: u64,
 }
@@ -141,8 +141,8 @@
 
     /// Returns the equal part of the limit for an instance without a home.
     fn fallback_slots(&self, instances: u32) -> u32 {
-        let part = self.allowance.concurrent / instances.max(1);
-        part.max(u32::from(self.allowance.concurrent > 0))
+        let share = self.allowance.concurrent / instances.max(1);
+        share.max(u32::from(self.allowance.concurrent > 0))
     }
 
     pub fn has_free_slot(&self, now: Time, instances: u32) -> bool {
@@ -183,9 +183,9 @@
     /// the rate at which places became free of late. Without any to go by
     /// nothing is predicted: a guess would refuse what might have run.
     pub fn predicted_wait(&self, now: Time, instances: u32, ahead: u32) -> Option<Duration> {
-        let places = self.usable_slots(now, instances).max(1);
-        let turns = f64::from(ahead + 1) / f64::from(places);
-        self.mean_hold.map(|it| it.mul_f64(turns))
+        let slots = self.usable_slots(now, instances).max(1);
+        let rounds = f64::from(ahead + 1) / f64::from(slots);
+        self.mean_hold.map(|it| it.mul_f64(rounds))
     }
 
     pub fn spend(&mut self, now: Time, tokens: u64) {
@@ -208,8 +208,8 @@
 
     pub fn record_hold_time(&mut self, time: Duration) {
         let before = self.mean_hold.unwrap_or(time);
-        let mixed = before.mul_f64(1.0 - HOLD_WEIGHT) + time.mul_f64(HOLD_WEIGHT);
-        self.mean_hold = Some(mixed);
+        let mean = before.mul_f64(1.0 - HOLD_WEIGHT) + time.mul_f64(HOLD_WEIGHT);
+        self.mean_hold = Some(mean);
     }
 
     fn wanted_slots(&self) -> u32 {
@@ -241,53 +241,53 @@
     /// Returns whether the home is to be asked now.
     pub fn is_request_due(&mut self, now: Time, home: InstanceKey) -> bool {
         let moved = self.requested_home != Some(home);
-        if let Some(asked) = self.pending {
-            return moved || now >= asked.at + REQUEST_TIMEOUT;
+        if let Some(pending) = self.pending {
+            return moved || now >= pending.sent_at + REQUEST_TIMEOUT;
         }
-        let tells_again = moved && (self.leased(now) > 0 || self.in_use > 0);
-        if tells_again || now >= self.renew_at {
+        let must_report = moved && (self.leased(now) > 0 || self.in_use > 0);
+        if must_report || now >= self.renew_at {
             return true;
         }
-        let lacks = self.in_use + self.waiting > self.leased(now);
-        now >= self.retry_not_before && (lacks || self.tokens_wanted(now) > 0)
+        let needs_more = self.in_use + self.waiting > self.leased(now);
+        now >= self.retry_not_before && (needs_more || self.tokens_wanted(now) > 0)
     }
 
     /// Returns when to look again, whatever happens until then.
     pub fn next_wake(&self) -> Time {
-        let silent = match (self.fallback.is_some(), self.unanswered_since) {
+        let home_timeout = match (self.fallback.is_some(), self.unanswered_since) {
             (false, Some(since)) => since + HOME_TIMEOUT,
             _ => Time::NEVER,
         };
-        let answer = self
+        let request_due = self
             .pending
-            .map_or(self.renew_at, |it| it.at + REQUEST_TIMEOUT);
-        answer.min(silent)
+            .map_or(self.renew_at, |it| it.sent_at + REQUEST_TIMEOUT);
+        request_due.min(home_timeout)
     }
 
     /// Makes an ask, and gives up what it does not claim.
     pub fn make_request(&mut self, now: Time, home: InstanceKey) -> LeaseRequest {
-        let again = self.pending.is_some() && self.requested_home == Some(home);
-        if !again || self.unanswered_since.is_none() {
+        let is_retry = self.pending.is_some() && self.requested_home == Some(home);
+        if !is_retry || self.unanswered_since.is_none() {
             self.unanswered_since = Some(now);
         }
-        let wants = self.wanted_slots();
-        self.slots = self.leased(now).min(wants);
-        let returned = match wants {
+        let wanted_slots = self.wanted_slots();
+        self.slots = self.leased(now).min(wanted_slots);
+        let returned = match wanted_slots {
             0 => u64::try_from(self.tokens).unwrap_or(0),
             _ => 0,
         };
         self.tokens -= i64::try_from(returned).unwrap_or(0);
         // An ask that was not answered may not have arrived; what is owed is
         // told again. If it did arrive it counts twice, which errs on the safe side.
-        let told = self.pending.map_or(0, |it| it.tokens_owed);
-        let owed = told + self.tokens.min(0).unsigned_abs();
+        let owed_before = self.pending.map_or(0, |it| it.tokens_owed);
+        let owed = owed_before + self.tokens.min(0).unsigned_abs();
         self.tokens = self.tokens.max(0);
         let tokens_wanted = self.tokens_wanted(now);
         self.seq += 1;
         self.pending = Some(PendingRequest {
             seq: self.seq,
-            at: now,
-            wants,
+            sent_at: now,
+            wanted_slots,
             tokens_wanted,
             tokens_owed: owed,
         });
@@ -298,7 +298,7 @@
             allowance: self.allowance,
             seq: self.seq,
             held_slots: self.in_use.max(self.slots),
-            wanted_slots: wants,
+            wanted_slots,
             tokens_wanted,
             tokens_returned: returned,
             tokens_owed: owed,
@@ -308,25 +308,28 @@
     /// Goes on without a home once it has been silent for too long.
     pub fn check_home(&mut self, now: Time, has_home: bool, instances: u32) {
         let since = self.unanswered_since.filter(|_| self.pending.is_some());
-        let is_silent = since.is_some_and(|it| now >= it + HOME_TIMEOUT);
-        if has_home && !is_silent {
+        let is_unreachable = since.is_some_and(|it| now >= it + HOME_TIMEOUT);
+        if has_home && !is_unreachable {
             return;
         }
         if self.fallback.is_none() {
             self.fallback = Some(self.fallback_bucket(now, instances));
         }
-        if self.pending.is_none_or(|it| now >= it.at + REQUEST_TIMEOUT) {
+        if self
+            .pending
+            .is_none_or(|it| now >= it.sent_at + REQUEST_TIMEOUT)
+        {
             self.pending = None;
             self.renew_at = now + UNREACHABLE_RETRY_INTERVAL;
         }
     }
 
     fn fallback_bucket(&mut self, now: Time, instances: u32) -> TokenBucket {
-        let part = self.allowance.tokens_per_minute / u64::from(instances.max(1));
+        let share = self.allowance.tokens_per_minute / u64::from(instances.max(1));
         // What was overspent under the home is not forgiven.
-        let told = self.pending.map_or(0, |it| it.tokens_owed);
-        let mut bucket = TokenBucket::new(now, part);
-        bucket.overdraw(now, told + self.tokens.min(0).unsigned_abs());
+        let owed_before = self.pending.map_or(0, |it| it.tokens_owed);
+        let mut bucket = TokenBucket::new(now, share);
+        bucket.overdraw(now, owed_before + self.tokens.min(0).unsigned_abs());
         self.tokens = self.tokens.max(0);
         bucket
     }
@@ -341,7 +344,7 @@
         if lease.is_revocation {
             return self.apply_revocation(lease);
         }
-        let Some(asked) = self.pending.filter(|it| it.seq == lease.seq) else {
+        let Some(pending) = self.pending.filter(|it| it.seq == lease.seq) else {
             return false;
         };
         let held = self.leased(now);
@@ -349,12 +352,12 @@
         self.unanswered_since = None;
         self.fallback = None;
         self.slots = lease.slots;
-        self.expires = asked.at + Duration::from_millis(u64::from(lease.ttl_ms));
+        self.expires = pending.sent_at + Duration::from_millis(u64::from(lease.ttl_ms));
         self.tokens = self
             .tokens
             .saturating_add(i64::try_from(lease.tokens).unwrap_or(i64::MAX));
         self.tokens_expected_at = now + Duration::from_millis(u64::from(lease.tokens_wait_ms));
-        self.schedule(now, &asked, lease);
+        self.schedule(now, &pending, lease);
         lease.slots < held
     }
 
@@ -368,21 +371,21 @@
     }
 
     /// Sets when to ask again if nothing else happens.
-    fn schedule(&mut self, now: Time, asked: &PendingRequest, lease: &LimitLease) {
+    fn schedule(&mut self, now: Time, pending: &PendingRequest, lease: &LimitLease) {
         let renew = self.expires.since(now).saturating_sub(RENEW_BEFORE);
         let idle = self.in_use + self.waiting == 0 && self.slots == 0;
         self.renew_at = if idle { Time::NEVER } else { now + renew };
-        let lacks_places = lease.slots < asked.wants;
-        let lacks_tokens = lease.tokens < asked.tokens_wanted;
-        self.is_exhausted = lacks_places || lease.slots >= self.allowance.concurrent;
+        let lacks_slots = lease.slots < pending.wanted_slots;
+        let lacks_tokens = lease.tokens < pending.tokens_wanted;
+        self.is_exhausted = lacks_slots || lease.slots >= self.allowance.concurrent;
         self.retry_not_before = now;
-        if lacks_places || lacks_tokens {
-            let again = Duration::from_millis(u64::from(lease.retry_after_ms));
-            let at = now + again.max(MIN_RETRY_PAUSE);
-            self.retry_not_before = if lacks_places {
-                at
+        if lacks_slots || lacks_tokens {
+            let retry_after = Duration::from_millis(u64::from(lease.retry_after_ms));
+            let retry_at = now + retry_after.max(MIN_RETRY_PAUSE);
+            self.retry_not_before = if lacks_slots {
+                retry_at
             } else {
-                at.max(self.tokens_expected_at)
+                retry_at.max(self.tokens_expected_at)
             };
             self.renew_at = self.renew_at.min(self.retry_not_before);
         }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -75,8 +75,8 @@
             self.keep_early_notice(now, endpoint, list_revision);
             return;
         };
-        let about_earlier_life = source.is_some() && list_revision <= known.not_live_at;
-        if known.record.state == ListedState::Leaving || about_earlier_life {
+        let is_outdated = source.is_some() && list_revision <= known.not_live_at;
+        if known.record.state == ListedState::Leaving || is_outdated {
             return;
         }
         let notice = EndpointNotice {
@@ -130,22 +130,22 @@
         if instance == self.me || self.view.instance(instance).is_none() {
             return;
         }
-        let life = self.peer_states.entry(instance).or_default();
-        let was_leaving = life.is_leaving();
-        let about_earlier_life = life.replaced.contains(&incarnation)
-            || life.incarnation.is_some_and(|it| it != incarnation);
-        if about_earlier_life {
+        let state = self.peer_states.entry(instance).or_default();
+        let was_leaving = state.is_leaving();
+        let is_outdated = state.replaced.contains(&incarnation)
+            || state.incarnation.is_some_and(|it| it != incarnation);
+        if is_outdated {
             return;
         }
-        let is_news = match leaving {
-            true => life.leaving != Some(incarnation),
-            false => life.leaving.is_some_and(|it| it != incarnation),
+        let is_new = match leaving {
+            true => state.leaving != Some(incarnation),
+            false => state.leaving.is_some_and(|it| it != incarnation),
         };
-        if !is_news {
+        if !is_new {
             return;
         }
-        life.leaving = leaving.then_some(incarnation);
-        let is_leaving = life.is_leaving();
+        state.leaving = leaving.then_some(incarnation);
+        let is_leaving = state.is_leaving();
         if is_leaving && !was_leaving {
             emit_instance_gone(instance, out);
         }
@@ -200,8 +200,8 @@
             extra.extend(&watchers);
         }
         // Another watcher of this data centre tells the same instances itself.
-        let told_by_watcher = from.is_some_and(|it| watchers.contains(&it));
-        if watchers.contains(&self.me) && !told_by_watcher {
+        let from_own_watcher = from.is_some_and(|it| watchers.contains(&it));
+        if watchers.contains(&self.me) && !from_own_watcher {
             extra.extend(self.own_data_centre_instances());
             extra.extend(self.foreign_watchers());
         }
@@ -243,22 +243,22 @@
             self.send(now, to, MembershipMessage::ListNotice { revision }, out);
         }
         let endpoints = self.notices.iter();
-        let mut news: Vec<MembershipMessage> = endpoints
+        let mut updates: Vec<MembershipMessage> = endpoints
             .map(|(&endpoint, notice)| MembershipMessage::EndpointLeaving {
                 endpoint,
                 list_revision: notice.list_revision,
             })
             .collect();
-        let lives = self.peer_states.iter().filter(|(key, _)| **key != to);
-        news.extend(lives.filter_map(|(&instance, life)| {
-            let incarnation = life.leaving.filter(|_| life.is_leaving())?;
+        let states = self.peer_states.iter().filter(|(key, _)| **key != to);
+        updates.extend(states.filter_map(|(&instance, state)| {
+            let incarnation = state.leaving.filter(|_| state.is_leaving())?;
             Some(MembershipMessage::InstanceStatus {
                 instance,
                 incarnation,
                 leaving: true,
             })
         }));
-        for message in news {
+        for message in updates {
             self.send(now, to, message, out);
         }
     }
--- a/crates/core/src/membership/homes.rs
+++ b/crates/core/src/membership/homes.rs
@@ -28,24 +28,25 @@
         let stopping = self.stopping;
         for instance in self.view.instances.values_mut() {
             let listed = instance.record.state == ListedState::Live;
-            let there = if instance.key == me {
+            let is_available = if instance.key == me {
                 !stopping
             } else {
                 self.peer_states
                     .get(&instance.key)
                     .is_none_or(PeerState::may_be_home)
             };
-            instance.usable = listed && there;
+            instance.usable = listed && is_available;
         }
     }
 
     /// Ranks the homes and the givers of every cell anew.
     pub(super) fn refresh_homes(&mut self) {
         let homes = self.assign_cells(|it| it.usable);
-        let givers = self.assign_cells(|it| it.record.state == ListedState::Live);
-        for ((cell, homes), givers) in self.view.cells.values_mut().zip(homes).zip(givers) {
+        let controllers = self.assign_cells(|it| it.record.state == ListedState::Live);
+        for ((cell, homes), controllers) in self.view.cells.values_mut().zip(homes).zip(controllers)
+        {
             cell.homes = homes;
-            cell.controller = givers.first().copied();
+            cell.controller = controllers.first().copied();
         }
     }
 
--- a/crates/core/src/membership/links.rs
+++ b/crates/core/src/membership/links.rs
@@ -109,14 +109,14 @@
         if !self.is_known_or_room(peer.instance) {
             return;
         }
-        let life = self.peer_states.entry(peer.instance).or_default();
-        if life.replaced.contains(&peer.incarnation) {
+        let state = self.peer_states.entry(peer.instance).or_default();
+        if state.replaced.contains(&peer.incarnation) {
             return;
         }
-        let was_home = life.may_be_home();
-        let was_leaving = life.leaving.filter(|&it| it != peer.incarnation);
-        life.link = Link::Up;
-        if let Some(was) = life.replace(peer.incarnation) {
+        let was_home = state.may_be_home();
+        let was_leaving = state.leaving.filter(|&it| it != peer.incarnation);
+        state.link = Link::Up;
+        if let Some(was) = state.replace(peer.incarnation) {
             out.push(MembershipAction::Changed(
                 MembershipChange::InstanceReplaced {
                     instance: peer.instance,
@@ -124,7 +124,7 @@
                 },
             ));
         }
-        let is_home = life.may_be_home();
+        let is_home = state.may_be_home();
         if was_leaving.is_some() {
             self.on_instance_status(now, peer.instance, peer.incarnation, false, None, out);
         }
@@ -140,15 +140,15 @@
     /// The shell reports this for failures only, not for links closed because
     /// they were idle; an incarnation of 0 means that none is known.
     pub fn peer_down(&mut self, now: Time, peer: PeerId, out: &mut Vec<MembershipAction>) {
-        let Some(life) = self.peer_states.get_mut(&peer.instance) else {
+        let Some(state) = self.peer_states.get_mut(&peer.instance) else {
             return;
         };
         let unknown = peer.incarnation == Incarnation(0);
-        if !unknown && life.incarnation != Some(peer.incarnation) {
+        if !unknown && state.incarnation != Some(peer.incarnation) {
             return;
         }
-        if !matches!(life.link, Link::Down { .. }) {
-            life.link = Link::Down {
+        if !matches!(state.link, Link::Down { .. }) {
+            state.link = Link::Down {
                 since: now,
                 suspected: false,
             };
@@ -159,11 +159,11 @@
 
     /// The link to a peer was closed because it was idle.
     pub fn peer_idle(&mut self, peer: PeerId) {
-        if let Some(life) = self.peer_states.get_mut(&peer.instance)
-            && life.incarnation == Some(peer.incarnation)
-            && life.link == Link::Up
+        if let Some(state) = self.peer_states.get_mut(&peer.instance)
+            && state.incarnation == Some(peer.incarnation)
+            && state.link == Link::Up
         {
-            life.link = Link::Unknown;
+            state.link = Link::Unknown;
         }
     }
 
@@ -171,8 +171,8 @@
     ///
     /// Messages of any other life are dropped by the node.
     pub fn is_current_incarnation(&self, peer: PeerId) -> bool {
-        let life = self.peer_states.get(&peer.instance);
-        life.is_some_and(|it| it.incarnation == Some(peer.incarnation))
+        let state = self.peer_states.get(&peer.instance);
+        state.is_some_and(|it| it.incarnation == Some(peer.incarnation))
     }
 
     /// Returns the present life of an instance, if it is known.
@@ -185,8 +185,8 @@
 
     /// Returns whether the link to an instance is up.
     pub fn is_linked(&self, instance: InstanceKey) -> bool {
-        let life = self.peer_states.get(&instance);
-        life.is_some_and(|it| it.link == Link::Up)
+        let state = self.peer_states.get(&instance);
+        state.is_some_and(|it| it.link == Link::Up)
     }
 
     /// Returns the instances that are to be dialled, sorted by key.
@@ -237,17 +237,17 @@
     }
 
     fn drop_idle(&mut self, now: Time) {
-        for life in self.peer_states.values_mut() {
-            life.last_used = life.last_used.filter(|&it| now < it + LINK_IDLE);
+        for state in self.peer_states.values_mut() {
+            state.last_used = state.last_used.filter(|&it| now < it + LINK_IDLE);
         }
     }
 
     fn wanted_links(&self) -> Vec<InstanceKey> {
         let mut wanted = self.watcher_links();
-        for (&key, life) in &self.peer_states {
-            let recent = life.last_used.is_some();
+        for (&key, state) in &self.peer_states {
+            let recent = state.last_used.is_some();
             let listed = self.view.instance(key).is_some();
-            if key != self.me && listed && (recent || matches!(life.link, Link::Down { .. })) {
+            if key != self.me && listed && (recent || matches!(state.link, Link::Down { .. })) {
                 wanted.push(key);
             }
         }
@@ -268,8 +268,8 @@
     /// Moves homes away from instances whose link stayed down.
     fn suspect_unreachable(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         let mut gone = Vec::new();
-        for (&key, life) in &mut self.peer_states {
-            if let Link::Down { since, suspected } = &mut life.link
+        for (&key, state) in &mut self.peer_states {
+            if let Link::Down { since, suspected } = &mut state.link
                 && !*suspected
                 && *since + SUSPECT_AFTER <= now
             {
@@ -291,7 +291,7 @@
     pub(super) fn prune_peer_states(&mut self) {
         let view = &self.view;
         self.peer_states
-            .retain(|&key, life| view.instance(key).is_some() || life.link == Link::Up);
+            .retain(|&key, state| view.instance(key).is_some() || state.link == Link::Up);
     }
 
     /// Returns the watchers of the own data centre in order of rank.
--- a/crates/core/src/membership/quarantine.rs
+++ b/crates/core/src/membership/quarantine.rs
@@ -66,8 +66,8 @@
     }
 
     fn quarantine_list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
-        let vanished = missing_instances(&self.view, &list);
-        let Some(doubt) = &mut self.quarantine else {
+        let missing = missing_instances(&self.view, &list);
+        let Some(quarantine) = &mut self.quarantine else {
             out.push(MembershipAction::Note(Note::ListDoubted {
                 named: count(list.instances.len()),
                 known: count(self.view.list().instances.len()),
@@ -75,44 +75,44 @@
             self.quarantine = Some(Quarantine {
                 list,
                 since: now,
-                missing: vanished,
+                missing,
             });
             return;
         };
-        if list.revision <= doubt.list.revision {
+        if list.revision <= quarantine.list.revision {
             return;
         }
-        doubt.list = list;
-        doubt.missing = vanished;
-        let confirmed = now >= doubt.since + QUARANTINE_CONFIRM;
-        if confirmed && !doubt.list.instances.is_empty() {
+        quarantine.list = list;
+        quarantine.missing = missing;
+        let confirmed = now >= quarantine.since + QUARANTINE_CONFIRM;
+        if confirmed && !quarantine.list.instances.is_empty() {
             self.accept_quarantined(now, out);
         }
     }
 
     fn accept_quarantined(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        if let Some(doubt) = self.quarantine.take() {
-            self.accept_list(now, doubt.list, out);
+        if let Some(quarantine) = self.quarantine.take() {
+            self.accept_list(now, quarantine.list, out);
         }
     }
 
     /// Returns the highest revision seen, also of a list that is doubted.
     pub(super) fn seen_revision(&self) -> u64 {
-        let doubted = self.quarantine.as_ref().map_or(0, |it| it.list.revision);
-        self.view.revision().max(doubted)
+        let quarantined = self.quarantine.as_ref().map_or(0, |it| it.list.revision);
+        self.view.revision().max(quarantined)
     }
 
     pub(super) fn quarantine_due(&self) -> Time {
-        let Some(doubt) = &self.quarantine else {
+        let Some(quarantine) = &self.quarantine else {
             return Time::NEVER;
         };
-        if doubt.list.instances.is_empty() {
+        if quarantine.list.instances.is_empty() {
             return Time::NEVER;
         }
-        match self.evidence(doubt) {
+        match self.evidence(quarantine) {
             Evidence::Alive => Time::NEVER,
-            Evidence::Dead => doubt.since + QUARANTINE_CONFIRM,
-            Evidence::Unknown => doubt.since + QUARANTINE_TIMEOUT,
+            Evidence::Dead => quarantine.since + QUARANTINE_CONFIRM,
+            Evidence::Unknown => quarantine.since + QUARANTINE_TIMEOUT,
         }
     }
 
@@ -122,14 +122,14 @@
         }
     }
 
-    fn evidence(&self, doubt: &Quarantine) -> Evidence {
+    fn evidence(&self, quarantine: &Quarantine) -> Evidence {
         let mut evidence = Evidence::Unknown;
-        for life in doubt
+        for state in quarantine
             .missing
             .iter()
             .filter_map(|it| self.peer_states.get(it))
         {
-            match life.link {
+            match state.link {
                 Link::Up => return Evidence::Alive,
                 Link::Down { .. } => evidence = Evidence::Dead,
                 Link::Unknown => {}
--- a/crates/core/src/membership/reads.rs
+++ b/crates/core/src/membership/reads.rs
@@ -304,15 +304,15 @@
         revision: u64,
         out: &mut Vec<MembershipAction>,
     ) {
-        let mut told = self.own_watchers();
-        if told.contains(&self.me) {
-            told.extend(self.own_data_centre_instances());
-            told.extend(self.foreign_watchers());
+        let mut receivers = self.own_watchers();
+        if receivers.contains(&self.me) {
+            receivers.extend(self.own_data_centre_instances());
+            receivers.extend(self.foreign_watchers());
         }
-        told.sort_unstable();
-        told.dedup();
-        told.retain(|&it| it != self.me);
-        for to in told {
+        receivers.sort_unstable();
+        receivers.dedup();
+        receivers.retain(|&it| it != self.me);
+        for to in receivers {
             self.send(now, to, MembershipMessage::ListNotice { revision }, out);
         }
     }
--- a/crates/core/src/orders/controller.rs
+++ b/crates/core/src/orders/controller.rs
@@ -101,11 +101,11 @@
         for goal in goals {
             let key = goal.endpoint.key;
             let known = before.remove(&key);
-            let ordered = match known {
+            let managed = match known {
                 Some(known) => known.with_goal(goal),
                 None => ManagedEndpoint::new(now, goal),
             };
-            self.endpoints.insert(key, ordered);
+            self.endpoints.insert(key, managed);
         }
         self.wake = now;
     }
@@ -122,12 +122,12 @@
 
     /// An endpoint reported what it holds.
     pub fn report(&mut self, now: Time, endpoint: EndpointKey, report: &LoadReport) {
-        let Some(ordered) = self.endpoints.get_mut(&endpoint) else {
+        let Some(managed) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
         let lag = u64::from(report.lag_ms) * 1_000;
         let true_at = Time::from_micros(now.as_micros().saturating_sub(lag));
-        ordered.apply_report(true_at, report);
+        managed.apply_report(true_at, report);
         self.wake = now;
     }
 
@@ -140,10 +140,10 @@
         result: OrderResult,
     ) {
         let retry = self.rng.random_range(0.5..1.0);
-        let Some(ordered) = self.endpoints.get_mut(&endpoint) else {
+        let Some(managed) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        ordered.answered(now, fencing, result, retry);
+        managed.answered(now, fencing, result, retry);
         self.wake = now;
     }
 
@@ -158,7 +158,7 @@
     pub fn tick(
         &mut self,
         now: Time,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         is_used: &impl Fn(EndpointKey, &LoadedModel) -> bool,
         out: &mut Vec<OrdersAction>,
     ) {
@@ -166,15 +166,15 @@
         let mut loading = self.loading();
         let keys: Vec<EndpointKey> = self.endpoints.keys().copied().collect();
         for key in keys {
-            self.tick_endpoint(now, key, knowledge, is_used, &mut loading, out);
+            self.tick_endpoint(now, key, context, is_used, &mut loading, out);
         }
     }
 
     /// Returns how many endpoints of each cell load something.
     fn loading(&self) -> BTreeMap<CellKey, u32> {
         let mut loading = BTreeMap::new();
-        for ordered in self.endpoints.values().filter(|it| it.is_loading()) {
-            *loading.entry(ordered.goal.cell).or_default() += 1;
+        for managed in self.endpoints.values().filter(|it| it.is_loading()) {
+            *loading.entry(managed.goal.cell).or_default() += 1;
         }
         loading
     }
@@ -183,33 +183,33 @@
         &mut self,
         now: Time,
         key: EndpointKey,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         is_used: &impl Fn(EndpointKey, &LoadedModel) -> bool,
         loading: &mut BTreeMap<CellKey, u32>,
         out: &mut Vec<OrdersAction>,
     ) {
         let retry = self.rng.random_range(0.5..1.0);
-        let Some(ordered) = self.endpoints.get_mut(&key) else {
+        let Some(managed) = self.endpoints.get_mut(&key) else {
             return;
         };
-        let wake = ordered.advance(now, retry);
+        let wake = managed.advance(now, retry);
         self.wake = self.wake.min(wake);
-        let Some(kind) = ordered.next_change(is_used) else {
-            ordered.is_held = false;
+        let Some(kind) = managed.next_change(is_used) else {
+            managed.is_held = false;
             return;
         };
-        let cell = ordered.goal.cell;
-        let most = (ordered.goal.cell_size / LOADING_DIVISOR).max(1);
+        let cell = managed.goal.cell;
+        let most = (managed.goal.cell_size / LOADING_DIVISOR).max(1);
         let in_cell = loading.entry(cell).or_default();
         let is_load = loads_weights(&kind);
         if is_load && *in_cell >= most {
             return;
         }
-        if let Err(hold) = self.check_order(now, key, knowledge, is_load) {
+        if let Err(hold) = self.check_order(now, key, context, is_load) {
             self.hold(now, key, hold, out);
             return;
         }
-        if self.send(now, key, kind, knowledge, out) && is_load {
+        if self.send(now, key, kind, context, out) && is_load {
             *in_cell += 1;
         }
     }
@@ -219,24 +219,24 @@
         &mut self,
         now: Time,
         key: EndpointKey,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         is_load: bool,
     ) -> Result<(), Hold> {
-        if !knowledge.is_catalogue_current {
+        if !context.is_catalogue_current {
             return Err(Hold::Until(now + MIN_LIST_READ_INTERVAL));
         }
-        if now >= knowledge.lease_end() {
+        if now >= context.lease_end() {
             return Err(Hold::Stale);
         }
-        let ordered = &self.endpoints[&key];
-        if now < ordered.safe_from() {
-            return Err(Hold::Until(ordered.safe_from()));
+        let managed = &self.endpoints[&key];
+        if now < managed.safe_from() {
+            return Err(Hold::Until(managed.safe_from()));
         }
-        if ordered.highest >> FENCE_REVISION_SHIFT > knowledge.list_revision {
+        if managed.highest >> FENCE_REVISION_SHIFT > context.list_revision {
             return Err(Hold::Stale);
         }
         match is_load {
-            true => self.check_load(now, knowledge.controllers),
+            true => self.check_load(now, context.controllers),
             false => Ok(()),
         }
     }
@@ -245,8 +245,8 @@
     ///
     /// The first load waits for a random part of the pause, because a new
     /// catalogue reaches all givers at once.
-    fn check_load(&mut self, now: Time, givers: u32) -> Result<(), Hold> {
-        let pause = self.load_pause(givers);
+    fn check_load(&mut self, now: Time, controllers: u32) -> Result<(), Hold> {
+        let pause = self.load_pause(controllers);
         let rng = &mut self.rng;
         let first = || now + pause.mul_f64(rng.random_range(0.0..1.0));
         let next = *self.next_load.get_or_insert_with(first);
@@ -256,8 +256,8 @@
         Ok(())
     }
 
-    fn load_pause(&self, givers: u32) -> Duration {
-        Duration::from_secs(60) * givers.max(1) / self.cfg.loads_per_minute.max(1)
+    fn load_pause(&self, controllers: u32) -> Duration {
+        Duration::from_secs(60) * controllers.max(1) / self.cfg.loads_per_minute.max(1)
     }
 
     fn hold(&mut self, now: Time, key: EndpointKey, hold: Hold, out: &mut Vec<OrdersAction>) {
@@ -275,11 +275,11 @@
             }
         };
         self.wake = self.wake.min(until);
-        let Some(ordered) = self.endpoints.get_mut(&key) else {
+        let Some(managed) = self.endpoints.get_mut(&key) else {
             return;
         };
-        if !ordered.is_held {
-            ordered.is_held = true;
+        if !managed.is_held {
+            managed.is_held = true;
             out.push(OrdersAction::Note(Note::OrderHeld { endpoint: key }));
         }
     }
@@ -289,29 +289,29 @@
         now: Time,
         key: EndpointKey,
         kind: OrderKind,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         out: &mut Vec<OrdersAction>,
     ) -> bool {
-        let pause = self.load_pause(knowledge.controllers);
-        let Some(ordered) = self.endpoints.get_mut(&key) else {
+        let pause = self.load_pause(context.controllers);
+        let Some(managed) = self.endpoints.get_mut(&key) else {
             return false;
         };
-        let revision = knowledge.list_revision;
-        let Some(fencing) = next_fence(revision, self.last_fence, ordered.highest) else {
+        let revision = context.list_revision;
+        let Some(fencing) = next_fence(revision, self.last_fence, managed.highest) else {
             return false;
         };
         self.last_fence = fencing;
         if loads_weights(&kind) {
             self.next_load = Some(now + pause);
         }
-        ordered.is_held = false;
-        ordered.sent(now, fencing, kind.clone());
+        managed.is_held = false;
+        managed.sent(now, fencing, kind.clone());
         self.wake = self.wake.min(now + RESPONSE_TIMEOUT);
         out.push(OrdersAction::Send {
-            endpoint: ordered.goal.endpoint.clone(),
+            endpoint: managed.goal.endpoint.clone(),
             fencing,
             kind,
-            send_before: (now + SEND_TIMEOUT).min(knowledge.lease_end()),
+            send_before: (now + SEND_TIMEOUT).min(context.lease_end()),
         });
         out.push(OrdersAction::Note(Note::Ordered {
             endpoint: key,
--- a/crates/core/src/orders/goals.rs
+++ b/crates/core/src/orders/goals.rs
@@ -77,10 +77,10 @@
 /// Returns how many instances give orders, and at least one.
 pub fn count_controllers(membership: &Membership) -> u32 {
     let cells = membership.view().cells();
-    let givers: BTreeSet<InstanceKey> = cells
+    let controllers: BTreeSet<InstanceKey> = cells
         .filter_map(|it| membership.controller_of_cell(it.plan.key))
         .collect();
-    u32::try_from(givers.len()).unwrap_or(u32::MAX).max(1)
+    u32::try_from(controllers.len()).unwrap_or(u32::MAX).max(1)
 }
 
 fn is_ordered(membership: &Membership, key: EndpointKey) -> bool {
--- a/crates/core/tests/limits_leases.rs
+++ b/crates/core/tests/limits_leases.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_burst_after_quiet_gets_its_places_at_once() {
+fn a_burst_after_an_idle_period_gets_its_slots_at_once() {
     // Symptom: the first verdicts of the hour waited for a second.
     // Sequence: a workspace is idle until the hour turns; its home has
     // forgotten it and meets it anew.
@@ -85,11 +85,11 @@
         world.finish(0, request);
     }
     world.run(Duration::from_secs(2));
-    assert_eq!(world.running(), 30, "others take what one gave up");
+    assert_eq!(world.running(), 30, "others use what one released");
 }
 
 #[test]
-fn what_is_taken_from_a_holder_goes_to_the_one_that_has_less() {
+fn revoked_slots_go_to_the_instance_below_its_share() {
     // Symptom: one instance held a workspace's whole limit for minutes, and
     // requests of the workspace that came in elsewhere were refused.
     // Sequence: one instance takes all places; a second asks for some.
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_large_workspace_does_not_crowd_out_a_small_one() {
+fn a_large_workspace_does_not_starve_a_small_one() {
     // Symptom: verdicts of a small workspace were refused at the top of the hour.
     // Sequence: a broadcaster sends hundreds of sheets for the same entry first.
     // Cause: places of an entry were given in the order of arrival.
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_cannot_start_in_time_is_refused_at_once() {
+fn a_request_that_cannot_start_in_time_is_refused_at_once() {
     let mut world = World::new(1);
     let claim = world.claim(workspace("ws", 2, 0), entry(10), 2_500);
     let first = world.submit(0, claim);
@@ -152,14 +152,14 @@
     }
     world.run(RTT);
     let refused = &world.members[0].refused;
-    assert_eq!(refused.len(), 1, "two run, two start within their patience");
+    assert_eq!(refused.len(), 1, "two run, two start before their deadline");
     let (_, reason, retry_after) = refused[0];
     assert_eq!(reason, Reason::WorkspaceConcurrency);
     assert!(retry_after >= Duration::from_secs(2));
 }
 
 #[test]
-fn nothing_is_refused_for_a_wait_that_was_never_seen() {
+fn no_request_is_refused_without_data_about_waits() {
     // Symptom: of five verdicts that take 20 ms each two were refused.
     // Sequence: they come together, as the first of their workspace.
     // Cause: without experience a place was assumed to be held for 2 s.
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn what_did_not_start_in_time_is_refused_with_the_limit_that_was_in_the_way() {
+fn a_refusal_after_the_deadline_names_the_blocking_limit() {
     let mut world = World::new(1);
     let claim = world.claim(workspace("ws", 10, 0), entry(1), 60_000);
     world.submit(0, claim);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn places_of_a_dead_instance_come_back_when_its_lease_ends() {
+fn slots_of_a_dead_instance_become_free_when_its_lease_ends() {
     // Symptom: a workspace could use half of its limit after an instance died.
     // Sequence: an instance with places is killed and never gives them back.
     // Cause: places were counted until they were given back.
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn places_of_a_replaced_life_come_back_at_once() {
+fn slots_of_a_replaced_incarnation_become_free_at_once() {
     let mut world = World::new(2);
     take_everywhere(&mut world, 10, "ws", 10, entry(100));
     let of_old = world.members[1].admitted.len();
@@ -221,11 +221,15 @@
     world.members[1].id.incarnation = Incarnation(2);
     world.members[0].home.incarnation_ended(old);
     world.run(Duration::from_secs(2));
-    assert_eq!(world.members[0].admitted.len(), 10, "{of_old} came back");
+    assert_eq!(
+        world.members[0].admitted.len(),
+        10,
+        "{of_old} slots became free"
+    );
 }
 
 #[test]
-fn without_a_home_each_instance_keeps_to_its_equal_part() {
+fn without_a_home_each_instance_is_limited_to_an_equal_share() {
     // Symptom: nothing was admitted while the home of a limit was unreachable.
     // Sequence: the home is frozen; the list and the links do not show it yet.
     // Cause: requests waited for an answer that did not come.
@@ -278,7 +282,7 @@
 }
 
 #[test]
-fn a_process_that_was_paused_does_not_use_its_old_lease() {
+fn a_paused_process_does_not_use_its_expired_lease() {
     // Symptom: an instance admitted requests on places that others had by then.
     // Sequence: SIGSTOP for longer than a lease; a request arrives on waking.
     // Cause: the lease was checked when it came, not when it was used.
@@ -295,7 +299,7 @@
 }
 
 #[test]
-fn the_higher_revision_of_a_limit_counts() {
+fn the_higher_revision_of_a_limit_takes_precedence() {
     let mut world = World::new(2);
     take_everywhere(&mut world, 10, "ws", 10, entry(100));
     assert_eq!(world.running(), 10);
@@ -325,7 +329,7 @@
 }
 
 #[test]
-fn tokens_keep_to_the_rate_over_all_instances() {
+fn the_token_rate_holds_over_all_instances() {
     let mut world = World::new(3);
     let (rate, cost) = (6_000_u64, 100_u32);
     let mut spent = 0_u64;
@@ -352,7 +356,7 @@
 }
 
 #[test]
-fn a_refusal_for_tokens_says_when_there_will_be_some() {
+fn a_token_refusal_says_when_tokens_are_available() {
     let mut world = World::new(1);
     let claim = world.claim(workspace("ws", 10, 600), entry(10), 1_000);
     let request = world.submit(0, claim);
@@ -385,7 +389,7 @@
 }
 
 #[test]
-fn a_limit_that_hundreds_want_more_of_does_not_keep_its_home_busy() {
+fn an_exhausted_limit_with_hundreds_of_holders_does_not_overload_its_home() {
     // Symptom: the home of one workspace's limits was busy with asks alone.
     // Sequence: a large workspace uses up its limit at every instance at once.
     // Cause: each instance repeated its wish as often as if it were the only one.
--- a/crates/core/tests/membership_failures.rs
+++ b/crates/core/tests/membership_failures.rs
@@ -65,7 +65,7 @@
 #[case(empty)]
 #[case(without_most)]
 #[case(without_endpoints)]
-fn a_list_that_lost_most_of_the_fleet_is_not_believed_at_once(
+fn a_list_that_drops_most_of_the_fleet_is_quarantined(
     #[case] broken: fn(&InstanceList) -> InstanceList,
 ) {
     // Symptom: every home moved to one instance, or no endpoint was left, within a second.
@@ -77,11 +77,11 @@
     assert!(has_note(&out, |it| matches!(it, Note::ListDoubted { .. })));
     assert_eq!(member.live_count(), 6);
     assert_eq!(member.view().endpoints().count(), 4);
-    let whole = changed(&broken(&list), |next| {
+    let full = changed(&broken(&list), |next| {
         next.instances = list.instances.clone();
         next.endpoints = list.endpoints.clone();
     });
-    actions(|out| member.list(T + Duration::from_secs(1), whole, out));
+    actions(|out| member.list(T + Duration::from_secs(1), full, out));
     assert_eq!((member.view().revision(), member.live_count()), (3, 6));
 }
 
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_empty_list_is_never_believed_for_its_age_alone() {
+fn an_empty_list_is_never_accepted_for_its_age_alone() {
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     actions(|out| member.list(T, empty(&list), out));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_loss_that_the_links_confirm_is_believed() {
+fn a_loss_that_the_links_confirm_is_accepted() {
     // Symptom: after a data centre was lost, homes stayed with the dead for minutes.
     // Sequence: four of six instances die; their links break; the list drops them.
     // Cause: a doubted list waited for a later revision although the links showed the loss.
@@ -125,7 +125,7 @@
         member.next_wake()
     );
     actions(|out| member.tick(T + QUARANTINE_TIMEOUT, out));
-    assert_eq!(member.view().revision(), 1, "a link says that it lives");
+    assert_eq!(member.view().revision(), 1, "a link is still up");
     let down = T + QUARANTINE_TIMEOUT;
     actions(|out| member.peer_down(down, peer("i0-004", 1), out));
     actions(|out| member.tick(down + QUARANTINE_CONFIRM, out));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_list_that_says_leaving_is_believed_for_most_of_the_fleet() {
+fn a_list_may_mark_most_of_the_fleet_as_leaving() {
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     let leaving = changed(&list, |list| {
@@ -163,15 +163,15 @@
             "{name}"
         );
     }
-    let news = |it: &&(String, MembershipMessage)| {
+    let notice = |it: &&(String, MembershipMessage)| {
         matches!(it.1, MembershipMessage::EndpointLeaving { .. })
     };
-    let sent = net.sent.iter().filter(news).count();
+    let sent = net.sent.iter().filter(notice).count();
     assert!(sent <= 15 * 4, "{sent} messages for 15 instances");
 }
 
 #[test]
-fn news_lost_in_a_partition_is_told_when_it_heals() {
+fn updates_lost_in_a_partition_are_sent_when_it_heals() {
     // Symptom: one instance went on using a leaving endpoint after a partition.
     // Sequence: it is cut off; the news spreads; the partition heals.
     // Cause: news was sent once and lost on a link that was down.
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn an_endpoint_comes_back_by_the_list_or_by_its_own_fresh_report() {
+fn an_endpoint_returns_by_the_list_or_by_its_own_later_report() {
     // Symptom: an endpoint under its old name was never used again.
     // Sequence: it leaves, restarts under the same name; the list never says so.
     // Cause: only the list could end the news of its leaving.
@@ -234,12 +234,12 @@
     assert_eq!(
         member.endpoint_state(endpoint),
         EndpointState::Live,
-        "old news"
+        "an outdated notice"
     );
 }
 
 #[test]
-fn news_that_runs_ahead_of_the_list_is_kept_for_it() {
+fn a_notice_ahead_of_the_list_is_kept() {
     // Symptom: an endpoint that had just been listed got work although it was leaving.
     // Sequence: news about it arrives before the revision that names it.
     // Cause: news of an unknown endpoint was dropped.
@@ -251,17 +251,17 @@
     let newer = changed(&older, |it| it.endpoints = list.endpoints.clone());
     let mut member = member("i0-000", &older);
     let endpoint = EndpointKey::of("e0-003");
-    let news = MembershipMessage::EndpointLeaving {
+    let notice = MembershipMessage::EndpointLeaving {
         endpoint,
         list_revision: 2,
     };
-    actions(|out| member.message(T, peer("i0-001", 1), news, out));
+    actions(|out| member.message(T, peer("i0-001", 1), notice, out));
     actions(|out| member.list(T, newer, out));
     assert_eq!(member.endpoint_state(endpoint), EndpointState::Leaving);
 }
 
 #[test]
-fn a_replaced_life_is_never_taken_for_the_present_one() {
+fn a_replaced_incarnation_is_never_taken_for_the_current_one() {
     // Symptom: grants of a process that had been replaced were honoured.
     // Sequence: an instance freezes and is restarted under its name; the frozen
     // process wakes and connects.
@@ -282,7 +282,7 @@
     actions(|out| member.peer_down(T, peer("i0-001", 5), out));
     assert!(
         member.is_linked(instance),
-        "the old life's link is not the present one's"
+        "the old incarnation's link is not the current one's"
     );
 }
 
@@ -303,10 +303,10 @@
     );
     net.cut_off("i0-004");
     net.run(Duration::from_millis(500));
-    let mut life =
+    let mut config =
         oriolemux_core::membership::MembershipConfig::new("i0-004", Incarnation(2), "dc0", 3);
-    life.cell_endpoints = 8;
-    let mut restarted = Membership::new(life);
+    config.cell_endpoints = 8;
+    let mut restarted = Membership::new(config);
     actions(|out| restarted.list(net.now, list.clone(), out));
     net.members.insert("i0-004".to_owned(), restarted);
     net.join("i0-004");
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_broken_link_moves_homes_after_a_moment_and_back() {
+fn a_broken_link_moves_homes_after_a_delay_and_back() {
     // Symptom: requests waited for a dead home until the list dropped it, minutes later.
     // Sequence: SIGKILL of a home; the list lags.
     // Cause: only the list could move a home.
@@ -326,7 +326,7 @@
     let other = peer("i0-002", 1);
     actions(|out| member.peer_up(T, other, out));
     actions(|out| member.peer_down(T, other, out));
-    assert_eq!(member.live_count(), 4, "a blip moves nothing");
+    assert_eq!(member.live_count(), 4, "a short interruption moves nothing");
     assert_eq!(
         member.next_wake().min(T + SUSPECT_AFTER),
         member.next_wake()
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_list_that_is_stale_for_an_hour_serves_on_and_says_so() {
+fn a_list_that_is_stale_for_an_hour_stays_in_force_and_is_reported() {
     let list = fleet(1, 3, 2);
     let mut member = member("i0-000", &list);
     let mut now = Time::from_secs(1);
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_stale_service_does_not_make_the_list_look_fresh() {
+fn a_stale_platform_replica_does_not_confirm_the_list() {
     // Symptom: an order was given on a list that was an hour old but "just read".
     // Sequence: the service answers from a replica that lags; a peer holds more.
     // Cause: any answer counted as a confirmation.
@@ -416,14 +416,14 @@
         out.iter()
             .any(|it| matches!(it, MembershipAction::Send { message, .. } if *message == pull))
     };
-    let told = |member: &mut Membership, now| {
+    let announce = |member: &mut Membership, now| {
         actions(|out| member.peer_revision(now, peer("i0-001", 1), 5, out))
     };
-    let out = told(&mut member, T);
+    let out = announce(&mut member, T);
     assert!(pulls(&out) && !reads(&out));
-    let out = told(&mut member, T + Duration::from_secs(1));
+    let out = announce(&mut member, T + Duration::from_secs(1));
     assert!(!pulls(&out) && !reads(&out));
-    let out = told(&mut member, T + Duration::from_secs(3));
+    let out = announce(&mut member, T + Duration::from_secs(3));
     assert!(pulls(&out) && reads(&out));
 }
 
--- a/crates/core/tests/membership_list.rs
+++ b/crates/core/tests/membership_list.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn one_endpoint_more_moves_few_others() {
+fn an_added_endpoint_moves_few_others() {
     let before = plan_cells(&fleet(1, 1, 40).endpoints, EIGHT);
     let after = plan_cells(&fleet(1, 1, 41).endpoints, EIGHT);
     let stayed = before.iter().flat_map(|old| {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_repeated_name_is_kept_once_and_as_leaving() {
+fn a_duplicate_name_is_kept_once_and_as_leaving() {
     let mut list = fleet(1, 2, 1);
     let mut again = list.instances[0].clone();
     again.state = ListedState::Leaving;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_home_of_a_cell_is_in_its_data_centre_unless_nobody_is_there() {
+fn the_home_of_a_cell_is_in_its_data_centre_if_it_has_instances() {
     let list = fleet(3, 2, 4);
     let member = member("i0-000", &list);
     for cell in member.view().cells() {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn an_instance_that_is_not_listed_is_home_for_nothing() {
+fn an_unlisted_instance_is_home_for_nothing() {
     let member = member("stranger", &fleet(1, 2, 2));
     let stranger = InstanceKey::of("stranger");
     assert_eq!(member.own_cells().count(), 0);
@@ -164,13 +164,13 @@
 
 proptest! {
     #[test]
-    fn changes_lead_from_one_list_to_the_other(old in any_list(3), new in any_list(9)) {
+    fn a_delta_leads_from_one_list_to_the_other(old in any_list(3), new in any_list(9)) {
         let delta = list_delta(&old, &new);
         prop_assert_eq!(apply_delta(&old, &delta), Some(new));
     }
 
     #[test]
-    fn changes_do_not_apply_to_another_list(
+    fn a_delta_does_not_apply_to_another_list(
         old in any_list(3), other in any_list(3), new in any_list(9),
     ) {
         let delta = list_delta(&old, &new);
--- a/crates/core/tests/membership_sizes.rs
+++ b/crates/core/tests/membership_sizes.rs
@@ -35,7 +35,7 @@
     })
 }
 
-fn life() -> PeerMessage {
+fn status() -> PeerMessage {
     PeerMessage::Membership(MembershipMessage::InstanceStatus {
         instance: InstanceKey::of("i"),
         incarnation: Incarnation(u64::MAX),
@@ -51,11 +51,11 @@
     PeerMessage::Membership(MembershipMessage::Delta(Box::new(list_delta(&list, &next))))
 }
 
-fn whole_list() -> PeerMessage {
+fn full_list() -> PeerMessage {
     PeerMessage::Membership(MembershipMessage::FullList(Box::new(fleet(10, 39, 60))))
 }
 
-fn ask() -> PeerMessage {
+fn request() -> PeerMessage {
     PeerMessage::Limits(LimitsMessage::Request(LeaseRequest {
         key: LimitKey::Workspace(WorkspaceKey::of("ws")),
         allowance: Allowance {
@@ -88,10 +88,10 @@
 #[rstest]
 #[case::notice(notice(), 20)]
 #[case::leaving(leaving(), 30)]
-#[case::life(life(), 40)]
+#[case::life(status(), 40)]
 #[case::one_change(one_change(), 80)]
-#[case::whole_list(whole_list(), 24_000)]
-#[case::ask(ask(), 55)]
+#[case::whole_list(full_list(), 24_000)]
+#[case::ask(request(), 55)]
 #[case::lease(lease(), 38)]
 fn a_message_is_small(#[case] message: PeerMessage, #[case] most: usize) {
     let size = size(message);
@@ -102,7 +102,7 @@
 
 /// Links per instance at 390 instances in ten data centres.
 #[test]
-fn links_that_only_carry_news_are_few() {
+fn few_links_are_kept_for_gossip_alone() {
     let list = fleet(10, 39, 60);
     let mut watchers = 0;
     for record in list.instances.iter().take(39) {
--- a/crates/core/tests/orders_failures.rs
+++ b/crates/core/tests/orders_failures.rs
@@ -28,50 +28,50 @@
     vec![(e1(), Engine::new(fencing))]
 }
 
-fn giver(now: Time, revision: u64, fencing: FencingSupport, version: &str) -> Controller {
+fn controller(now: Time, revision: u64, fencing: FencingSupport, version: &str) -> Controller {
     Controller::new(now, revision, vec![goal("e1", fencing, &[("m", version)])])
 }
 
 /// Gives a report and returns the orders that follow.
-fn report_and_tick(giver: &mut Controller, now: Time, engine: &Engine) -> Vec<Sent> {
-    giver.orders.report(now, e1(), &engine.report());
-    giver.tick(now)
+fn report_and_tick(controller: &mut Controller, now: Time, engine: &Engine) -> Vec<Sent> {
+    controller.orders.report(now, e1(), &engine.report());
+    controller.tick(now)
 }
 
 #[test]
 fn an_empty_endpoint_is_loaded_once() {
     let mut engines = engines(CHECKED);
     let mut now = T;
-    giver(T, 5, CHECKED, "1").run(&mut now, Duration::from_secs(60), &mut engines);
+    controller(T, 5, CHECKED, "1").run(&mut now, Duration::from_secs(60), &mut engines);
     assert_eq!(engines[0].1.models, [loaded("m", "1")]);
     assert_eq!(engines[0].1.done.len(), 1, "reconciliation is idempotent");
     assert_eq!(engines[0].1.done[0].0 >> FENCE_REVISION_SHIFT, 5);
 }
 
 #[test]
-fn nothing_is_ordered_of_an_endpoint_that_has_not_reported() {
-    let sent = giver(T, 5, CHECKED, "1").tick(T + Duration::from_secs(100));
+fn an_endpoint_that_has_not_reported_gets_no_order() {
+    let sent = controller(T, 5, CHECKED, "1").tick(T + Duration::from_secs(100));
     assert!(sent.is_empty());
 }
 
 #[test]
-fn a_new_version_is_loaded_before_the_old_one_goes_and_not_while_it_is_used() {
+fn an_old_version_is_unloaded_only_after_the_new_one_is_loaded_and_while_unused() {
     // Symptom: a plan was cut off in the middle by a change of version.
     // Sequence: the catalogue asks for version 2 while a plan runs on 1.
     // Cause: the old version was unloaded as soon as it was not wanted.
     let mut engines = engines(CHECKED);
     engines[0].1.models = vec![loaded("m", "1"), loaded("other", "7")];
-    let mut giver = giver(T, 5, CHECKED, "2");
-    giver.used = vec![loaded("m", "1")];
+    let mut controller = controller(T, 5, CHECKED, "2");
+    controller.used = vec![loaded("m", "1")];
     let mut now = T;
-    giver.run(&mut now, Duration::from_secs(30), &mut engines);
+    controller.run(&mut now, Duration::from_secs(30), &mut engines);
     let held = &engines[0].1.models;
     assert_eq!(
         held,
         &[loaded("m", "1"), loaded("other", "7"), loaded("m", "2")]
     );
-    giver.used.clear();
-    giver.run(&mut now, Duration::from_secs(30), &mut engines);
+    controller.used.clear();
+    controller.run(&mut now, Duration::from_secs(30), &mut engines);
     let held = &engines[0].1.models;
     assert_eq!(
         held,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_adapter_is_loaded_after_its_model_and_an_unwanted_one_goes() {
+fn an_adapter_is_loaded_after_its_model_and_unwanted_ones_are_unloaded() {
     let mut goal = goal("e1", CHECKED, &[("m", "1")]);
     goal.models[0].adapters = vec!["a".to_owned()];
     let mut held = loaded("m", "1");
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn of_two_givers_the_one_with_the_later_list_wins_and_the_other_stops() {
+fn of_two_controllers_the_one_with_the_later_list_wins_and_the_other_stops() {
     // Symptom: an engine loaded and unloaded two versions in turn.
     // Sequence: the giver moves; the old one holds an older list and catalogue.
     // Cause: both went on ordering, each with numbers of its own.
     let mut engine = Engine::new(CHECKED);
-    let mut old = giver(T, 5, CHECKED, "1");
-    let mut new = giver(T, 6, CHECKED, "2");
+    let mut old = controller(T, 5, CHECKED, "1");
+    let mut new = controller(T, 6, CHECKED, "2");
     let order = report_and_tick(&mut new, T + Duration::from_secs(1), &engine);
     assert_eq!(engine.execute(&order[0]), OrderResult::Accepted);
     let order = report_and_tick(&mut old, T + Duration::from_secs(1), &Engine::new(CHECKED));
@@ -126,7 +126,7 @@
 #[rstest]
 #[case(IGNORED)]
 #[case(UNCHECKED)]
-fn a_new_giver_waits_out_the_old_ones_lease_where_the_endpoint_does_not_refuse(
+fn a_new_controller_waits_for_the_old_lease_to_end_if_the_endpoint_does_not_check_fencing(
     #[case] fencing: FencingSupport,
 ) {
     // Symptom: an engine that ignores fencing ended with the old version.
@@ -134,7 +134,7 @@
     // old one, let go before it knew, arrives later.
     // Cause: the endpoint obeys whoever comes last.
     let engine = Engine::new(fencing);
-    let mut new = giver(T, 6, fencing, "2");
+    let mut new = controller(T, 6, fencing, "2");
     let just_before = T + (HAND_OVER_WAIT - Duration::from_millis(1));
     assert!(report_and_tick(&mut new, just_before, &engine).is_empty());
     assert_eq!(new.held, 1);
@@ -145,125 +145,125 @@
 #[rstest]
 #[case(CHECKED)]
 #[case(IGNORED)]
-fn a_giver_that_was_paused_sends_nothing_late(#[case] fencing: FencingSupport) {
+fn a_paused_controller_sends_no_late_order(#[case] fencing: FencingSupport) {
     // Symptom: an engine obeyed an order of a giver replaced a minute ago.
     // Sequence: SIGSTOP between decision and send, SIGCONT a minute later.
     // Cause: the order carried no end, and the lease was checked only before.
     let engine = Engine::new(fencing);
-    let mut giver = giver(T, 5, fencing, "1");
-    giver.can_read_list = false;
+    let mut controller = controller(T, 5, fencing, "1");
+    controller.can_read_list = false;
     let ready = T + HAND_OVER_WAIT;
-    giver.knowledge.confirmed = Some(ready);
-    let order = report_and_tick(&mut giver, ready + CONTROLLER_LEASE / 2, &engine);
+    controller.context.confirmed = Some(ready);
+    let order = report_and_tick(&mut controller, ready + CONTROLLER_LEASE / 2, &engine);
     assert!(order[0].send_before <= ready + CONTROLLER_LEASE);
     let woken = ready + Duration::from_secs(60);
-    giver
+    controller
         .orders
         .on_order_answered(woken, e1(), order[0].fencing, OrderResult::Failed);
     let later = woken + Duration::from_secs(5);
-    assert!(report_and_tick(&mut giver, later, &engine).is_empty());
+    assert!(report_and_tick(&mut controller, later, &engine).is_empty());
 }
 
 #[test]
-fn nothing_is_ordered_on_a_list_that_is_not_confirmed() {
+fn no_order_is_sent_on_an_unconfirmed_list() {
     // Symptom: models were moved by an instance that was not the giver any more.
     // Sequence: the platform is down for an hour; the list in force is old.
     // Cause: the list was taken as true because nothing newer had come.
     let engine = Engine::new(CHECKED);
-    let mut giver = giver(T, 5, CHECKED, "1");
-    giver.can_read_list = false;
+    let mut controller = controller(T, 5, CHECKED, "1");
+    controller.can_read_list = false;
     let hour = T + Duration::from_secs(3600);
-    assert!(report_and_tick(&mut giver, hour, &engine).is_empty());
-    assert_eq!(giver.held, 1);
-    giver.can_read_list = true;
+    assert!(report_and_tick(&mut controller, hour, &engine).is_empty());
+    assert_eq!(controller.held, 1);
+    controller.can_read_list = true;
     let later = hour + Duration::from_secs(10);
-    assert_eq!(report_and_tick(&mut giver, later, &engine).len(), 1);
+    assert_eq!(report_and_tick(&mut controller, later, &engine).len(), 1);
 }
 
 #[test]
-fn nothing_is_ordered_on_a_catalogue_that_is_known_to_be_old() {
+fn no_order_is_sent_on_an_outdated_catalogue() {
     let engine = Engine::new(CHECKED);
-    let mut giver = giver(T, 5, CHECKED, "1");
-    giver.knowledge.is_catalogue_current = false;
+    let mut controller = controller(T, 5, CHECKED, "1");
+    controller.context.is_catalogue_current = false;
     let now = T + Duration::from_secs(1);
-    assert!(report_and_tick(&mut giver, now, &engine).is_empty());
-    giver.knowledge.is_catalogue_current = true;
-    assert_eq!(report_and_tick(&mut giver, now, &engine).len(), 1);
+    assert!(report_and_tick(&mut controller, now, &engine).is_empty());
+    controller.context.is_catalogue_current = true;
+    assert_eq!(report_and_tick(&mut controller, now, &engine).len(), 1);
 }
 
 #[test]
-fn a_restarted_giver_orders_above_its_earlier_numbers() {
+fn a_restarted_controller_uses_numbers_above_its_earlier_ones() {
     // Symptom: a restarted giver was refused by every engine for good.
     // Sequence: it restarts under the same list and counts from one again; the
     // reports lag and do not show its earlier numbers.
     // Cause: the count is kept in memory only.
     let mut engine = Engine::new(CHECKED);
     engine.highest = (5 << FENCE_REVISION_SHIFT) + 40;
-    let mut giver = giver(T, 5, CHECKED, "1");
+    let mut controller = controller(T, 5, CHECKED, "1");
     let now = T + Duration::from_secs(1);
-    let order = report_and_tick(&mut giver, now, &Engine::new(CHECKED));
+    let order = report_and_tick(&mut controller, now, &Engine::new(CHECKED));
     let refused = engine.execute(&order[0]);
     assert!(matches!(refused, OrderResult::Fenced { .. }));
-    giver
+    controller
         .orders
         .on_order_answered(now, e1(), order[0].fencing, refused);
-    let order = giver.tick(now + Duration::from_secs(1));
+    let order = controller.tick(now + Duration::from_secs(1));
     assert_eq!(engine.execute(&order[0]), OrderResult::Accepted);
 }
 
 #[test]
-fn an_endpoint_restarted_with_an_empty_memory_is_loaded_again() {
+fn an_endpoint_that_lost_its_state_is_loaded_again() {
     // Symptom: an engine stayed empty for ten minutes after a restart.
     // Sequence: it accepts a load, dies, and comes back with nothing, also
     // without the number that it had seen.
     // Cause: the giver waited for the effect of an order that was forgotten.
     let mut engines = engines(CHECKED);
-    let mut giver = giver(T, 5, CHECKED, "1");
+    let mut controller = controller(T, 5, CHECKED, "1");
     let mut now = T;
-    giver.run(&mut now, Duration::from_secs(10), &mut engines);
+    controller.run(&mut now, Duration::from_secs(10), &mut engines);
     engines[0].1.restart();
-    giver.run(&mut now, Duration::from_secs(5), &mut engines);
+    controller.run(&mut now, Duration::from_secs(5), &mut engines);
     assert!(
         engines[0].1.models.is_empty(),
-        "an earlier giver might still be obeyed"
+        "an earlier controller might still be obeyed"
     );
-    giver.run(&mut now, HAND_OVER_WAIT, &mut engines);
+    controller.run(&mut now, HAND_OVER_WAIT, &mut engines);
     assert_eq!(engines[0].1.models, [loaded("m", "1")]);
     let numbers: Vec<u64> = engines[0].1.done.iter().map(|it| it.0).collect();
     assert!(numbers.is_sorted());
 }
 
 #[test]
-fn an_order_that_was_accepted_is_not_repeated_for_a_report_that_lags() {
+fn an_accepted_order_is_not_repeated_because_of_a_lagging_report() {
     // Symptom: an engine was told to load the same model over and over.
     // Sequence: a load takes minutes; reports show the model only afterwards.
     // Cause: each report without the model led to another order.
     let engine = Engine::new(CHECKED);
-    let mut giver = giver(T, 5, CHECKED, "1");
+    let mut controller = controller(T, 5, CHECKED, "1");
     let mut now = T + Duration::from_secs(1);
-    let order = report_and_tick(&mut giver, now, &engine);
-    giver
+    let order = report_and_tick(&mut controller, now, &engine);
+    controller
         .orders
         .on_order_answered(now, e1(), order[0].fencing, OrderResult::Accepted);
     let mut seen = engine.clone();
     seen.highest = order[0].fencing;
     for _ in 0..120 {
         now += Duration::from_secs(1);
-        assert!(report_and_tick(&mut giver, now, &seen).is_empty());
+        assert!(report_and_tick(&mut controller, now, &seen).is_empty());
     }
 }
 
 #[test]
-fn a_failed_order_is_repeated_with_growing_pauses_and_new_numbers() {
+fn a_failed_order_is_retried_with_backoff_and_new_numbers() {
     let engine = Engine::new(CHECKED);
-    let mut giver = giver(T, 5, CHECKED, "1");
+    let mut controller = controller(T, 5, CHECKED, "1");
     let (mut now, mut at, mut numbers) = (T, Vec::new(), Vec::new());
     while now < T + Duration::from_secs(120) {
         now += Duration::from_millis(250);
-        for order in report_and_tick(&mut giver, now, &engine) {
+        for order in report_and_tick(&mut controller, now, &engine) {
             at.push(now);
             numbers.push(order.fencing);
-            giver
+            controller
                 .orders
                 .on_order_answered(now, e1(), order.fencing, OrderResult::Failed);
         }
@@ -273,14 +273,14 @@
 }
 
 #[test]
-fn a_cell_loads_at_a_quarter_of_its_endpoints_at_once() {
+fn at_most_a_quarter_of_a_cell_loads_at_once() {
     let names: Vec<String> = (0..8).map(|i| format!("e{i}")).collect();
     let goals = names.iter().map(|name| {
         let mut goal = goal(name, CHECKED, &[("m", "2")]);
         goal.cell_size = 8;
         goal
     });
-    let mut giver = Controller::new(T, 5, goals.collect());
+    let mut controller = Controller::new(T, 5, goals.collect());
     let now = T + Duration::from_secs(1);
     let engine = Engine::new(CHECKED);
     let mut at_once = 0;
@@ -288,22 +288,22 @@
         let now = now + Duration::from_millis(step * 20);
         for name in &names {
             let key = EndpointKey::of(name);
-            giver.orders.report(now, key, &engine.report());
+            controller.orders.report(now, key, &engine.report());
         }
-        at_once += giver.tick(now).len();
+        at_once += controller.tick(now).len();
     }
     assert_eq!(at_once, 2);
 }
 
 #[test]
-fn givers_share_the_rate_of_the_weight_store() {
+fn controllers_share_the_rate_of_the_weight_store() {
     // Symptom: the weight store refused everybody after a change of version.
     // Sequence: a new version reaches all givers at once; each loads at the
     // whole rate.
     // Cause: the rate was kept by each giver for itself.
-    let (givers, rate, minutes) = (10_u32, 30_u32, 10_u64);
+    let (controllers, rate, minutes) = (10_u32, 30_u32, 10_u64);
     let mut loads = 0;
-    for seed in 0..givers {
+    for seed in 0..controllers {
         let names: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
         let goals: Vec<_> = names
             .iter()
@@ -317,42 +317,42 @@
             loads_per_minute: rate,
             seed: u64::from(seed),
         };
-        let mut giver = Controller::new(T, 5, goals.clone());
-        giver.orders = oriolemux_core::orders::Orders::new(cfg);
-        giver.orders.set_goals(T, goals);
-        giver.knowledge.controllers = givers;
+        let mut controller = Controller::new(T, 5, goals.clone());
+        controller.orders = oriolemux_core::orders::Orders::new(cfg);
+        controller.orders.set_goals(T, goals);
+        controller.context.controllers = controllers;
         let mut engines: Vec<_> = names
             .iter()
             .map(|it| (EndpointKey::of(it), Engine::new(CHECKED)))
             .collect();
         let mut now = T;
-        giver.run(&mut now, Duration::from_secs(60 * minutes), &mut engines);
+        controller.run(&mut now, Duration::from_secs(60 * minutes), &mut engines);
         loads += engines.iter().map(|it| it.1.done.len()).sum::<usize>();
     }
-    let most = u64::from(rate) * minutes + u64::from(givers);
+    let most = u64::from(rate) * minutes + u64::from(controllers);
     assert!(loads as u64 <= most, "{loads} loads");
     assert!(loads as u64 >= most * 8 / 10, "{loads} loads of {most}");
 }
 
 #[test]
-fn a_giver_that_is_replaced_forgets_its_endpoints() {
-    let mut giver = giver(T, 5, UNCHECKED, "1");
-    giver.orders.set_goals(T, Vec::new());
-    giver.knowledge.list_revision = 6;
+fn a_replaced_controller_drops_its_endpoints() {
+    let mut controller = controller(T, 5, UNCHECKED, "1");
+    controller.orders.set_goals(T, Vec::new());
+    controller.context.list_revision = 6;
     let engine = Engine::new(UNCHECKED);
     let later = T + HAND_OVER_WAIT;
-    assert!(report_and_tick(&mut giver, later, &engine).is_empty());
+    assert!(report_and_tick(&mut controller, later, &engine).is_empty());
     let goals = vec![goal("e1", UNCHECKED, &[("m", "1")])];
-    giver.orders.set_goals(later, goals);
+    controller.orders.set_goals(later, goals);
     assert!(
-        report_and_tick(&mut giver, later, &engine).is_empty(),
-        "it waits anew"
+        report_and_tick(&mut controller, later, &engine).is_empty(),
+        "it waits again"
     );
 }
 
 proptest! {
     #[test]
-    fn numbers_grow_and_keep_to_the_revision(
+    fn fencing_numbers_increase_within_the_revision(
         revision in 1_u64..1000, last in any::<u32>(), highest in 0_u64..(1100 << 32),
     ) {
         let last = (revision << FENCE_REVISION_SHIFT) + u64::from(last);
@@ -371,22 +371,22 @@
     /// Two givers, any lists, any order of arrival: a checked endpoint never
     /// goes back from the later giver's order to the earlier one's.
     #[test]
-    fn a_checked_endpoint_never_obeys_the_earlier_list_after_the_later(
+    fn an_endpoint_with_fencing_never_obeys_the_earlier_list_after_the_later(
         arrivals in proptest::collection::vec(any::<bool>(), 1..40),
     ) {
         let mut engine = Engine::new(CHECKED);
-        let mut givers = [giver(T, 5, CHECKED, "1"), giver(T, 6, CHECKED, "2")];
+        let mut controllers = [controller(T, 5, CHECKED, "1"), controller(T, 6, CHECKED, "2")];
         let mut now = T;
         let mut seen_later = false;
         for later in arrivals {
             now += Duration::from_secs(1);
-            let giver = &mut givers[usize::from(later)];
-            for order in report_and_tick(giver, now, &engine.clone()) {
+            let controller = &mut controllers[usize::from(later)];
+            for order in report_and_tick(controller, now, &engine.clone()) {
                 let result = engine.execute(&order);
                 let obeyed = result == OrderResult::Accepted;
                 prop_assert!(later || !obeyed || !seen_later);
                 seen_later |= later && obeyed;
-                giver.orders.on_order_answered(now, e1(), order.fencing, result);
+                controller.orders.on_order_answered(now, e1(), order.fencing, result);
             }
         }
     }
--- a/crates/core/tests/orders_goals.rs
+++ b/crates/core/tests/orders_goals.rs
@@ -53,14 +53,14 @@
         let member = member(&record.name, list);
         for goal in plan_goals(&member, catalogue) {
             let before = all.insert(goal.endpoint.key, goal);
-            assert_eq!(before, None, "an endpoint has one giver");
+            assert_eq!(before, None, "an endpoint has one controller");
         }
     }
     all
 }
 
 #[test]
-fn every_model_endpoint_has_one_giver_in_its_data_centre() {
+fn every_model_endpoint_has_one_controller_in_its_data_centre() {
     let list = fleet(3, 3, 12);
     let goals = all_goals(&list, &model("replicas = 12"));
     assert_eq!(goals.len(), 36);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn each_data_centre_holds_as_many_as_asked() {
+fn each_data_centre_holds_the_requested_replicas() {
     let list = fleet(3, 2, 12);
     let goals = all_goals(&list, &model("replicas = 5"));
     for centre in ["e0", "e1", "e2"] {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_that_leaves_is_replaced_and_the_others_stay() {
+fn a_leaving_endpoint_is_replaced_and_the_others_stay() {
     let list = fleet(1, 2, 12);
     let catalogue = model("replicas = 5");
     let held = |list: &InstanceList| -> Vec<EndpointKey> {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_model_without_replicas_is_left_as_it_is() {
+fn a_model_without_replicas_is_unmanaged() {
     let goals = all_goals(&fleet(1, 2, 4), &model(""));
     let untouched = |it: &EndpointGoal| it.models.is_empty() && it.managed.is_empty();
     assert!(goals.len() == 4 && goals.values().all(untouched));
@@ -114,15 +114,15 @@
     list.endpoints[0].kind = EndpointKind::Service;
     list.endpoints[1].state = ListedState::Leaving;
     let mut member = member("i0-000", &list);
-    let told = list.endpoints[2].key();
-    actions(|out| member.endpoint_refused_leaving(T, told, out));
+    let noticed = list.endpoints[2].key();
+    actions(|out| member.endpoint_refused_leaving(T, noticed, out));
     let goals = plan_goals(&member, &model("replicas = 4"));
     let names: Vec<&str> = goals.iter().map(|it| it.endpoint.name.as_str()).collect();
     assert_eq!(names, ["e0-003"]);
 }
 
 #[test]
-fn a_broken_link_moves_the_home_but_not_the_giver() {
+fn a_broken_link_moves_the_home_but_not_the_controller() {
     // Symptom: two instances ordered different versions of one engine.
     // Sequence: the link between two instances breaks; each takes itself for
     // the home of the cell.
@@ -130,13 +130,19 @@
     let list = fleet(1, 3, 4);
     let first = member("i0-000", &list);
     let cell = first.view().cells().next().unwrap().plan.key;
-    let giver = first.controller_of_cell(cell).unwrap();
-    let name = first.view().instance(giver).unwrap().record.name.clone();
+    let controller = first.controller_of_cell(cell).unwrap();
+    let name = first
+        .view()
+        .instance(controller)
+        .unwrap()
+        .record
+        .name
+        .clone();
     let other = list.instances.iter().find(|it| it.name != name).unwrap();
     let mut other = member(&other.name, &list);
     actions(|out| other.peer_up(T, peer(&name, 1), out));
     actions(|out| other.peer_down(T, peer(&name, 1), out));
     actions(|out| other.tick(T + SUSPECT_AFTER, out));
-    assert_ne!(other.home_of_cell(cell), Some(giver));
-    assert_eq!(other.controller_of_cell(cell), Some(giver));
+    assert_ne!(other.home_of_cell(cell), Some(controller));
+    assert_eq!(other.controller_of_cell(cell), Some(controller));
 }
--- a/crates/core/tests/rendezvous_rank.rs
+++ b/crates/core/tests/rendezvous_rank.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn nobody_is_home_without_candidates() {
+fn there_is_no_home_without_candidates() {
     assert_eq!(first(1, core::iter::empty()), None);
 }
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn only_the_keys_of_a_lost_instance_move_and_to_the_next_in_rank() {
+fn only_keys_of_a_lost_instance_move_to_the_next_in_rank() {
     let all = instances(20);
     let mut ranked = Vec::new();
     for key in 0..1000 {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn near_candidates_come_first() {
+fn preferred_candidates_rank_first() {
     let all = instances(10);
     let candidates = || {
         all.iter().enumerate().map(|(i, &instance)| Candidate {
