--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,16 +1,15 @@
-//! Limits of workspaces and entries over all instances, leased in shares.
+//! Fleet-wide limits of workspaces and entries, enforced through leases.
 //!
-//! A limit of the catalogue holds for the fleet as a whole, and nothing may be
-//! written to shared state. So each limit has a home ([`LimitHome`]) that hands
-//! out *leases*: so many concurrent requests and so many tokens, to the
-//! instances that use them ([`Leases`]), in small shares that follow demand
-//! and expire. A request is admitted against the leases of its own instance,
-//! without a message as long as they suffice.
+//! A limit in the catalogue applies to the fleet as a whole, and instances share no writable state.
+//! Each limit therefore has a home ([`LimitHome`]), the instance that decides for it, chosen by
+//! rendezvous hashing. The home grants *leases* of concurrency slots and tokens to the instances
+//! that use the limit ([`Leases`]). Leases are small, follow demand and expire. An instance admits
+//! requests against its own leases and sends no message while they suffice.
 //!
-//! While there is one home, the leases never add up to more than the limit.
-//! When homes differ or cannot be reached, `docs/design/limits.md` says what
-//! holds instead: at most twice the limit between two homes for as long as the
-//! older leases last, and an equal part for every instance without a home.
+//! With a single home, the leases never add up to more than the limit. If instances disagree about
+//! the home or cannot reach it, `docs/design/limits.md` gives the bounds: at most twice the limit
+//! with two homes, for as long as the older leases last, and an equal share of the limit for each
+//! instance without a home.
 
 mod bucket;
 mod claim;
@@ -34,21 +33,21 @@
 use core::time::Duration;
 use serde::{Deserialize, Serialize};
 
-/// How long a lease lasts. Long enough that renewals cost little at the size to
-/// design for, short enough that what a dead instance held comes back soon.
+/// Time to live of a lease. It is long enough that renewals cost little at the design fleet size,
+/// and short enough that the slots of a dead instance become free soon.
 pub const LEASE_TTL: Duration = Duration::from_secs(20);
 
-/// What a limit is for.
+/// Identifies a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LimitKey {
-    /// A workspace's limits.
+    /// The limits of a workspace.
     Workspace(WorkspaceKey),
-    /// An entry's limits.
+    /// The limits of an entry.
     Entry(EntryKey),
 }
 
 impl LimitKey {
-    /// Returns the key by which the home is ranked.
+    /// Returns the key that ranks the instances to select the home.
     pub fn rank_key(self) -> u64 {
         match self {
             LimitKey::Workspace(key) => stable_hash(&[b"limits", b"ws", &key.0.to_le_bytes()]),
@@ -56,7 +55,7 @@
         }
     }
 
-    /// Returns the reason to give when no concurrent request is left.
+    /// Returns the refusal reason for a limit that has no free slot.
     pub const fn concurrency_reason(self) -> Reason {
         match self {
             LimitKey::Workspace(_) => Reason::WorkspaceConcurrency,
@@ -65,23 +64,23 @@
     }
 }
 
-/// What the catalogue allows over all instances.
+/// The fleet-wide values of a limit in the catalogue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub concurrent: u32,
-    /// Tokens of prompt and output in a minute; 0 for no such limit.
+    /// Prompt and output tokens per minute; 0 for no token limit.
     pub tokens_per_minute: u64,
-    /// The catalogue revision that says so; of two the higher one counts.
+    /// The catalogue revision of these values; the higher revision takes precedence.
     pub revision: u64,
 }
 
-/// Where the homes of limits are.
+/// Provides the homes of limits.
 pub trait LimitFleet {
-    /// Returns the home of a limit, if there is any usable instance.
+    /// Returns the home of a limit, or `None` if no instance is usable.
     fn home_of_limit(&self, key: LimitKey) -> Option<InstanceKey>;
 
-    /// Returns how many instances share a limit that has no home; at least 1.
+    /// Returns how many instances share a limit whose home is unreachable; at least 1.
     fn sharing_instances(&self) -> u32;
 }
 
@@ -95,28 +94,28 @@
     }
 }
 
-/// What limits ask of the node.
+/// Effects that limits request from the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitsAction {
-    /// Tell a peer, or this process itself, something.
+    /// Send a message to a peer or to this process itself.
     Send {
-        /// Whom.
+        /// The receiver.
         to: InstanceKey,
-        /// What.
+        /// The message.
         message: LimitsMessage,
     },
-    /// A request holds its place in all limits and may go on.
+    /// A request holds a slot of each of its limits and may proceed.
     Admit {
-        /// Which request.
+        /// The request.
         request: u64,
     },
-    /// A request is refused; it holds nothing.
+    /// A request is refused and holds no slot.
     Refuse {
-        /// Which request.
+        /// The request.
         request: u64,
-        /// Which limit is reached.
+        /// The limit that was reached.
         reason: Reason,
-        /// When it is worth coming back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
 }
--- a/crates/core/src/limits/bucket.rs
+++ b/crates/core/src/limits/bucket.rs
@@ -3,20 +3,20 @@
 use crate::time::Time;
 use core::time::Duration;
 
-/// Seconds of its rate that a full bucket holds. In any minute at most
-/// 70 / 60 of the rate leave it, plus what is overdrawn.
+/// Capacity of a full bucket in seconds of its rate. In any minute, at most 70 / 60 of the rate can
+/// be taken, plus what is overdrawn.
 const BURST_SECONDS: u64 = 10;
 
 const SECONDS_A_MINUTE: u64 = 60;
 
-/// Tokens that come at an even rate and wait up to a bound.
+/// A token bucket with a constant fill rate and a bounded capacity.
 ///
-/// How much a request will take is not known when it starts, so that it may
-/// overdraw the bucket; whoever comes next waits until that is made up for.
+/// The cost of a request is not known when it starts, so a request may overdraw the bucket. Later
+/// requests wait until the level is positive again.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     per_minute: u64,
-    /// Tokens; negative when overdrawn.
+    /// Available tokens; negative when overdrawn.
     level: f64,
     filled_at: Time,
 }
@@ -41,7 +41,7 @@
         self.per_second() * BURST_SECONDS as f64
     }
 
-    /// Changes the rate; what waits is kept up to the new bound.
+    /// Changes the rate. Available tokens are kept up to the new capacity.
     pub fn set_rate(&mut self, now: Time, per_minute: u64) {
         self.refill(now);
         self.per_minute = per_minute;
@@ -54,7 +54,7 @@
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes up to `wanted` tokens; returns how many.
+    /// Takes up to `wanted` tokens and returns how many were taken.
     pub fn take_up_to(&mut self, now: Time, wanted: u64) -> u64 {
         self.refill(now);
         let there = self.level.max(0.0) as u64;
@@ -63,25 +63,25 @@
         taken
     }
 
-    /// Takes `tokens` whether or not they are there, for they are spent already.
+    /// Takes `tokens` that are already spent, even if the level becomes negative.
     pub fn overdraw(&mut self, now: Time, tokens: u64) {
         self.refill(now);
         self.level -= tokens as f64;
     }
 
-    /// Puts tokens back that were taken and not used.
+    /// Returns unused tokens to the bucket.
     pub fn put_back(&mut self, now: Time, tokens: u64) {
         self.refill(now);
         self.level = (self.level + tokens as f64).min(self.capacity());
     }
 
-    /// Returns whether at least one token is there.
+    /// Returns whether at least one token is available.
     pub fn has_tokens(&mut self, now: Time) -> bool {
         self.refill(now);
         self.level >= 1.0
     }
 
-    /// Returns how long it takes until at least `tokens` are there.
+    /// Returns the time until at least `tokens` are available.
     pub fn time_until(&mut self, now: Time, tokens: u64) -> Duration {
         self.refill(now);
         let missing = tokens as f64 - self.level;
@@ -92,7 +92,7 @@
         Duration::from_secs_f64((missing / rate).min(3600.0))
     }
 
-    /// Returns whether the bucket is as full as it gets.
+    /// Returns whether the bucket is at capacity.
     pub fn is_full(&mut self, now: Time) -> bool {
         self.refill(now);
         self.level >= self.capacity()
--- a/crates/core/src/limits/claim.rs
+++ b/crates/core/src/limits/claim.rs
@@ -1,4 +1,4 @@
-//! What a request needs of the limits.
+//! The limits that a request needs.
 
 use super::{Allowance, LimitKey};
 use crate::ids::{EntryKey, WorkspaceKey};
@@ -7,7 +7,7 @@
 /// Requests of one workspace for one entry; they wait for the same limits.
 pub(super) type Pair = (EntryKey, WorkspaceKey);
 
-/// What a request needs of the limits.
+/// The limits that a request needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// Its workspace.
@@ -18,11 +18,11 @@
     pub entry: EntryKey,
     /// The entry's limits.
     pub entry_allowance: Allowance,
-    /// Requests that may wait for the entry, over all instances.
+    /// Maximum number of queued requests of the entry, over all instances.
     pub queue: u32,
-    /// Tokens of the prompt; `None` if limits of tokens do not apply.
+    /// Prompt tokens; `None` if token limits do not apply.
     pub tokens: Option<u32>,
-    /// The request is refused if it holds no place by then.
+    /// The request is refused if it has no slot at this time.
     pub deadline: Time,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns the limits that hold for requests of a pair.
+/// Returns the limits that apply to requests of a pair.
 pub(super) fn keys_of((entry, workspace): Pair) -> [LimitKey; 2] {
     [LimitKey::Workspace(workspace), LimitKey::Entry(entry)]
 }
--- a/crates/core/src/limits/fair.rs
+++ b/crates/core/src/limits/fair.rs
@@ -1,19 +1,19 @@
 //! Max-min fair shares.
 
-/// How a total is shared among takers that want different amounts.
+/// A max-min fair division of a total among parties with different demands.
 ///
-/// Nobody gets more than it wants; whoever wants little gets it whole, and the
-/// rest is shared evenly among those that want more.
+/// No party gets more than its demand. Small demands are met in full, and the remainder is divided
+/// evenly among the larger ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FairLevel {
-    /// The most that anybody gets.
+    /// The largest share of any party.
     pub level: u32,
-    /// What is not shared because it does not divide evenly.
+    /// What is left because it does not divide evenly.
     pub remainder: u32,
 }
 
 impl FairLevel {
-    /// Shares `total` among takers that want `wants`.
+    /// Divides `total` among parties that demand `wants`.
     pub fn of(total: u32, demands: impl Iterator<Item = u32>) -> Self {
         let mut demands: Vec<u32> = demands.collect();
         demands.sort_unstable();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns what a taker that wants `wanted` gets.
+    /// Returns the share of a party that demands `wanted`.
     pub fn share(&self, demand: u32) -> u32 {
         demand.min(self.level)
     }
--- a/crates/core/src/limits/home.rs
+++ b/crates/core/src/limits/home.rs
@@ -1,4 +1,4 @@
-//! The home of limits: hands out leases.
+//! The home of limits, which grants leases.
 
 use super::bucket::TokenBucket;
 use super::fair::FairLevel;
@@ -10,94 +10,90 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// The home takes back from holders above their share at most so often.
+/// Minimum time between two revocations from holders above their share.
 const MIN_REVOKE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Accounts that nobody holds anything of are dropped so often.
+/// Interval at which accounts without holders are dropped.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A home that meets a limit soon after homes moved leases each asker an equal
-/// part at most for so long. Others may hold leases of an earlier home, of
-/// which they tell the new one within this time; leasing the whole limit to
-/// whoever asks first would run up to twice of it.
+/// A home that first sees a limit soon after homes moved grants each requester at most an equal
+/// share for this long. Other instances may hold leases of an earlier home and report them within
+/// this time. Granting the whole limit to the first requester could admit up to twice the limit.
 const HANDOVER_TIME: Duration = Duration::from_secs(1);
 
-/// For each instance that uses a limit, so much is added to the pause after
-/// which a wish that was not met is repeated. Hundreds of instances that want
-/// more of a limit that is used up would otherwise keep its home busy.
+/// Retry pause for an unmet lease request, for each instance that uses the limit. Without it,
+/// hundreds of instances that want more of an exhausted limit would keep its home busy.
 const RETRY_PAUSE_PER_HOLDER: Duration = Duration::from_millis(20);
 
-/// The least tokens that are worth telling a waiting instance about.
+/// A lease without tokens reports the time until this many are available.
 const MIN_TOKENS_AWAITED: u64 = 1;
 
 /// What one instance holds of one limit.
 #[derive(Clone, Copy, Debug)]
 struct Holding {
-    /// Places that it may be using.
+    /// Slots that the instance may be using.
     slots: u32,
     wanted_slots: u32,
     expires: Time,
     seq: u32,
-    /// The share that it was asked to come down to since it last asked.
+    /// The share to which a revocation asked the instance to reduce since its last request.
     revoked_to: Option<u32>,
 }
 
-/// One limit.
+/// The leases of one limit.
 ///
-/// Invariant while this is the only home: the slots of all holdings add up to
-/// at most the allowance, except for what was held under an earlier home or a
-/// higher allowance; then nothing is given out until they do.
+/// Invariant while this is the only home: the slots of all holdings add up to at most the
+/// allowance. Slots held under an earlier home or a higher allowance may exceed it; then no slot is
+/// granted until the sum is within the allowance again.
 #[derive(Clone, Debug)]
 struct Account {
     allowance: Allowance,
     holdings: BTreeMap<PeerId, Holding>,
     bucket: TokenBucket,
-    /// Until when each asker gets an equal part at most.
+    /// Until this time each requester gets at most an equal share.
     equal_shares_until: Time,
     revoked_at: Time,
 }
 
-/// Leases out the limits that this instance is home for.
+/// Grants leases of the limits for which this instance is the home.
 #[derive(Clone, Debug, Default)]
 pub struct LimitHome {
     accounts: BTreeMap<LimitKey, Account>,
     sweep_due: Option<Time>,
-    /// Usable and listed instances; see [`LimitHome::set_fleet`].
+    /// Numbers of usable and of listed instances; see [`LimitHome::set_fleet`].
     fleet: (u32, u32),
-    /// When homes moved last. Leases of earlier homes have ended
-    /// [`LEASE_TTL`] later.
+    /// When homes last moved. Leases of earlier homes end [`LEASE_TTL`] later.
     homes_moved_at: Option<Time>,
 }
 
 impl LimitHome {
-    /// Creates a home of nothing.
+    /// Creates a home without accounts.
     pub fn new() -> Self {
         LimitHome::default()
     }
 
-    /// Tells how many instances can be reached of those that are listed.
+    /// Sets how many of the listed instances are reachable. Must be called whenever homes may have
+    /// moved.
     ///
-    /// A home that cannot reach some leaves them their part: on the other side
-    /// of a partition they have a home of their own, which gives out the rest.
-    ///
-    /// To be called whenever homes may have moved.
+    /// A home leaves unreachable instances their share of each limit: on the other side of a
+    /// partition they have their own home, which grants the rest.
     pub fn set_fleet(&mut self, now: Time, usable: u32, listed: u32) {
         self.fleet = (usable, listed);
         self.homes_moved_at = Some(now);
     }
 
-    /// Returns how many limits are in use here.
+    /// Returns the number of limits in use.
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Returns the places that are leased out of a limit.
+    /// Returns the number of leased slots of a limit.
     pub fn leased(&self, key: LimitKey) -> u32 {
         let account = self.accounts.get(&key);
         account.map_or(0, |it| it.holdings.values().map(|it| it.slots).sum())
     }
 
-    /// Answers an instance that asks for a lease.
+    /// Answers a lease request of an instance.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -121,10 +117,10 @@
         self.sweep_due.get_or_insert(now + SWEEP_INTERVAL);
     }
 
-    /// Frees what a life held that is known to be over.
+    /// Frees what an incarnation held that is known to have ended.
     ///
-    /// Only for a life that was replaced: one that cannot be reached may be
-    /// running its requests on the other side of a partition.
+    /// Call it only for an incarnation that was replaced. An unreachable one may still be running
+    /// its requests on the other side of a partition.
     pub fn incarnation_ended(&mut self, peer: PeerId) {
         for account in self.accounts.values_mut() {
             account.holdings.remove(&peer);
@@ -136,7 +132,7 @@
         self.sweep_due.unwrap_or(Time::NEVER)
     }
 
-    /// Drops what nobody uses.
+    /// Drops unused accounts.
     pub fn tick(&mut self, now: Time) {
         if self.sweep_due.is_none_or(|it| now < it) {
             return;
@@ -155,8 +151,8 @@
     LimitsAction::Send { to, message }
 }
 
-/// Returns the part of `whole` for the usable instances of those listed. At
-/// least one is left, or a small limit would stop its workspace in a partition.
+/// Returns the share of `total` for the usable ones among the listed instances. It is at least one,
+/// because a small limit would otherwise stop its workspace during a partition.
 fn reachable_share(total: u32, (usable, listed): (u32, u32)) -> u32 {
     if usable >= listed || total == 0 {
         return total;
@@ -194,7 +190,7 @@
         self.holdings.retain(|_, it| now < it.expires);
     }
 
-    /// Returns whether a later ask of the same life was answered before.
+    /// Returns whether a later request of the same incarnation was already answered.
     fn is_superseded(&self, from: PeerId, request: &LeaseRequest) -> bool {
         let holding = self.holdings.get(&from);
         holding.is_some_and(|it| it.seq >= request.seq)
@@ -205,14 +201,14 @@
         others.map(|(_, it)| it.slots).sum()
     }
 
-    /// Returns how the places are shared if `from` wants `wants`.
+    /// Returns the division of `total` slots if `from` wants `wants`.
     fn fair_level(&self, total: u32, from: PeerId, wanted_slots: u32) -> FairLevel {
         let others = self.holdings.iter().filter(|(it, _)| **it != from);
         let others = others.map(|(_, it)| it.wanted_slots);
         FairLevel::of(total, others.chain([wanted_slots]))
     }
 
-    /// Returns what does not divide evenly and is not held by another.
+    /// Returns the part of the remainder that no other instance holds.
     fn remainder_left(&self, from: PeerId, fair: FairLevel) -> u32 {
         let others = self.holdings.iter().filter(|(it, _)| **it != from);
         let above: u32 = others
@@ -239,8 +235,8 @@
         if request.wanted_slots == 0 && request.held_slots == 0 {
             self.holdings.remove(&from);
         } else {
-            // What the asker regards as its own counts until it asks again: the
-            // answer that takes some of it back may be lost.
+            // The slots that the requester considers its own count until its next request, because
+            // the answer that revokes some of them may be lost.
             let holding = Holding {
                 slots: slots.max(request.held_slots),
                 wanted_slots: request.wanted_slots.max(request.held_slots),
@@ -276,8 +272,8 @@
         total.div_ceil(listed)
     }
 
-    /// Leases tokens: half of what is there at most, so that a holder that
-    /// wants many leaves some to the next one.
+    /// Leases at most half of the available tokens, so that a holder with a large demand leaves
+    /// some for the next one.
     fn lease_tokens(
         &mut self,
         now: Time,
@@ -312,7 +308,7 @@
         )
     }
 
-    /// Asks holders above their share to come down, if `from` got less than its own.
+    /// Asks holders above their share to reduce it if `from` got less than its share.
     fn revoke_excess(
         &mut self,
         now: Time,
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -11,10 +11,10 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// The least time after which a refused caller is told to come back.
+/// Minimum retry time given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A request that holds a place.
+/// A request that holds a slot of each of its limits.
 #[derive(Clone, Copy, Debug)]
 struct Admitted {
     pair: Pair,
@@ -22,7 +22,7 @@
     uses_tokens: bool,
 }
 
-/// What stands in the way of a request.
+/// The limit that prevents a request from starting.
 #[derive(Clone, Copy, Debug)]
 struct BlockingLimit {
     key: LimitKey,
@@ -32,28 +32,28 @@
 /// How much of the limits this instance uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseCounts {
-    /// Limits that are known here.
+    /// Limits that this instance tracks.
     pub limits: usize,
-    /// Limits that are kept without a home.
+    /// Limits whose home is unreachable, enforced with the local fallback.
     pub without_home: usize,
-    /// Requests that hold a place.
+    /// Requests that hold a slot.
     pub admitted: usize,
-    /// Requests that wait for one.
+    /// Requests that wait for a slot.
     pub waiting: usize,
 }
 
-/// Admits this instance's requests against its leases.
+/// Admits the requests of this instance against its leases.
 ///
-/// Invariant: a request waits or is admitted, not both; `in_use` and `parked`
-/// of a share count the requests of `admitted` and `parked` with its key.
+/// Invariant: a request is either queued or admitted. `in_use` and `waiting` of a share count the
+/// requests of `admitted` and `queue` with its key.
 #[derive(Clone, Debug)]
 pub struct Leases {
     shares: BTreeMap<LimitKey, Share>,
     admitted: BTreeMap<u64, Admitted>,
     queue: WaitQueue,
     instances: u32,
-    /// Nothing is due for a share before this. It may lie too early, never too
-    /// late, so that it need not be worked out anew with every event.
+    /// No share is due before this time. It may be too early but never too late, so that it need
+    /// not be recomputed with every event.
     shares_due: Time,
 }
 
@@ -70,12 +70,12 @@
 }
 
 impl Leases {
-    /// Creates the state of an instance that holds nothing.
+    /// Creates the state of an instance without leases.
     pub fn new() -> Self {
         Leases::default()
     }
 
-    /// Returns how much is in use.
+    /// Returns how much of the limits is in use.
     pub fn counts(&self) -> LeaseCounts {
         LeaseCounts {
             limits: self.shares.len(),
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Returns how many requests hold a place of a limit here.
+    /// Returns how many requests of this instance hold a slot of a limit.
     pub fn in_use(&self, key: LimitKey) -> u32 {
         self.shares.get(&key).map_or(0, |it| it.in_use)
     }
 
-    /// Takes a request in: it is admitted, refused, or waits for either.
+    /// Submits a request, which is admitted, refused or queued.
     ///
-    /// `request` must be new to this process.
+    /// `request` must not have been used before in this process.
     pub fn submit(
         &mut self,
         now: Time,
@@ -122,7 +122,7 @@
         self.request_leases(now, &claim.keys(), fleet, out);
     }
 
-    /// A request is over, whatever became of it.
+    /// Releases what a request holds, whether it was admitted or queued.
     pub fn finish(
         &mut self,
         now: Time,
@@ -144,7 +144,7 @@
         self.request_leases(now, &keys_of(pair), fleet, out);
     }
 
-    /// A request has taken `tokens` more than were counted before.
+    /// Charges `tokens` that a request used in addition to those charged before.
     pub fn charge(
         &mut self,
         now: Time,
@@ -168,7 +168,7 @@
         self.request_leases(now, &keys, fleet, out);
     }
 
-    /// The home of a limit leased something, or takes some back.
+    /// Applies a lease or a revocation from the home of a limit.
     pub fn on_lease(
         &mut self,
         now: Time,
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Homes may have moved: tells the new ones what is held.
+    /// Reports held leases to the new homes. Must be called whenever homes may have moved.
     pub fn homes_moved(&mut self, now: Time, fleet: &impl LimitFleet, out: &mut Vec<LimitsAction>) {
         self.instances = fleet.sharing_instances();
         let keys: Vec<LimitKey> = self.shares.keys().copied().collect();
@@ -201,7 +201,7 @@
         self.shares_due.min(self.queue.next_due())
     }
 
-    /// Renews leases, repeats asks and refuses what waited for too long.
+    /// Renews leases, resends unanswered requests and refuses requests past their deadline.
     pub fn tick(&mut self, now: Time, fleet: &impl LimitFleet, out: &mut Vec<LimitsAction>) {
         self.instances = fleet.sharing_instances();
         while let Some(request) = self.queue.overdue(now) {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Returns the first limit that does not let a request of `pair` start.
+    /// Returns the first limit that prevents a request of `pair` from starting.
     fn blocking_limit(
         &mut self,
         now: Time,
@@ -305,11 +305,10 @@
         }
     }
 
-    /// Admits whatever may start now.
+    /// Admits all waiting requests that may start.
     ///
-    /// Among those that may, the workspace with the fewest running requests
-    /// for the entry comes first, so that a large workspace that waits with
-    /// hundreds does not keep a small one out.
+    /// Among them, the workspace with the fewest running requests for the entry goes first, so that
+    /// a large workspace with hundreds of waiting requests does not starve a small one.
     fn admit_waiting(&mut self, now: Time, out: &mut Vec<LimitsAction>) {
         loop {
             let heads: Vec<(Pair, u64)> = self.queue.heads().collect();
@@ -342,7 +341,7 @@
         running.copied().unwrap_or(0)
     }
 
-    /// Refuses those that wait for `key` and cannot start in time.
+    /// Refuses requests that wait for `key` and cannot start in time.
     fn refuse_waiting(&mut self, now: Time, key: LimitKey, out: &mut Vec<LimitsAction>) {
         let heads: Vec<(Pair, u64)> = self.queue.heads().collect();
         for (pair, head) in heads {
@@ -357,10 +356,10 @@
         }
     }
 
-    /// Refuses the last of a line while it cannot hope to start in time.
+    /// Refuses the newest requests of a pair that are not expected to start before their deadline.
     ///
-    /// The answer is given at once: holding it back until the deadline would
-    /// only keep the caller from going elsewhere.
+    /// They are refused at once, because waiting until the deadline would only delay the caller's
+    /// retry elsewhere.
     fn refuse_too_late(&mut self, now: Time, pair: Pair, out: &mut Vec<LimitsAction>) {
         while let Some(&last) = self.queue.of_pair(pair).last() {
             let Some(waiting) = self.queue.get(last).copied() else {
@@ -374,7 +373,7 @@
         }
     }
 
-    /// Returns how long the last of a line will wait, if that can be told.
+    /// Returns the expected wait of the newest request of a pair, if it can be predicted.
     fn expected_wait(&mut self, now: Time, pair: Pair, uses_tokens: bool) -> Option<Duration> {
         let blocking = self.blocking_limit(now, pair, uses_tokens)?;
         let instances = self.instances;
@@ -389,8 +388,8 @@
         share.predicted_wait(now, instances, ahead)
     }
 
-    /// Refuses what waits beyond this instance's part of the entry's queue:
-    /// the newest of the workspace that has the most waiting.
+    /// Refuses waiting requests beyond this instance's share of the entry's queue, newest first,
+    /// from the workspace with the most waiting requests.
     fn trim_queue(&mut self, now: Time, entry: EntryKey, queue: u32, out: &mut Vec<LimitsAction>) {
         let key = LimitKey::Entry(entry);
         if !self.shares.get(&key).is_some_and(Share::is_exhausted) {
--- a/crates/core/src/limits/message.rs
+++ b/crates/core/src/limits/message.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other about limits.
+//! Messages about limits between instances.
 
 use super::{Allowance, LimitKey};
 use serde::{Deserialize, Serialize};
@@ -6,54 +6,53 @@
 /// A message about limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitsMessage {
-    /// To the home of a limit.
+    /// Sent to the home of a limit.
     Request(LeaseRequest),
-    /// From the home of a limit.
+    /// Sent by the home of a limit.
     Lease(LimitLease),
 }
 
-/// What an instance holds of a limit and wants of it.
+/// What an instance holds of a limit and what it wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Which limit.
+    /// The limit.
     pub key: LimitKey,
-    /// What the catalogue in force at the sender allows.
+    /// The values in the catalogue in force at the sender.
     pub allowance: Allowance,
-    /// Grows with each ask of one life.
+    /// Increases with each request of one incarnation.
     pub seq: u32,
-    /// Places that the sender regards as its own until it asks again or its
-    /// lease ends, whatever it is answered: those in use, and those of its
-    /// lease that it does not give back with this ask.
+    /// Slots that the sender considers its own until its next request or the end of its lease,
+    /// whatever the answer: those in use, and leased ones that it does not return with this
+    /// request.
     pub held_slots: u32,
-    /// Places that the sender would use; 0 gives the lease back.
+    /// Slots that the sender would use; 0 returns the lease.
     pub wanted_slots: u32,
-    /// Tokens that the sender would use soon.
+    /// Tokens that the sender expects to use soon.
     pub tokens_wanted: u64,
-    /// Tokens that the sender does not need any more.
+    /// Leased tokens that the sender no longer needs.
     pub tokens_returned: u64,
-    /// Tokens that were spent beyond what was leased.
+    /// Tokens spent in excess of those leased.
     pub tokens_owed: u64,
 }
 
-/// What the home leases.
+/// A lease granted by the home, or a revocation of part of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitLease {
-    /// Which limit.
+    /// The limit.
     pub key: LimitKey,
-    /// The ask that it answers, or the last one if the home takes back some
-    /// of the lease unasked.
+    /// The request that this answers. For a revocation, the last request of the receiver.
     pub seq: u32,
-    /// Places in all. If that is less than the receiver holds, it admits
-    /// nobody until enough have ended.
+    /// Total number of leased slots. If it is below the number in use, the receiver admits no
+    /// request until enough of them have ended.
     pub slots: u32,
     /// Tokens in addition to those leased before.
     pub tokens: u64,
-    /// How long the lease lasts, from when the ask was sent.
+    /// Time to live of the lease, from when the request was sent.
     pub ttl_ms: u32,
-    /// When there will be tokens again, if fewer were leased than wanted; else 0.
+    /// Time until tokens are available if none were granted, else 0.
     pub tokens_wait_ms: u32,
-    /// A wish that was not met is worth repeating after so long.
+    /// Minimum time before an unmet request should be retried.
     pub retry_after_ms: u32,
-    /// The home takes back some unasked; nothing else is changed by it.
+    /// Whether the home revokes slots without a request. Only `slots` is applied then.
     pub is_revocation: bool,
 }
--- a/crates/core/src/limits/queue.rs
+++ b/crates/core/src/limits/queue.rs
@@ -1,21 +1,21 @@
-//! Requests that wait for a place.
+//! Requests that wait for a slot.
 
 use super::claim::{Claim, Pair};
 use crate::ids::EntryKey;
 use crate::time::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
     pub claim: Claim,
     pub arrived: Time,
 }
 
-/// All requests that wait at this instance.
+/// The queue of waiting requests of this instance.
 ///
-/// Invariant: a request is in `waiting`, in the line of its pair and in `due`,
-/// or in none of them; no line is empty.
+/// Invariant: a request is in `waiting`, in the queue of its pair and in `due`, or in none of them.
+/// No queue is empty.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WaitQueue {
     waiting: BTreeMap<u64, Waiting>,
@@ -52,26 +52,26 @@
         self.waiting.len()
     }
 
-    /// Returns the pairs that wait, each with its first request.
+    /// Returns the pairs with waiting requests, each with its oldest request.
     pub fn heads(&self) -> impl Iterator<Item = (Pair, u64)> + '_ {
         let queues = self.by_pair.iter();
         queues.filter_map(|(&pair, queue)| Some((pair, *queue.front()?)))
     }
 
-    /// Returns the lines of an entry.
+    /// Returns the queues of an entry.
     pub fn of_entry(&self, entry: EntryKey) -> impl Iterator<Item = (Pair, &VecDeque<u64>)> + '_ {
         let queues = self.by_pair.iter();
         let of_entry = queues.filter(move |(pair, _)| pair.0 == entry);
         of_entry.map(|(&pair, queue)| (pair, queue))
     }
 
-    /// Returns the requests of a pair, first come first.
+    /// Returns the requests of a pair in order of arrival.
     pub fn of_pair(&self, pair: Pair) -> Vec<u64> {
         let queue = self.by_pair.get(&pair);
         queue.map_or_else(Vec::new, |it| it.iter().copied().collect())
     }
 
-    /// Returns the next request whose time is up.
+    /// Returns a request whose deadline has passed.
     pub fn overdue(&self, now: Time) -> Option<u64> {
         let &(due, request) = self.due.first()?;
         (due <= now).then_some(request)
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -1,4 +1,4 @@
-//! What this instance holds of one limit.
+//! The share of one limit that this instance holds.
 
 use super::bucket::TokenBucket;
 use super::message::{LeaseRequest, LimitLease};
@@ -8,42 +8,42 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// An ask that is not answered by then is sent again.
+/// A lease request that is not answered within this time is sent again.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A home that has not answered for so long is taken as unreachable, and the
-/// limit is kept by an equal part for each instance.
+/// A home that has not answered for this long is considered unreachable, and each instance falls
+/// back to an equal share of the limit.
 pub(super) const HOME_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// While the home is unreachable it is asked so often.
+/// Interval of lease requests to an unreachable home.
 const UNREACHABLE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A lease is renewed when so much of its time is left.
+/// A lease is renewed when this much of its time is left.
 const RENEW_BEFORE: Duration = Duration::from_secs(10);
 
-/// Places beyond those in use that are asked for, so that the next request
-/// need not wait for an answer: one, and a quarter of those in use.
+/// One slot and this fraction of those in use are requested in advance, so that the next request
+/// need not wait for an answer; a divisor.
 const SPARE_DIVISOR: u32 = 4;
 
-/// A wish for more that could not be met is repeated at most so often.
+/// Minimum pause before a request that was not met is retried.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Tokens are asked for to last so long at the rate of late.
+/// Tokens are requested to last this long at the recent rate.
 const TOKEN_HORIZON: Duration = Duration::from_secs(10);
 
-/// The part of a minute's tokens that is asked for at least.
+/// Minimum number of tokens requested, as a divisor of a minute's tokens.
 const MIN_TOKENS_DIVISOR: u64 = 240;
 
-/// The rate of spending is averaged over so long.
+/// Averaging window of the spending rate.
 const SPEND_WINDOW: Duration = Duration::from_secs(10);
 
-/// Weight of the newest time that a place was held for, in the average.
+/// Weight of the newest slot holding time in the average.
 const HOLD_WEIGHT: f64 = 0.2;
 
-/// A limit that was not used for so long is forgotten.
+/// A limit that is unused for this long is dropped.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// An ask that is out.
+/// A lease request that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     seq: u32,
@@ -53,41 +53,41 @@
     tokens_owed: u64,
 }
 
-/// What this instance holds of one limit.
+/// The share of one limit that this instance holds.
 #[derive(Clone, Debug)]
 pub(super) struct Share {
     pub key: LimitKey,
     pub allowance: Allowance,
-    /// Requests admitted and not ended.
+    /// Requests that are admitted and not ended.
     pub in_use: u32,
-    /// Requests that wait here for this limit.
+    /// Requests of this instance that wait for this limit.
     pub waiting: u32,
-    /// Requests in use, by workspace; for entries only.
+    /// Admitted requests by workspace; read for entries only.
     pub by_workspace: BTreeMap<WorkspaceKey, u32>,
-    /// Places leased, until `expires`.
+    /// Leased slots, valid until `expires`.
     slots: u32,
     expires: Time,
-    /// Tokens leased and not spent; negative if more were spent.
+    /// Leased tokens that are not spent; negative if more were spent.
     tokens: i64,
-    /// The home said that there are no tokens before this.
+    /// The home reported that no tokens are available before this time.
     tokens_expected_at: Time,
-    /// Tokens spent lately, decayed over [`SPEND_WINDOW`].
+    /// Recently spent tokens, decayed over [`SPEND_WINDOW`].
     spent: f64,
     spent_at: Time,
     seq: u32,
     pending: Option<PendingRequest>,
-    /// The first of the asks that were not answered in a row.
+    /// When the first of the consecutive unanswered requests was sent.
     unanswered_since: Option<Time>,
-    /// When to ask next although nothing changed.
+    /// When to send the next request if nothing changes.
     renew_at: Time,
-    /// A wish that was not met is not repeated before this.
+    /// A request that was not met is not retried before this time.
     retry_not_before: Time,
     requested_home: Option<InstanceKey>,
-    /// The home leased fewer places than were wanted, or all there are.
+    /// The home leased fewer slots than were wanted, or all slots of the limit.
     is_exhausted: bool,
-    /// Set while the home is unreachable.
+    /// The local fallback bucket, set while the home is unreachable.
     fallback: Option<TokenBucket>,
-    /// How long a place is held, averaged; `None` before one was given back.
+    /// Average time for which a slot is held; `None` until one is released.
     mean_hold: Option<Duration>,
     pub used_at: Time,
 }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes over what a later revision of the catalogue says.
+    /// Adopts the values of a later catalogue revision.
     pub fn update_allowance(&mut self, allowance: Allowance) {
         if allowance.revision > self.allowance.revision {
             self.allowance = allowance;
@@ -130,7 +130,7 @@
         if now < self.expires { self.slots } else { 0 }
     }
 
-    /// Returns how many places may be in use now.
+    /// Returns how many slots may be in use.
     pub fn usable_slots(&self, now: Time, instances: u32) -> u32 {
         let leased = self.leased(now);
         match self.fallback {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Returns the equal part of the limit for an instance without a home.
+    /// Returns an equal share of the limit, for an instance whose home is unreachable.
     fn fallback_slots(&self, instances: u32) -> u32 {
         let share = self.allowance.concurrent / instances.max(1);
         share.max(u32::from(self.allowance.concurrent > 0))
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns when tokens are expected, if the home said that there are none.
+    /// Returns when tokens are expected if none are available.
     pub fn tokens_wait(&mut self, now: Time) -> Duration {
         match &mut self.fallback {
             Some(bucket) => bucket.time_until(now, 1),
@@ -167,21 +167,21 @@
         }
     }
 
-    /// Returns whether it is known that no more places can be had now. Until
-    /// then a wish is on its way that may still be met.
+    /// Returns whether no more slots are known to be available. Otherwise a pending request may
+    /// still be granted.
     pub fn is_exhausted(&self) -> bool {
         self.fallback.is_some() || self.is_exhausted
     }
 
-    /// Returns whether nothing is held or owed, so that it can be forgotten.
+    /// Returns whether the share holds nothing, has no pending request and can be dropped.
     pub fn is_idle(&self, now: Time) -> bool {
         let in_use = self.in_use + self.waiting + self.leased(now);
         in_use == 0 && self.pending.is_none() && now >= self.used_at + FORGET_AFTER
     }
 
-    /// Returns how long the `ahead`-th waiting request waits for a place, at
-    /// the rate at which places became free of late. Without any to go by
-    /// nothing is predicted: a guess would refuse what might have run.
+    /// Returns the expected wait of a request with `ahead` others ahead of it, from the recent rate
+    /// of released slots. Without such data it returns `None`, because a guess could refuse
+    /// requests that would have started in time.
     pub fn predicted_wait(&self, now: Time, instances: u32, ahead: u32) -> Option<Duration> {
         let slots = self.usable_slots(now, instances).max(1);
         let rounds = f64::from(ahead + 1) / f64::from(slots);
@@ -221,8 +221,8 @@
         (needed + spare).min(self.allowance.concurrent)
     }
 
-    /// Returns how many tokens to ask for: enough for a while and to make up
-    /// for what was overspent; none while enough are left.
+    /// Returns how many tokens to request: enough for [`TOKEN_HORIZON`] and for what was overspent.
+    /// Returns 0 while enough are left.
     fn tokens_wanted(&mut self, now: Time) -> u64 {
         if self.allowance.tokens_per_minute == 0 || self.in_use + self.waiting == 0 {
             return 0;
@@ -238,7 +238,7 @@
         u64::try_from(wanted - self.tokens).unwrap_or(0)
     }
 
-    /// Returns whether the home is to be asked now.
+    /// Returns whether a request to the home is due.
     pub fn is_request_due(&mut self, now: Time, home: InstanceKey) -> bool {
         let moved = self.requested_home != Some(home);
         if let Some(pending) = self.pending {
@@ -252,7 +252,7 @@
         now >= self.retry_not_before && (needs_more || self.tokens_wanted(now) > 0)
     }
 
-    /// Returns when to look again, whatever happens until then.
+    /// Returns the next time to check this share.
     pub fn next_wake(&self) -> Time {
         let home_timeout = match (self.fallback.is_some(), self.unanswered_since) {
             (false, Some(since)) => since + HOME_TIMEOUT,
@@ -264,7 +264,7 @@
         request_due.min(home_timeout)
     }
 
-    /// Makes an ask, and gives up what it does not claim.
+    /// Creates a lease request and returns the slots and tokens that it does not claim.
     pub fn make_request(&mut self, now: Time, home: InstanceKey) -> LeaseRequest {
         let is_retry = self.pending.is_some() && self.requested_home == Some(home);
         if !is_retry || self.unanswered_since.is_none() {
@@ -277,8 +277,8 @@
             _ => 0,
         };
         self.tokens -= i64::try_from(returned).unwrap_or(0);
-        // An ask that was not answered may not have arrived; what is owed is
-        // told again. If it did arrive it counts twice, which errs on the safe side.
+        // An unanswered request may not have arrived, so its owed tokens are reported again. If it
+        // did arrive, they count twice, which errs on the safe side.
         let owed_before = self.pending.map_or(0, |it| it.tokens_owed);
         let owed = owed_before + self.tokens.min(0).unsigned_abs();
         self.tokens = self.tokens.max(0);
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Goes on without a home once it has been silent for too long.
+    /// Switches to the local fallback if the home does not answer in time.
     pub fn check_home(&mut self, now: Time, has_home: bool, instances: u32) {
         let since = self.unanswered_since.filter(|_| self.pending.is_some());
         let is_unreachable = since.is_some_and(|it| now >= it + HOME_TIMEOUT);
@@ -326,7 +326,7 @@
 
     fn fallback_bucket(&mut self, now: Time, instances: u32) -> TokenBucket {
         let share = self.allowance.tokens_per_minute / u64::from(instances.max(1));
-        // What was overspent under the home is not forgiven.
+        // Tokens overspent under the home stay owed.
         let owed_before = self.pending.map_or(0, |it| it.tokens_owed);
         let mut bucket = TokenBucket::new(now, share);
         bucket.overdraw(now, owed_before + self.tokens.min(0).unsigned_abs());
@@ -338,8 +338,8 @@
         self.fallback.is_some()
     }
 
-    /// Takes in an answer; returns whether it gave up places by it, which the
-    /// home must hear of.
+    /// Applies a lease; returns whether the number of slots fell, which must be reported to the
+    /// home.
     pub fn apply_lease(&mut self, now: Time, lease: &LimitLease) -> bool {
         if lease.is_revocation {
             return self.apply_revocation(lease);
@@ -370,7 +370,7 @@
         true
     }
 
-    /// Sets when to ask again if nothing else happens.
+    /// Sets when to send the next request if nothing else happens.
     fn schedule(&mut self, now: Time, pending: &PendingRequest, lease: &LimitLease) {
         let renew = self.expires.since(now).saturating_sub(RENEW_BEFORE);
         let idle = self.in_use + self.waiting == 0 && self.slots == 0;
--- a/crates/core/tests/limits_bounds.rs
+++ b/crates/core/tests/limits_bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on limits, for arbitrary orders of events, late and lost messages.
+//! Bounds on limits for arbitrary orders of events and with late and lost messages.
 
 #[path = "fixtures/limits.rs"]
 mod fixture;
@@ -69,8 +69,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// While there is one home that answers, limits hold exactly, whatever is
-    /// late, lost or out of order.
+    /// While the only home answers, limits hold exactly, even if messages are late, lost or
+    /// reordered.
     #[test]
     fn one_home_never_exceeds_a_limit(
         steps in vec(any_step(), 1..120),
@@ -90,9 +90,8 @@
         }
     }
 
-    /// When the home moves, is lost, or the fleet parts into two with a home
-    /// each, at most twice the limit runs, and one more for each instance
-    /// whose equal part is rounded up.
+    /// When the home moves, is lost, or a partition leaves two homes, at most twice the limit runs,
+    /// and one more for each instance whose equal share is rounded up.
     #[test]
     fn two_homes_never_exceed_twice_a_limit(
         before in vec(any_step(), 1..40),
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Every request that was taken in ends as admitted, refused or waiting.
+    /// Every submitted request is admitted, refused or still queued.
     #[test]
     fn no_request_is_lost(steps in vec(any_step(), 1..80), lose_every in 2_u32..6) {
         let mut world = World::new(4);
--- a/crates/core/tests/limits_leases.rs
+++ b/crates/core/tests/limits_leases.rs
@@ -1,4 +1,4 @@
-//! Limits over several instances, and what holds when their home is lost.
+//! Limits over several instances, including the loss of their home.
 
 #[path = "fixtures/limits.rs"]
 mod fixture;
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// When the world begins.
+/// Start time of the simulation.
 const T: Time = Time::from_secs(1);
 
 const RTT: Duration = Duration::from_millis(10);
@@ -25,7 +25,7 @@
     }
 }
 
-/// Takes `count` requests at each member and lets the leases settle.
+/// Submits `count` requests at each member and runs until the leases have settled.
 fn take_everywhere(world: &mut World, count: usize, ws: &str, limit: u32, entry: Allowance) {
     for member in 0..world.members.len() {
         for _ in 0..count {
@@ -50,10 +50,9 @@
 
 #[test]
 fn a_burst_after_an_idle_period_gets_its_slots_at_once() {
-    // Symptom: the first verdicts of the hour waited for a second.
-    // Sequence: a workspace is idle until the hour turns; its home has
-    // forgotten it and meets it anew.
-    // Cause: each new account was held to equal parts, as if homes had moved.
+    // Guards against a delay of one second for the first requests after an idle period. The home
+    // had dropped the account of the idle workspace and limited the new account to equal shares, as
+    // after a move of homes.
     let mut world = World::new(6);
     let burst = |world: &mut World| {
         for _ in 0..6 {
@@ -90,10 +89,9 @@
 
 #[test]
 fn revoked_slots_go_to_the_instance_below_its_share() {
-    // Symptom: one instance held a workspace's whole limit for minutes, and
-    // requests of the workspace that came in elsewhere were refused.
-    // Sequence: one instance takes all places; a second asks for some.
-    // Cause: leases were given first come, first served, and never taken back.
+    // Guards against an instance that holds a workspace's whole limit for minutes while other
+    // instances refuse requests of the workspace. One instance takes all slots, then a second one
+    // requests some. Leases were granted in order of arrival and never revoked.
     let mut world = World::new(2);
     for _ in 0..40 {
         let claim = world.claim(workspace("ws", 20, 0), entry(100), 60_000);
@@ -117,9 +115,8 @@
 
 #[test]
 fn a_large_workspace_does_not_starve_a_small_one() {
-    // Symptom: verdicts of a small workspace were refused at the top of the hour.
-    // Sequence: a broadcaster sends hundreds of sheets for the same entry first.
-    // Cause: places of an entry were given in the order of arrival.
+    // Guards against starvation of a small workspace. A large workspace submits hundreds of
+    // requests for the same entry first. Slots of an entry were granted in order of arrival.
     let mut world = World::new(1);
     for _ in 0..300 {
         let mut claim = world.claim(workspace("large", 500, 0), entry(10), 60_000);
@@ -160,9 +157,9 @@
 
 #[test]
 fn no_request_is_refused_without_data_about_waits() {
-    // Symptom: of five verdicts that take 20 ms each two were refused.
-    // Sequence: they come together, as the first of their workspace.
-    // Cause: without experience a place was assumed to be held for 2 s.
+    // Guards against refusals without data about waits. Five requests that take 20 ms each arrive
+    // together as the first of their workspace, and two of them were refused, because slots were
+    // assumed to be held for 2 s.
     let mut world = World::new(1);
     for _ in 0..5 {
         let claim = world.claim(workspace("ws", 2, 0), entry(10), 2_000);
@@ -195,9 +192,9 @@
 
 #[test]
 fn slots_of_a_dead_instance_become_free_when_its_lease_ends() {
-    // Symptom: a workspace could use half of its limit after an instance died.
-    // Sequence: an instance with places is killed and never gives them back.
-    // Cause: places were counted until they were given back.
+    // Guards against slots that stay lost after an instance died. The instance is killed while it
+    // holds slots and never returns them. They counted as used until they were returned, so the
+    // workspace could use only half of its limit.
     let mut world = World::new(3);
     take_everywhere(&mut world, 10, "ws", 10, entry(100));
     let of_dead = world.members[2].admitted.len() as u32;
@@ -230,9 +227,8 @@
 
 #[test]
 fn without_a_home_each_instance_is_limited_to_an_equal_share() {
-    // Symptom: nothing was admitted while the home of a limit was unreachable.
-    // Sequence: the home is frozen; the list and the links do not show it yet.
-    // Cause: requests waited for an answer that did not come.
+    // Guards against a standstill while the home of a limit is unreachable. The home is frozen, but
+    // the list and the links do not show it yet. Requests waited for an answer that did not come.
     let mut world = World::new(4);
     world.partitioned = (1..4).map(|it| (0, it)).collect();
     for member in 1..4 {
@@ -260,10 +256,10 @@
 #[case(true, 12)]
 #[case(false, 24)]
 fn two_sides_of_a_partition_stay_within_the_bound(#[case] know: bool, #[case] bound: u32) {
-    // Symptom: a workspace ran twice its limit while the regions were parted.
-    // Sequence: each side has a home of its own, which leases out the limit.
-    // Cause: homes did not count who was missing. Where the links show it, a
-    // home leaves the others their part; where they do not, twice is the bound.
+    // Guards against exceeding the bound during a partition. Each side has its own home, which
+    // leases out the limit. A home that knows from its links which instances are missing leaves
+    // them their share, so that the sum stays within the limit. Without this knowledge the bound is
+    // twice the limit.
     let mut world = World::new(6);
     let (left, right) = ([0, 1], [2, 3, 4, 5]);
     for &a in &left {
@@ -283,9 +279,9 @@
 
 #[test]
 fn a_paused_process_does_not_use_its_expired_lease() {
-    // Symptom: an instance admitted requests on places that others had by then.
-    // Sequence: SIGSTOP for longer than a lease; a request arrives on waking.
-    // Cause: the lease was checked when it came, not when it was used.
+    // Guards against requests admitted with an expired lease. The process is stopped for longer
+    // than a lease (SIGSTOP), and a request arrives when it resumes. The lease was checked when it
+    // was received but not when it was used, although other instances held the slots by then.
     let mut world = World::new(2);
     let claim = world.claim(workspace("ws", 10, 0), entry(10), 60_000);
     let first = world.submit(1, claim);
@@ -390,9 +386,8 @@
 
 #[test]
 fn an_exhausted_limit_with_hundreds_of_holders_does_not_overload_its_home() {
-    // Symptom: the home of one workspace's limits was busy with asks alone.
-    // Sequence: a large workspace uses up its limit at every instance at once.
-    // Cause: each instance repeated its wish as often as if it were the only one.
+    // Guards against a home that is overloaded with lease requests. A large workspace exhausts its
+    // limit at every instance at once. Each instance retried as often as if it were the only one.
     let mut world = World::new(120);
     for member in 0..120 {
         for _ in 0..5 {
