--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -1,15 +1,14 @@
-//! Orders to endpoints: what they hold, reconciled to what the catalogue asks.
+//! Orders that reconcile the models of endpoints with the catalogue.
 //!
-//! Every cell has one *giver* of orders: the instance that ranks first for it
-//! among those that the **list** calls live. What links and peers say moves the
-//! home that admits work, but not the giver: an order that two givers contradict
-//! costs minutes of a rate-limited weight store, while an order that waits for
-//! the list costs nothing that runs.
+//! Every cell has one *controller*: the instance that ranks first for it among those that the
+//! **list** calls live. Link state and gossip move the home that admits work, but not the
+//! controller. Contradicting orders of two controllers cost minutes of the rate-limited weight
+//! store, while an order that waits for the list delays nothing that runs.
 //!
-//! [`plan_goals`] says what each endpoint should hold, [`next_change`] which
-//! single change brings it closer, and [`Orders`] when that may be ordered:
-//! with a fencing number that never falls, on fresh knowledge, at this giver's
-//! part of the weight store's rate. See `docs/design/orders.md`.
+//! [`plan_goals`] computes what each endpoint should hold, and [`next_change`] the next single
+//! change towards it. [`Orders`] decides when the change may be ordered: with an increasing fencing
+//! number, on a recently confirmed list, and within this controller's share of the weight store's
+//! rate. See `docs/design/orders.md`.
 
 mod controller;
 mod endpoint;
@@ -27,39 +26,38 @@
 use crate::value::{EndpointTarget, OrderKind};
 use core::time::Duration;
 
-/// A giver may order for so long after it asked for the list that confirms it.
-/// After that it has to ask again: it may have been replaced without noticing.
+/// How long a controller may send orders after it requested the list that confirms it. Then it must
+/// confirm the list again, because it may have been replaced without noticing.
 pub const CONTROLLER_LEASE: Duration = Duration::from_secs(10);
 
-/// One read of the list may lag behind another by so much. We assume it; the
-/// platform does not say.
+/// Assumed maximum lag between two reads of the list. The platform does not guarantee a bound.
 pub const LIST_LAG: Duration = Duration::from_secs(30);
 
-/// What an order may still be on its way after its sender has let it go.
+/// Maximum time that an order may be in transit after it was sent.
 pub const HAND_OVER_MARGIN: Duration = Duration::from_secs(5);
 
-/// A new giver waits for so long before it orders anything of an endpoint that
-/// does not refuse the old one's orders.
+/// A new controller waits this long before it sends orders to an endpoint that does not reject the
+/// orders of the previous controller.
 pub const HAND_OVER_WAIT: Duration = Duration::from_secs(
     CONTROLLER_LEASE.as_secs() + LIST_LAG.as_secs() + HAND_OVER_MARGIN.as_secs(),
 );
 
-/// What orders ask of the node.
+/// Effects that orders request from the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrdersAction {
-    /// Give an order.
+    /// Send an order.
     Send {
-        /// To which endpoint.
+        /// The endpoint.
         endpoint: EndpointTarget,
-        /// The order's fencing number.
+        /// The fencing number of the order.
         fencing: u64,
-        /// What to do.
+        /// The change.
         kind: OrderKind,
-        /// The order must not be sent after this point.
+        /// The order must not be sent after this time.
         send_before: Time,
     },
-    /// Read the list now; orders wait for it.
+    /// Read the list now, because orders wait for it.
     ReadList,
-    /// Tell operators.
+    /// Record an event for operators.
     Note(Note),
 }
--- a/crates/core/src/orders/controller.rs
+++ b/crates/core/src/orders/controller.rs
@@ -1,4 +1,4 @@
-//! When an order may be given, and what becomes of it.
+//! Decides when orders may be sent and tracks their results.
 
 use super::endpoint::{ManagedEndpoint, RESPONSE_TIMEOUT};
 use super::fence::{FENCE_REVISION_SHIFT, next_fence};
@@ -14,19 +14,19 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// An order is sent within this time or not at all.
+/// An order must be sent within this time or not at all.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of a cell's endpoints that load at the same time at most.
+/// At most this fraction of a cell's endpoints load at the same time; a divisor.
 const LOADING_DIVISOR: u32 = 4;
 
-/// The list is asked for again at most so often for the sake of an order.
+/// Minimum time between two reads of the list requested for orders.
 const MIN_LIST_READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How the giver of orders takes part.
+/// Configuration of the controller.
 #[derive(Clone, Copy, Debug)]
 pub struct OrdersConfig {
-    /// Loads that the weight store bears in a minute, over all givers.
+    /// Maximum loads per minute from the weight store, over all controllers.
     pub loads_per_minute: u32,
     /// Seed of the jitter.
     pub seed: u64,
@@ -41,48 +41,47 @@
     }
 }
 
-/// What the giver knows about its own standing.
+/// The state on which a controller decides whether it may send orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerContext {
     /// The revision of the list in force.
     pub list_revision: u64,
-    /// When the call was sent that last confirmed that list; `None` if it was
-    /// never confirmed.
+    /// When the call was sent that last confirmed that list; `None` if it was never confirmed.
     pub confirmed: Option<Time>,
-    /// Whether the catalogue in force is the newest that anybody has told of.
+    /// Whether the catalogue in force is the newest that is known to exist.
     pub is_catalogue_current: bool,
-    /// How many instances give orders.
+    /// Number of instances that are controllers.
     pub controllers: u32,
 }
 
 impl ControllerContext {
-    /// Returns until when orders may be given on it.
+    /// Returns the time until which orders may be sent.
     fn lease_end(&self) -> Time {
         self.confirmed
             .map_or(Time::ZERO, |it| it + CONTROLLER_LEASE)
     }
 }
 
-/// Gives orders to the endpoints that this instance is the giver for.
+/// Sends orders to the endpoints that this instance controls.
 ///
-/// Invariant: at most one order is out for an endpoint, and the numbers given
-/// to it only grow.
+/// Invariant: at most one order per endpoint is pending, and the fencing numbers sent to it
+/// increase.
 #[derive(Clone, Debug)]
 pub struct Orders {
     cfg: OrdersConfig,
     rng: SmallRng,
     endpoints: BTreeMap<EndpointKey, ManagedEndpoint>,
-    /// The number used last.
+    /// The fencing number used last.
     last_fence: u64,
-    /// When this giver may take weights again.
+    /// When this controller may next load weights.
     next_load: Option<Time>,
-    /// When the list was asked for last.
+    /// When the list was last requested.
     list_requested_at: Option<Time>,
     wake: Time,
 }
 
 impl Orders {
-    /// Creates a giver of no orders.
+    /// Creates a controller without endpoints.
     pub fn new(cfg: OrdersConfig) -> Self {
         Orders {
             cfg,
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Takes in the goals that follow from a new list, catalogue or notice.
+    /// Replaces the goals after a change of the list, the catalogue or a leaving notice.
     pub fn set_goals(&mut self, now: Time, goals: Vec<EndpointGoal>) {
         let mut before = core::mem::take(&mut self.endpoints);
         for goal in goals {
@@ -110,17 +109,17 @@
         self.wake = now;
     }
 
-    /// Returns whether this instance gives orders to an endpoint.
+    /// Returns whether this instance sends orders to an endpoint.
     pub fn controls(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
-    /// Returns how many endpoints this instance gives orders to.
+    /// Returns how many endpoints this instance controls.
     pub fn endpoints(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// An endpoint reported what it holds.
+    /// Records the models that an endpoint reported.
     pub fn report(&mut self, now: Time, endpoint: EndpointKey, report: &LoadReport) {
         let Some(managed) = self.endpoints.get_mut(&endpoint) else {
             return;
@@ -131,7 +130,7 @@
         self.wake = now;
     }
 
-    /// An endpoint answered an order.
+    /// Records the result of an order.
     pub fn on_order_answered(
         &mut self,
         now: Time,
@@ -152,9 +151,9 @@
         self.wake
     }
 
-    /// Gives whatever orders are due.
+    /// Sends all orders that are due.
     ///
-    /// `is_used` says whether a generation runs on a model of an endpoint.
+    /// `is_used` returns whether a generation runs on a model of an endpoint.
     pub fn tick(
         &mut self,
         now: Time,
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Returns how many endpoints of each cell load something.
+    /// Returns how many endpoints of each cell are loading a model.
     fn loading(&self) -> BTreeMap<CellKey, u32> {
         let mut loading = BTreeMap::new();
         for managed in self.endpoints.values().filter(|it| it.is_loading()) {
@@ -214,7 +213,7 @@
         }
     }
 
-    /// Returns whether an order may be given now, or why not.
+    /// Returns `Ok` if an order may be sent now, else why it is held back.
     fn check_order(
         &mut self,
         now: Time,
@@ -241,10 +240,10 @@
         }
     }
 
-    /// Keeps to this giver's part of the weight store's rate.
+    /// Keeps to this controller's share of the weight store's rate.
     ///
-    /// The first load waits for a random part of the pause, because a new
-    /// catalogue reaches all givers at once.
+    /// The first load waits for a random part of the pause, because a new catalogue reaches all
+    /// controllers at once.
     fn check_load(&mut self, now: Time, controllers: u32) -> Result<(), Hold> {
         let pause = self.load_pause(controllers);
         let rng = &mut self.rng;
@@ -324,8 +323,8 @@
 /// Why an order is held back.
 #[derive(Clone, Copy, Debug)]
 enum Hold {
-    /// It may be given later, if nothing changes.
+    /// It may be sent from the given time on, if nothing changes.
     Until(Time),
-    /// The list has to be confirmed first.
+    /// The list must be confirmed first.
     Stale,
 }
--- a/crates/core/src/orders/endpoint.rs
+++ b/crates/core/src/orders/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint to which orders are given.
+//! The order state of one endpoint.
 
 use super::HAND_OVER_WAIT;
 use super::goals::EndpointGoal;
@@ -8,54 +8,54 @@
 use crate::value::{LoadReport, LoadedModel, OrderKind, OrderResult};
 use core::time::Duration;
 
-/// An order whose answer does not come by then has failed.
+/// An order without a response within this time has failed.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A change that was accepted and that no report shows by then is ordered again.
+/// An accepted change that no report shows within this time is ordered again.
 const EFFECT_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The first pause after a failed order; doubles up to [`RETRY_MOST`].
+/// Initial pause after a failed order; doubles up to [`RETRY_MAX`].
 const RETRY_MIN: Duration = Duration::from_secs(1);
 
-/// The longest pause after a failed order.
+/// Maximum pause after a failed order.
 const RETRY_MAX: Duration = Duration::from_secs(60);
 
-/// An order that was given.
+/// The stage of the current order.
 #[derive(Clone, Debug)]
 enum Stage {
-    /// None is out.
+    /// No order is pending.
     Idle,
-    /// The endpoint has not answered yet.
+    /// The endpoint has not responded yet.
     Sent {
         fencing: u64,
         kind: OrderKind,
         at: Time,
     },
-    /// The endpoint carries it out.
+    /// The endpoint accepted the order and carries it out.
     Accepted { kind: OrderKind, at: Time },
-    /// It failed; the next one waits.
+    /// The order failed; the next one waits until the given time.
     Failed { until: Time },
 }
 
-/// One endpoint to which this instance gives orders.
+/// An endpoint to which this instance sends orders.
 #[derive(Clone, Debug)]
 pub(super) struct ManagedEndpoint {
     pub goal: EndpointGoal,
-    /// Since when this instance is the giver.
+    /// Since when this instance is the controller.
     since: Time,
     loaded: Vec<LoadedModel>,
-    /// When the newest report was true; `None` before the first.
+    /// When the newest report was valid; `None` before the first.
     reported: Option<Time>,
-    /// The highest number that the endpoint is known to have seen.
+    /// The highest fencing number that the endpoint is known to have seen.
     pub highest: u64,
-    /// When that was learnt. Reports lag, and an older one knows less.
+    /// When `highest` was learned. Reports lag, and an older one knows less.
     highest_at: Time,
-    /// The endpoint has forgotten the highest number: it was restarted, and
-    /// would obey a giver that it refused before.
+    /// The endpoint lost the highest fencing number in a restart, and would accept orders of a
+    /// controller that it rejected before.
     has_lost_fence: bool,
     stage: Stage,
     failures: u32,
-    /// An order is held back, and operators were told.
+    /// An order is held back, and operators were notified.
     pub is_held: bool,
 }
 
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Returns from when on no order of an earlier giver can arrive any more,
-    /// or would be refused.
+    /// Returns the time from which no order of an earlier controller can arrive, or any that
+    /// arrives is rejected.
     pub fn safe_from(&self) -> Time {
         if self.goal.fencing.protects() && !self.has_lost_fence {
             return Time::ZERO;
@@ -102,15 +102,15 @@
         if self.goal.fencing.protects() {
             self.check_fence(true_at, report.fencing);
         }
-        // What was loaded is gone unasked: the endpoint was restarted, and the
-        // load that it had accepted with it.
+        // A loaded model is gone without an order, so the endpoint was restarted and lost the load
+        // that it had accepted.
         if lost && self.is_loading() && matches!(self.stage, Stage::Accepted { .. }) {
             self.stage = Stage::Idle;
         }
     }
 
-    /// Notices an endpoint that knows a lower number than before: it has lost
-    /// its memory, and with it the protection from earlier givers.
+    /// Detects an endpoint that reports a lower fencing number than before. It lost its state and
+    /// with it the protection from earlier controllers.
     fn check_fence(&mut self, true_at: Time, reported: u64) {
         if reported < self.highest && true_at > self.highest_at {
             self.has_lost_fence = true;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes in what the endpoint should hold now.
+    /// Sets what the endpoint should hold.
     pub fn with_goal(mut self, goal: EndpointGoal) -> Self {
         let is_other = self.goal.models != goal.models;
         if is_other && matches!(self.stage, Stage::Accepted { .. }) {
@@ -138,7 +138,7 @@
         self
     }
 
-    /// An order was let go.
+    /// Records that an order was sent.
     pub fn sent(&mut self, now: Time, fencing: u64, kind: OrderKind) {
         self.stage = Stage::Sent {
             fencing,
@@ -177,7 +177,7 @@
         self.stage = Stage::Failed { until };
     }
 
-    /// Ends what has taken too long; returns when to look again.
+    /// Ends a stage that took effect or timed out; returns when to check again.
     pub fn advance(&mut self, now: Time, retry: f64) -> Time {
         match &self.stage {
             Stage::Sent { at, .. } if *at + RESPONSE_TIMEOUT <= now => self.fail(now, retry),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Returns whether the newest report still lacks what was ordered.
+    /// Returns whether the newest report does not show the effect of an order.
     fn is_effect_missing(&self, kind: &OrderKind) -> bool {
         let holds = |model: &str, version: &str, adapter: &Option<String>| {
             let held = self.loaded.iter();
--- a/crates/core/src/orders/fence.rs
+++ b/crates/core/src/orders/fence.rs
@@ -1,19 +1,17 @@
 //! Fencing numbers.
 //!
-//! A number is the revision of the published list in the upper half and the
-//! giver's own count in the lower. A giver that was replaced holds an older
-//! list, so that its numbers are lower than those of the one that replaced it,
-//! without anything being written anywhere.
+//! The upper half of a fencing number is the revision of the published list, the lower half a
+//! counter of the controller. A replaced controller holds an older list, so its numbers are lower
+//! than those of its successor without any shared state.
 
-/// Where the list's revision begins in a fencing number.
+/// Position of the list's revision in a fencing number, in bits.
 pub const FENCE_REVISION_SHIFT: u32 = 32;
 
-/// Returns the number of the next order by a giver that holds list `revision`
-/// and has used `last`, to an endpoint that has seen `highest`.
+/// Returns the number of the next order by a controller that holds list `revision` and last used
+/// `last`, to an endpoint that has seen `highest`.
 ///
-/// Returns `None` if the endpoint has seen a number of a later revision: then
-/// this giver is the one that was replaced, and whatever it would order comes
-/// from stale knowledge.
+/// Returns `None` if the endpoint has seen a number of a later revision. Then this controller was
+/// replaced, and its orders would be based on a stale list.
 pub const fn next_fence(revision: u64, last: u64, highest: u64) -> Option<u64> {
     if highest >> FENCE_REVISION_SHIFT > revision {
         return None;
@@ -24,7 +22,7 @@
         floor = first;
     }
     let next = floor + 1;
-    // A count that overflows would pass for a revision that does not exist yet.
+    // An overflowing counter would look like a revision that does not exist yet.
     if next >> FENCE_REVISION_SHIFT == revision {
         Some(next)
     } else {
--- a/crates/core/src/orders/goals.rs
+++ b/crates/core/src/orders/goals.rs
@@ -1,4 +1,4 @@
-//! What each endpoint should hold.
+//! Computes what each endpoint should hold.
 
 use crate::catalogue::{Catalogue, Model};
 use crate::ids::{CellKey, EndpointKey, InstanceKey};
@@ -29,19 +29,19 @@
     pub cell: CellKey,
     /// Endpoints of that cell that take work.
     pub cell_size: u32,
-    /// Whether it refuses a stale giver.
+    /// Whether the endpoint rejects orders of a stale controller.
     pub fencing: FencingSupport,
     /// The models, sorted by name and version.
     pub models: Vec<ModelGoal>,
-    /// Names of the models whose placement the catalogue asks for, sorted. All
-    /// other models are left as they are.
+    /// Names of the models whose placement the catalogue manages, sorted. Other models are left
+    /// unchanged.
     pub managed: Vec<String>,
 }
 
-/// Returns the goals of the endpoints to which `me` gives orders.
+/// Returns the goals of the endpoints that this instance controls.
 ///
-/// A pure function of list and catalogue, apart from endpoints that said that
-/// they are leaving: those have no goal and are left alone.
+/// The result is a function of the list and the catalogue, except that endpoints with a leaving
+/// notice have no goal and are left unchanged.
 pub fn plan_goals(membership: &Membership, catalogue: &Catalogue) -> Vec<EndpointGoal> {
     let me = membership.me();
     let managed = managed_names(catalogue);
@@ -74,7 +74,7 @@
     goals
 }
 
-/// Returns how many instances give orders, and at least one.
+/// Returns the number of controllers; at least one.
 pub fn count_controllers(membership: &Membership) -> u32 {
     let cells = membership.view().cells();
     let controllers: BTreeSet<InstanceKey> = cells
@@ -118,10 +118,10 @@
 
 /// Returns whether `endpoint` is among those that should hold `model`.
 ///
-/// If fewer endpoints of the data centre should hold it than may, they are
-/// ranked by a hash, so that every giver picks the same and one that goes is
-/// replaced without moving the others. What only a notice says to be leaving
-/// still counts here, or givers that have not heard of it would pick others.
+/// If a data centre has more candidates than replicas, a hash ranks them, so that all controllers
+/// choose the same endpoints and a departing one is replaced without moving the others. Endpoints
+/// with only a leaving notice still count, because controllers that have not received the notice
+/// would otherwise choose differently.
 fn holds(membership: &Membership, endpoint: &Endpoint, model: &Model) -> bool {
     if !serves(endpoint, model) {
         return false;
--- a/crates/core/src/orders/reconcile.rs
+++ b/crates/core/src/orders/reconcile.rs
@@ -1,14 +1,13 @@
-//! The one change that brings an endpoint closer to its goal.
+//! Computes the next change that brings an endpoint closer to its goal.
 
 use super::goals::{EndpointGoal, ModelGoal};
 use crate::value::{LoadedModel, OrderKind};
 
-/// Returns the next change for an endpoint that holds `loaded`, or `None` if it
-/// holds what it should.
+/// Returns the next change for an endpoint that holds `loaded`, or `None` if it matches its goal.
 ///
-/// What is missing is loaded first; what is not wanted any more goes only when
-/// its successor is there and `is_used` says that no generation runs on it, so
-/// that a change of version neither leaves a gap nor cuts off a request.
+/// Missing models are loaded first. An unwanted model is unloaded only when its successor is loaded
+/// and `is_used` returns false for it, so that a version change neither leaves a gap nor interrupts
+/// a request.
 pub fn next_change(
     goal: &EndpointGoal,
     loaded: &[LoadedModel],
@@ -24,7 +23,7 @@
     })
 }
 
-/// Returns whether a change takes weights from the weight store.
+/// Returns whether a change loads weights from the weight store.
 pub(super) const fn loads_weights(kind: &OrderKind) -> bool {
     matches!(kind, OrderKind::Load { .. })
 }
--- a/crates/core/tests/orders_failures.rs
+++ b/crates/core/tests/orders_failures.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints when givers differ, pause or know too little.
+//! Orders to endpoints when controllers disagree, pause or have stale information.
 
 #[path = "fixtures/orders.rs"]
 mod fixture;
@@ -32,7 +32,7 @@
     Controller::new(now, revision, vec![goal("e1", fencing, &[("m", version)])])
 }
 
-/// Gives a report and returns the orders that follow.
+/// Passes a report and returns the resulting orders.
 fn report_and_tick(controller: &mut Controller, now: Time, engine: &Engine) -> Vec<Sent> {
     controller.orders.report(now, e1(), &engine.report());
     controller.tick(now)
@@ -56,9 +56,9 @@
 
 #[test]
 fn an_old_version_is_unloaded_only_after_the_new_one_is_loaded_and_while_unused() {
-    // Symptom: a plan was cut off in the middle by a change of version.
-    // Sequence: the catalogue asks for version 2 while a plan runs on 1.
-    // Cause: the old version was unloaded as soon as it was not wanted.
+    // Guards against a generation that is interrupted by a version change. The catalogue asks for
+    // version 2 while a generation runs on version 1. The old version was unloaded as soon as it
+    // was unwanted.
     let mut engines = engines(CHECKED);
     engines[0].1.models = vec![loaded("m", "1"), loaded("other", "7")];
     let mut controller = controller(T, 5, CHECKED, "2");
@@ -104,9 +104,9 @@
 
 #[test]
 fn of_two_controllers_the_one_with_the_later_list_wins_and_the_other_stops() {
-    // Symptom: an engine loaded and unloaded two versions in turn.
-    // Sequence: the giver moves; the old one holds an older list and catalogue.
-    // Cause: both went on ordering, each with numbers of its own.
+    // Guards against an engine that alternately loads and unloads two versions. The controller
+    // moves, and the old one holds an older list and catalogue. Both kept sending orders with
+    // independent fencing numbers.
     let mut engine = Engine::new(CHECKED);
     let mut old = controller(T, 5, CHECKED, "1");
     let mut new = controller(T, 6, CHECKED, "2");
@@ -129,10 +129,9 @@
 fn a_new_controller_waits_for_the_old_lease_to_end_if_the_endpoint_does_not_check_fencing(
     #[case] fencing: FencingSupport,
 ) {
-    // Symptom: an engine that ignores fencing ended with the old version.
-    // Sequence: the giver moves; the new one orders at once; an order of the
-    // old one, let go before it knew, arrives later.
-    // Cause: the endpoint obeys whoever comes last.
+    // Guards against an engine without fencing that ends with the old version. The controller
+    // moves, the new one sends an order at once, and an order that the old one had sent before it
+    // knew arrives later. The endpoint obeys the order that arrives last.
     let engine = Engine::new(fencing);
     let mut new = controller(T, 6, fencing, "2");
     let just_before = T + (HAND_OVER_WAIT - Duration::from_millis(1));
@@ -146,9 +145,9 @@
 #[case(CHECKED)]
 #[case(IGNORED)]
 fn a_paused_controller_sends_no_late_order(#[case] fencing: FencingSupport) {
-    // Symptom: an engine obeyed an order of a giver replaced a minute ago.
-    // Sequence: SIGSTOP between decision and send, SIGCONT a minute later.
-    // Cause: the order carried no end, and the lease was checked only before.
+    // Guards against an engine that obeys an order of a controller replaced a minute ago. The
+    // process is stopped (SIGSTOP) between decision and send and continues a minute later
+    // (SIGCONT). The order had no deadline, and the lease was checked only before the decision.
     let engine = Engine::new(fencing);
     let mut controller = controller(T, 5, fencing, "1");
     controller.can_read_list = false;
@@ -166,9 +165,9 @@
 
 #[test]
 fn no_order_is_sent_on_an_unconfirmed_list() {
-    // Symptom: models were moved by an instance that was not the giver any more.
-    // Sequence: the platform is down for an hour; the list in force is old.
-    // Cause: the list was taken as true because nothing newer had come.
+    // Guards against models moved by an instance that is no longer the controller. The platform is
+    // down for an hour, and the list in force is old. The list was trusted because no newer one had
+    // arrived.
     let engine = Engine::new(CHECKED);
     let mut controller = controller(T, 5, CHECKED, "1");
     controller.can_read_list = false;
@@ -193,10 +192,9 @@
 
 #[test]
 fn a_restarted_controller_uses_numbers_above_its_earlier_ones() {
-    // Symptom: a restarted giver was refused by every engine for good.
-    // Sequence: it restarts under the same list and counts from one again; the
-    // reports lag and do not show its earlier numbers.
-    // Cause: the count is kept in memory only.
+    // Guards against a restarted controller that every engine rejects for good. It restarts under
+    // the same list and counts from one again, and the lagging reports do not show its earlier
+    // numbers. The counter is kept in memory only.
     let mut engine = Engine::new(CHECKED);
     engine.highest = (5 << FENCE_REVISION_SHIFT) + 40;
     let mut controller = controller(T, 5, CHECKED, "1");
@@ -213,10 +211,9 @@
 
 #[test]
 fn an_endpoint_that_lost_its_state_is_loaded_again() {
-    // Symptom: an engine stayed empty for ten minutes after a restart.
-    // Sequence: it accepts a load, dies, and comes back with nothing, also
-    // without the number that it had seen.
-    // Cause: the giver waited for the effect of an order that was forgotten.
+    // Guards against an engine that stays empty for ten minutes after a restart. It accepts a load,
+    // dies, and comes back without models and without the fencing number that it had seen. The
+    // controller waited for the effect of the lost order.
     let mut engines = engines(CHECKED);
     let mut controller = controller(T, 5, CHECKED, "1");
     let mut now = T;
@@ -235,9 +232,8 @@
 
 #[test]
 fn an_accepted_order_is_not_repeated_because_of_a_lagging_report() {
-    // Symptom: an engine was told to load the same model over and over.
-    // Sequence: a load takes minutes; reports show the model only afterwards.
-    // Cause: each report without the model led to another order.
+    // Guards against repeated orders to load the same model. A load takes minutes, and reports show
+    // the model only afterwards. Each report without the model caused another order.
     let engine = Engine::new(CHECKED);
     let mut controller = controller(T, 5, CHECKED, "1");
     let mut now = T + Duration::from_secs(1);
@@ -297,10 +293,9 @@
 
 #[test]
 fn controllers_share_the_rate_of_the_weight_store() {
-    // Symptom: the weight store refused everybody after a change of version.
-    // Sequence: a new version reaches all givers at once; each loads at the
-    // whole rate.
-    // Cause: the rate was kept by each giver for itself.
+    // Guards against overloading the weight store with a version change. A new version reaches all
+    // controllers at once, and each loads at the full rate. Each controller applied the rate to
+    // itself only.
     let (controllers, rate, minutes) = (10_u32, 30_u32, 10_u64);
     let mut loads = 0;
     for seed in 0..controllers {
@@ -368,8 +363,8 @@
         }
     }
 
-    /// Two givers, any lists, any order of arrival: a checked endpoint never
-    /// goes back from the later giver's order to the earlier one's.
+    /// With two controllers, any lists and any order of arrival, an endpoint that checks fencing
+    /// never returns from the later controller's order to the earlier one's.
     #[test]
     fn an_endpoint_with_fencing_never_obeys_the_earlier_list_after_the_later(
         arrivals in proptest::collection::vec(any::<bool>(), 1..40),
--- a/crates/core/tests/orders_goals.rs
+++ b/crates/core/tests/orders_goals.rs
@@ -1,4 +1,4 @@
-//! What endpoints should hold, from list and catalogue.
+//! Goals of endpoints, computed from the list and the catalogue.
 
 #[path = "fixtures/fleet.rs"]
 mod fleet;
@@ -46,7 +46,7 @@
     ))
 }
 
-/// Returns the goals of all givers, by endpoint.
+/// Returns the goals of all controllers by endpoint.
 fn all_goals(list: &InstanceList, catalogue: &Catalogue) -> BTreeMap<EndpointKey, EndpointGoal> {
     let mut all = BTreeMap::new();
     for record in &list.instances {
@@ -123,10 +123,9 @@
 
 #[test]
 fn a_broken_link_moves_the_home_but_not_the_controller() {
-    // Symptom: two instances ordered different versions of one engine.
-    // Sequence: the link between two instances breaks; each takes itself for
-    // the home of the cell.
-    // Cause: whoever admitted work also gave the orders.
+    // Guards against two instances that order different versions of one engine. The link between
+    // them breaks, and each considers itself the home of the cell. The home that admitted work also
+    // sent the orders.
     let list = fleet(1, 3, 4);
     let first = member("i0-000", &list);
     let cell = first.view().cells().next().unwrap().plan.key;
