--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,13 +1,13 @@
-//! Who is there: instances, endpoints, and the home of each thing.
+//! Membership of the fleet: instances, endpoints, and the home of each key, which is the instance
+//! that decides for it.
 //!
-//! The platform publishes a list that lags. What peers and endpoints say is
-//! put on top of it: an endpoint that refuses because it is leaving, an
-//! instance that says so itself, a link that broke. Decisions are soft: two
-//! instances may see the fleet differently for a while, and each mechanism
-//! built on a home says what happens then (`docs/design/placement.md`).
+//! The platform publishes a list that lags. Direct observations override it: an endpoint that
+//! refuses because it is leaving, an instance that announces that it is leaving, and a link that
+//! broke. Views are eventually consistent. Two instances may see the fleet differently for a while,
+//! and each mechanism built on a home defines what happens then (`docs/design/placement.md`).
 //!
-//! [`Membership`] is one state machine of a node. Its methods take the time
-//! and push [`MembershipAction`]s; `docs/design/membership.md` gives the rules.
+//! [`Membership`] is one state machine of a node. Its methods take the time and push
+//! [`MembershipAction`]s; `docs/design/membership.md` gives the rules.
 
 mod cells;
 mod delta;
@@ -49,33 +49,33 @@
 use reads::Reads;
 use std::collections::VecDeque;
 
-/// A link that has been down for so long makes its instance suspected. Shorter
-/// breaks are healed by the first reconnect and should not move homes.
+/// An instance whose link has been down for this long is suspected. The first reconnect heals
+/// shorter interruptions, and they should not move homes.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(250);
 
-/// Lives that are remembered as replaced, for each instance.
+/// Maximum number of replaced incarnations remembered for each instance.
 const MAX_REPLACED_INCARNATIONS: usize = 4;
 
-/// Earlier lists that are kept to compute changes for peers.
+/// Number of earlier lists kept to compute deltas for peers.
 const LIST_HISTORY: usize = 16;
 
-/// How the process takes part.
+/// Configuration of membership.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// The name under which the platform publishes this instance.
+    /// The name under which the platform lists this instance.
     pub name: String,
-    /// The life of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// The data centre of this instance, from its settings.
     pub data_centre: String,
-    /// The most endpoints of one cell.
+    /// Maximum number of endpoints in a cell.
     pub cell_endpoints: usize,
     /// Seed of the jitter.
     pub seed: u64,
 }
 
 impl MembershipConfig {
-    /// Returns a configuration with the usual size of a cell.
+    /// Returns a configuration with the default cell size.
     pub fn new(name: &str, incarnation: Incarnation, data_centre: &str, seed: u64) -> Self {
         MembershipConfig {
             name: name.to_owned(),
@@ -87,21 +87,21 @@
     }
 }
 
-/// What other parts of the node may have to react to.
+/// Changes that other parts of the node react to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A list came into force. Entities are new; homes may have moved.
+    /// A list came into force. Entity ids are new, and homes may have moved.
     List {
         /// Its revision.
         revision: u64,
     },
-    /// Homes may have moved because an instance came, went or is suspected.
+    /// Homes may have moved because an instance arrived, left or is suspected.
     Homes,
-    /// An instance is there as a new life; what the earlier one held is void.
+    /// A new incarnation of an instance replaced the previous one, whose state is void.
     InstanceReplaced {
         /// Which instance.
         instance: InstanceKey,
-        /// The life that is over.
+        /// The incarnation that was replaced.
         was: Incarnation,
     },
     /// An instance is leaving, dead or unreachable from here.
@@ -109,46 +109,46 @@
         /// Which instance.
         instance: InstanceKey,
     },
-    /// An endpoint is to get nothing new.
+    /// An endpoint must not get new work.
     EndpointLeaving {
         /// Which endpoint.
         endpoint: EndpointKey,
     },
-    /// An endpoint that was leaving is there again.
+    /// An endpoint that was leaving takes work again.
     EndpointReturned {
         /// Which endpoint.
         endpoint: EndpointKey,
     },
 }
 
-/// What membership asks of the node.
+/// Effects that membership requests from the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
-    /// Tell a peer something.
+    /// Send a message to a peer.
     Send {
-        /// Whom.
+        /// The receiver.
         to: InstanceKey,
-        /// What.
+        /// The message.
         message: MembershipMessage,
     },
     /// Read the list once.
     ReadList,
-    /// Watch the list for a higher revision; answered once.
+    /// Watch the list for a higher revision; the platform responds once.
     WatchList {
-        /// The revision that is held.
+        /// The highest revision that this instance has seen.
         above: u64,
     },
-    /// Dial exactly these peers.
+    /// Keep links to exactly these peers.
     Links(Vec<PeerTarget>),
-    /// Tell operators.
+    /// Record an event for operators.
     Note(Note),
-    /// Something changed that other parts may react to.
+    /// Notify other parts of the node of a change.
     Changed(MembershipChange),
 }
 
-/// Who is there, as this process believes.
+/// This process's view of the fleet.
 ///
-/// After every method the caller should ask [`Membership::next_wake`] and call
+/// After every method call, the caller must read [`Membership::next_wake`] and call
 /// [`Membership::tick`] at that time.
 #[derive(Clone, Debug)]
 pub struct Membership {
@@ -156,24 +156,24 @@
     cfg: MembershipConfig,
     rng: SmallRng,
     view: View,
-    /// Earlier lists, oldest first, for changes asked for by peers.
+    /// Earlier lists, oldest first, to compute deltas for peers.
     history: VecDeque<InstanceList>,
-    /// What is known of instances beyond the list; also of some not in it yet.
+    /// The state of instances beyond the list, including some that are not listed yet.
     peer_states: IndexMap<InstanceKey, PeerState>,
-    /// Endpoints that said that they are leaving while the list calls them live.
+    /// Endpoints with a leaving notice that the list still calls live.
     notices: IndexMap<EndpointKey, EndpointNotice>,
     quarantine: Option<Quarantine>,
     reads: Reads,
-    /// Peers that were asked to be dialled last, to tell a change.
+    /// The peers of the last [`MembershipAction::Links`], to detect a change.
     dialled: Vec<InstanceKey>,
-    /// Nothing is due for a link before this. It may lie too early, never too
-    /// late, so that it need not be worked out anew with every message.
+    /// No link is due before this time. It may be too early but never too late, so that it need not
+    /// be recomputed with every message.
     links_due: Time,
     stopping: bool,
 }
 
 impl Membership {
-    /// Creates the state of a process that knows nothing yet.
+    /// Creates a membership without a list.
     pub fn new(cfg: MembershipConfig) -> Self {
         Membership {
             me: InstanceKey::of(&cfg.name),
@@ -201,13 +201,13 @@
         &self.view
     }
 
-    /// Starts to read the list.
+    /// Schedules the first read of the list.
     pub fn start(&mut self, now: Time, _out: &mut Vec<MembershipAction>) {
         let delay = self.jitter(reads::START_SPREAD);
         self.reads.begin_after(now, delay);
     }
 
-    /// Announces that this instance is leaving and stops being a home.
+    /// Announces that this instance is leaving, and stops being a home.
     pub fn stop(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         if self.stopping {
             return;
@@ -225,14 +225,14 @@
             .min(self.quarantine_due())
     }
 
-    /// Does whatever is due.
+    /// Performs all work that is due.
     pub fn tick(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         self.tick_reads(now, out);
         self.tick_links(now, out);
         self.tick_quarantine(now, out);
     }
 
-    /// A peer message arrived.
+    /// Handles a message from a peer.
     pub fn message(
         &mut self,
         now: Time,
@@ -270,7 +270,7 @@
         out.push(MembershipAction::Send { to, message });
     }
 
-    /// Puts a list in force and works out what changed.
+    /// Puts a list in force and computes what changed.
     fn accept_list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
         let revision = list.revision;
         let before = core::mem::take(&mut self.view);
@@ -293,7 +293,7 @@
         self.announce_revision(now, revision, out);
     }
 
-    /// Tells which instances and endpoints the new list no longer offers.
+    /// Emits the instances and endpoints that the new list no longer calls live.
     fn emit_departures(&self, before: &View, out: &mut Vec<MembershipAction>) {
         let live = |state: ListedState| state == ListedState::Live;
         for old in before.instances().filter(|it| live(it.record.state)) {
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Recomputes what follows from the list, the lives and the notices.
+    /// Recomputes what depends on the list, the peer states and the leaving notices.
     fn refresh(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         self.refresh_usable();
         self.refresh_homes();
--- a/crates/core/src/membership/cells.rs
+++ b/crates/core/src/membership/cells.rs
@@ -1,25 +1,24 @@
-//! Which endpoints form a cell.
+//! Assigns endpoints to cells.
 //!
-//! A cell is the unit that one home admits work for: a few endpoints of one
-//! data centre that serve the same names. Every endpoint is in exactly one
-//! cell, so that its memory has one decision maker and its orders one giver.
-//! The assignment is a pure function of the list. An endpoint that only starts
-//! to leave stays in its cell, so that the others keep theirs.
+//! A cell is a few endpoints of one data centre that serve the same names, and the unit for which
+//! one home admits work. Every endpoint is in exactly one cell, so that a single home manages its
+//! memory and a single controller sends its orders. The assignment is a pure function of the list.
+//! A leaving endpoint stays in its cell, so that the other endpoints stay in theirs.
 
 use super::list::EndpointRecord;
 use crate::ids::{CellKey, EndpointKey, stable_hash};
 use crate::rendezvous;
 use std::collections::BTreeMap;
 
-/// The most endpoints of one cell unless the settings say otherwise.
+/// Default maximum number of endpoints in a cell.
 ///
-/// Larger cells pool memory better; smaller ones spread the homes' work. The
-/// size is argued for in `docs/design/placement.md`.
+/// Larger cells pool memory better; smaller ones distribute the homes' work.
+/// `docs/design/placement.md` explains the choice.
 pub const CELL_ENDPOINTS: usize = 4;
 
 /// One cell as computed from the list.
 ///
-/// Invariant: `endpoints` is not empty, sorted, and at most as long as asked for.
+/// Invariant: `endpoints` is not empty, is sorted, and does not exceed the maximum cell size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CellPlan {
     /// The cell.
@@ -32,7 +31,7 @@
     pub endpoints: Vec<EndpointKey>,
 }
 
-/// Endpoints that could share a cell.
+/// The properties that endpoints of a cell have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Pool {
     data_centre: String,
@@ -78,10 +77,10 @@
     plans
 }
 
-/// Spreads one pool over its groups by rendezvous hashing with bounded room.
+/// Distributes the endpoints of a pool over its groups by bounded rendezvous hashing.
 ///
-/// Equal slices of the sorted pool would be simpler, but there one endpoint
-/// that comes or goes moves an endpoint out of every cell.
+/// Equal slices of the sorted pool would be simpler, but one endpoint that is added or removed
+/// would then move an endpoint out of every cell.
 fn plan_pool(
     pool: &Pool,
     endpoints: &[EndpointKey],
@@ -89,8 +88,8 @@
     plans: &mut Vec<CellPlan>,
 ) {
     let groups = endpoints.len().div_ceil(cell_endpoints);
-    // One place more than an even share, so that rendezvous has some choice
-    // but no cell is left with a single endpoint to pool memory with.
+    // One endpoint more than an even share gives rendezvous hashing some choice, while no cell is
+    // left with a single endpoint that has no memory to pool.
     let room = (endpoints.len().div_ceil(groups.max(1)) + 1).min(cell_endpoints);
     let mut cells: Vec<CellPlan> = (0..groups)
         .map(|group| CellPlan {
--- a/crates/core/src/membership/delta.rs
+++ b/crates/core/src/membership/delta.rs
@@ -1,33 +1,32 @@
-//! Changes between two revisions of the list.
+//! Deltas between two revisions of the list.
 //!
-//! At the size to design for the whole list is about 60 KB and changes a few
-//! hundred times a day; sending it whole to every instance would use up a
-//! watcher's budget for control traffic. Peers therefore exchange changes, and
-//! fall back to the whole list when a digest shows that they differ.
+//! At the design fleet size, the full list is about 60 KB and changes a few hundred times a day.
+//! Sending it in full to every instance would exhaust a watcher's budget for control traffic. Peers
+//! therefore exchange deltas, and fall back to the full list when a digest shows that they differ.
 
 use super::list::{EndpointRecord, InstanceList, InstanceRecord};
 use serde::{Deserialize, Serialize};
 
-/// What turns one list into another.
+/// The difference between two revisions of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDelta {
-    /// The revision that it applies to.
+    /// The revision to which it applies.
     pub from: u64,
-    /// The revision that it leads to.
+    /// The resulting revision.
     pub to: u64,
     /// Digest of the resulting list.
     pub digest: u64,
-    /// Instances that are new or different.
+    /// New and changed instances.
     pub instances: Vec<InstanceRecord>,
-    /// Names of instances that are gone.
+    /// Names of removed instances.
     pub instances_gone: Vec<String>,
-    /// Endpoints that are new or different.
+    /// New and changed endpoints.
     pub endpoints: Vec<EndpointRecord>,
-    /// Names of endpoints that are gone.
+    /// Names of removed endpoints.
     pub endpoints_gone: Vec<String>,
 }
 
-/// A record that is found by name.
+/// A record that is identified by its name.
 trait Named: Clone + PartialEq {
     fn name(&self) -> &str;
 }
@@ -44,7 +43,7 @@
     }
 }
 
-/// Returns the changes from `old` to `new`; both must be normalised.
+/// Returns the delta from `old` to `new`; both must be normalised.
 pub fn list_delta(old: &InstanceList, new: &InstanceList) -> ListDelta {
     let (instances, instances_gone) = diff(&old.instances, &new.instances);
     let (endpoints, endpoints_gone) = diff(&old.endpoints, &new.endpoints);
@@ -59,7 +58,7 @@
     }
 }
 
-/// Returns the list that `delta` leads to, or `None` if it does not fit `old`.
+/// Returns the list that results from `delta`, or `None` if it does not apply to `old`.
 pub fn apply_delta(old: &InstanceList, delta: &ListDelta) -> Option<InstanceList> {
     if delta.from != old.revision {
         return None;
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,8 +1,8 @@
-//! News of endpoints and instances that leave.
+//! Gossip about endpoints and instances that are leaving.
 //!
-//! Whoever learns it first tells the watchers of its data centre and the homes
-//! that decide; watchers pass it on to everyone. Each instance passes a piece
-//! of news on only when it is new to it, so it cannot circle.
+//! The instance that learns of a change first notifies the watchers of its data centre and the
+//! homes that decide about it. The watchers forward it to all other instances. Each instance
+//! forwards an update only if it is new to it, so updates do not loop.
 
 use super::{
     EndpointKey, Incarnation, InstanceKey, ListedState, Membership, MembershipAction,
@@ -13,24 +13,24 @@
 use crate::value::PeerId;
 use core::time::Duration;
 
-/// How long an endpoint's own word that it is leaving outweighs its reports.
-/// Reports lag, so one that does not say "leaving" may be older than the news.
+/// How long an endpoint's statement that it is leaving overrides its load reports. Reports lag, so
+/// one that does not say "leaving" may be older than the statement.
 pub const LEAVING_HOLD: Duration = Duration::from_secs(30);
 
-/// News kept for endpoints that the list in force does not name yet.
+/// Maximum number of notices kept for endpoints that are not in the list yet.
 const MAX_EARLY_NOTICES: usize = 256;
 
-/// What is known of an endpoint that is leaving while the list calls it live.
+/// The leaving notice of an endpoint that the list still calls live.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointNotice {
-    /// When it was heard last.
+    /// When the notice was last received.
     pub received_at: Time,
-    /// The list revision at the instance that learnt it first.
+    /// The list revision of the instance that first learned it.
     pub list_revision: u64,
 }
 
 impl Membership {
-    /// An endpoint refused because it is leaving.
+    /// Handles a refusal by an endpoint because it is leaving.
     pub fn endpoint_refused_leaving(
         &mut self,
         now: Time,
@@ -40,7 +40,7 @@
         self.on_endpoint_leaving(now, endpoint, self.view.revision(), None, out);
     }
 
-    /// An endpoint reported its load and whether it is leaving.
+    /// Handles a load report, which says whether the endpoint is leaving.
     pub fn endpoint_reported(
         &mut self,
         now: Time,
@@ -100,7 +100,7 @@
         self.gossip(now, &message, source, deciders, out);
     }
 
-    /// Keeps news of an endpoint that a later list will name.
+    /// Keeps a notice about an endpoint that a later list will contain.
     fn keep_early_notice(&mut self, now: Time, endpoint: EndpointKey, list_revision: u64) {
         let ahead = list_revision > self.view.revision();
         if ahead && self.notices.len() < self.view.endpoints.len() + MAX_EARLY_NOTICES {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the instances that may be handing out this endpoint now.
+    /// Returns the instances that may be granting this endpoint.
     fn homes_of_endpoint(&self, endpoint: EndpointKey) -> Vec<InstanceKey> {
         let cell = self.view.endpoint(endpoint).map(|it| it.cell);
         cell.map_or_else(Vec::new, |cell| self.homes_of_cell(cell).to_vec())
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Tells everybody reachable that this instance is leaving.
+    /// Announces to all linked instances that this one is leaving.
     pub(super) fn announce_leaving(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         let message = MembershipMessage::InstanceStatus {
             instance: self.me,
@@ -173,7 +173,7 @@
         self.gossip(now, &message, None, linked, out);
     }
 
-    /// Passes news on: to `extra`, and along the watchers.
+    /// Sends an update to `extra` and forwards it along the watchers.
     fn gossip(
         &mut self,
         now: Time,
@@ -187,8 +187,9 @@
         }
     }
 
-    /// Returns whom this instance tells a piece of news that is new to it: those in `extra`, and
-    /// others along the watchers, so that everybody hears it and nothing circles.
+    /// Returns the peers to which this instance forwards an update that is new to it: those in
+    /// `extra`, and others along the watchers, so that the update reaches all instances and does
+    /// not loop.
     pub fn gossip_targets(
         &self,
         source: Option<PeerId>,
@@ -199,7 +200,7 @@
         if source.is_none() {
             extra.extend(&watchers);
         }
-        // Another watcher of this data centre tells the same instances itself.
+        // Another watcher of this data centre notifies the same instances itself.
         let from_own_watcher = from.is_some_and(|it| watchers.contains(&it));
         if watchers.contains(&self.me) && !from_own_watcher {
             extra.extend(self.own_data_centre_instances());
@@ -211,9 +212,8 @@
         extra
     }
 
-    /// Returns the instances of the own data centre that can be reached, as far
-    /// as is known. One that leaves is among them: it finishes what it runs and
-    /// has to know what changes meanwhile.
+    /// Returns the instances of the own data centre that are not suspected. Leaving instances are
+    /// included, because they finish their requests and need updates until then.
     pub fn own_data_centre_instances(&self) -> Vec<InstanceKey> {
         let own = self.own_data_centre();
         let is_suspected = |key| {
@@ -228,10 +228,10 @@
             .collect()
     }
 
-    /// Repeats what leaves to a peer whose link has just come up.
+    /// Sends the list revision and all leaving notices to a peer whose link has come up.
     ///
-    /// News sent while a link was down is lost; without this an instance on
-    /// the other side of a healed partition would go on using the endpoint.
+    /// Updates sent while a link was down are lost. Without this, an instance on the other side of
+    /// a healed partition would keep using a leaving endpoint.
     pub(super) fn send_current_state(
         &mut self,
         now: Time,
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Drops notices that the list has caught up with.
+    /// Drops notices that the list has superseded.
     pub(super) fn drop_stale_notices(&mut self, out: &mut Vec<MembershipAction>) {
         let view = &self.view;
         self.notices.retain(|&endpoint, notice| {
--- a/crates/core/src/membership/homes.rs
+++ b/crates/core/src/membership/homes.rs
@@ -1,4 +1,7 @@
-//! Who is home for what, and what may be used.
+//! Homes and controllers, and which instances and endpoints are usable.
+//!
+//! The home of a key or a cell is the instance that decides for it, chosen by rendezvous hashing.
+//! The controller of a cell sends orders to its endpoints.
 
 use super::list::ListedState;
 use super::view::{Cell, Endpoint, HOME_RANKS, Instance};
@@ -7,22 +10,22 @@
 use crate::rendezvous::{self, Candidate};
 use std::collections::BTreeMap;
 
-/// What may be sent to an endpoint, as far as membership knows.
+/// Whether an endpoint takes work, as far as membership knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// The list does not name it.
+    /// It is not listed.
     Unknown,
     /// It takes new work.
     Live,
-    /// It takes nothing new; what runs there goes on.
+    /// It takes no new work; running requests continue.
     Leaving,
 }
 
 impl Membership {
-    /// Marks which instances may be homes.
+    /// Determines which instances may be homes.
     ///
-    /// While the list names nobody usable, for example before the first list
-    /// names this instance, nobody is home and nothing is decided on a guess.
+    /// While no listed instance is usable, for example before the first list contains this
+    /// instance, there is no home, and no decision is based on a guess.
     pub(super) fn refresh_usable(&mut self) {
         let me = self.me;
         let stopping = self.stopping;
@@ -39,7 +42,7 @@
         }
     }
 
-    /// Ranks the homes and the givers of every cell anew.
+    /// Recomputes the homes and the controller of every cell.
     pub(super) fn refresh_homes(&mut self) {
         let homes = self.assign_cells(|it| it.usable);
         let controllers = self.assign_cells(|it| it.record.state == ListedState::Live);
@@ -50,12 +53,12 @@
         }
     }
 
-    /// Ranks the instances that `may` decide for each cell, in the order of the cells.
+    /// Ranks the instances for which `may` holds for each cell, in the order of the cells.
     ///
-    /// The first in rank is not always the home: an instance that has its even
-    /// part of its data centre's cells is passed over. Plain rendezvous hashing
-    /// gave one instance several cells while most had none, and with them
-    /// several times the polls and messages that a node may spend.
+    /// An instance that already has its even part of its data centre's cells is skipped, so the
+    /// first in rank is not always the home. Plain rendezvous hashing would give one instance
+    /// several cells and most none, and the loaded ones several times the polls and messages that a
+    /// node may spend.
     fn assign_cells(&self, may: impl Fn(&Instance) -> bool) -> Vec<Vec<InstanceKey>> {
         let instances: Vec<&Instance> = self.view.instances.values().filter(|it| may(it)).collect();
         let mut taken: BTreeMap<InstanceKey, usize> = BTreeMap::new();
@@ -83,8 +86,8 @@
         assigned
     }
 
-    /// Returns how many cells each of `here` instances of a data centre takes;
-    /// without any there, how many each of `all` takes.
+    /// Returns the maximum number of cells for each of `here` instances of a data centre. If there
+    /// are none, returns the maximum for each of `all` instances.
     fn even_part(&self, data_centre: DataCentreId, here: usize, all: usize) -> usize {
         let cells = self.view.cells.values();
         match here {
@@ -109,13 +112,13 @@
         self.candidates(None).map(|it| it.instance)
     }
 
-    /// Returns how many instances may be homes, and at least one.
+    /// Returns the number of instances that may be homes; at least one.
     pub fn live_count(&self) -> u32 {
         let count = self.candidates(None).count();
         u32::try_from(count).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Returns how many instances the list calls live, and at least one.
+    /// Returns the number of instances that the list calls live; at least one.
     pub fn listed_count(&self) -> u32 {
         let instances = self.view.instances();
         let listed = instances.filter(|it| it.record.state == ListedState::Live);
@@ -127,15 +130,15 @@
         self.homes_of_cell(cell).first().copied()
     }
 
-    /// Returns the home of a cell and those that follow in rank.
+    /// Returns the home of a cell, followed by the next instances in rank.
     pub fn homes_of_cell(&self, cell: CellKey) -> &[InstanceKey] {
         self.view.cell(cell).map_or(&[], |it| it.homes.as_slice())
     }
 
-    /// Returns the instance that gives orders to a cell's endpoints.
+    /// Returns the controller of a cell, which sends orders to its endpoints.
     ///
-    /// It ranks first among those that the list calls live, whatever links and
-    /// peers say of them; [`crate::orders`] says why.
+    /// It ranks first among the instances that the list calls live, regardless of link state and
+    /// gossip; see [`crate::orders`] for the reason.
     pub fn controller_of_cell(&self, cell: CellKey) -> Option<InstanceKey> {
         self.view.cell(cell)?.controller
     }
@@ -145,7 +148,7 @@
         self.home_of_cell(cell) == Some(self.me)
     }
 
-    /// Returns the cells that this instance is home for.
+    /// Returns the cells for which this instance is the home.
     pub fn own_cells(&self) -> impl Iterator<Item = &Cell> {
         let me = self.me;
         let cells = self.view.cells();
@@ -157,22 +160,22 @@
         rendezvous::first(key, self.candidates(None))
     }
 
-    /// Fills `buf` with the first `limit` usable instances for `key`, the home first.
+    /// Fills `buf` with the first `limit` usable instances for `key`, starting with the home.
     pub fn ranked_homes(&self, key: u64, limit: usize, buf: &mut Vec<InstanceKey>) {
         rendezvous::rank(key, self.candidates(None), limit, buf);
     }
 
-    /// Returns the endpoints of a cell, whatever their state.
+    /// Returns the endpoints of a cell in any state.
     pub fn endpoints_of_cell(&self, cell: CellKey) -> &[EndpointKey] {
         let cell = self.view.cell(cell);
         cell.map_or(&[], |it| it.plan.endpoints.as_slice())
     }
 
-    /// Returns the cells that serve `name`, those of `from` first.
+    /// Returns the cells that serve `name`, starting with those of `from`.
     ///
-    /// Distances between other data centres are not published; their order is
-    /// stable and differs from one `from` to the next, so that the overflow of
-    /// several data centres does not meet in one.
+    /// Distances between other data centres are not published. The order of the others is stable
+    /// but differs between values of `from`, so that several data centres do not overflow to the
+    /// same one.
     pub fn cells_serving(&self, name: &str, from: Option<DataCentreId>) -> Vec<&Cell> {
         let spread = |cell: &Cell| {
             let from = from.map_or(0, |it| u64::from(it.as_u32()) + 1);
@@ -184,12 +187,12 @@
         found
     }
 
-    /// Returns the data centre of this instance, if the list knows it.
+    /// Returns the data centre of this instance, if it is in the list.
     pub fn own_data_centre(&self) -> Option<DataCentreId> {
         self.view.find_data_centre(&self.cfg.data_centre)
     }
 
-    /// Returns whether an endpoint takes new work.
+    /// Returns whether an endpoint is listed and takes new work.
     pub fn endpoint_state(&self, key: EndpointKey) -> EndpointState {
         match self.view.endpoint(key) {
             None => EndpointState::Unknown,
--- a/crates/core/src/membership/links.rs
+++ b/crates/core/src/membership/links.rs
@@ -1,9 +1,8 @@
-//! Links to peers, lives of instances, and suspicion.
+//! Links to peers, incarnations of instances, and failure suspicion.
 //!
-//! Links exist on demand: to the watchers of the own data centre, to whoever
-//! was sent something lately, and to suspected instances, so that a recovery
-//! is noticed. At 390 instances this keeps a handful of links per process
-//! instead of 389.
+//! Links exist on demand: to the watchers of the own data centre, to recent receivers of messages,
+//! and to suspected instances, so that a recovery is noticed. With 390 instances, this keeps a
+//! handful of links per process instead of 389.
 
 use super::{
     InstanceKey, MAX_REPLACED_INCARNATIONS, Membership, MembershipAction, MembershipChange,
@@ -15,13 +14,13 @@
 use crate::value::{PeerId, PeerTarget};
 use core::time::Duration;
 
-/// A link that carried nothing for so long is given up.
+/// A link that carried no message for this long is closed.
 pub const LINK_IDLE: Duration = Duration::from_secs(60);
 
-/// Instances beyond the list whose life is remembered.
+/// Maximum number of unlisted instances whose state is kept.
 const MAX_UNLISTED_PEERS: usize = 256;
 
-/// What is known of the link to an instance.
+/// The state of the link to an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Link {
     /// Never tried, or closed because it was idle.
@@ -29,33 +28,33 @@
     Unknown,
     /// Up.
     Up,
-    /// Broken, and whether for long enough to be suspected.
+    /// Broken.
     Down {
-        /// Since when.
+        /// When it broke.
         since: Time,
-        /// Whether homes have moved away from it.
+        /// Whether the instance is suspected, so that homes have moved away from it.
         suspected: bool,
     },
 }
 
-/// What is known of one instance beyond the list.
+/// The state of an instance beyond the list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerState {
-    /// The life that authenticated itself last.
+    /// The incarnation that authenticated last.
     pub incarnation: Option<Incarnation>,
-    /// Lives that were replaced. A paused process of an earlier life that
-    /// wakes up and connects must not pass for the present one.
+    /// Replaced incarnations. A paused process of an earlier incarnation that resumes and connects
+    /// must not be mistaken for the current one.
     pub replaced: Vec<Incarnation>,
-    /// The life that is known to leave, also if it never linked to us.
+    /// The incarnation that is known to be leaving, even if it never connected.
     pub leaving: Option<Incarnation>,
     /// The link.
     pub link: Link,
-    /// When something was sent or asked to be sent.
+    /// When a message was last sent or requested to be sent.
     pub last_used: Option<Time>,
 }
 
 impl PeerState {
-    /// Returns whether the present life said that it is leaving.
+    /// Returns whether the current incarnation announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         match (self.leaving, self.incarnation) {
             (Some(leaving), Some(present)) => leaving == present,
@@ -64,12 +63,12 @@
         }
     }
 
-    /// Returns whether decisions may be left to it.
+    /// Returns whether the instance may be a home.
     pub fn may_be_home(&self) -> bool {
         !self.is_leaving() && !self.is_suspected()
     }
 
-    /// Returns when something is to be done about its link.
+    /// Returns when its link is next due.
     fn due(&self) -> Time {
         let idle = self.last_used.map_or(Time::NEVER, |it| it + LINK_IDLE);
         match self.link {
@@ -91,7 +90,7 @@
         )
     }
 
-    /// Makes `incarnation` the present life; returns the one that it replaces.
+    /// Makes `incarnation` the current one; returns the one that it replaces.
     pub fn replace(&mut self, incarnation: Incarnation) -> Option<Incarnation> {
         let was = self.incarnation.replace(incarnation);
         let was = was.filter(|&it| it != incarnation)?;
@@ -104,7 +103,7 @@
 }
 
 impl Membership {
-    /// A link to a peer is up.
+    /// Handles a link to a peer that came up.
     pub fn peer_up(&mut self, now: Time, peer: PeerId, out: &mut Vec<MembershipAction>) {
         if !self.is_known_or_room(peer.instance) {
             return;
@@ -135,10 +134,10 @@
         self.send_current_state(now, peer.instance, out);
     }
 
-    /// The link to a peer broke, or could not be made.
+    /// Handles a link to a peer that broke or could not be established.
     ///
-    /// The shell reports this for failures only, not for links closed because
-    /// they were idle; an incarnation of 0 means that none is known.
+    /// The shell reports only failures, not links that were closed because they were idle. An
+    /// incarnation of 0 means that it is unknown.
     pub fn peer_down(&mut self, now: Time, peer: PeerId, out: &mut Vec<MembershipAction>) {
         let Some(state) = self.peer_states.get_mut(&peer.instance) else {
             return;
@@ -157,7 +156,7 @@
         self.refresh_links(now, out);
     }
 
-    /// The link to a peer was closed because it was idle.
+    /// Handles a link to a peer that was closed because it was idle.
     pub fn peer_idle(&mut self, peer: PeerId) {
         if let Some(state) = self.peer_states.get_mut(&peer.instance)
             && state.incarnation == Some(peer.incarnation)
@@ -167,15 +166,15 @@
         }
     }
 
-    /// Returns whether `peer` is the present life of its instance.
+    /// Returns whether `peer` is the current incarnation of its instance.
     ///
-    /// Messages of any other life are dropped by the node.
+    /// The node drops messages of any other incarnation.
     pub fn is_current_incarnation(&self, peer: PeerId) -> bool {
         let state = self.peer_states.get(&peer.instance);
         state.is_some_and(|it| it.incarnation == Some(peer.incarnation))
     }
 
-    /// Returns the present life of an instance, if it is known.
+    /// Returns the current incarnation of an instance, if it is known.
     pub fn incarnation(&self, instance: InstanceKey) -> Option<Incarnation> {
         if instance == self.me {
             return Some(self.cfg.incarnation);
@@ -189,15 +188,15 @@
         state.is_some_and(|it| it.link == Link::Up)
     }
 
-    /// Returns the instances that are to be dialled, sorted by key.
+    /// Returns the instances to which links should be kept, sorted by key.
     pub fn dialled(&self) -> &[InstanceKey] {
         &self.dialled
     }
 
-    /// Keeps a link to `to`, because something is about to be sent there.
+    /// Keeps a link to `to`, to which a message is about to be sent.
     ///
-    /// A link that `to` dialled serves as well, and `to` keeps it while there
-    /// is traffic; a watcher would otherwise dial its whole data centre.
+    /// A link that `to` established is used as well, and `to` keeps it while there is traffic. A
+    /// watcher would otherwise connect to its whole data centre.
     pub fn touch_link(&mut self, now: Time, to: InstanceKey, out: &mut Vec<MembershipAction>) {
         if to == self.me || !self.is_known_or_room(to) {
             return;
@@ -219,7 +218,7 @@
         known || self.peer_states.len() < self.view.instances.len() + MAX_UNLISTED_PEERS
     }
 
-    /// Asks for links to be dialled anew if the set changed.
+    /// Requests a new set of links if it changed.
     pub(super) fn refresh_links(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         self.drop_idle(now);
         let mut wanted = self.wanted_links();
@@ -254,7 +253,7 @@
         wanted
     }
 
-    /// Does what is due for links: suspects, and gives up idle ones.
+    /// Performs the link work that is due: suspects instances and drops idle links.
     pub(super) fn tick_links(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         if now < self.links_due {
             return;
@@ -265,7 +264,7 @@
         self.links_due = due.min().unwrap_or(Time::NEVER);
     }
 
-    /// Moves homes away from instances whose link stayed down.
+    /// Suspects instances whose link stayed down, and moves homes away from them.
     fn suspect_unreachable(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         let mut gone = Vec::new();
         for (&key, state) in &mut self.peer_states {
@@ -287,14 +286,14 @@
         out.push(MembershipAction::Changed(MembershipChange::Homes));
     }
 
-    /// Forgets lives of instances that are neither listed nor linked.
+    /// Drops the state of instances that are neither listed nor linked.
     pub(super) fn prune_peer_states(&mut self) {
         let view = &self.view;
         self.peer_states
             .retain(|&key, state| view.instance(key).is_some() || state.link == Link::Up);
     }
 
-    /// Returns the watchers of the own data centre in order of rank.
+    /// Returns the watchers of this instance's data centre in order of rank.
     pub fn own_watchers(&self) -> Vec<InstanceKey> {
         self.watchers_of(&self.cfg.data_centre)
     }
@@ -312,7 +311,7 @@
         watchers
     }
 
-    /// Returns whether this instance holds the platform's watches for its data centre.
+    /// Returns whether this instance watches the platform's list for its data centre.
     pub fn is_watcher(&self) -> bool {
         self.own_watchers().contains(&self.me)
     }
@@ -326,8 +325,8 @@
             .collect()
     }
 
-    /// Returns the links that carry news: to the own watchers, and between
-    /// watchers of different data centres.
+    /// Returns the peers with permanent links for gossip: the watchers of this data centre and, for
+    /// a watcher, those of other data centres.
     fn watcher_links(&self) -> Vec<InstanceKey> {
         let mut wanted = self.own_watchers();
         if wanted.contains(&self.me) {
--- a/crates/core/src/membership/list.rs
+++ b/crates/core/src/membership/list.rs
@@ -1,25 +1,25 @@
 //! The published list of instances and endpoints.
 //!
-//! The shell parses the platform's JSON into [`InstanceList`]; the format is
-//! described in `docs/INTERFACES.md`. Unknown fields are ignored, so that the
-//! platform may add some without stopping the fleet.
+//! The shell parses the platform's JSON into [`InstanceList`]; `docs/INTERFACES.md` describes the
+//! format. Unknown fields are ignored, so that the platform can add fields without stopping the
+//! fleet.
 
 use crate::ids::{EndpointKey, InstanceKey, stable_hash};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether the platform means to keep something.
+/// The state of an instance or endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It is to be used.
+    /// It is in use.
     #[default]
     Live,
-    /// It is about to go and is to get nothing new.
+    /// It is leaving and must not get new work.
     Leaving,
 }
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
@@ -29,85 +29,85 @@
     Service,
 }
 
-/// What an endpoint does with the fencing number of an order.
+/// How an endpoint treats the fencing number of an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FencingSupport {
-    /// It refuses an order with a lower number than it has seen.
+    /// It rejects an order with a lower number than it has seen.
     Checked,
-    /// It takes any order, whatever its number.
+    /// It accepts orders with any number.
     Ignored,
-    /// It takes any order from anybody.
+    /// It accepts any order from any sender.
     #[default]
     Unchecked,
 }
 
 impl FencingSupport {
-    /// Returns whether the endpoint itself refuses a stale giver of orders.
+    /// Returns whether the endpoint itself rejects orders of a stale controller.
     pub const fn protects(self) -> bool {
         matches!(self, FencingSupport::Checked)
     }
 }
 
-/// One instance as published.
+/// A listed instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// The published name.
+    /// Its listed name.
     pub name: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer_address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// Whether it is to be used.
+    /// Its state.
     #[serde(default)]
     pub state: ListedState,
 }
 
-/// One endpoint as published.
+/// A listed endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The published name.
+    /// Its listed name.
     pub name: String,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// What it is.
+    /// Its kind.
     pub kind: EndpointKind,
     /// The models or services that it may serve.
     pub serves: Vec<String>,
-    /// Whether it checks who gives it orders. If the list does not say, the
-    /// careful way is taken.
+    /// Whether it checks the sender of orders. If the field is missing,
+    /// [`FencingSupport::Unchecked`] is assumed, which is the safe choice.
     #[serde(default)]
     pub fencing: FencingSupport,
-    /// Whether it is to be used.
+    /// Its state.
     #[serde(default)]
     pub state: ListedState,
 }
 
 /// The published list.
 ///
-/// Invariant after [`InstanceList::normalise`]: both lists are sorted by name
-/// and hold a name once.
+/// Invariant after [`InstanceList::normalise`]: both lists are sorted by name, and names are
+/// unique.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Grows with every change.
+    /// Increases with every change.
     pub revision: u64,
-    /// Instances of oriolemux.
+    /// The instances of oriolemux.
     #[serde(default)]
     pub instances: Vec<InstanceRecord>,
-    /// Endpoints behind them.
+    /// The endpoints behind them.
     #[serde(default)]
     pub endpoints: Vec<EndpointRecord>,
 }
 
 impl InstanceList {
-    /// Sorts the list and drops repeated names; returns how many were dropped.
+    /// Sorts the list and drops duplicate names; returns how many were dropped.
     ///
-    /// Of two records under one name the one that is leaving is kept: sending
-    /// work to something that goes is the worse mistake.
+    /// Of two records with the same name, a leaving one is kept, because sending work to something
+    /// that is leaving is the worse mistake.
     pub fn normalise(&mut self) -> usize {
         let before = self.instances.len() + self.endpoints.len();
         self.instances
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,28 +1,28 @@
-//! What instances tell each other about membership.
+//! Messages about membership between instances.
 
 use super::delta::ListDelta;
 use super::list::InstanceList;
 use crate::ids::{EndpointKey, Incarnation, InstanceKey};
 use serde::{Deserialize, Serialize};
 
-/// A message about who is there.
+/// A message about the state of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MembershipMessage {
     /// An endpoint is leaving.
     EndpointLeaving {
         /// Which endpoint.
         endpoint: EndpointKey,
-        /// The list revision at the instance that learnt it first. News from
-        /// before the endpoint came back is told apart by it.
+        /// The list revision of the instance that first learned it. It identifies notices from
+        /// before the endpoint came back.
         list_revision: u64,
     },
-    /// An instance is leaving, or has come back as a new life.
+    /// An instance is leaving, or has come back as a new incarnation.
     InstanceStatus {
         /// Which instance.
         instance: InstanceKey,
-        /// The life that the news is about.
+        /// The incarnation that the message is about.
         incarnation: Incarnation,
-        /// Whether that life is leaving.
+        /// Whether that incarnation is leaving.
         leaving: bool,
     },
     /// The sender holds this revision of the list.
@@ -30,13 +30,13 @@
         /// Its revision.
         revision: u64,
     },
-    /// The sender asks for what changed since the revision that it holds.
+    /// Requests the changes since the revision that the sender holds.
     ListPull {
-        /// The revision that it holds; 0 for none.
+        /// The revision that the sender holds; 0 for none.
         have: u64,
     },
-    /// The changes that were asked for.
+    /// The requested changes.
     Delta(Box<ListDelta>),
-    /// The whole list, for a peer whose revision is too old for changes.
+    /// The full list, for a peer whose revision is too old for a delta.
     FullList(Box<InstanceList>),
 }
--- a/crates/core/src/membership/quarantine.rs
+++ b/crates/core/src/membership/quarantine.rs
@@ -1,9 +1,8 @@
-//! Lists that name far too little are not believed at once.
+//! Quarantine of lists that drop most of the fleet.
 //!
-//! A list that is empty or half-written looks exactly like the loss of most of
-//! the fleet. Believing it would move every home and close every endpoint in
-//! one step, while keeping the old list costs little: what is truly gone shows
-//! itself by broken links and refusals.
+//! A list that is empty or half-written looks exactly like the loss of most of the fleet. Accepting
+//! it would move every home and close every endpoint in one step, while keeping the old list costs
+//! little: instances and endpoints that are really gone show as broken links and refusals.
 
 use super::links::Link;
 use super::list::{InstanceList, ListedState};
@@ -13,35 +12,35 @@
 use crate::time::Time;
 use core::time::Duration;
 
-/// A later revision confirms a doubted list only after so long, so that a
-/// writer that publishes a list in pieces does not confirm itself.
+/// Minimum time before a later revision confirms a quarantined list, so that a writer that
+/// publishes a list in pieces does not confirm itself.
 pub const QUARANTINE_CONFIRM: Duration = Duration::from_secs(10);
 
-/// A doubted list that nothing contradicts is believed after so long.
+/// A quarantined list that no evidence contradicts is accepted after this time.
 pub const QUARANTINE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// A list that is held back.
+/// A list in quarantine.
 #[derive(Clone, Debug)]
 pub(super) struct Quarantine {
     list: InstanceList,
     since: Time,
-    /// Instances that it no longer names.
+    /// Live instances that the list no longer contains.
     missing: Vec<InstanceKey>,
 }
 
-/// What links to vanished instances say.
+/// The state of the links to missing instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// At least one is there.
+    /// At least one link is up.
     Alive,
-    /// All that were linked are down.
+    /// All known links are down.
     Dead,
-    /// None was linked.
+    /// No link is known.
     Unknown,
 }
 
 impl Membership {
-    /// Takes in a list from the platform or from a peer.
+    /// Handles a list from the platform or from a peer.
     ///
     /// Returns whether its revision is at least the one in force.
     pub(super) fn consider_list(
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Returns the highest revision seen, also of a list that is doubted.
+    /// Returns the highest revision seen, including that of a quarantined list.
     pub(super) fn seen_revision(&self) -> u64 {
         let quarantined = self.quarantine.as_ref().map_or(0, |it| it.list.revision);
         self.view.revision().max(quarantined)
@@ -153,8 +152,8 @@
         .collect()
 }
 
-/// Returns whether more than half of the live instances or of the live
-/// endpoints are missing, without ever having been called leaving.
+/// Returns whether more than half of the live instances or of the live endpoints are missing
+/// without having been listed as leaving.
 fn loses_most(view: &View, list: &InstanceList) -> bool {
     let known = view
         .instances()
--- a/crates/core/src/membership/reads.rs
+++ b/crates/core/src/membership/reads.rs
@@ -1,9 +1,8 @@
-//! Reading the list: from the platform by a few, from peers by the rest.
+//! Reads of the list: from the platform by a few instances, from peers by the rest.
 //!
-//! The platform answers about two thousand reads a second for all readers
-//! together. Only [`WATCHERS`] instances of each data centre watch it; the
-//! others hear of a new revision from them, and read the platform themselves
-//! seldom, as a safety net.
+//! The platform serves about two thousand reads per second for all readers together. Only
+//! [`WATCHERS`] instances of each data centre watch the list. They notify the others of new
+//! revisions, and the others read from the platform only rarely, as a fallback.
 
 use super::delta::{ListDelta, apply_delta, list_delta};
 use super::list::InstanceList;
@@ -14,51 +13,52 @@
 use core::time::Duration;
 use rand::Rng;
 
-/// Instances of a data centre that hold a watch; a second covers the first's loss.
+/// Number of instances in a data centre that watch the list; the second covers the loss of the
+/// first.
 pub const WATCHERS: usize = 2;
 
-/// First reads of a fleet that starts at once are spread over so long.
+/// Interval over which instances that start together spread their first reads.
 pub const START_SPREAD: Duration = Duration::from_millis(1000);
 
-/// An instance that holds no watch reads the platform so often.
+/// Mean interval of reads by an instance that does not watch the list.
 const FALLBACK_READ_INTERVAL: Duration = Duration::from_secs(300);
 
-/// The shortest time between two watches, should the platform answer at once.
+/// Minimum time between two watches, in case the platform responds at once.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A read or watch that was not answered by then has failed.
+/// A read or watch without a response within this time has failed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The first wait after a failure; doubles up to [`RETRY_MOST`].
+/// Initial pause after a failure; doubles up to [`RETRY_MAX`].
 const RETRY_MIN: Duration = Duration::from_millis(250);
 
-/// The longest wait after a failure.
+/// Maximum pause after a failure.
 const RETRY_MAX: Duration = Duration::from_secs(10);
 
-/// A peer that does not answer a pull by then may be asked again.
+/// A peer that does not answer a pull within this time may be asked again.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A list that was not confirmed for so long is reported, and again after as long.
+/// A list that is not confirmed for this long is reported, and again after the same time.
 pub const LIST_STALE: Duration = Duration::from_secs(600);
 
-/// What is known about reads of the platform.
+/// The state of reads from the platform.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reads {
     /// When to read or watch next.
     due: Option<Time>,
-    /// When the read that is out was sent.
+    /// When the pending read was sent.
     read_sent: Option<Time>,
-    /// When the watch that is out was sent.
+    /// When the pending watch was sent.
     watch_sent: Option<Time>,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// The list in force was current at this time.
+    /// Latest time at which the list in force is known to have been current.
     confirmed_at: Option<Time>,
     /// When to report that the list is stale.
     stale_due: Option<Time>,
-    /// When a peer was asked for changes.
+    /// When changes were last requested from a peer.
     pull_sent: Option<Time>,
-    /// The highest revision that a peer said it holds.
+    /// The highest revision that a peer announced.
     highest_announced: u64,
 }
 
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Asks for a read of the list now, because an order depends on it.
+    /// Reads the list now, because an order depends on it.
     pub fn request_list_read(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         if self.reads.read_sent.is_none() {
             self.reads.read_sent = Some(now);
@@ -131,13 +131,13 @@
         }
     }
 
-    /// The platform answered with a list.
+    /// Handles a list from the platform.
     pub fn list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
         let revision = list.revision;
         let asked_at = self.take_pending(now, revision);
         self.platform_answered(out);
         self.consider_list(now, list, out);
-        // A service that serves an old revision must not make the list look fresh.
+        // A platform replica that serves an old revision must not make the list look current.
         let current = revision == self.view.revision() && revision >= self.reads.highest_announced;
         if current {
             self.confirm(now, asked_at);
@@ -145,10 +145,10 @@
         self.schedule_next(now);
     }
 
-    /// Returns when the call was sent that is answered by a list of `revision`.
+    /// Returns when the call was sent that a list of `revision` answers.
     ///
-    /// A watch is answered by a higher revision only, so that the one in force
-    /// answers the read; for any other the older call is taken, to be safe.
+    /// Only a higher revision answers a watch, so the revision in force answers the read. Otherwise
+    /// the older call is assumed, which is the safe choice.
     fn take_pending(&mut self, now: Time, revision: u64) -> Time {
         if revision == self.view.revision()
             && let Some(read) = self.reads.read_sent.take()
@@ -160,7 +160,7 @@
         asked_at
     }
 
-    /// The platform answered that there is nothing newer.
+    /// Handles the platform's response that there is no newer list.
     pub fn list_unchanged(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         let asked_at = self.reads.watch_sent.take().unwrap_or(now);
         self.platform_answered(out);
@@ -170,7 +170,7 @@
         self.schedule_next(now);
     }
 
-    /// The platform did not answer, or with something that is not a list.
+    /// Handles a failed call to the platform or a response that is not a list.
     pub fn list_failed(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
         self.reads.clear_pending();
         if self.reads.failures == 0 {
@@ -204,7 +204,7 @@
         self.reads.due = Some(now + delay);
     }
 
-    /// Takes over the watch as soon as this instance ranks for it.
+    /// Starts the watch as soon as this instance ranks as a watcher.
     pub(super) fn refresh_reads(&mut self, now: Time) {
         let idle = self.reads.watch_sent.is_none() && self.reads.failures == 0;
         if idle && self.reads.due.is_some() && self.is_watcher() {
@@ -213,21 +213,21 @@
         }
     }
 
-    /// Returns for how long the list in force has not been confirmed by the
-    /// platform, counted from when the confirming call was sent.
+    /// Returns the time since the platform last confirmed the list in force, counted from when the
+    /// confirming call was sent.
     pub fn list_age(&self, now: Time) -> Option<Duration> {
         self.reads.confirmed_at.map(|it| now.since(it))
     }
 
-    /// Returns when the call was sent that last confirmed the list in force;
-    /// `None` if a newer one is known to exist.
+    /// Returns when the call was sent that last confirmed the list in force; `None` if a newer list
+    /// is known to exist.
     pub fn list_confirmed_at(&self) -> Option<Time> {
         let is_newest =
             self.view.revision() >= self.reads.highest_announced && self.quarantine.is_none();
         self.reads.confirmed_at.filter(|_| is_newest)
     }
 
-    /// A peer said which revision of the list it holds.
+    /// Handles the list revision that a peer announced.
     pub fn peer_revision(
         &mut self,
         now: Time,
@@ -241,7 +241,7 @@
         }
         match self.reads.pull_sent {
             Some(at) if now < at + PULL_TIMEOUT => return,
-            // The peer has gone, or the list is too long for its frames.
+            // The peer is gone, or the list is too long for its frames.
             Some(_) => self.request_list_read(now, out),
             None => {}
         }
@@ -297,7 +297,7 @@
         self.consider_list(now, list, out);
     }
 
-    /// Tells the instances that count on this one about a new list.
+    /// Announces a new list to the instances that depend on this one.
     pub(super) fn announce_revision(
         &mut self,
         now: Time,
--- a/crates/core/src/membership/view.rs
+++ b/crates/core/src/membership/view.rs
@@ -1,7 +1,7 @@
-//! The list in force as dense maps, and the questions asked of it.
+//! The list in force as dense maps.
 //!
-//! The maps are rebuilt with each accepted list; entities are valid until
-//! then and never leave the process.
+//! The maps are rebuilt with each accepted list. Entity ids are valid until then and never leave
+//! the process.
 
 use super::cells::{CellPlan, plan_cells};
 use super::list::{EndpointRecord, InstanceList, InstanceRecord, ListedState};
@@ -30,20 +30,20 @@
 pub struct CellId(u32);
 entity_impl!(CellId, "cell");
 
-/// An instance with what the list says about it.
+/// An instance of the list in force.
 #[derive(Clone, Debug)]
 pub struct Instance {
     /// Its key.
     pub key: InstanceKey,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// What was published.
+    /// Its record in the list.
     pub record: InstanceRecord,
-    /// Whether it may be a home: listed live, not known to leave, not suspected.
+    /// Whether it may be a home: listed as live, not known to be leaving, not suspected.
     pub usable: bool,
 }
 
-/// An endpoint with what the list says about it.
+/// An endpoint of the list in force.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// Its key.
@@ -52,31 +52,31 @@
     pub data_centre: DataCentreId,
     /// Its cell.
     pub cell: CellKey,
-    /// What was published.
+    /// Its record in the list.
     pub record: EndpointRecord,
-    /// The highest accepted revision in which it was absent or leaving. News
-    /// of its leaving that is not younger is about an earlier life.
+    /// The highest accepted revision in which the endpoint was absent or leaving. A leaving notice
+    /// with this or a lower revision is about an earlier incarnation.
     pub not_live_at: u64,
 }
 
-/// A cell with its home.
+/// A cell with its homes.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// What the list makes of it.
+    /// The cell as computed from the list.
     pub plan: CellPlan,
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Usable instances in order of rank, the home first; at most [`HOME_RANKS`].
     pub homes: Vec<InstanceKey>,
-    /// The instance that gives orders to its endpoints.
+    /// The instance that sends orders to its endpoints.
     pub controller: Option<InstanceKey>,
 }
 
-/// How many instances in rank order are kept for each cell: the home and those
-/// that entries go to when it does not answer.
+/// Number of ranked instances kept for each cell: the home, and those that entries turn to when the
+/// home does not answer.
 pub const HOME_RANKS: usize = 3;
 
-/// The list in force.
+/// The list in force with its indexes.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     pub(super) list: InstanceList,
@@ -90,7 +90,7 @@
 }
 
 impl View {
-    /// Builds the maps of a normalised list.
+    /// Builds the maps from a normalised list.
     pub(super) fn build(list: InstanceList, cell_endpoints: usize, before: &View) -> View {
         let mut view = View::default();
         for record in &list.instances {
@@ -212,7 +212,7 @@
         self.cells.values()
     }
 
-    /// Returns how to reach an endpoint.
+    /// Returns the address and name of an endpoint.
     pub fn endpoint_target(&self, key: EndpointKey) -> Option<EndpointTarget> {
         self.endpoint(key).map(|endpoint| EndpointTarget {
             key,
@@ -221,7 +221,7 @@
         })
     }
 
-    /// Returns how to reach an instance.
+    /// Returns the address and name of an instance.
     pub fn peer_target(&self, key: InstanceKey) -> Option<PeerTarget> {
         self.instance(key).map(|instance| PeerTarget {
             key,
--- a/crates/core/tests/membership_failures.rs
+++ b/crates/core/tests/membership_failures.rs
@@ -1,4 +1,4 @@
-//! What membership believes when the list lags, lies, or parts.
+//! Membership with stale or broken lists, and during partitions.
 
 #[path = "fixtures/fleet.rs"]
 mod fleet;
@@ -50,9 +50,8 @@
 
 #[test]
 fn a_lower_revision_changes_nothing() {
-    // Symptom: an instance that was gone became a home again.
-    // Sequence: revision 2 without it; a lagging replica answers with revision 1.
-    // Cause: the list read last was taken for the newest.
+    // Guards against a departed instance that becomes a home again. Revision 2 does not contain it,
+    // then a lagging replica returns revision 1. The list read last was taken for the newest.
     let list = fleet(1, 3, 1);
     let newer = changed(&list, |list| drop(list.instances.pop()));
     let mut member = member("i0-000", &newer);
@@ -68,9 +67,8 @@
 fn a_list_that_drops_most_of_the_fleet_is_quarantined(
     #[case] broken: fn(&InstanceList) -> InstanceList,
 ) {
-    // Symptom: every home moved to one instance, or no endpoint was left, within a second.
-    // Sequence: the list's writer publishes an empty or half-written list.
-    // Cause: a list was believed whatever it said.
+    // Guards against moving every home to one instance, or closing all endpoints, within a second.
+    // The writer of the list publishes an empty or half-written list. Any list was accepted.
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     let out = actions(|out| member.list(T, broken(&list), out));
@@ -87,9 +85,8 @@
 
 #[test]
 fn a_writer_that_publishes_in_pieces_does_not_confirm_itself() {
-    // Symptom: a half-written list came into force although it had been doubted.
-    // Sequence: two half-written revisions follow each other within a second.
-    // Cause: any second revision counted as a confirmation.
+    // Guards against accepting a half-written list from quarantine. Two half-written revisions
+    // follow each other within a second. Any second revision counted as a confirmation.
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     let first = without_most(&list);
@@ -113,9 +110,9 @@
 
 #[test]
 fn a_loss_that_the_links_confirm_is_accepted() {
-    // Symptom: after a data centre was lost, homes stayed with the dead for minutes.
-    // Sequence: four of six instances die; their links break; the list drops them.
-    // Cause: a doubted list waited for a later revision although the links showed the loss.
+    // Guards against homes that stay with dead instances for minutes after the loss of a data
+    // centre. Four of six instances die, their links break, and the list drops them. A quarantined
+    // list waited for a later revision although the links confirmed the loss.
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     actions(|out| member.peer_up(T, peer("i0-004", 1), out));
@@ -146,9 +143,9 @@
 
 #[test]
 fn an_endpoint_that_is_leaving_is_known_everywhere_within_a_second() {
-    // Symptom: an endpoint got new work a minute after it had refused some as leaving.
-    // Sequence: one entry is refused; the list lags; other instances route on.
-    // Cause: only the list was believed, and only its reader knew.
+    // Guards against new work for an endpoint a minute after it refused a request as leaving. One
+    // entry is refused while the list lags, and other instances keep routing to the endpoint. Only
+    // the list was used, and only the instance that was refused knew more.
     let list = fleet(3, 5, 6);
     let mut net = Network::new(&list);
     let endpoint = EndpointKey::of("e2-003");
@@ -172,9 +169,9 @@
 
 #[test]
 fn updates_lost_in_a_partition_are_sent_when_it_heals() {
-    // Symptom: one instance went on using a leaving endpoint after a partition.
-    // Sequence: it is cut off; the news spreads; the partition heals.
-    // Cause: news was sent once and lost on a link that was down.
+    // Guards against an instance that keeps using a leaving endpoint after a partition. It is cut
+    // off while the update spreads, then the partition heals. The update was sent only once and
+    // lost on a broken link.
     let list = fleet(1, 5, 4);
     let mut net = Network::new(&list);
     let endpoint = EndpointKey::of("e0-001");
@@ -197,9 +194,9 @@
 
 #[test]
 fn an_endpoint_returns_by_the_list_or_by_its_own_later_report() {
-    // Symptom: an endpoint under its old name was never used again.
-    // Sequence: it leaves, restarts under the same name; the list never says so.
-    // Cause: only the list could end the news of its leaving.
+    // Guards against an endpoint that is never used again under its old name. It leaves and
+    // restarts under the same name, and the list never shows it. Only the list could end a leaving
+    // notice.
     let list = fleet(1, 2, 2);
     let mut member = member("i0-000", &list);
     let endpoint = EndpointKey::of("e0-000");
@@ -240,9 +237,8 @@
 
 #[test]
 fn a_notice_ahead_of_the_list_is_kept() {
-    // Symptom: an endpoint that had just been listed got work although it was leaving.
-    // Sequence: news about it arrives before the revision that names it.
-    // Cause: news of an unknown endpoint was dropped.
+    // Guards against work for a leaving endpoint that was just listed. A notice arrives before the
+    // revision that contains the endpoint. Notices of unknown endpoints were dropped.
     let list = fleet(1, 2, 4);
     let older = changed(&list, |it| {
         it.revision = 1;
@@ -262,10 +258,9 @@
 
 #[test]
 fn a_replaced_incarnation_is_never_taken_for_the_current_one() {
-    // Symptom: grants of a process that had been replaced were honoured.
-    // Sequence: an instance freezes and is restarted under its name; the frozen
-    // process wakes and connects.
-    // Cause: instances were told apart by name and address only.
+    // Guards against honouring grants of a replaced process. An instance freezes and is restarted
+    // under its name, then the frozen process resumes and connects. Instances were identified by
+    // name and address only.
     let list = fleet(1, 3, 1);
     let mut member = member("i0-000", &list);
     let instance = InstanceKey::of("i0-001");
@@ -288,9 +283,9 @@
 
 #[test]
 fn an_instance_that_left_and_restarted_is_a_home_again_everywhere() {
-    // Symptom: a restarted instance stayed without work although it was healthy.
-    // Sequence: planned stop, restart in place before the list changed.
-    // Cause: the news of its leaving was tied to its name, not to its life.
+    // Guards against a healthy restarted instance that gets no work. It stops as planned and
+    // restarts in place before the list changes. Its leaving notice was bound to its name instead
+    // of its incarnation.
     let list = fleet(1, 5, 4);
     let mut net = Network::new(&list);
     let instance = InstanceKey::of("i0-004");
@@ -318,9 +313,8 @@
 
 #[test]
 fn a_broken_link_moves_homes_after_a_delay_and_back() {
-    // Symptom: requests waited for a dead home until the list dropped it, minutes later.
-    // Sequence: SIGKILL of a home; the list lags.
-    // Cause: only the list could move a home.
+    // Guards against requests that wait for a dead home until the list drops it minutes later. A
+    // home is killed (SIGKILL) while the list lags. Only the list could move a home.
     let list = fleet(1, 4, 4);
     let mut member = member("i0-000", &list);
     let other = peer("i0-002", 1);
@@ -370,9 +364,9 @@
 
 #[test]
 fn a_stale_platform_replica_does_not_confirm_the_list() {
-    // Symptom: an order was given on a list that was an hour old but "just read".
-    // Sequence: the service answers from a replica that lags; a peer holds more.
-    // Cause: any answer counted as a confirmation.
+    // Guards against an order based on a list that is an hour old but was "just read". The platform
+    // answers from a lagging replica while a peer holds a later revision. Any response counted as a
+    // confirmation.
     let list = fleet(1, 3, 2);
     let mut member = member("i0-000", &list);
     let before = member.list_age(T);
@@ -384,9 +378,9 @@
 
 #[test]
 fn two_data_centres_with_different_lists_converge_to_the_higher() {
-    // Symptom: two halves of the fleet ranked homes differently for minutes.
-    // Sequence: the service's replicas differ; each data centre reads its own.
-    // Cause: nobody compared revisions across data centres.
+    // Guards against two halves of the fleet that rank homes differently for minutes. The
+    // platform's replicas differ, and each data centre reads its own. Revisions were not compared
+    // across data centres.
     let list = fleet(2, 4, 4);
     let newer = changed(&list, |list| drop(list.endpoints.pop()));
     let mut net = Network::new(&list);
@@ -405,9 +399,8 @@
 
 #[test]
 fn a_pull_that_is_not_answered_is_followed_by_a_read() {
-    // Symptom: one instance kept an old list although every peer told of a newer.
-    // Sequence: the peer that is asked for the changes cannot send them.
-    // Cause: only peers were asked, again and again.
+    // Guards against an instance that keeps an old list although every peer announces a newer one.
+    // The peer that is asked for the changes cannot send them. Only peers were asked, repeatedly.
     let list = fleet(1, 6, 2);
     let mut member = member("i0-000", &list);
     let reads = |out: &[MembershipAction]| out.contains(&MembershipAction::ReadList);
@@ -429,9 +422,8 @@
 
 #[test]
 fn the_next_in_rank_takes_over_the_watch() {
-    // Symptom: a data centre heard of no list change after one instance died.
-    // Sequence: the instance that held the watch is killed.
-    // Cause: the role was fixed to an instance.
+    // Guards against a data centre without list updates after one instance died. The instance that
+    // held the watch is killed. The role was fixed to an instance.
     let list = fleet(1, 5, 2);
     let mut net = Network::new(&list);
     let watchers = |net: &Network| -> Vec<String> {
--- a/crates/core/tests/membership_list.rs
+++ b/crates/core/tests/membership_list.rs
@@ -1,4 +1,4 @@
-//! The published list: cells, changes between revisions, homes.
+//! The published list: cells, deltas between revisions, homes.
 
 #[path = "fixtures/fleet.rs"]
 mod fleet;
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// The size of cells that the cases below are worked out for.
+/// Maximum cell size in the cases below.
 const EIGHT: usize = 8;
 
 #[rstest]
--- a/crates/core/tests/membership_sizes.rs
+++ b/crates/core/tests/membership_sizes.rs
@@ -1,6 +1,6 @@
-//! Encoded sizes of what instances tell each other, at the size to design for.
+//! Encoded sizes of messages between instances at the design fleet size.
 //!
-//! The design notes work out traffic from these; a message that grows fails here.
+//! The design notes compute traffic from these sizes; a message that grows fails here.
 
 #[path = "fixtures/fleet.rs"]
 mod fleet;
@@ -13,7 +13,7 @@
 use oriolemux_core::time::Time;
 use rstest::rstest;
 
-/// Returns the bytes of an envelope that carries only `message`.
+/// Returns the size in bytes of an envelope that carries only `message`.
 fn size(message: PeerMessage) -> usize {
     let envelope = PeerEnvelope {
         catalogue_revision: 70_000,
@@ -100,7 +100,7 @@
     assert!(size * 3 >= most, "the bound says little: {size} bytes");
 }
 
-/// Links per instance at 390 instances in ten data centres.
+/// Links per instance with 390 instances in ten data centres.
 #[test]
 fn few_links_are_kept_for_gossip_alone() {
     let list = fleet(10, 39, 60);
--- a/crates/core/tests/membership_spread.rs
+++ b/crates/core/tests/membership_spread.rs
@@ -1,4 +1,4 @@
-//! How far and at what cost news travels at the size to design for.
+//! Reach and cost of gossip at the design fleet size.
 
 #[path = "fixtures/fleet.rs"]
 mod fleet;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Every message takes 1 ms here, so that milliseconds count hops.
+/// Every message takes 1 ms here, so milliseconds count hops.
 const MOST_HOPS: Duration = Duration::from_millis(8);
 
 fn size(message: &MembershipMessage) -> usize {
@@ -26,7 +26,7 @@
     bytes.unwrap().len()
 }
 
-/// Returns the bytes that the busiest and the median sender sent.
+/// Returns the bytes sent by the busiest and the median sender.
 fn bytes_sent(net: &Network) -> (usize, usize) {
     let mut sent: BTreeMap<&str, usize> = net.members.keys().map(|it| (it.as_str(), 0)).collect();
     for (from, message) in &net.sent {
