--- a/crates/core/src/length.rs
+++ b/crates/core/src/length.rs
@@ -1,15 +1,14 @@
-//! How long answers turn out to be, learned from those seen.
+//! Estimates of answer lengths, learned from observed answers.
 //!
-//! Nobody knows an answer's length ahead. What can be learned is, for each
-//! catalogue entry, the chance that an answer which has come to a certain
-//! length ends within the next bucket of lengths: its *hazard*. Hazards are
-//! learned from running and cancelled answers too (they show that an answer
-//! did not end earlier), so that long answers count from the moment they pass
-//! the usual length and not only when they end at last.
+//! The length of an answer is not known in advance. For each catalogue entry, the model learns the
+//! *hazard* of each length bucket: the probability that an answer which reached the bucket ends in
+//! it. Running and cancelled answers count too, because they show that an answer did not end
+//! earlier. Long answers therefore count from the moment they pass the usual length, and not only
+//! when they end.
 //!
-//! A workspace's use of an entry is estimated from its own answers as far as
-//! there are any, and from the entry's, the class's and a cautious prior for
-//! the rest (shrinkage by pseudo-counts). See `docs/design/admission.md`.
+//! The estimate for a workspace's use of an entry is based on its own answers as far as there are
+//! any, and otherwise on those of the entry, the class and a conservative prior (shrinkage with
+//! pseudo-counts). See `docs/design/admission.md`.
 
 pub mod buckets;
 pub mod curve;
@@ -23,62 +22,62 @@
 use hazard::Counts;
 use std::collections::BTreeMap;
 
-/// A node of the backing-off tree: a class, an entry or a workspace's use of an entry.
+/// A node of the back-off tree: a class, an entry or a workspace's use of an entry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LengthNode(u32);
 entity_impl!(LengthNode, "length");
 
-/// Answers after which a class forgets; a count.
+/// Number of recent answers that a class remembers.
 const CLASS_WINDOW: f32 = 2_000.0;
-/// Answers after which an entry forgets; a count.
+/// Number of recent answers that an entry remembers.
 const ENTRY_WINDOW: f32 = 400.0;
-/// Answers after which a workspace's use of an entry forgets; a count.
+/// Number of recent answers that a workspace's use of an entry remembers.
 const WORKSPACE_WINDOW: f32 = 100.0;
-/// Weight of the parent's hazard against a node's own answers; a count of answers.
+/// Weight of the parent's hazard against a node's own answers, in answers.
 const SHRINKAGE: f32 = 16.0;
-/// Weight of the prior against a class's own answers; a count of answers.
+/// Weight of the prior against a class's own answers, in answers.
 const PRIOR_STRENGTH: f32 = 4.0;
-/// The most nodes for workspaces; beyond it a workspace shares its entry's node.
+/// Maximum number of workspace nodes; further workspaces share their entry's node.
 const MAX_WORKSPACE_NODES: usize = 2_048;
-/// Nodes looked at for one that can be reused.
+/// Maximum number of nodes examined to find one that can be reused.
 const REUSE_PROBES: usize = 8;
-/// A curve is computed anew once its answers grew by this share.
+/// A curve is recomputed when its number of answers changed by this fraction.
 const CURVE_GROWTH: f32 = 0.02;
-/// Answers that an entry must have seen before a drift from them means
-/// anything; a count. Before, the comparison would be with the prior.
+/// Number of answers that an entry must have seen before drift is detected. With fewer, the
+/// comparison would be with the prior.
 const DRIFT_MIN_SEEN: f32 = 60.0;
-/// Share of what a workspace's use learned that it keeps when its entry drifts.
+/// Fraction of its counts that a workspace's node keeps when its entry drifts.
 const DRIFT_KEEP: f32 = 0.03;
-/// Share of what the class learned that it keeps when an entry drifts.
+/// Fraction of its counts that a class keeps when one of its entries drifts.
 const DRIFT_KEEP_CLASS: f32 = 0.5;
 /// Weight of one answer in the prompt correction.
 const PROMPT_GAIN: f32 = 0.1;
-/// Bounds of the prompt correction; a factor.
+/// Minimum and maximum factor of the prompt correction.
 const PROMPT_FACTORS: (f32, f32) = (0.25, 4.0);
 
-/// Invariant: `parent` is declared before the node itself, so that chains end.
+/// Invariant: `parent` was created before the node itself, so parent chains are finite.
 #[derive(Clone, Debug)]
 struct Node {
     parent: Option<LengthNode>,
     counts: Counts,
-    /// Only entries watch for drift.
+    /// Detects drift; only entries have one.
     drift: Option<Drift>,
-    /// Counts the drifts of this node; children compare it with `parent_drifts`.
+    /// Number of drifts of this node; children compare it with `parent_drifts`.
     drifts: u32,
     parent_drifts: u32,
     curve: Curve,
-    /// Answers seen when `curve` was computed.
+    /// Number of answers seen when `curve` was computed.
     curve_seen: f32,
-    /// Counts how often `curve` was computed; 0 for not yet.
+    /// Number of times that `curve` was computed.
     curve_version: u32,
     /// The parent's version that `curve` was computed with.
     parent_version: u32,
-    /// Requests that refer to the node; it is not reused before they end.
+    /// Number of requests that refer to the node; it is not reused before they end.
     users: u32,
     prompt_factor: f32,
 }
 
-/// Lengths of answers by class, entry and workspace.
+/// Answer lengths by class, entry and workspace.
 #[derive(Clone, Debug, Default)]
 pub struct LengthModel {
     nodes: PrimaryMap<LengthNode, Node>,
@@ -91,12 +90,12 @@
 }
 
 impl LengthModel {
-    /// Returns a model that has seen nothing.
+    /// Creates a model without observations.
     pub fn new() -> Self {
         LengthModel::default()
     }
 
-    /// Returns the node of a workspace's use of an entry, and holds it until
+    /// Returns the node of a workspace's use of an entry, which stays valid until
     /// [`LengthModel::release`].
     pub fn acquire(
         &mut self,
@@ -110,34 +109,33 @@
         node
     }
 
-    /// Lets go of a node held by [`LengthModel::acquire`].
+    /// Releases a node returned by [`LengthModel::acquire`].
     pub fn release(&mut self, node: LengthNode) {
         debug_assert!(self.nodes[node].users > 0);
         self.nodes[node].users -= 1;
     }
 
-    /// Returns the present estimate for a node.
+    /// Returns the current estimate for a node.
     pub fn curve(&mut self, node: LengthNode) -> &Curve {
         self.refresh_curve(node);
         &self.nodes[node].curve
     }
 
-    /// Learns that an answer passed the buckets `from..to` without ending.
+    /// Records that an answer passed the buckets `from..to` without ending.
     pub fn survived(&mut self, node: LengthNode, from: usize, to: usize) {
         for bucket in from..to.min(buckets::COUNT) {
             self.observe(node, bucket, false);
         }
     }
 
-    /// Learns that an answer, known to have passed the buckets before `from`,
-    /// ended with `tokens`.
+    /// Records that an answer, known to have passed the buckets before `from`, ended with `tokens`.
     pub fn ended(&mut self, node: LengthNode, from: usize, tokens: u32) {
         let last = buckets::bucket_of(tokens);
         self.survived(node, from, last);
         self.observe(node, last, true);
     }
 
-    /// Learns how many tokens the engine counted in a prompt declared with `declared`.
+    /// Records how many tokens the engine counted in a prompt that was declared with `declared`.
     pub fn prompt_counted(&mut self, node: LengthNode, declared: u32, counted: u32) {
         if declared == 0 {
             return;
@@ -148,13 +146,13 @@
         *factor += PROMPT_GAIN * (ratio.clamp(PROMPT_FACTORS.0, PROMPT_FACTORS.1) - *factor);
     }
 
-    /// Returns `declared` prompt tokens as the engine is expected to count them.
+    /// Returns how many tokens the engine is expected to count in a prompt of `declared` tokens.
     pub fn corrected_prompt(&self, node: LengthNode, declared: u32) -> u32 {
         let entry = self.nodes[node].parent.unwrap_or(node);
         (declared as f32 * self.nodes[entry].prompt_factor).ceil() as u32
     }
 
-    /// Returns how often an entry's lengths were found to have drifted.
+    /// Returns how many drifts of entries were detected.
     pub fn drifts(&self) -> u64 {
         self.drifts
     }
@@ -192,7 +190,7 @@
         node
     }
 
-    /// Frees a node that no request refers to, and hands it to a new key.
+    /// Finds a workspace node without requests and reassigns it to a new key.
     fn reuse(&mut self, entry: LengthNode, workspace: WorkspaceKey) -> Option<LengthNode> {
         for _ in 0..REUSE_PROBES {
             self.clock_hand = (self.clock_hand + 1) % self.workspace_keys.len();
@@ -226,11 +224,10 @@
         }
     }
 
-    /// Keeps only the latest of what an entry learned, because its lengths changed.
+    /// Keeps only the recent observations of an entry whose lengths changed.
     ///
-    /// Without this, plans that double in length at the start of a school term
-    /// would be admitted by last term's lengths until the long window has
-    /// turned over; one would notice it by preemptions that go on for hours.
+    /// Without this, answers that double in length would be admitted by their earlier lengths until
+    /// the long window has turned over, which shows as hours of preemptions.
     fn on_drift(&mut self, entry: LengthNode) {
         self.drifts += 1;
         let node = &mut self.nodes[entry];
--- a/crates/core/src/length/buckets.rs
+++ b/crates/core/src/length/buckets.rs
@@ -1,14 +1,14 @@
-//! Log-spaced buckets of lengths, four to each doubling.
+//! Logarithmic length buckets, four per doubling.
 
-/// How many buckets there are.
+/// Number of buckets.
 pub const COUNT: usize = 64;
 
-/// Lengths below this have a bucket each; a power of two, in tokens.
+/// Each length below this has its own bucket; a power of two, in tokens.
 const LINEAR: u32 = 8;
 /// The binary logarithm of [`LINEAR`].
 const LINEAR_LOG2: u32 = LINEAR.trailing_zeros();
 
-/// Returns the bucket of answers that are `tokens` long.
+/// Returns the bucket of an answer of `tokens` tokens.
 pub fn bucket_of(tokens: u32) -> usize {
     if tokens < LINEAR {
         return tokens as usize;
@@ -19,7 +19,7 @@
     (bucket as usize).min(COUNT - 1)
 }
 
-/// Returns the shortest length of `bucket`, which may be one past the last.
+/// Returns the shortest length in `bucket`, which may be one past the last.
 pub const fn lower_edge(bucket: usize) -> u32 {
     let bucket = bucket as u32;
     if bucket < LINEAR {
--- a/crates/core/src/length/curve.rs
+++ b/crates/core/src/length/curve.rs
@@ -1,25 +1,24 @@
-//! A survival curve: how likely an answer is to be longer than a given length.
+//! A survival curve: the probability that an answer is longer than a given length.
 
 use super::buckets::{COUNT, bucket_of, lower_edge};
 use super::hazard::Counts;
 
-/// Hazard of a quarter doubling in the prior: half of the answers that reach a
-/// length go on to four times that length. It is heavy-tailed on purpose, so
-/// that an entry nobody has used yet is admitted with care.
+/// Hazard of the prior per quarter doubling: half of the answers that reach a length go on to four
+/// times that length. It is heavy-tailed, so that requests of an unused entry are admitted
+/// conservatively.
 const PRIOR_HAZARD: f32 = 0.083;
 /// Hazard of the prior in the buckets of very short lengths.
 const PRIOR_HAZARD_SHORT: f32 = 0.02;
-/// Lengths below this bucket (256 tokens) are short for the prior.
+/// First bucket (256 tokens) that is not short for the prior.
 const PRIOR_SHORT_BUCKETS: usize = 28;
-/// Share of a bucket's hazard that the next bucket is assumed to have at
-/// least, where it has seen too little of its own. Without it a few answers of
-/// twenty tokens would leave a tail of tens of thousands.
+/// Minimum hazard of a bucket with few observations, as a fraction of the previous bucket's hazard.
+/// Without it, a few answers of twenty tokens would leave a tail of tens of thousands.
 const CARRY_OVER: f32 = 0.9;
-/// Bounds of a hazard; certainty is never learned.
+/// Bounds of a hazard, which keep any outcome possible.
 const HAZARDS: (f32, f32) = (1e-4, 0.9);
 
-/// Invariant: `alive` falls and starts at 1; `alive[b]` is the chance that an
-/// answer is at least as long as `lower_edge(b)`.
+/// Invariant: `alive` decreases from 1; `alive[b]` is the probability that an answer has at least
+/// `lower_edge(b)` tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Curve {
     hazard: [f32; COUNT],
@@ -27,7 +26,7 @@
 }
 
 impl Curve {
-    /// Returns the curve of an entry of which nothing is known.
+    /// Returns the curve of an entry without observations.
     pub fn prior() -> Curve {
         let mut curve = Curve {
             hazard: [PRIOR_HAZARD; COUNT],
@@ -38,7 +37,7 @@
         curve
     }
 
-    /// Becomes the curve of `counts`, drawn towards `base` with `strength`.
+    /// Recomputes the curve from `counts`, shrunk towards `base` with `strength`.
     pub fn blend(&mut self, counts: &Counts, base: &Curve, strength: f32) {
         for (bucket, hazard) in self.hazard.iter_mut().enumerate() {
             let blended = counts.hazard(bucket, base.hazard[bucket], strength);
@@ -47,8 +46,8 @@
         self.accumulate();
     }
 
-    /// Becomes the curve of `counts`, drawn with `strength` towards the prior,
-    /// or towards the hazard of the bucket before where that is higher.
+    /// Recomputes the curve from `counts`, shrunk with `strength` towards the prior, or towards the
+    /// hazard of the previous bucket if that is higher.
     pub fn blend_with_prior(&mut self, counts: &Counts, strength: f32) {
         let prior = Curve::prior();
         let mut before = 0.0;
@@ -61,12 +60,12 @@
         self.accumulate();
     }
 
-    /// Returns the chance that an answer which reached `bucket` ends in it.
+    /// Returns the probability that an answer which reached `bucket` ends in it.
     pub fn hazard(&self, bucket: usize) -> f32 {
         self.hazard[bucket]
     }
 
-    /// Returns the chance that an answer is longer than `tokens`.
+    /// Returns the probability that an answer is longer than `tokens`.
     pub fn survival(&self, tokens: u32) -> f64 {
         let length = tokens.saturating_add(1);
         let bucket = bucket_of(length);
@@ -76,25 +75,25 @@
         self.alive[bucket] + part * (self.alive[bucket + 1] - self.alive[bucket])
     }
 
-    /// Returns the chance that an answer known to be longer than `age` is
-    /// longer than `age + more`.
+    /// Returns the probability that an answer known to be longer than `age` is longer than `age +
+    /// more`.
     pub fn conditional_survival(&self, age: u32, more: u32) -> f64 {
         let later = self.survival(age.saturating_add(more));
         (later / self.survival(age)).clamp(0.0, 1.0)
     }
 
-    /// Returns the mean length of answers cut off at `cap` tokens.
+    /// Returns the mean length of answers truncated at `cap` tokens.
     pub fn mean(&self, cap: u32) -> f64 {
         self.fold(cap, |_| 1.0)
     }
 
-    /// Returns the mean of memory times tokens generated over an answer's life,
-    /// in token-tokens: what an answer takes from an engine in all.
+    /// Returns the expected total of memory held per generated token over an answer, in
+    /// token-tokens, which is its cost to an engine.
     pub fn work(&self, prompt_tokens: u32, cap: u32) -> f64 {
         self.fold(cap, |length| f64::from(prompt_tokens) + length)
     }
 
-    /// Returns the length that a share `p` of answers stays under, at most `cap`.
+    /// Returns the length below which a fraction `p` of answers stays, at most `cap`.
     pub fn quantile(&self, p: f64, cap: u32) -> u32 {
         let bucket = self.alive.partition_point(|alive| *alive > 1.0 - p);
         lower_edge(bucket).min(cap)
--- a/crates/core/src/length/drift.rs
+++ b/crates/core/src/length/drift.rs
@@ -1,25 +1,23 @@
-//! Notices that an entry's lengths have changed.
+//! Detects that the answer lengths of an entry have changed.
 //!
-//! It is a log-rank test between the latest answers and what was learned
-//! before: at each bucket that an answer reaches, what happened is compared
-//! with the learned hazard. An answer that goes on past the usual length is
-//! evidence at each bucket that it passes, so a change to longer answers shows
-//! before the first of them has ended. The latest answers are counted apart,
-//! so that they can take the place of what was learned before.
+//! It is a log-rank test of recent answers against the learned hazards: the outcome at each bucket
+//! that an answer reaches is compared with the learned hazard. An answer that passes the usual
+//! length is evidence at each bucket that it passes, so a change to longer answers shows before the
+//! first of them ends. Recent answers are also counted separately, so that they can replace what
+//! was learned before.
 
 use super::hazard::Counts;
 
-/// Answers that count as the latest.
+/// Number of answers that count as recent.
 const RECENT_WINDOW: f32 = 30.0;
 
-/// Evidence of one observation that stays when the next arrives; about the
-/// last 4,000 observations count, which is some 160 answers.
+/// Decay of the evidence per observation. About the last 4,000 observations count, which is some
+/// 160 answers.
 const EVIDENCE_DECAY: f64 = 1.0 - 1.0 / 4_000.0;
-/// Standard deviations of evidence that are taken as a change. Sequential
-/// testing crosses it by chance more often than a single test would, which
-/// costs some answers' worth of learning each time.
+/// Standard deviations of evidence that indicate a change. A sequential test exceeds it by chance
+/// more often than a single test, and each false alarm discards some answers' worth of learning.
 const THRESHOLD: f64 = 4.0;
-/// Variance of the evidence below which nothing is concluded; about 15 ends.
+/// Minimum variance of the evidence for a decision; about 15 ended answers.
 const MIN_VARIANCE: f64 = 12.0;
 
 /// Evidence for a change of lengths.
@@ -41,8 +39,8 @@
 }
 
 impl Drift {
-    /// Takes in that an answer ended (or did not) in a bucket where the chance
-    /// of that was learned to be `hazard`; returns whether lengths have changed.
+    /// Records whether an answer ended in a bucket with the learned `hazard`; returns whether
+    /// lengths have changed.
     pub fn observe(&mut self, hazard: f32, ended: bool) -> bool {
         let hazard = f64::from(hazard);
         let ended = f64::from(u8::from(ended));
@@ -56,12 +54,12 @@
         true
     }
 
-    /// Counts an observation among the latest.
+    /// Adds an observation to the recent counts.
     pub fn count(&mut self, bucket: usize, ended: bool) {
         self.recent.observe(bucket, ended);
     }
 
-    /// Returns what the latest answers alone show.
+    /// Returns the counts of recent answers.
     pub fn recent(&self) -> &Counts {
         &self.recent
     }
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -1,21 +1,20 @@
 //! Rendezvous hashing: every instance computes the same home from the same list.
 //!
-//! Nothing may be written to shared state, so a decision maker cannot be
-//! elected. Instead each instance scores every live instance against a key and
-//! the highest score is the key's *home*. When an instance leaves, only the
-//! keys that it was home for move, each to the instance that was next in rank.
-//! See `docs/design/placement.md`.
+//! Instances share no writable state, so they cannot elect a decision maker. Instead, each instance
+//! scores every live instance against a key, and the instance with the highest score is the key's
+//! *home*, which decides for the key. When an instance leaves, only its own keys move, each to the
+//! instance that ranks next. See `docs/design/placement.md`.
 
 use crate::ids::InstanceKey;
 use core::cmp::Reverse;
 
-/// One instance that may become a home.
+/// An instance that may become a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The instance.
     pub instance: InstanceKey,
-    /// Whether it is preferred over all that are not, for example because it
-    /// shares the data centre of the endpoints that it would decide for.
+    /// Whether it ranks before all candidates that are not preferred, for example because it shares
+    /// the data centre of the endpoints of a cell.
     pub is_preferred: bool,
 }
 
@@ -29,17 +28,16 @@
     }
 }
 
-/// The order of candidates for one key; the greatest ranks first.
+/// Sort key of candidates for one key; the greatest ranks first.
 type Rank = (bool, u64, Reverse<InstanceKey>);
 
-/// Candidates that are usually asked for at most.
+/// Usual maximum number of requested candidates, for the initial allocation.
 const SMALL_LIMIT: usize = 8;
 
-/// Returns how strongly `node` is drawn to `key`.
+/// Returns the rendezvous score of `node` for `key`.
 ///
-/// Both are already hashes of names, so a finaliser that mixes their
-/// combination is enough, and is an order of magnitude cheaper than hashing
-/// the names again for each pair.
+/// Both are already hashes of names, so a finaliser that mixes their combination is sufficient. It
+/// is an order of magnitude cheaper than hashing the names again for each pair.
 pub const fn score(key: u64, node: u64) -> u64 {
     let mut x = key ^ node.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -59,7 +57,7 @@
         .map(|candidate| candidate.instance)
 }
 
-/// Fills `buf` with the `limit` first candidates for `key`, best first.
+/// Fills `buf` with the first `limit` candidates for `key`, best first.
 pub fn rank(
     key: u64,
     candidates: impl Iterator<Item = Candidate>,
@@ -68,8 +66,8 @@
 ) {
     let mut best: Vec<Rank> = Vec::with_capacity(limit.min(SMALL_LIMIT) + 1);
     for rank in candidates.map(|it| rank_of(key, it)) {
-        // Homes of all cells are ranked anew when an instance comes or goes;
-        // sorting all candidates for the sake of a few would be most of that.
+        // The homes of all cells are ranked again when an instance comes or goes, and sorting all
+        // candidates to select a few would dominate that cost.
         if best.len() == limit && best.last().is_none_or(|it| *it >= rank) {
             continue;
         }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,28 +1,27 @@
-//! Which endpoint of a cell takes a request.
+//! Ranks the endpoints of a cell for a request.
 //!
-//! Admission says where a request fits; routing ranks those places. An
-//! endpoint that holds the prompt's prefix spares prefill, one with more room
-//! spares stalls, and one in the same data centre spares latency. See
-//! `docs/design/routing.md`.
+//! Admission decides where a request fits, and routing ranks those endpoints. An endpoint that
+//! caches the prompt's prefix avoids prefill, one with more free capacity avoids stalls, and one in
+//! the same data centre avoids latency. See `docs/design/routing.md`.
 
 pub mod concurrency;
 pub mod health;
 pub mod prefix;
 
-/// Worth of a wholly cached prompt, against the worth 1 of an idle endpoint.
+/// Weight of a fully cached prompt, relative to 1 for an idle endpoint.
 pub const PREFIX_WEIGHT: f64 = 0.6;
-/// Tokens of a prompt at which a cached prefix is worth its whole weight.
+/// Prompt length in tokens from which a cached prefix has its full weight.
 pub const PREFIX_FULL_TOKENS: f64 = 2_000.0;
-/// Cost of another data centre, on the same scale: a millisecond and a half
-/// each way is little beside a prefill, but breaks ties.
+/// Penalty of another data centre on the same scale. A millisecond and a half each way is small
+/// compared to a prefill, so the penalty mainly breaks ties.
 pub const REMOTE_PENALTY: f64 = 0.1;
 
-/// What ranks an endpoint for one request.
+/// Inputs of an endpoint's score for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoutingFactors {
-    /// Share of the endpoint's room that is free, from 0 to 1.
+    /// Fraction of the endpoint's capacity that is free, from 0 to 1.
     pub free_share: f64,
-    /// Share of the prompt's blocks that the endpoint is believed to hold.
+    /// Fraction of the prompt's blocks that the endpoint is expected to cache.
     pub prefix_share: f64,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
@@ -31,7 +30,7 @@
 }
 
 impl RoutingFactors {
-    /// Returns the rank; the highest wins.
+    /// Returns the score; the highest wins.
     pub fn score(&self) -> f64 {
         let prompt = (f64::from(self.prompt_tokens) / PREFIX_FULL_TOKENS).min(1.0);
         let prefix = PREFIX_WEIGHT * self.prefix_share * prompt;
--- a/crates/core/src/routing/concurrency.rs
+++ b/crates/core/src/routing/concurrency.rs
@@ -1,44 +1,44 @@
-//! How many calls at once a plain service takes well, learned from latency.
+//! A concurrency limit for plain services, learned from latency.
 //!
-//! While latency stays near the best that was seen, the limit grows; when it
-//! rises, calls queue inside the service and the limit shrinks by the ratio
-//! (a gradient limit). A failure or a refusal shrinks it at once.
+//! While latency stays near the best observed, the limit grows. When latency rises, calls queue
+//! inside the service and the limit shrinks by the ratio (a gradient limit). A failure or a refusal
+//! shrinks it at once.
 
 use core::time::Duration;
 
-/// Calls at once before anything is known.
+/// Initial concurrency limit.
 const INITIAL_LIMIT: f64 = 4.0;
-/// Calls at once below which a service counts as lightly loaded; the gradient
-/// brings the limit down to [`START`] at most.
+/// Limit below which the service is lightly loaded and its baseline latency is learned again. The
+/// gradient does not bring the limit below [`INITIAL_LIMIT`].
 const RELEARN_BELOW: f64 = 5.0;
-/// Share of the latest latency at which the usual one counts as learned anew.
+/// Ratio of the baseline to the recent latency at which the baseline counts as learned.
 const RELEARNED_RATIO: f64 = 0.9;
-/// The fewest calls at once.
+/// Minimum concurrency limit.
 const MIN_LIMIT: f64 = 1.0;
-/// The most calls at once that are ever learned.
+/// Maximum concurrency limit.
 const MAX_LIMIT: f64 = 512.0;
-/// Latency above the usual that is still taken as noise; a factor.
+/// Ratio of recent to baseline latency that is still treated as noise.
 const LATENCY_TOLERANCE: f64 = 1.5;
-/// Weight of one call in the short average of latency.
+/// Weight of one call in the recent latency.
 const SHORT_GAIN: f64 = 0.2;
-/// Weight of one call in the long average of latency.
+/// Weight of one call in the baseline latency.
 const LONG_GAIN: f64 = 0.005;
 /// Weight of one call in the limit.
 const LIMIT_GAIN: f64 = 0.1;
-/// The strongest shrinking that latency causes; a factor.
+/// The smallest factor by which latency shrinks the limit.
 const MIN_GRADIENT: f64 = 0.5;
-/// Shrinking by a failure or refusal; a factor.
+/// Factor by which a failure or refusal shrinks the limit.
 const FAILURE_FACTOR: f64 = 0.8;
-/// Share of the limit that must be in use for it to grow.
+/// Fraction of the limit that must be in use for it to grow.
 const MIN_USED_FRACTION: f64 = 0.5;
 
-/// A learned limit of calls at once.
+/// A learned concurrency limit.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
     recent_latency: f64,
     baseline_latency: f64,
-    /// The usual latency is being learned anew.
+    /// Whether the baseline latency is being learned again.
     is_relearning: bool,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Takes in a call that took `latency` while `running` calls ran, itself included.
+    /// Records a call that took `latency` while `running` calls ran, including itself.
     pub fn completed(&mut self, latency: Duration, running: u32) {
         let latency = latency.as_secs_f64();
         if self.baseline_latency == 0.0 {
@@ -63,10 +63,9 @@
         }
         self.recent_latency += SHORT_GAIN * (latency - self.recent_latency);
         let is_used = f64::from(running) >= MIN_USED_FRACTION * self.limit;
-        // Under load the usual latency is learned downwards only: were the
-        // latency of a queue learned as usual, the limit would rise with it
-        // without end. Once that has brought the limit down to the least, the
-        // service may have become slower for good, and the usual is learned anew.
+        // Under load the baseline only falls. If queueing latency became the baseline, the limit
+        // would grow without bound. Once this has brought the limit below [`RELEARN_BELOW`], the
+        // service may have become slower for good, and the baseline is learned again.
         self.is_relearning |= self.limit < RELEARN_BELOW;
         if !is_used || self.is_relearning {
             self.baseline_latency += LONG_GAIN * (latency - self.baseline_latency);
@@ -83,12 +82,12 @@
         self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// Takes in a call that failed or was refused.
+    /// Records a call that failed or was refused.
     pub fn failed(&mut self) {
         self.limit = (self.limit * FAILURE_FACTOR).max(MIN_LIMIT);
     }
 
-    /// Returns how many calls may run at once.
+    /// Returns the current limit of concurrent calls.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -1,52 +1,51 @@
-//! Evidence for and against an endpoint: ejection, probing and ramp-up.
+//! Health of an endpoint: ejection, probing and ramp-up.
 //!
-//! A stalled or failing endpoint looks idle, so that routing by room alone
-//! sends it everything. Attempts that failed there are counted; enough of them
-//! eject it. After a while one idempotent request probes it, and an endpoint
-//! that is back, or new, gets its full share only step by step: its cache is
-//! cold and its load report empty, which would otherwise draw a herd.
+//! A stalled or failing endpoint looks idle, so routing by free capacity alone would send it all
+//! requests. Enough failed attempts eject it. After a delay, one idempotent request probes it. A
+//! new or recovered endpoint gets its full share step by step: its cache is cold and its load
+//! report is empty, which would otherwise attract too many requests at once.
 
 use crate::reason::Reason;
 use crate::time::Time;
 use core::time::Duration;
 
-/// Weight of failures above which an endpoint is ejected; a count.
+/// Decayed weight of failures from which an endpoint is ejected.
 const EJECT_FAILURES: f64 = 2.5;
-/// Share of failures among recent attempts above which it is ejected.
+/// Fraction of failures among recent attempts from which an endpoint is ejected.
 const EJECT_SHARE: f64 = 0.4;
-/// Time in which evidence loses half its weight.
+/// Half-life of successes and failures.
 const EVIDENCE_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Wait before the first probe; it doubles with each probe that fails.
+/// Delay before the first probe; doubles with each failed probe.
 const MIN_PROBE_DELAY: Duration = Duration::from_secs(5);
-/// The longest wait before a probe.
+/// Maximum delay before a probe.
 const MAX_PROBE_DELAY: Duration = Duration::from_secs(60);
-/// A probe that has told nothing by then counts as failed.
+/// A probe without a result within this time counts as failed.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time from the first grant to the full share.
 const RAMP_TIME: Duration = Duration::from_secs(10);
-/// Share of its capacity that an endpoint gets at first.
+/// Fraction of its capacity that an endpoint gets at first.
 const RAMP_START: f64 = 0.2;
-/// How long an endpoint that refused as busy gets nothing new.
+/// How long an endpoint that refused a request as busy gets no new one.
 const BUSY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Whether an endpoint may be granted.
+/// The ejection state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionState {
-    /// It may.
+    /// It may be granted.
     Open,
     /// It was ejected.
     Ejected {
         /// When it may be probed.
         probe_at: Time,
     },
-    /// One probe may go, or is under way since the time given.
+    /// It may be granted one probe, or a probe is running.
     Probing {
-        /// When the probe was granted.
+        /// When the running probe was granted.
         since: Option<Time>,
     },
 }
 
-/// Evidence about one endpoint.
+/// The health of one endpoint.
 #[derive(Clone, Debug)]
 pub struct Health {
     standing: EjectionState,
@@ -72,7 +71,7 @@
     }
 }
 
-/// Returns how much a failure says against the endpoint; 0 for one that does not.
+/// Returns the weight of a failure as evidence against the endpoint; 0 if it is none.
 fn failure_weight(reason: Reason) -> f64 {
     match reason {
         Reason::Stalled | Reason::ConnectFailed => 1.0,
@@ -83,7 +82,7 @@
 }
 
 impl Health {
-    /// Takes in that an attempt made progress or completed.
+    /// Records that an attempt made progress or completed.
     pub fn succeeded(&mut self, now: Time) {
         self.decay(now);
         self.successes += 1.0;
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Takes in that an attempt failed; returns whether the endpoint is now ejected.
+    /// Records a failed attempt; returns whether it ejected the endpoint.
     pub fn failed(&mut self, now: Time, reason: Reason) -> bool {
         self.decay(now);
         if reason == Reason::EndpointRefused {
@@ -111,7 +110,7 @@
         true
     }
 
-    /// Moves on with time: a probe comes due, or one has told nothing for too long.
+    /// Advances the state with time: a probe becomes due, or a running one times out.
     pub fn tick(&mut self, now: Time) {
         match self.standing {
             EjectionState::Ejected { probe_at } if now >= probe_at => {
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Notes a grant.
+    /// Records a grant.
     pub fn granted(&mut self, now: Time) {
         if let EjectionState::Probing { since } = &mut self.standing {
             *since = Some(now);
@@ -132,14 +131,14 @@
         self.ramp_from.get_or_insert(now);
     }
 
-    /// Notes that the probe under way ended without telling anything.
+    /// Records that the running probe ended without a result.
     pub fn probe_inconclusive(&mut self) {
         if let EjectionState::Probing { since } = &mut self.standing {
             *since = None;
         }
     }
 
-    /// Returns whether a request may go there; only idempotent work probes.
+    /// Returns whether a request may be sent to the endpoint. Only idempotent requests probe it.
     pub fn admits(&self, now: Time, idempotent: bool) -> bool {
         match self.standing {
             EjectionState::Open => now >= self.paused_until,
@@ -148,12 +147,12 @@
         }
     }
 
-    /// Returns whether the endpoint gets no work but probes.
+    /// Returns whether the endpoint gets only probes.
     pub fn is_ejected(&self) -> bool {
         self.standing != EjectionState::Open
     }
 
-    /// Returns the share of its capacity that the endpoint may be given now.
+    /// Returns the fraction of its capacity that the endpoint may use now.
     pub fn ramp(&self, now: Time) -> f64 {
         let since = match self.ramp_from {
             Some(from) => now.since(from).as_secs_f64(),
@@ -162,7 +161,7 @@
         (RAMP_START + (1.0 - RAMP_START) * since / RAMP_TIME.as_secs_f64()).min(1.0)
     }
 
-    /// Returns whether it changes with time alone.
+    /// Returns whether the state changes with time alone.
     pub fn changes_with_time(&self, now: Time) -> bool {
         self.standing != EjectionState::Open
             || now < self.paused_until
--- a/crates/core/src/routing/prefix.rs
+++ b/crates/core/src/routing/prefix.rs
@@ -1,29 +1,29 @@
-//! Which endpoints are believed to hold which prompt prefixes.
+//! Tracks which endpoints are expected to cache which prompt prefixes.
 //!
-//! Engines tell by cache events that come late and with gaps. So a belief has
-//! a strength: a block that an event reported is believed, one that a grant
-//! will have put there is expected for a while, and after a gap everything
-//! older is doubted until it is seen again. A wrong belief costs one prefill.
+//! The cache events of engines are late and have gaps, so each cached block has a confidence.
+//! Reported blocks have full confidence, and blocks of a granted prompt are expected for a while.
+//! After a gap, older blocks have reduced confidence until they are reported again. A wrong
+//! expectation costs one prefill.
 
 use crate::time::Time;
 use core::time::Duration;
 use cranelift_entity::entity_impl;
 use std::collections::{BTreeMap, VecDeque};
 
-/// An endpoint, as one cell counts it.
+/// An endpoint's index within its cell.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIx(u32);
 entity_impl!(EndpointIx, "endpoint");
 
-/// How long a block is expected after a grant, without an event that confirms it.
+/// How long a block is expected after a grant without an event that confirms it.
 const EXPECTED_FOR: Duration = Duration::from_secs(20);
-/// Share of belief in a block that was reported before a gap in the events.
+/// Confidence in a block that was reported before a gap in the events.
 const STALE_CONFIDENCE: f64 = 0.5;
-/// Share of belief in a block that a grant should have put there.
+/// Confidence in a block that a grant should have cached.
 const EXPECTED_CONFIDENCE: f64 = 0.8;
-/// The most blocks remembered for one endpoint; the oldest go first.
+/// Maximum number of blocks tracked per endpoint; the oldest are dropped first.
 const MAX_BLOCKS: usize = 4_096;
-/// The most endpoints returned as holders of one prefix.
+/// Maximum number of endpoints returned as holders of a prefix.
 pub const MAX_HOLDERS: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,24 +35,24 @@
 #[derive(Clone, Debug, Default)]
 struct EndpointBlocks {
     blocks: BTreeMap<u64, Belief>,
-    /// Blocks in the order in which they were learned; may name blocks that are gone.
+    /// Blocks in the order in which they were learned; may contain dropped blocks.
     order: VecDeque<u64>,
-    /// Counts the gaps in the endpoint's events.
+    /// Number of gaps in the endpoint's events.
     epoch: u32,
 }
 
-/// A prefix that an endpoint is believed to hold.
+/// A prefix that an endpoint is expected to cache.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Match {
-    /// Leading blocks of the prompt.
+    /// Number of leading blocks of the prompt.
     pub blocks: u32,
-    /// Share of belief, from 0 to 1.
+    /// Confidence, from 0 to 1.
     pub belief: f64,
 }
 
-/// Beliefs about the prefix caches of a cell's endpoints.
+/// The expected prefix caches of a cell's endpoints.
 ///
-/// Invariant: `holders[block]` lists exactly the endpoints whose `blocks` name it.
+/// Invariant: `holders[block]` lists exactly the endpoints whose `blocks` contain it.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixMap {
     endpoints: BTreeMap<EndpointIx, EndpointBlocks>,
@@ -60,11 +60,11 @@
 }
 
 impl PrefixMap {
-    /// Takes in an endpoint's cache events.
+    /// Applies the cache events of an endpoint.
     pub fn events(&mut self, endpoint: EndpointIx, gap: bool, stored: &[u64], evicted: &[u64]) {
         let cached = self.endpoints.entry(endpoint).or_default();
-        // Events lost in the gap may have been evictions. Without doubt, prompts
-        // would go on being sent to an endpoint that dropped their prefix long ago.
+        // Events lost in the gap may have been evictions. With full confidence, prompts would still
+        // be routed to an endpoint that evicted their prefix long ago.
         cached.epoch += u32::from(gap);
         let epoch = cached.epoch;
         for &block in evicted {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Notes that a prompt with these blocks was granted to an endpoint.
+    /// Records that a prompt with these blocks was granted to an endpoint.
     pub fn granted(&mut self, now: Time, endpoint: EndpointIx, prefix: &[u64]) {
         let until = now + EXPECTED_FOR;
         for &block in prefix {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Forgets everything about an endpoint, because it restarted or is gone.
+    /// Drops everything known about an endpoint that restarted or is gone.
     pub fn forget(&mut self, endpoint: EndpointIx) {
         let Some(cached) = self.endpoints.remove(&endpoint) else {
             return;
@@ -107,7 +107,7 @@
         &holders[holders.len().saturating_sub(MAX_HOLDERS)..]
     }
 
-    /// Returns how much of a prompt an endpoint is believed to hold.
+    /// Returns how much of a prompt an endpoint is expected to cache.
     ///
     /// Hashes are chained, so the longest known one implies those before it.
     pub fn matched(&self, now: Time, endpoint: EndpointIx, prefix: &[u64]) -> Match {
