--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -1,4 +1,4 @@
-//! What this instance holds of one limit.
+//! The share of one limit that this instance holds.
 
 use super::bucket::TokenBucket;
 use super::message::{LeaseRequest, LimitLease};
@@ -8,86 +8,86 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// An ask that is not answered by then is sent again.
+/// A lease request that is not answered within this time is sent again.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A home that has not answered for so long is taken as unreachable, and the
-/// limit is kept by an equal part for each instance.
+/// A home that has not answered for this long is considered unreachable, and each instance falls
+/// back to an equal share of the limit.
 pub(super) const HOME_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// While the home is unreachable it is asked so often.
+/// Interval of lease requests to an unreachable home.
 const UNREACHABLE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A lease is renewed when so much of its time is left.
+/// A lease is renewed when this much of its time is left.
 const RENEW_BEFORE: Duration = Duration::from_secs(10);
 
-/// Places beyond those in use that are asked for, so that the next request
-/// need not wait for an answer: one, and a quarter of those in use.
+/// One slot and this fraction of those in use are requested in advance, so that the next request
+/// need not wait for an answer; a divisor.
 const SPARE_DIVISOR: u32 = 4;
 
-/// A wish for more that could not be met is repeated at most so often.
+/// Minimum pause before a request that was not met is retried.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Tokens are asked for to last so long at the rate of late.
+/// Tokens are requested to last this long at the recent rate.
 const TOKEN_HORIZON: Duration = Duration::from_secs(10);
 
-/// The part of a minute's tokens that is asked for at least.
+/// Minimum number of tokens requested, as a divisor of a minute's tokens.
 const MIN_TOKENS_DIVISOR: u64 = 240;
 
-/// The rate of spending is averaged over so long.
+/// Averaging window of the spending rate.
 const SPEND_WINDOW: Duration = Duration::from_secs(10);
 
-/// Weight of the newest time that a place was held for, in the average.
+/// Weight of the newest slot holding time in the average.
 const HOLD_WEIGHT: f64 = 0.2;
 
-/// A limit that was not used for so long is forgotten.
+/// A limit that is unused for this long is dropped.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// An ask that is out.
+/// A lease request that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     seq: u32,
-    at: Time,
-    wants: u32,
+    sent_at: Time,
+    wanted_slots: u32,
     tokens_wanted: u64,
     tokens_owed: u64,
 }
 
-/// What this instance holds of one limit.
+/// The share of one limit that this instance holds.
 #[derive(Clone, Debug)]
 pub(super) struct Share {
     pub key: LimitKey,
     pub allowance: Allowance,
-    /// Requests admitted and not ended.
+    /// Requests that are admitted and not ended.
     pub in_use: u32,
-    /// Requests that wait here for this limit.
+    /// Requests of this instance that wait for this limit.
     pub waiting: u32,
-    /// Requests in use, by workspace; for entries only.
+    /// Admitted requests by workspace; read for entries only.
     pub by_workspace: BTreeMap<WorkspaceKey, u32>,
-    /// Places leased, until `expires`.
+    /// Leased slots, valid until `expires`.
     slots: u32,
     expires: Time,
-    /// Tokens leased and not spent; negative if more were spent.
+    /// Leased tokens that are not spent; negative if more were spent.
     tokens: i64,
-    /// The home said that there are no tokens before this.
+    /// The home reported that no tokens are available before this time.
     tokens_expected_at: Time,
-    /// Tokens spent lately, decayed over [`SPEND_WINDOW`].
+    /// Recently spent tokens, decayed over [`SPEND_WINDOW`].
     spent: f64,
     spent_at: Time,
     seq: u32,
     pending: Option<PendingRequest>,
-    /// The first of the asks that were not answered in a row.
+    /// When the first of the consecutive unanswered requests was sent.
     unanswered_since: Option<Time>,
-    /// When to ask next although nothing changed.
+    /// When to send the next request if nothing changes.
     renew_at: Time,
-    /// A wish that was not met is not repeated before this.
+    /// A request that was not met is not retried before this time.
     retry_not_before: Time,
     requested_home: Option<InstanceKey>,
-    /// The home leased fewer places than were wanted, or all there are.
+    /// The home leased fewer slots than were wanted, or all slots of the limit.
     is_exhausted: bool,
-    /// Set while the home is unreachable.
+    /// The local fallback bucket, set while the home is unreachable.
     fallback: Option<TokenBucket>,
-    /// How long a place is held, averaged; `None` before one was given back.
+    /// Average time for which a slot is held; `None` until one is released.
     mean_hold: Option<Duration>,
     pub used_at: Time,
 }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes over what a later revision of the catalogue says.
+    /// Adopts the values of a later catalogue revision.
     pub fn update_allowance(&mut self, allowance: Allowance) {
         if allowance.revision > self.allowance.revision {
             self.allowance = allowance;
@@ -130,7 +130,7 @@
         if now < self.expires { self.slots } else { 0 }
     }
 
-    /// Returns how many places may be in use now.
+    /// Returns how many slots may be in use.
     pub fn usable_slots(&self, now: Time, instances: u32) -> u32 {
         let leased = self.leased(now);
         match self.fallback {
@@ -139,10 +139,10 @@
         }
     }
 
-    /// Returns the equal part of the limit for an instance without a home.
+    /// Returns an equal share of the limit, for an instance whose home is unreachable.
     fn fallback_slots(&self, instances: u32) -> u32 {
-        let part = self.allowance.concurrent / instances.max(1);
-        part.max(u32::from(self.allowance.concurrent > 0))
+        let share = self.allowance.concurrent / instances.max(1);
+        share.max(u32::from(self.allowance.concurrent > 0))
     }
 
     pub fn has_free_slot(&self, now: Time, instances: u32) -> bool {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns when tokens are expected, if the home said that there are none.
+    /// Returns when tokens are expected if none are available.
     pub fn tokens_wait(&mut self, now: Time) -> Duration {
         match &mut self.fallback {
             Some(bucket) => bucket.time_until(now, 1),
@@ -167,25 +167,25 @@
         }
     }
 
-    /// Returns whether it is known that no more places can be had now. Until
-    /// then a wish is on its way that may still be met.
+    /// Returns whether no more slots are known to be available. Otherwise a pending request may
+    /// still be granted.
     pub fn is_exhausted(&self) -> bool {
         self.fallback.is_some() || self.is_exhausted
     }
 
-    /// Returns whether nothing is held or owed, so that it can be forgotten.
+    /// Returns whether the share holds nothing, has no pending request and can be dropped.
     pub fn is_idle(&self, now: Time) -> bool {
         let in_use = self.in_use + self.waiting + self.leased(now);
         in_use == 0 && self.pending.is_none() && now >= self.used_at + FORGET_AFTER
     }
 
-    /// Returns how long the `ahead`-th waiting request waits for a place, at
-    /// the rate at which places became free of late. Without any to go by
-    /// nothing is predicted: a guess would refuse what might have run.
+    /// Returns the expected wait of a request with `ahead` others ahead of it, from the recent rate
+    /// of released slots. Without such data it returns `None`, because a guess could refuse
+    /// requests that would have started in time.
     pub fn predicted_wait(&self, now: Time, instances: u32, ahead: u32) -> Option<Duration> {
-        let places = self.usable_slots(now, instances).max(1);
-        let turns = f64::from(ahead + 1) / f64::from(places);
-        self.mean_hold.map(|it| it.mul_f64(turns))
+        let slots = self.usable_slots(now, instances).max(1);
+        let rounds = f64::from(ahead + 1) / f64::from(slots);
+        self.mean_hold.map(|it| it.mul_f64(rounds))
     }
 
     pub fn spend(&mut self, now: Time, tokens: u64) {
@@ -208,8 +208,8 @@
 
     pub fn record_hold_time(&mut self, time: Duration) {
         let before = self.mean_hold.unwrap_or(time);
-        let mixed = before.mul_f64(1.0 - HOLD_WEIGHT) + time.mul_f64(HOLD_WEIGHT);
-        self.mean_hold = Some(mixed);
+        let mean = before.mul_f64(1.0 - HOLD_WEIGHT) + time.mul_f64(HOLD_WEIGHT);
+        self.mean_hold = Some(mean);
     }
 
     fn wanted_slots(&self) -> u32 {
@@ -221,8 +221,8 @@
         (needed + spare).min(self.allowance.concurrent)
     }
 
-    /// Returns how many tokens to ask for: enough for a while and to make up
-    /// for what was overspent; none while enough are left.
+    /// Returns how many tokens to request: enough for [`TOKEN_HORIZON`] and for what was overspent.
+    /// Returns 0 while enough are left.
     fn tokens_wanted(&mut self, now: Time) -> u64 {
         if self.allowance.tokens_per_minute == 0 || self.in_use + self.waiting == 0 {
             return 0;
@@ -238,56 +238,56 @@
         u64::try_from(wanted - self.tokens).unwrap_or(0)
     }
 
-    /// Returns whether the home is to be asked now.
+    /// Returns whether a request to the home is due.
     pub fn is_request_due(&mut self, now: Time, home: InstanceKey) -> bool {
         let moved = self.requested_home != Some(home);
-        if let Some(asked) = self.pending {
-            return moved || now >= asked.at + REQUEST_TIMEOUT;
+        if let Some(pending) = self.pending {
+            return moved || now >= pending.sent_at + REQUEST_TIMEOUT;
         }
-        let tells_again = moved && (self.leased(now) > 0 || self.in_use > 0);
-        if tells_again || now >= self.renew_at {
+        let must_report = moved && (self.leased(now) > 0 || self.in_use > 0);
+        if must_report || now >= self.renew_at {
             return true;
         }
-        let lacks = self.in_use + self.waiting > self.leased(now);
-        now >= self.retry_not_before && (lacks || self.tokens_wanted(now) > 0)
+        let needs_more = self.in_use + self.waiting > self.leased(now);
+        now >= self.retry_not_before && (needs_more || self.tokens_wanted(now) > 0)
     }
 
-    /// Returns when to look again, whatever happens until then.
+    /// Returns the next time to check this share.
     pub fn next_wake(&self) -> Time {
-        let silent = match (self.fallback.is_some(), self.unanswered_since) {
+        let home_timeout = match (self.fallback.is_some(), self.unanswered_since) {
             (false, Some(since)) => since + HOME_TIMEOUT,
             _ => Time::NEVER,
         };
-        let answer = self
+        let request_due = self
             .pending
-            .map_or(self.renew_at, |it| it.at + REQUEST_TIMEOUT);
-        answer.min(silent)
+            .map_or(self.renew_at, |it| it.sent_at + REQUEST_TIMEOUT);
+        request_due.min(home_timeout)
     }
 
-    /// Makes an ask, and gives up what it does not claim.
+    /// Creates a lease request and returns the slots and tokens that it does not claim.
     pub fn make_request(&mut self, now: Time, home: InstanceKey) -> LeaseRequest {
-        let again = self.pending.is_some() && self.requested_home == Some(home);
-        if !again || self.unanswered_since.is_none() {
+        let is_retry = self.pending.is_some() && self.requested_home == Some(home);
+        if !is_retry || self.unanswered_since.is_none() {
             self.unanswered_since = Some(now);
         }
-        let wants = self.wanted_slots();
-        self.slots = self.leased(now).min(wants);
-        let returned = match wants {
+        let wanted_slots = self.wanted_slots();
+        self.slots = self.leased(now).min(wanted_slots);
+        let returned = match wanted_slots {
             0 => u64::try_from(self.tokens).unwrap_or(0),
             _ => 0,
         };
         self.tokens -= i64::try_from(returned).unwrap_or(0);
-        // An ask that was not answered may not have arrived; what is owed is
-        // told again. If it did arrive it counts twice, which errs on the safe side.
-        let told = self.pending.map_or(0, |it| it.tokens_owed);
-        let owed = told + self.tokens.min(0).unsigned_abs();
+        // An unanswered request may not have arrived, so its owed tokens are reported again. If it
+        // did arrive, they count twice, which errs on the safe side.
+        let owed_before = self.pending.map_or(0, |it| it.tokens_owed);
+        let owed = owed_before + self.tokens.min(0).unsigned_abs();
         self.tokens = self.tokens.max(0);
         let tokens_wanted = self.tokens_wanted(now);
         self.seq += 1;
         self.pending = Some(PendingRequest {
             seq: self.seq,
-            at: now,
-            wants,
+            sent_at: now,
+            wanted_slots,
             tokens_wanted,
             tokens_owed: owed,
         });
@@ -298,35 +298,38 @@
             allowance: self.allowance,
             seq: self.seq,
             held_slots: self.in_use.max(self.slots),
-            wanted_slots: wants,
+            wanted_slots,
             tokens_wanted,
             tokens_returned: returned,
             tokens_owed: owed,
         }
     }
 
-    /// Goes on without a home once it has been silent for too long.
+    /// Switches to the local fallback if the home does not answer in time.
     pub fn check_home(&mut self, now: Time, has_home: bool, instances: u32) {
         let since = self.unanswered_since.filter(|_| self.pending.is_some());
-        let is_silent = since.is_some_and(|it| now >= it + HOME_TIMEOUT);
-        if has_home && !is_silent {
+        let is_unreachable = since.is_some_and(|it| now >= it + HOME_TIMEOUT);
+        if has_home && !is_unreachable {
             return;
         }
         if self.fallback.is_none() {
             self.fallback = Some(self.fallback_bucket(now, instances));
         }
-        if self.pending.is_none_or(|it| now >= it.at + REQUEST_TIMEOUT) {
+        if self
+            .pending
+            .is_none_or(|it| now >= it.sent_at + REQUEST_TIMEOUT)
+        {
             self.pending = None;
             self.renew_at = now + UNREACHABLE_RETRY_INTERVAL;
         }
     }
 
     fn fallback_bucket(&mut self, now: Time, instances: u32) -> TokenBucket {
-        let part = self.allowance.tokens_per_minute / u64::from(instances.max(1));
-        // What was overspent under the home is not forgiven.
-        let told = self.pending.map_or(0, |it| it.tokens_owed);
-        let mut bucket = TokenBucket::new(now, part);
-        bucket.overdraw(now, told + self.tokens.min(0).unsigned_abs());
+        let share = self.allowance.tokens_per_minute / u64::from(instances.max(1));
+        // Tokens overspent under the home stay owed.
+        let owed_before = self.pending.map_or(0, |it| it.tokens_owed);
+        let mut bucket = TokenBucket::new(now, share);
+        bucket.overdraw(now, owed_before + self.tokens.min(0).unsigned_abs());
         self.tokens = self.tokens.max(0);
         bucket
     }
@@ -335,13 +338,13 @@
         self.fallback.is_some()
     }
 
-    /// Takes in an answer; returns whether it gave up places by it, which the
-    /// home must hear of.
+    /// Applies a lease; returns whether the number of slots fell, which must be reported to the
+    /// home.
     pub fn apply_lease(&mut self, now: Time, lease: &LimitLease) -> bool {
         if lease.is_revocation {
             return self.apply_revocation(lease);
         }
-        let Some(asked) = self.pending.filter(|it| it.seq == lease.seq) else {
+        let Some(pending) = self.pending.filter(|it| it.seq == lease.seq) else {
             return false;
         };
         let held = self.leased(now);
@@ -349,12 +352,12 @@
         self.unanswered_since = None;
         self.fallback = None;
         self.slots = lease.slots;
-        self.expires = asked.at + Duration::from_millis(u64::from(lease.ttl_ms));
+        self.expires = pending.sent_at + Duration::from_millis(u64::from(lease.ttl_ms));
         self.tokens = self
             .tokens
             .saturating_add(i64::try_from(lease.tokens).unwrap_or(i64::MAX));
         self.tokens_expected_at = now + Duration::from_millis(u64::from(lease.tokens_wait_ms));
-        self.schedule(now, &asked, lease);
+        self.schedule(now, &pending, lease);
         lease.slots < held
     }
 
@@ -367,22 +370,22 @@
         true
     }
 
-    /// Sets when to ask again if nothing else happens.
-    fn schedule(&mut self, now: Time, asked: &PendingRequest, lease: &LimitLease) {
+    /// Sets when to send the next request if nothing else happens.
+    fn schedule(&mut self, now: Time, pending: &PendingRequest, lease: &LimitLease) {
         let renew = self.expires.since(now).saturating_sub(RENEW_BEFORE);
         let idle = self.in_use + self.waiting == 0 && self.slots == 0;
         self.renew_at = if idle { Time::NEVER } else { now + renew };
-        let lacks_places = lease.slots < asked.wants;
-        let lacks_tokens = lease.tokens < asked.tokens_wanted;
-        self.is_exhausted = lacks_places || lease.slots >= self.allowance.concurrent;
+        let lacks_slots = lease.slots < pending.wanted_slots;
+        let lacks_tokens = lease.tokens < pending.tokens_wanted;
+        self.is_exhausted = lacks_slots || lease.slots >= self.allowance.concurrent;
         self.retry_not_before = now;
-        if lacks_places || lacks_tokens {
-            let again = Duration::from_millis(u64::from(lease.retry_after_ms));
-            let at = now + again.max(MIN_RETRY_PAUSE);
-            self.retry_not_before = if lacks_places {
-                at
+        if lacks_slots || lacks_tokens {
+            let retry_after = Duration::from_millis(u64::from(lease.retry_after_ms));
+            let retry_at = now + retry_after.max(MIN_RETRY_PAUSE);
+            self.retry_not_before = if lacks_slots {
+                retry_at
             } else {
-                at.max(self.tokens_expected_at)
+                retry_at.max(self.tokens_expected_at)
             };
             self.renew_at = self.renew_at.min(self.retry_not_before);
         }
--- a/crates/core/src/membership/quarantine.rs
+++ b/crates/core/src/membership/quarantine.rs
@@ -1,9 +1,8 @@
-//! Lists that name far too little are not believed at once.
+//! Quarantine of lists that drop most of the fleet.
 //!
-//! A list that is empty or half-written looks exactly like the loss of most of
-//! the fleet. Believing it would move every home and close every endpoint in
-//! one step, while keeping the old list costs little: what is truly gone shows
-//! itself by broken links and refusals.
+//! A list that is empty or half-written looks exactly like the loss of most of the fleet. Accepting
+//! it would move every home and close every endpoint in one step, while keeping the old list costs
+//! little: instances and endpoints that are really gone show as broken links and refusals.
 
 use super::links::Link;
 use super::list::{InstanceList, ListedState};
@@ -13,35 +12,35 @@
 use crate::time::Time;
 use core::time::Duration;
 
-/// A later revision confirms a doubted list only after so long, so that a
-/// writer that publishes a list in pieces does not confirm itself.
+/// Minimum time before a later revision confirms a quarantined list, so that a writer that
+/// publishes a list in pieces does not confirm itself.
 pub const QUARANTINE_CONFIRM: Duration = Duration::from_secs(10);
 
-/// A doubted list that nothing contradicts is believed after so long.
+/// A quarantined list that no evidence contradicts is accepted after this time.
 pub const QUARANTINE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// A list that is held back.
+/// A list in quarantine.
 #[derive(Clone, Debug)]
 pub(super) struct Quarantine {
     list: InstanceList,
     since: Time,
-    /// Instances that it no longer names.
+    /// Live instances that the list no longer contains.
     missing: Vec<InstanceKey>,
 }
 
-/// What links to vanished instances say.
+/// The state of the links to missing instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// At least one is there.
+    /// At least one link is up.
     Alive,
-    /// All that were linked are down.
+    /// All known links are down.
     Dead,
-    /// None was linked.
+    /// No link is known.
     Unknown,
 }
 
 impl Membership {
-    /// Takes in a list from the platform or from a peer.
+    /// Handles a list from the platform or from a peer.
     ///
     /// Returns whether its revision is at least the one in force.
     pub(super) fn consider_list(
@@ -66,8 +65,8 @@
     }
 
     fn quarantine_list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
-        let vanished = missing_instances(&self.view, &list);
-        let Some(doubt) = &mut self.quarantine else {
+        let missing = missing_instances(&self.view, &list);
+        let Some(quarantine) = &mut self.quarantine else {
             out.push(MembershipAction::Note(Note::ListDoubted {
                 named: count(list.instances.len()),
                 known: count(self.view.list().instances.len()),
@@ -75,44 +74,44 @@
             self.quarantine = Some(Quarantine {
                 list,
                 since: now,
-                missing: vanished,
+                missing,
             });
             return;
         };
-        if list.revision <= doubt.list.revision {
+        if list.revision <= quarantine.list.revision {
             return;
         }
-        doubt.list = list;
-        doubt.missing = vanished;
-        let confirmed = now >= doubt.since + QUARANTINE_CONFIRM;
-        if confirmed && !doubt.list.instances.is_empty() {
+        quarantine.list = list;
+        quarantine.missing = missing;
+        let confirmed = now >= quarantine.since + QUARANTINE_CONFIRM;
+        if confirmed && !quarantine.list.instances.is_empty() {
             self.accept_quarantined(now, out);
         }
     }
 
     fn accept_quarantined(&mut self, now: Time, out: &mut Vec<MembershipAction>) {
-        if let Some(doubt) = self.quarantine.take() {
-            self.accept_list(now, doubt.list, out);
+        if let Some(quarantine) = self.quarantine.take() {
+            self.accept_list(now, quarantine.list, out);
         }
     }
 
-    /// Returns the highest revision seen, also of a list that is doubted.
+    /// Returns the highest revision seen, including that of a quarantined list.
     pub(super) fn seen_revision(&self) -> u64 {
-        let doubted = self.quarantine.as_ref().map_or(0, |it| it.list.revision);
-        self.view.revision().max(doubted)
+        let quarantined = self.quarantine.as_ref().map_or(0, |it| it.list.revision);
+        self.view.revision().max(quarantined)
     }
 
     pub(super) fn quarantine_due(&self) -> Time {
-        let Some(doubt) = &self.quarantine else {
+        let Some(quarantine) = &self.quarantine else {
             return Time::NEVER;
         };
-        if doubt.list.instances.is_empty() {
+        if quarantine.list.instances.is_empty() {
             return Time::NEVER;
         }
-        match self.evidence(doubt) {
+        match self.evidence(quarantine) {
             Evidence::Alive => Time::NEVER,
-            Evidence::Dead => doubt.since + QUARANTINE_CONFIRM,
-            Evidence::Unknown => doubt.since + QUARANTINE_TIMEOUT,
+            Evidence::Dead => quarantine.since + QUARANTINE_CONFIRM,
+            Evidence::Unknown => quarantine.since + QUARANTINE_TIMEOUT,
         }
     }
 
@@ -122,14 +121,14 @@
         }
     }
 
-    fn evidence(&self, doubt: &Quarantine) -> Evidence {
+    fn evidence(&self, quarantine: &Quarantine) -> Evidence {
         let mut evidence = Evidence::Unknown;
-        for life in doubt
+        for state in quarantine
             .missing
             .iter()
             .filter_map(|it| self.peer_states.get(it))
         {
-            match life.link {
+            match state.link {
                 Link::Up => return Evidence::Alive,
                 Link::Down { .. } => evidence = Evidence::Dead,
                 Link::Unknown => {}
@@ -153,8 +152,8 @@
         .collect()
 }
 
-/// Returns whether more than half of the live instances or of the live
-/// endpoints are missing, without ever having been called leaving.
+/// Returns whether more than half of the live instances or of the live endpoints are missing
+/// without having been listed as leaving.
 fn loses_most(view: &View, list: &InstanceList) -> bool {
     let known = view
         .instances()
--- a/crates/core/src/orders/controller.rs
+++ b/crates/core/src/orders/controller.rs
@@ -1,4 +1,4 @@
-//! When an order may be given, and what becomes of it.
+//! Decides when orders may be sent and tracks their results.
 
 use super::endpoint::{ManagedEndpoint, RESPONSE_TIMEOUT};
 use super::fence::{FENCE_REVISION_SHIFT, next_fence};
@@ -14,19 +14,19 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// An order is sent within this time or not at all.
+/// An order must be sent within this time or not at all.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of a cell's endpoints that load at the same time at most.
+/// At most this fraction of a cell's endpoints load at the same time; a divisor.
 const LOADING_DIVISOR: u32 = 4;
 
-/// The list is asked for again at most so often for the sake of an order.
+/// Minimum time between two reads of the list requested for orders.
 const MIN_LIST_READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How the giver of orders takes part.
+/// Configuration of the controller.
 #[derive(Clone, Copy, Debug)]
 pub struct OrdersConfig {
-    /// Loads that the weight store bears in a minute, over all givers.
+    /// Maximum loads per minute from the weight store, over all controllers.
     pub loads_per_minute: u32,
     /// Seed of the jitter.
     pub seed: u64,
@@ -41,48 +41,47 @@
     }
 }
 
-/// What the giver knows about its own standing.
+/// The state on which a controller decides whether it may send orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerContext {
     /// The revision of the list in force.
     pub list_revision: u64,
-    /// When the call was sent that last confirmed that list; `None` if it was
-    /// never confirmed.
+    /// When the call was sent that last confirmed that list; `None` if it was never confirmed.
     pub confirmed: Option<Time>,
-    /// Whether the catalogue in force is the newest that anybody has told of.
+    /// Whether the catalogue in force is the newest that is known to exist.
     pub is_catalogue_current: bool,
-    /// How many instances give orders.
+    /// Number of instances that are controllers.
     pub controllers: u32,
 }
 
 impl ControllerContext {
-    /// Returns until when orders may be given on it.
+    /// Returns the time until which orders may be sent.
     fn lease_end(&self) -> Time {
         self.confirmed
             .map_or(Time::ZERO, |it| it + CONTROLLER_LEASE)
     }
 }
 
-/// Gives orders to the endpoints that this instance is the giver for.
+/// Sends orders to the endpoints that this instance controls.
 ///
-/// Invariant: at most one order is out for an endpoint, and the numbers given
-/// to it only grow.
+/// Invariant: at most one order per endpoint is pending, and the fencing numbers sent to it
+/// increase.
 #[derive(Clone, Debug)]
 pub struct Orders {
     cfg: OrdersConfig,
     rng: SmallRng,
     endpoints: BTreeMap<EndpointKey, ManagedEndpoint>,
-    /// The number used last.
+    /// The fencing number used last.
     last_fence: u64,
-    /// When this giver may take weights again.
+    /// When this controller may next load weights.
     next_load: Option<Time>,
-    /// When the list was asked for last.
+    /// When the list was last requested.
     list_requested_at: Option<Time>,
     wake: Time,
 }
 
 impl Orders {
-    /// Creates a giver of no orders.
+    /// Creates a controller without endpoints.
     pub fn new(cfg: OrdersConfig) -> Self {
         Orders {
             cfg,
@@ -95,43 +94,43 @@
         }
     }
 
-    /// Takes in the goals that follow from a new list, catalogue or notice.
+    /// Replaces the goals after a change of the list, the catalogue or a leaving notice.
     pub fn set_goals(&mut self, now: Time, goals: Vec<EndpointGoal>) {
         let mut before = core::mem::take(&mut self.endpoints);
         for goal in goals {
             let key = goal.endpoint.key;
             let known = before.remove(&key);
-            let ordered = match known {
+            let managed = match known {
                 Some(known) => known.with_goal(goal),
                 None => ManagedEndpoint::new(now, goal),
             };
-            self.endpoints.insert(key, ordered);
+            self.endpoints.insert(key, managed);
         }
         self.wake = now;
     }
 
-    /// Returns whether this instance gives orders to an endpoint.
+    /// Returns whether this instance sends orders to an endpoint.
     pub fn controls(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
-    /// Returns how many endpoints this instance gives orders to.
+    /// Returns how many endpoints this instance controls.
     pub fn endpoints(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// An endpoint reported what it holds.
+    /// Records the models that an endpoint reported.
     pub fn report(&mut self, now: Time, endpoint: EndpointKey, report: &LoadReport) {
-        let Some(ordered) = self.endpoints.get_mut(&endpoint) else {
+        let Some(managed) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
         let lag = u64::from(report.lag_ms) * 1_000;
         let true_at = Time::from_micros(now.as_micros().saturating_sub(lag));
-        ordered.apply_report(true_at, report);
+        managed.apply_report(true_at, report);
         self.wake = now;
     }
 
-    /// An endpoint answered an order.
+    /// Records the result of an order.
     pub fn on_order_answered(
         &mut self,
         now: Time,
@@ -140,10 +139,10 @@
         result: OrderResult,
     ) {
         let retry = self.rng.random_range(0.5..1.0);
-        let Some(ordered) = self.endpoints.get_mut(&endpoint) else {
+        let Some(managed) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        ordered.answered(now, fencing, result, retry);
+        managed.answered(now, fencing, result, retry);
         self.wake = now;
     }
 
@@ -152,13 +151,13 @@
         self.wake
     }
 
-    /// Gives whatever orders are due.
+    /// Sends all orders that are due.
     ///
-    /// `is_used` says whether a generation runs on a model of an endpoint.
+    /// `is_used` returns whether a generation runs on a model of an endpoint.
     pub fn tick(
         &mut self,
         now: Time,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         is_used: &impl Fn(EndpointKey, &LoadedModel) -> bool,
         out: &mut Vec<OrdersAction>,
     ) {
@@ -166,15 +165,15 @@
         let mut loading = self.loading();
         let keys: Vec<EndpointKey> = self.endpoints.keys().copied().collect();
         for key in keys {
-            self.tick_endpoint(now, key, knowledge, is_used, &mut loading, out);
+            self.tick_endpoint(now, key, context, is_used, &mut loading, out);
         }
     }
 
-    /// Returns how many endpoints of each cell load something.
+    /// Returns how many endpoints of each cell are loading a model.
     fn loading(&self) -> BTreeMap<CellKey, u32> {
         let mut loading = BTreeMap::new();
-        for ordered in self.endpoints.values().filter(|it| it.is_loading()) {
-            *loading.entry(ordered.goal.cell).or_default() += 1;
+        for managed in self.endpoints.values().filter(|it| it.is_loading()) {
+            *loading.entry(managed.goal.cell).or_default() += 1;
         }
         loading
     }
@@ -183,70 +182,70 @@
         &mut self,
         now: Time,
         key: EndpointKey,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         is_used: &impl Fn(EndpointKey, &LoadedModel) -> bool,
         loading: &mut BTreeMap<CellKey, u32>,
         out: &mut Vec<OrdersAction>,
     ) {
         let retry = self.rng.random_range(0.5..1.0);
-        let Some(ordered) = self.endpoints.get_mut(&key) else {
+        let Some(managed) = self.endpoints.get_mut(&key) else {
             return;
         };
-        let wake = ordered.advance(now, retry);
+        let wake = managed.advance(now, retry);
         self.wake = self.wake.min(wake);
-        let Some(kind) = ordered.next_change(is_used) else {
-            ordered.is_held = false;
+        let Some(kind) = managed.next_change(is_used) else {
+            managed.is_held = false;
             return;
         };
-        let cell = ordered.goal.cell;
-        let most = (ordered.goal.cell_size / LOADING_DIVISOR).max(1);
+        let cell = managed.goal.cell;
+        let most = (managed.goal.cell_size / LOADING_DIVISOR).max(1);
         let in_cell = loading.entry(cell).or_default();
         let is_load = loads_weights(&kind);
         if is_load && *in_cell >= most {
             return;
         }
-        if let Err(hold) = self.check_order(now, key, knowledge, is_load) {
+        if let Err(hold) = self.check_order(now, key, context, is_load) {
             self.hold(now, key, hold, out);
             return;
         }
-        if self.send(now, key, kind, knowledge, out) && is_load {
+        if self.send(now, key, kind, context, out) && is_load {
             *in_cell += 1;
         }
     }
 
-    /// Returns whether an order may be given now, or why not.
+    /// Returns `Ok` if an order may be sent now, else why it is held back.
     fn check_order(
         &mut self,
         now: Time,
         key: EndpointKey,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         is_load: bool,
     ) -> Result<(), Hold> {
-        if !knowledge.is_catalogue_current {
+        if !context.is_catalogue_current {
             return Err(Hold::Until(now + MIN_LIST_READ_INTERVAL));
         }
-        if now >= knowledge.lease_end() {
+        if now >= context.lease_end() {
             return Err(Hold::Stale);
         }
-        let ordered = &self.endpoints[&key];
-        if now < ordered.safe_from() {
-            return Err(Hold::Until(ordered.safe_from()));
+        let managed = &self.endpoints[&key];
+        if now < managed.safe_from() {
+            return Err(Hold::Until(managed.safe_from()));
         }
-        if ordered.highest >> FENCE_REVISION_SHIFT > knowledge.list_revision {
+        if managed.highest >> FENCE_REVISION_SHIFT > context.list_revision {
             return Err(Hold::Stale);
         }
         match is_load {
-            true => self.check_load(now, knowledge.controllers),
+            true => self.check_load(now, context.controllers),
             false => Ok(()),
         }
     }
 
-    /// Keeps to this giver's part of the weight store's rate.
+    /// Keeps to this controller's share of the weight store's rate.
     ///
-    /// The first load waits for a random part of the pause, because a new
-    /// catalogue reaches all givers at once.
-    fn check_load(&mut self, now: Time, givers: u32) -> Result<(), Hold> {
-        let pause = self.load_pause(givers);
+    /// The first load waits for a random part of the pause, because a new catalogue reaches all
+    /// controllers at once.
+    fn check_load(&mut self, now: Time, controllers: u32) -> Result<(), Hold> {
+        let pause = self.load_pause(controllers);
         let rng = &mut self.rng;
         let first = || now + pause.mul_f64(rng.random_range(0.0..1.0));
         let next = *self.next_load.get_or_insert_with(first);
@@ -256,8 +255,8 @@
         Ok(())
     }
 
-    fn load_pause(&self, givers: u32) -> Duration {
-        Duration::from_secs(60) * givers.max(1) / self.cfg.loads_per_minute.max(1)
+    fn load_pause(&self, controllers: u32) -> Duration {
+        Duration::from_secs(60) * controllers.max(1) / self.cfg.loads_per_minute.max(1)
     }
 
     fn hold(&mut self, now: Time, key: EndpointKey, hold: Hold, out: &mut Vec<OrdersAction>) {
@@ -275,11 +274,11 @@
             }
         };
         self.wake = self.wake.min(until);
-        let Some(ordered) = self.endpoints.get_mut(&key) else {
+        let Some(managed) = self.endpoints.get_mut(&key) else {
             return;
         };
-        if !ordered.is_held {
-            ordered.is_held = true;
+        if !managed.is_held {
+            managed.is_held = true;
             out.push(OrdersAction::Note(Note::OrderHeld { endpoint: key }));
         }
     }
@@ -289,29 +288,29 @@
         now: Time,
         key: EndpointKey,
         kind: OrderKind,
-        knowledge: &ControllerContext,
+        context: &ControllerContext,
         out: &mut Vec<OrdersAction>,
     ) -> bool {
-        let pause = self.load_pause(knowledge.controllers);
-        let Some(ordered) = self.endpoints.get_mut(&key) else {
+        let pause = self.load_pause(context.controllers);
+        let Some(managed) = self.endpoints.get_mut(&key) else {
             return false;
         };
-        let revision = knowledge.list_revision;
-        let Some(fencing) = next_fence(revision, self.last_fence, ordered.highest) else {
+        let revision = context.list_revision;
+        let Some(fencing) = next_fence(revision, self.last_fence, managed.highest) else {
             return false;
         };
         self.last_fence = fencing;
         if loads_weights(&kind) {
             self.next_load = Some(now + pause);
         }
-        ordered.is_held = false;
-        ordered.sent(now, fencing, kind.clone());
+        managed.is_held = false;
+        managed.sent(now, fencing, kind.clone());
         self.wake = self.wake.min(now + RESPONSE_TIMEOUT);
         out.push(OrdersAction::Send {
-            endpoint: ordered.goal.endpoint.clone(),
+            endpoint: managed.goal.endpoint.clone(),
             fencing,
             kind,
-            send_before: (now + SEND_TIMEOUT).min(knowledge.lease_end()),
+            send_before: (now + SEND_TIMEOUT).min(context.lease_end()),
         });
         out.push(OrdersAction::Note(Note::Ordered {
             endpoint: key,
@@ -324,8 +323,8 @@
 /// Why an order is held back.
 #[derive(Clone, Copy, Debug)]
 enum Hold {
-    /// It may be given later, if nothing changes.
+    /// It may be sent from the given time on, if nothing changes.
     Until(Time),
-    /// The list has to be confirmed first.
+    /// The list must be confirmed first.
     Stale,
 }
--- a/crates/core/tests/membership_failures.rs
+++ b/crates/core/tests/membership_failures.rs
@@ -1,4 +1,4 @@
-//! What membership believes when the list lags, lies, or parts.
+//! Membership with stale or broken lists, and during partitions.
 
 #[path = "fixtures/fleet.rs"]
 mod fleet;
@@ -50,9 +50,8 @@
 
 #[test]
 fn a_lower_revision_changes_nothing() {
-    // Symptom: an instance that was gone became a home again.
-    // Sequence: revision 2 without it; a lagging replica answers with revision 1.
-    // Cause: the list read last was taken for the newest.
+    // Guards against a departed instance that becomes a home again. Revision 2 does not contain it,
+    // then a lagging replica returns revision 1. The list read last was taken for the newest.
     let list = fleet(1, 3, 1);
     let newer = changed(&list, |list| drop(list.instances.pop()));
     let mut member = member("i0-000", &newer);
@@ -65,31 +64,29 @@
 #[case(empty)]
 #[case(without_most)]
 #[case(without_endpoints)]
-fn a_list_that_lost_most_of_the_fleet_is_not_believed_at_once(
+fn a_list_that_drops_most_of_the_fleet_is_quarantined(
     #[case] broken: fn(&InstanceList) -> InstanceList,
 ) {
-    // Symptom: every home moved to one instance, or no endpoint was left, within a second.
-    // Sequence: the list's writer publishes an empty or half-written list.
-    // Cause: a list was believed whatever it said.
+    // Guards against moving every home to one instance, or closing all endpoints, within a second.
+    // The writer of the list publishes an empty or half-written list. Any list was accepted.
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     let out = actions(|out| member.list(T, broken(&list), out));
     assert!(has_note(&out, |it| matches!(it, Note::ListDoubted { .. })));
     assert_eq!(member.live_count(), 6);
     assert_eq!(member.view().endpoints().count(), 4);
-    let whole = changed(&broken(&list), |next| {
+    let full = changed(&broken(&list), |next| {
         next.instances = list.instances.clone();
         next.endpoints = list.endpoints.clone();
     });
-    actions(|out| member.list(T + Duration::from_secs(1), whole, out));
+    actions(|out| member.list(T + Duration::from_secs(1), full, out));
     assert_eq!((member.view().revision(), member.live_count()), (3, 6));
 }
 
 #[test]
 fn a_writer_that_publishes_in_pieces_does_not_confirm_itself() {
-    // Symptom: a half-written list came into force although it had been doubted.
-    // Sequence: two half-written revisions follow each other within a second.
-    // Cause: any second revision counted as a confirmation.
+    // Guards against accepting a half-written list from quarantine. Two half-written revisions
+    // follow each other within a second. Any second revision counted as a confirmation.
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     let first = without_most(&list);
@@ -103,7 +100,7 @@
 }
 
 #[test]
-fn an_empty_list_is_never_believed_for_its_age_alone() {
+fn an_empty_list_is_never_accepted_for_its_age_alone() {
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     actions(|out| member.list(T, empty(&list), out));
@@ -112,10 +109,10 @@
 }
 
 #[test]
-fn a_loss_that_the_links_confirm_is_believed() {
-    // Symptom: after a data centre was lost, homes stayed with the dead for minutes.
-    // Sequence: four of six instances die; their links break; the list drops them.
-    // Cause: a doubted list waited for a later revision although the links showed the loss.
+fn a_loss_that_the_links_confirm_is_accepted() {
+    // Guards against homes that stay with dead instances for minutes after the loss of a data
+    // centre. Four of six instances die, their links break, and the list drops them. A quarantined
+    // list waited for a later revision although the links confirmed the loss.
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     actions(|out| member.peer_up(T, peer("i0-004", 1), out));
@@ -125,7 +122,7 @@
         member.next_wake()
     );
     actions(|out| member.tick(T + QUARANTINE_TIMEOUT, out));
-    assert_eq!(member.view().revision(), 1, "a link says that it lives");
+    assert_eq!(member.view().revision(), 1, "a link is still up");
     let down = T + QUARANTINE_TIMEOUT;
     actions(|out| member.peer_down(down, peer("i0-004", 1), out));
     actions(|out| member.tick(down + QUARANTINE_CONFIRM, out));
@@ -133,7 +130,7 @@
 }
 
 #[test]
-fn a_list_that_says_leaving_is_believed_for_most_of_the_fleet() {
+fn a_list_may_mark_most_of_the_fleet_as_leaving() {
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     let leaving = changed(&list, |list| {
@@ -146,9 +143,9 @@
 
 #[test]
 fn an_endpoint_that_is_leaving_is_known_everywhere_within_a_second() {
-    // Symptom: an endpoint got new work a minute after it had refused some as leaving.
-    // Sequence: one entry is refused; the list lags; other instances route on.
-    // Cause: only the list was believed, and only its reader knew.
+    // Guards against new work for an endpoint a minute after it refused a request as leaving. One
+    // entry is refused while the list lags, and other instances keep routing to the endpoint. Only
+    // the list was used, and only the instance that was refused knew more.
     let list = fleet(3, 5, 6);
     let mut net = Network::new(&list);
     let endpoint = EndpointKey::of("e2-003");
@@ -163,18 +160,18 @@
             "{name}"
         );
     }
-    let news = |it: &&(String, MembershipMessage)| {
+    let notice = |it: &&(String, MembershipMessage)| {
         matches!(it.1, MembershipMessage::EndpointLeaving { .. })
     };
-    let sent = net.sent.iter().filter(news).count();
+    let sent = net.sent.iter().filter(notice).count();
     assert!(sent <= 15 * 4, "{sent} messages for 15 instances");
 }
 
 #[test]
-fn news_lost_in_a_partition_is_told_when_it_heals() {
-    // Symptom: one instance went on using a leaving endpoint after a partition.
-    // Sequence: it is cut off; the news spreads; the partition heals.
-    // Cause: news was sent once and lost on a link that was down.
+fn updates_lost_in_a_partition_are_sent_when_it_heals() {
+    // Guards against an instance that keeps using a leaving endpoint after a partition. It is cut
+    // off while the update spreads, then the partition heals. The update was sent only once and
+    // lost on a broken link.
     let list = fleet(1, 5, 4);
     let mut net = Network::new(&list);
     let endpoint = EndpointKey::of("e0-001");
@@ -196,10 +193,10 @@
 }
 
 #[test]
-fn an_endpoint_comes_back_by_the_list_or_by_its_own_fresh_report() {
-    // Symptom: an endpoint under its old name was never used again.
-    // Sequence: it leaves, restarts under the same name; the list never says so.
-    // Cause: only the list could end the news of its leaving.
+fn an_endpoint_returns_by_the_list_or_by_its_own_later_report() {
+    // Guards against an endpoint that is never used again under its old name. It leaves and
+    // restarts under the same name, and the list never shows it. Only the list could end a leaving
+    // notice.
     let list = fleet(1, 2, 2);
     let mut member = member("i0-000", &list);
     let endpoint = EndpointKey::of("e0-000");
@@ -234,15 +231,14 @@
     assert_eq!(
         member.endpoint_state(endpoint),
         EndpointState::Live,
-        "old news"
+        "an outdated notice"
     );
 }
 
 #[test]
-fn news_that_runs_ahead_of_the_list_is_kept_for_it() {
-    // Symptom: an endpoint that had just been listed got work although it was leaving.
-    // Sequence: news about it arrives before the revision that names it.
-    // Cause: news of an unknown endpoint was dropped.
+fn a_notice_ahead_of_the_list_is_kept() {
+    // Guards against work for a leaving endpoint that was just listed. A notice arrives before the
+    // revision that contains the endpoint. Notices of unknown endpoints were dropped.
     let list = fleet(1, 2, 4);
     let older = changed(&list, |it| {
         it.revision = 1;
@@ -251,21 +247,20 @@
     let newer = changed(&older, |it| it.endpoints = list.endpoints.clone());
     let mut member = member("i0-000", &older);
     let endpoint = EndpointKey::of("e0-003");
-    let news = MembershipMessage::EndpointLeaving {
+    let notice = MembershipMessage::EndpointLeaving {
         endpoint,
         list_revision: 2,
     };
-    actions(|out| member.message(T, peer("i0-001", 1), news, out));
+    actions(|out| member.message(T, peer("i0-001", 1), notice, out));
     actions(|out| member.list(T, newer, out));
     assert_eq!(member.endpoint_state(endpoint), EndpointState::Leaving);
 }
 
 #[test]
-fn a_replaced_life_is_never_taken_for_the_present_one() {
-    // Symptom: grants of a process that had been replaced were honoured.
-    // Sequence: an instance freezes and is restarted under its name; the frozen
-    // process wakes and connects.
-    // Cause: instances were told apart by name and address only.
+fn a_replaced_incarnation_is_never_taken_for_the_current_one() {
+    // Guards against honouring grants of a replaced process. An instance freezes and is restarted
+    // under its name, then the frozen process resumes and connects. Instances were identified by
+    // name and address only.
     let list = fleet(1, 3, 1);
     let mut member = member("i0-000", &list);
     let instance = InstanceKey::of("i0-001");
@@ -282,15 +277,15 @@
     actions(|out| member.peer_down(T, peer("i0-001", 5), out));
     assert!(
         member.is_linked(instance),
-        "the old life's link is not the present one's"
+        "the old incarnation's link is not the current one's"
     );
 }
 
 #[test]
 fn an_instance_that_left_and_restarted_is_a_home_again_everywhere() {
-    // Symptom: a restarted instance stayed without work although it was healthy.
-    // Sequence: planned stop, restart in place before the list changed.
-    // Cause: the news of its leaving was tied to its name, not to its life.
+    // Guards against a healthy restarted instance that gets no work. It stops as planned and
+    // restarts in place before the list changes. Its leaving notice was bound to its name instead
+    // of its incarnation.
     let list = fleet(1, 5, 4);
     let mut net = Network::new(&list);
     let instance = InstanceKey::of("i0-004");
@@ -303,10 +298,10 @@
     );
     net.cut_off("i0-004");
     net.run(Duration::from_millis(500));
-    let mut life =
+    let mut config =
         oriolemux_core::membership::MembershipConfig::new("i0-004", Incarnation(2), "dc0", 3);
-    life.cell_endpoints = 8;
-    let mut restarted = Membership::new(life);
+    config.cell_endpoints = 8;
+    let mut restarted = Membership::new(config);
     actions(|out| restarted.list(net.now, list.clone(), out));
     net.members.insert("i0-004".to_owned(), restarted);
     net.join("i0-004");
@@ -317,16 +312,15 @@
 }
 
 #[test]
-fn a_broken_link_moves_homes_after_a_moment_and_back() {
-    // Symptom: requests waited for a dead home until the list dropped it, minutes later.
-    // Sequence: SIGKILL of a home; the list lags.
-    // Cause: only the list could move a home.
+fn a_broken_link_moves_homes_after_a_delay_and_back() {
+    // Guards against requests that wait for a dead home until the list drops it minutes later. A
+    // home is killed (SIGKILL) while the list lags. Only the list could move a home.
     let list = fleet(1, 4, 4);
     let mut member = member("i0-000", &list);
     let other = peer("i0-002", 1);
     actions(|out| member.peer_up(T, other, out));
     actions(|out| member.peer_down(T, other, out));
-    assert_eq!(member.live_count(), 4, "a blip moves nothing");
+    assert_eq!(member.live_count(), 4, "a short interruption moves nothing");
     assert_eq!(
         member.next_wake().min(T + SUSPECT_AFTER),
         member.next_wake()
@@ -339,7 +333,7 @@
 }
 
 #[test]
-fn a_list_that_is_stale_for_an_hour_serves_on_and_says_so() {
+fn a_list_that_is_stale_for_an_hour_stays_in_force_and_is_reported() {
     let list = fleet(1, 3, 2);
     let mut member = member("i0-000", &list);
     let mut now = Time::from_secs(1);
@@ -369,10 +363,10 @@
 }
 
 #[test]
-fn a_stale_service_does_not_make_the_list_look_fresh() {
-    // Symptom: an order was given on a list that was an hour old but "just read".
-    // Sequence: the service answers from a replica that lags; a peer holds more.
-    // Cause: any answer counted as a confirmation.
+fn a_stale_platform_replica_does_not_confirm_the_list() {
+    // Guards against an order based on a list that is an hour old but was "just read". The platform
+    // answers from a lagging replica while a peer holds a later revision. Any response counted as a
+    // confirmation.
     let list = fleet(1, 3, 2);
     let mut member = member("i0-000", &list);
     let before = member.list_age(T);
@@ -384,9 +378,9 @@
 
 #[test]
 fn two_data_centres_with_different_lists_converge_to_the_higher() {
-    // Symptom: two halves of the fleet ranked homes differently for minutes.
-    // Sequence: the service's replicas differ; each data centre reads its own.
-    // Cause: nobody compared revisions across data centres.
+    // Guards against two halves of the fleet that rank homes differently for minutes. The
+    // platform's replicas differ, and each data centre reads its own. Revisions were not compared
+    // across data centres.
     let list = fleet(2, 4, 4);
     let newer = changed(&list, |list| drop(list.endpoints.pop()));
     let mut net = Network::new(&list);
@@ -405,9 +399,8 @@
 
 #[test]
 fn a_pull_that_is_not_answered_is_followed_by_a_read() {
-    // Symptom: one instance kept an old list although every peer told of a newer.
-    // Sequence: the peer that is asked for the changes cannot send them.
-    // Cause: only peers were asked, again and again.
+    // Guards against an instance that keeps an old list although every peer announces a newer one.
+    // The peer that is asked for the changes cannot send them. Only peers were asked, repeatedly.
     let list = fleet(1, 6, 2);
     let mut member = member("i0-000", &list);
     let reads = |out: &[MembershipAction]| out.contains(&MembershipAction::ReadList);
@@ -416,22 +409,21 @@
         out.iter()
             .any(|it| matches!(it, MembershipAction::Send { message, .. } if *message == pull))
     };
-    let told = |member: &mut Membership, now| {
+    let announce = |member: &mut Membership, now| {
         actions(|out| member.peer_revision(now, peer("i0-001", 1), 5, out))
     };
-    let out = told(&mut member, T);
+    let out = announce(&mut member, T);
     assert!(pulls(&out) && !reads(&out));
-    let out = told(&mut member, T + Duration::from_secs(1));
+    let out = announce(&mut member, T + Duration::from_secs(1));
     assert!(!pulls(&out) && !reads(&out));
-    let out = told(&mut member, T + Duration::from_secs(3));
+    let out = announce(&mut member, T + Duration::from_secs(3));
     assert!(pulls(&out) && reads(&out));
 }
 
 #[test]
 fn the_next_in_rank_takes_over_the_watch() {
-    // Symptom: a data centre heard of no list change after one instance died.
-    // Sequence: the instance that held the watch is killed.
-    // Cause: the role was fixed to an instance.
+    // Guards against a data centre without list updates after one instance died. The instance that
+    // held the watch is killed. The role was fixed to an instance.
     let list = fleet(1, 5, 2);
     let mut net = Network::new(&list);
     let watchers = |net: &Network| -> Vec<String> {
