--- a/crates/core/src/limits/home.rs
+++ b/crates/core/src/limits/home.rs
@@ -36,7 +36,7 @@
     wanted_slots: u32,
     expires: Time,
     seq: u32,
-    /// The share to which a revocation asked the instance to reduce since its last request.
+    /// The slots that the last revocation left the instance, if it sent no request since.
     revoked_to: Option<u32>,
 }
 
@@ -308,7 +308,7 @@
         )
     }
 
-    /// Asks holders above their share to reduce it if `from` got less than its share.
+    /// Sends revocations to holders above their share if `from` got less than its share.
     fn revoke_excess(
         &mut self,
         now: Time,
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -395,14 +395,14 @@
         if !self.shares.get(&key).is_some_and(Share::is_exhausted) {
             return;
         }
-        let most = (queue / self.instances.max(1)).max(1) as usize;
+        let max = (queue / self.instances.max(1)).max(1) as usize;
         loop {
             let queues = self.queue.of_entry(entry);
             let queues: Vec<(usize, u64)> = queues
                 .filter_map(|(_, requests)| Some((requests.len(), *requests.back()?)))
                 .collect();
             let waiting: usize = queues.iter().map(|it| it.0).sum();
-            let Some(&(_, newest)) = queues.iter().max().filter(|_| waiting > most) else {
+            let Some(&(_, newest)) = queues.iter().max().filter(|_| waiting > max) else {
                 return;
             };
             self.refuse_for(now, newest, Reason::QueueFull, out);
--- a/crates/core/src/membership/homes.rs
+++ b/crates/core/src/membership/homes.rs
@@ -55,7 +55,7 @@
 
     /// Ranks the instances for which `may` holds for each cell, in the order of the cells.
     ///
-    /// An instance that already has its even part of its data centre's cells is skipped, so the
+    /// An instance that already has its even share of its data centre's cells is skipped, so the
     /// first in rank is not always the home. Plain rendezvous hashing would give one instance
     /// several cells and most none, and the loaded ones several times the polls and messages that a
     /// node may spend.
@@ -72,8 +72,8 @@
             });
             rendezvous::rank(cell.plan.key.0, candidates, instances.len(), &mut ranked);
             let here = instances.iter().filter(|it| near(it)).count();
-            let part = self.even_part(cell.data_centre, here, instances.len());
-            let has_room = |it: &InstanceKey| taken.get(it).copied().unwrap_or(0) < part;
+            let share = self.even_share(cell.data_centre, here, instances.len());
+            let has_room = |it: &InstanceKey| taken.get(it).copied().unwrap_or(0) < share;
             let home = ranked.iter().position(has_room).unwrap_or(0);
             if home < ranked.len() {
                 let home = ranked.remove(home);
@@ -88,7 +88,7 @@
 
     /// Returns the maximum number of cells for each of `here` instances of a data centre. If there
     /// are none, returns the maximum for each of `all` instances.
-    fn even_part(&self, data_centre: DataCentreId, here: usize, all: usize) -> usize {
+    fn even_share(&self, data_centre: DataCentreId, here: usize, all: usize) -> usize {
         let cells = self.view.cells.values();
         match here {
             0 => cells.count().div_ceil(all.max(1)),
--- a/crates/core/src/membership/reads.rs
+++ b/crates/core/src/membership/reads.rs
@@ -79,8 +79,8 @@
 }
 
 impl Membership {
-    pub(super) fn jitter(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.rng.random_range(0.0..1.0))
+    pub(super) fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.rng.random_range(0.0..1.0))
     }
 
     pub(super) fn next_read(&self) -> Time {
@@ -178,8 +178,8 @@
         }
         let doubled = RETRY_MIN * (1 << self.reads.failures.min(6));
         self.reads.failures = self.reads.failures.saturating_add(1);
-        let most = doubled.min(RETRY_MAX);
-        let delay = most / 2 + self.jitter(most / 2);
+        let max = doubled.min(RETRY_MAX);
+        let delay = max / 2 + self.jitter(max / 2);
         self.reads.due = Some(now + delay);
     }
 
--- a/crates/core/src/orders/controller.rs
+++ b/crates/core/src/orders/controller.rs
@@ -198,10 +198,10 @@
             return;
         };
         let cell = managed.goal.cell;
-        let most = (managed.goal.cell_size / LOADING_DIVISOR).max(1);
+        let max = (managed.goal.cell_size / LOADING_DIVISOR).max(1);
         let in_cell = loading.entry(cell).or_default();
         let is_load = loads_weights(&kind);
-        if is_load && *in_cell >= most {
+        if is_load && *in_cell >= max {
             return;
         }
         if let Err(hold) = self.check_order(now, key, context, is_load) {
--- a/crates/core/src/routing/prefix.rs
+++ b/crates/core/src/routing/prefix.rs
@@ -27,14 +27,14 @@
 pub const MAX_HOLDERS: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Belief {
+enum BlockState {
     Reported { epoch: u32 },
     Expected { until: Time },
 }
 
 #[derive(Clone, Debug, Default)]
 struct EndpointBlocks {
-    blocks: BTreeMap<u64, Belief>,
+    blocks: BTreeMap<u64, BlockState>,
     /// Blocks in the order in which they were learned; may contain dropped blocks.
     order: VecDeque<u64>,
     /// Number of gaps in the endpoint's events.
@@ -71,7 +71,7 @@
             self.drop_block(endpoint, block);
         }
         for &block in stored {
-            self.put(endpoint, block, Belief::Reported { epoch });
+            self.put(endpoint, block, BlockState::Reported { epoch });
         }
     }
 
@@ -81,8 +81,8 @@
         for &block in prefix {
             let known = self.endpoints.get(&endpoint);
             let known = known.and_then(|cached| cached.blocks.get(&block));
-            if !matches!(known, Some(Belief::Reported { .. })) {
-                self.put(endpoint, block, Belief::Expected { until });
+            if !matches!(known, Some(BlockState::Reported { .. })) {
+                self.put(endpoint, block, BlockState::Expected { until });
             }
         }
     }
@@ -120,9 +120,9 @@
         };
         for (at, block) in prefix.iter().enumerate().rev() {
             let belief = match cached.blocks.get(block) {
-                Some(Belief::Reported { epoch }) if *epoch == cached.epoch => 1.0,
-                Some(Belief::Reported { .. }) => STALE_CONFIDENCE,
-                Some(Belief::Expected { until }) if now <= *until => EXPECTED_CONFIDENCE,
+                Some(BlockState::Reported { epoch }) if *epoch == cached.epoch => 1.0,
+                Some(BlockState::Reported { .. }) => STALE_CONFIDENCE,
+                Some(BlockState::Expected { until }) if now <= *until => EXPECTED_CONFIDENCE,
                 _ => continue,
             };
             let blocks = at as u32 + 1;
@@ -131,7 +131,7 @@
         none
     }
 
-    fn put(&mut self, endpoint: EndpointIx, block: u64, belief: Belief) {
+    fn put(&mut self, endpoint: EndpointIx, block: u64, belief: BlockState) {
         let cached = self.endpoints.entry(endpoint).or_default();
         if cached.blocks.insert(block, belief).is_some() {
             return;
--- a/crates/core/tests/limits_bounds.rs
+++ b/crates/core/tests/limits_bounds.rs
@@ -3,7 +3,7 @@
 #[path = "fixtures/limits.rs"]
 mod fixture;
 
-use fixture::{World, workspace};
+use fixture::{Simulation, workspace};
 use oriolemux_core::limits::Allowance;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -31,7 +31,7 @@
     revision: 1,
 };
 
-fn apply(world: &mut World, step: &Step) {
+fn apply(world: &mut Simulation, step: &Step) {
     match *step {
         Step::Take { member, large } => {
             let ws = if large { ("large", 7) } else { ("small", 3) };
@@ -48,13 +48,13 @@
     }
 }
 
-fn usage(world: &World) -> (u32, u32, u32) {
+fn usage(world: &Simulation) -> (u32, u32, u32) {
     let large = world.running_of(workspace("large", 0, 0).0);
     let small = world.running_of(workspace("small", 0, 0).0);
     (world.running(), large, small)
 }
 
-fn check_accounts(world: &World, taken: usize, ended: usize) -> Result<(), TestCaseError> {
+fn check_accounts(world: &Simulation, taken: usize, ended: usize) -> Result<(), TestCaseError> {
     let counts = world.members.iter().map(|it| it.leases.counts());
     let held: usize = counts.map(|it| it.admitted + it.waiting).sum();
     let refused: usize = world.members.iter().map(|it| it.refused.len()).sum();
@@ -77,7 +77,7 @@
         lose_every in 0_u32..6,
         delay in 1_u64..60,
     ) {
-        let mut world = World::new(4);
+        let mut world = Simulation::new(4);
         world.lose_every = if lose_every == 1 { 0 } else { lose_every };
         world.delay = Duration::from_millis(delay);
         for step in &steps {
@@ -99,7 +99,7 @@
         split in 1_usize..4,
         reachable in any::<bool>(),
     ) {
-        let mut world = World::new(4);
+        let mut world = Simulation::new(4);
         for step in &before {
             apply(&mut world, step);
         }
@@ -120,7 +120,7 @@
     /// Every submitted request is admitted, refused or still queued.
     #[test]
     fn no_request_is_lost(steps in vec(any_step(), 1..80), lose_every in 2_u32..6) {
-        let mut world = World::new(4);
+        let mut world = Simulation::new(4);
         world.lose_every = lose_every;
         let (mut taken, mut ended) = (0, 0);
         for step in &steps {
--- a/crates/core/tests/limits_leases.rs
+++ b/crates/core/tests/limits_leases.rs
@@ -3,7 +3,7 @@
 #[path = "fixtures/limits.rs"]
 mod fixture;
 
-use fixture::{World, workspace};
+use fixture::{Simulation, workspace};
 use oriolemux_core::ids::Incarnation;
 use oriolemux_core::limits::{Allowance, FairLevel, LEASE_TTL};
 use oriolemux_core::reason::Reason;
@@ -26,7 +26,7 @@
 }
 
 /// Submits `count` requests at each member and runs until the leases have settled.
-fn take_everywhere(world: &mut World, count: usize, ws: &str, limit: u32, entry: Allowance) {
+fn take_everywhere(world: &mut Simulation, count: usize, ws: &str, limit: u32, entry: Allowance) {
     for member in 0..world.members.len() {
         for _ in 0..count {
             let claim = world.claim(workspace(ws, limit, 0), entry, 60_000);
@@ -38,7 +38,7 @@
 
 #[test]
 fn the_first_request_waits_for_one_answer_and_the_next_for_none() {
-    let mut world = World::new(3);
+    let mut world = Simulation::new(3);
     let claim = world.claim(workspace("ws", 10, 0), entry(10), 1000);
     let first = world.submit(1, claim);
     assert!(world.members[1].admitted.is_empty());
@@ -53,8 +53,8 @@
     // Guards against a delay of one second for the first requests after an idle period. The home
     // had dropped the account of the idle workspace and limited the new account to equal shares, as
     // after a move of homes.
-    let mut world = World::new(6);
-    let burst = |world: &mut World| {
+    let mut world = Simulation::new(6);
+    let burst = |world: &mut Simulation| {
         for _ in 0..6 {
             let claim = world.claim(workspace("ws", 6, 0), entry(100), 60_000);
             world.submit(1, claim);
@@ -75,7 +75,7 @@
 
 #[test]
 fn leases_follow_demand_up_to_the_limit() {
-    let mut world = World::new(3);
+    let mut world = Simulation::new(3);
     take_everywhere(&mut world, 20, "ws", 30, entry(100));
     world.run(Duration::from_secs(2));
     assert_eq!(world.running(), 30);
@@ -92,7 +92,7 @@
     // Guards against an instance that holds a workspace's whole limit for minutes while other
     // instances refuse requests of the workspace. One instance takes all slots, then a second one
     // requests some. Leases were granted in order of arrival and never revoked.
-    let mut world = World::new(2);
+    let mut world = Simulation::new(2);
     for _ in 0..40 {
         let claim = world.claim(workspace("ws", 20, 0), entry(100), 60_000);
         world.submit(0, claim);
@@ -117,7 +117,7 @@
 fn a_large_workspace_does_not_starve_a_small_one() {
     // Guards against starvation of a small workspace. A large workspace submits hundreds of
     // requests for the same entry first. Slots of an entry were granted in order of arrival.
-    let mut world = World::new(1);
+    let mut world = Simulation::new(1);
     for _ in 0..300 {
         let mut claim = world.claim(workspace("large", 500, 0), entry(10), 60_000);
         claim.queue = 100;
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_request_that_cannot_start_in_time_is_refused_at_once() {
-    let mut world = World::new(1);
+    let mut world = Simulation::new(1);
     let claim = world.claim(workspace("ws", 2, 0), entry(10), 2_500);
     let first = world.submit(0, claim);
     world.run(Duration::from_secs(2));
@@ -160,7 +160,7 @@
     // Guards against refusals without data about waits. Five requests that take 20 ms each arrive
     // together as the first of their workspace, and two of them were refused, because slots were
     // assumed to be held for 2 s.
-    let mut world = World::new(1);
+    let mut world = Simulation::new(1);
     for _ in 0..5 {
         let claim = world.claim(workspace("ws", 2, 0), entry(10), 2_000);
         world.submit(0, claim);
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_refusal_after_the_deadline_names_the_blocking_limit() {
-    let mut world = World::new(1);
+    let mut world = Simulation::new(1);
     let claim = world.claim(workspace("ws", 10, 0), entry(1), 60_000);
     world.submit(0, claim);
     let claim = world.claim(workspace("ws", 10, 0), entry(1), 3_000);
@@ -195,13 +195,14 @@
     // Guards against slots that stay lost after an instance died. The instance is killed while it
     // holds slots and never returns them. They counted as used until they were returned, so the
     // workspace could use only half of its limit.
-    let mut world = World::new(3);
+    let mut world = Simulation::new(3);
     take_everywhere(&mut world, 10, "ws", 10, entry(100));
     let of_dead = world.members[2].admitted.len() as u32;
     assert!(of_dead > 0);
     world.partitioned = vec![(0, 2), (1, 2)];
-    let others =
-        |world: &World| (world.members[0].admitted.len() + world.members[1].admitted.len()) as u32;
+    let others = |world: &Simulation| {
+        (world.members[0].admitted.len() + world.members[1].admitted.len()) as u32
+    };
     world.run(LEASE_TTL / 4);
     assert_eq!(others(&world), 10 - of_dead);
     world.run(LEASE_TTL);
@@ -210,7 +211,7 @@
 
 #[test]
 fn slots_of_a_replaced_incarnation_become_free_at_once() {
-    let mut world = World::new(2);
+    let mut world = Simulation::new(2);
     take_everywhere(&mut world, 10, "ws", 10, entry(100));
     let of_old = world.members[1].admitted.len();
     let old = world.members[1].id;
@@ -229,7 +230,7 @@
 fn without_a_home_each_instance_is_limited_to_an_equal_share() {
     // Guards against a standstill while the home of a limit is unreachable. The home is frozen, but
     // the list and the links do not show it yet. Requests waited for an answer that did not come.
-    let mut world = World::new(4);
+    let mut world = Simulation::new(4);
     world.partitioned = (1..4).map(|it| (0, it)).collect();
     for member in 1..4 {
         for _ in 0..10 {
@@ -260,7 +261,7 @@
     // leases out the limit. A home that knows from its links which instances are missing leaves
     // them their share, so that the sum stays within the limit. Without this knowledge the bound is
     // twice the limit.
-    let mut world = World::new(6);
+    let mut world = Simulation::new(6);
     let (left, right) = ([0, 1], [2, 3, 4, 5]);
     for &a in &left {
         world.partitioned.extend(right.iter().map(|&b| (a, b)));
@@ -282,7 +283,7 @@
     // Guards against requests admitted with an expired lease. The process is stopped for longer
     // than a lease (SIGSTOP), and a request arrives when it resumes. The lease was checked when it
     // was received but not when it was used, although other instances held the slots by then.
-    let mut world = World::new(2);
+    let mut world = Simulation::new(2);
     let claim = world.claim(workspace("ws", 10, 0), entry(10), 60_000);
     let first = world.submit(1, claim);
     world.run(RTT);
@@ -296,7 +297,7 @@
 
 #[test]
 fn the_higher_revision_of_a_limit_takes_precedence() {
-    let mut world = World::new(2);
+    let mut world = Simulation::new(2);
     take_everywhere(&mut world, 10, "ws", 10, entry(100));
     assert_eq!(world.running(), 10);
     let (key, mut allowance) = workspace("ws", 4, 0);
@@ -326,7 +327,7 @@
 
 #[test]
 fn the_token_rate_holds_over_all_instances() {
-    let mut world = World::new(3);
+    let mut world = Simulation::new(3);
     let (rate, cost) = (6_000_u64, 100_u32);
     let mut spent = 0_u64;
     for _ in 0..1_200 {
@@ -353,7 +354,7 @@
 
 #[test]
 fn a_token_refusal_says_when_tokens_are_available() {
-    let mut world = World::new(1);
+    let mut world = Simulation::new(1);
     let claim = world.claim(workspace("ws", 10, 600), entry(10), 1_000);
     let request = world.submit(0, claim);
     world.run(RTT);
@@ -369,7 +370,7 @@
 
 #[test]
 fn a_busy_limit_costs_few_messages() {
-    let mut world = World::new(2);
+    let mut world = Simulation::new(2);
     for _ in 0..2_000 {
         let claim = world.claim(workspace("ws", 100, 10_000_000), entry(100), 1_000);
         let request = world.submit(1, claim);
@@ -379,7 +380,7 @@
     }
     assert!(
         world.requests_sent < 60,
-        "{} asks for 2,000 requests in 20 s",
+        "{} lease requests for 2,000 requests in 20 s",
         world.requests_sent
     );
 }
@@ -388,7 +389,7 @@
 fn an_exhausted_limit_with_hundreds_of_holders_does_not_overload_its_home() {
     // Guards against a home that is overloaded with lease requests. A large workspace exhausts its
     // limit at every instance at once. Each instance retried as often as if it were the only one.
-    let mut world = World::new(120);
+    let mut world = Simulation::new(120);
     for member in 0..120 {
         for _ in 0..5 {
             let claim = world.claim(workspace("ws", 240, 0), entry(10_000), 60_000);
@@ -401,10 +402,14 @@
     world.run(Duration::from_secs(10));
     assert_eq!(world.running(), 240);
     println!(
-        "{} asks, {} leases in 10 s",
+        "{} lease requests, {} leases in 10 s",
         world.requests_sent, world.leases_sent
     );
-    assert!(world.requests_sent < 1_000, "{} asks", world.requests_sent);
+    assert!(
+        world.requests_sent < 1_000,
+        "{} lease requests",
+        world.requests_sent
+    );
     assert!(world.leases_sent < 1_100, "{} leases", world.leases_sent);
 }
 
--- a/crates/core/tests/membership_failures.rs
+++ b/crates/core/tests/membership_failures.rs
@@ -338,7 +338,7 @@
     let mut member = member("i0-000", &list);
     let mut now = Time::from_secs(1);
     let end = now + Duration::from_secs(3601);
-    let (mut stale, mut asked) = (0, 0);
+    let (mut stale, mut reads_sent) = (0, 0);
     while now < end {
         let out = actions(|out| member.tick(now, out));
         stale += out
@@ -352,14 +352,17 @@
             )
         });
         let reads = reads.count();
-        asked += reads;
+        reads_sent += reads;
         (0..reads).for_each(|_| drop(actions(|out| member.list_failed(now, out))));
         now = member.next_wake().max(now + Duration::from_millis(1));
     }
     assert_eq!(member.live_count(), 3);
     assert!(member.list_age(now) >= Some(Duration::from_secs(3599)));
     assert_eq!(stale as u64, 3600 / LIST_STALE.as_secs());
-    assert!(asked < 800, "{asked} reads of a service that is down");
+    assert!(
+        reads_sent < 800,
+        "{reads_sent} reads of a service that is down"
+    );
 }
 
 #[test]
--- a/crates/core/tests/membership_sizes.rs
+++ b/crates/core/tests/membership_sizes.rs
@@ -88,16 +88,16 @@
 #[rstest]
 #[case::notice(notice(), 20)]
 #[case::leaving(leaving(), 30)]
-#[case::life(status(), 40)]
+#[case::status(status(), 40)]
 #[case::one_change(one_change(), 80)]
-#[case::whole_list(full_list(), 24_000)]
-#[case::ask(request(), 55)]
+#[case::full_list(full_list(), 24_000)]
+#[case::request(request(), 55)]
 #[case::lease(lease(), 38)]
-fn a_message_is_small(#[case] message: PeerMessage, #[case] most: usize) {
+fn a_message_is_small(#[case] message: PeerMessage, #[case] max: usize) {
     let size = size(message);
-    println!("{size} bytes of at most {most}");
-    assert!(size <= most, "{size} bytes");
-    assert!(size * 3 >= most, "the bound says little: {size} bytes");
+    println!("{size} bytes of at most {max}");
+    assert!(size <= max, "{size} bytes");
+    assert!(size * 3 >= max, "the bound is too loose: {size} bytes");
 }
 
 /// Links per instance with 390 instances in ten data centres.
