--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -65,7 +65,7 @@
     },
     /// The connection ended before the answer did, and nobody is at the endpoint's address any
     /// more. That the attempt failed is reported after this.
-    EndpointEnded,
+    EndpointExited,
     /// The attempt is over without a whole answer; the node decides what follows.
     Failed {
         /// Why.
@@ -87,7 +87,7 @@
     /// The caller of a request went away.
     CallerGone(RequestId),
     /// A caller draws a ticket; answered with [`Action::Ticket`].
-    DrawTicket {
+    RequestTicket {
         /// SHA-256 of the caller's bearer key.
         key_digest: [u8; 32],
         /// The id drawn for the ticket by the shell.
@@ -156,7 +156,7 @@
         evicted: Vec<u64>,
     },
     /// An endpoint answered an order.
-    OrderDone {
+    OrderAnswered {
         /// Which endpoint.
         endpoint: EndpointKey,
         /// The order's number.
--- a/crates/core/src/membership/quarantine.rs
+++ b/crates/core/src/membership/quarantine.rs
@@ -68,7 +68,7 @@
     fn quarantine_list(&mut self, now: Time, list: InstanceList, out: &mut Vec<MembershipAction>) {
         let vanished = missing_instances(&self.view, &list);
         let Some(doubt) = &mut self.quarantine else {
-            out.push(MembershipAction::Note(Note::ListDoubted {
+            out.push(MembershipAction::Note(Note::ListQuarantined {
                 named: count(list.instances.len()),
                 known: count(self.view.list().instances.len()),
             }));
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -8,9 +8,9 @@
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | `judge` | holds an arrival against the catalogue |
+//! | `validate` | checks a new request against the catalogue |
 //! | `claims` | asks for the claim of a ticket or idempotency key |
-//! | `ask` | finds a cell, asks its home, takes its answer |
+//! | `placement` | chooses a cell and requests a grant from its home |
 //! | `limits` | places in the limits of entries and workspaces |
 //! | `attempt` | dispatches, follows and repeats attempts |
 //! | `confirm` | asks entries what still stands |
@@ -21,22 +21,22 @@
 //! | `suspects` | requests that end the endpoints that begin them |
 //! | `stop` | planned stop |
 
-mod ask;
 mod attempt;
 mod claims;
 mod confirm;
 mod ejections;
 mod fleet;
 mod home;
-mod judge;
 mod limits;
 mod orders;
+mod placement;
 mod platform;
 mod request;
 mod snapshot;
 mod stop;
 mod suspects;
 mod timers;
+mod validate;
 
 pub use home::POLL_INTERVAL;
 pub use snapshot::{NodeSnapshot, RequestCounts};
@@ -55,14 +55,14 @@
 use crate::reason::{Outcome, Reason};
 use crate::retry::RetryBudget;
 use crate::time::Time;
-use claims::TicketDraw;
+use claims::PendingTicket;
 use core::time::Duration;
 use home::Homes;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use request::Request;
 use std::collections::{BTreeMap, VecDeque};
-use stop::Door;
+use stop::StopPhase;
 use suspects::Suspects;
 use timers::{TimerKind, Timers};
 
@@ -129,36 +129,36 @@
     membership: Membership,
     sync: CatalogueSync,
     /// Reused buffer for what the synchronisation asks.
-    sync_asked: Vec<SyncAction>,
+    sync_actions: Vec<SyncAction>,
     keys: Keys,
     /// Reused buffer for what the keys ask.
-    keys_asked: Vec<KeysAction>,
+    keys_actions: Vec<KeysAction>,
     leases: Leases,
     limit_home: LimitHome,
     /// Reused buffer for what the limits ask.
-    limits_asked: Vec<LimitsAction>,
+    limits_actions: Vec<LimitsAction>,
     requests: BTreeMap<u64, Request>,
     /// Tickets that wait for the shard that may hold their workspace.
-    draws: Vec<TicketDraw>,
+    pending_tickets: Vec<PendingTicket>,
     homes: Homes,
     orders: Orders,
     /// When orders were looked at last.
-    orders_looked: Time,
+    orders_checked_at: Time,
     /// How many instances give orders, counted once for each list.
-    givers: orders::GiverCount,
+    controller_count: orders::ControllerCount,
     budget: RetryBudget,
     suspects: Suspects,
     /// Checkpoints that wait to be sent, by home.
     progress: BTreeMap<InstanceKey, Vec<Checkpoint>>,
     explain: Explain,
     timers: Timers,
-    door: Door,
+    stop_phase: StopPhase,
     /// When a stopping process had answered its last request.
-    last_answer: Option<Time>,
+    last_finished_at: Option<Time>,
     loopback: VecDeque<PeerMessage>,
     out: Vec<Action>,
     /// Reused buffer for what membership asks.
-    asked: Vec<MembershipAction>,
+    membership_actions: Vec<MembershipAction>,
 }
 
 impl Node {
@@ -175,31 +175,31 @@
             rng: SmallRng::seed_from_u64(cfg.seed),
             membership: Membership::new(members),
             sync: CatalogueSync::new(SyncConfig::new(cfg.seed ^ SYNC_SEED)),
-            sync_asked: Vec::new(),
+            sync_actions: Vec::new(),
             keys: Keys::new(me, cfg.keys),
-            keys_asked: Vec::new(),
+            keys_actions: Vec::new(),
             leases: Leases::new(),
             limit_home: LimitHome::new(),
-            limits_asked: Vec::new(),
+            limits_actions: Vec::new(),
             requests: BTreeMap::new(),
-            draws: Vec::new(),
+            pending_tickets: Vec::new(),
             homes: Homes::default(),
             orders: Orders::new(OrdersConfig {
                 seed: cfg.seed ^ ORDERS_SEED,
                 loads_per_minute: cfg.loads_per_minute,
             }),
-            orders_looked: Time::ZERO,
-            givers: orders::GiverCount::default(),
+            orders_checked_at: Time::ZERO,
+            controller_count: orders::ControllerCount::default(),
             budget: RetryBudget::new(),
             suspects: Suspects::new(Time::ZERO),
             progress: BTreeMap::new(),
             explain: Explain::new(cfg.explain_records),
             timers: Timers::default(),
-            door: Door::Open,
-            last_answer: None,
+            stop_phase: StopPhase::Serving,
+            last_finished_at: None,
             loopback: VecDeque::new(),
             out: Vec::new(),
-            asked: Vec::new(),
+            membership_actions: Vec::new(),
             cfg,
         }
     }
@@ -211,15 +211,15 @@
         self.sync.start(now);
         self.start_suspects();
         self.confirm_all();
-        self.settle(actions);
+        self.run_until_idle(actions);
     }
 
     /// Takes one event in and appends what follows to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         debug_assert!(self.loopback.is_empty() && self.out.is_empty());
         self.now = now;
-        self.take_in(event);
-        self.settle(actions);
+        self.on_event(event);
+        self.run_until_idle(actions);
     }
 
     /// Returns which process this is.
@@ -236,11 +236,13 @@
         }
     }
 
-    fn take_in(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         match event {
             Event::Request(arrival) => self.on_arrival(*arrival),
             Event::CallerGone(id) => self.on_caller_gone(id),
-            Event::DrawTicket { key_digest, ticket } => self.on_draw_ticket(key_digest, ticket),
+            Event::RequestTicket { key_digest, ticket } => {
+                self.on_ticket_request(key_digest, ticket)
+            }
             Event::Attempt { attempt, update } => self.on_attempt(attempt, update),
             Event::Peer { from, envelope } => self.on_envelope(from, envelope),
             Event::PeerUp(peer) => self.on_peer_up(peer),
@@ -261,18 +263,18 @@
                 stored,
                 evicted,
             } => self.on_cache(endpoint, gap, &stored, &evicted),
-            Event::OrderDone {
+            Event::OrderAnswered {
                 endpoint,
                 fencing,
                 result,
-            } => self.on_order_done(endpoint, fencing, result),
+            } => self.on_order_answered(endpoint, fencing, result),
             Event::Wake => {}
             Event::Stop => self.on_stop(),
         }
     }
 
     /// Works until nothing is left to do at this time.
-    fn settle(&mut self, actions: &mut Vec<Action>) {
+    fn run_until_idle(&mut self, actions: &mut Vec<Action>) {
         self.run_timers();
         self.tick_orders();
         loop {
@@ -284,7 +286,7 @@
                 self.on_message(self.me, message);
                 continue;
             }
-            if !self.poll_cells() && self.is_quiet() {
+            if !self.poll_cells() && self.is_idle() {
                 break;
             }
         }
@@ -294,11 +296,11 @@
         actions.push(Action::WakeAt(wake));
     }
 
-    fn is_quiet(&self) -> bool {
-        self.asked.is_empty()
-            && self.sync_asked.is_empty()
-            && self.keys_asked.is_empty()
-            && self.limits_asked.is_empty()
+    fn is_idle(&self) -> bool {
+        self.membership_actions.is_empty()
+            && self.sync_actions.is_empty()
+            && self.keys_actions.is_empty()
+            && self.limits_actions.is_empty()
             && self.loopback.is_empty()
     }
 
@@ -332,16 +334,16 @@
         while let Some(kind) = self.timers.take_due(self.now) {
             match kind {
                 TimerKind::Request(seq) => self.on_request_timer(seq),
-                TimerKind::Draws => self.judge_draws(),
+                TimerKind::PendingTickets => self.resolve_tickets(),
                 TimerKind::PollLoad(endpoint) => self.poll_load(endpoint),
                 TimerKind::Confirm => self.confirm_all(),
                 TimerKind::FlushProgress => self.flush_progress(),
                 TimerKind::ForgetHolder(instance, incarnation) => {
                     self.forget_holder_if_down(instance, incarnation);
                 }
-                TimerKind::Turns => self.report_turns(),
-                TimerKind::TellSuspects => self.tell_suspects(),
-                TimerKind::CloseDoor => self.close_door(),
+                TimerKind::RunLeases => self.report_run_leases(),
+                TimerKind::GossipSuspects => self.gossip_suspects(),
+                TimerKind::StopAccepting => self.stop_accepting(),
             }
         }
     }
@@ -373,9 +375,9 @@
             PeerMessage::Limits(message) => self.on_limits_message(from, message),
             PeerMessage::Keys(message) => self.on_keys_message(from, message),
             PeerMessage::Cell(message) => self.on_cell_message(from, message),
-            PeerMessage::Suspects(blames) => self.on_suspects(from, &blames),
-            PeerMessage::RunLeaseReport(report) => self.on_turns(from, &report),
-            PeerMessage::RunLeaseAnswer(answer) => self.on_turn_answer(from, &answer),
+            PeerMessage::Suspects(records) => self.on_suspects(from, &records),
+            PeerMessage::RunLeaseReport(report) => self.on_run_lease_report(from, &report),
+            PeerMessage::RunLeaseAnswer(answer) => self.on_run_lease_answer(from, &answer),
         }
     }
 
--- a/crates/core/src/node/attempt.rs
+++ b/crates/core/src/node/attempt.rs
@@ -18,10 +18,10 @@
 /// How long after the grant an attempt may still be sent. A process that was
 /// paused in between must ask again, because the home may have given the
 /// memory away and the endpoint may have left.
-const SEND_LIMIT: Duration = Duration::from_secs(2);
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long checkpoints are gathered before they are sent in one message.
-const PROGRESS_GATHER: Duration = Duration::from_millis(250);
+const PROGRESS_FLUSH_DELAY: Duration = Duration::from_millis(250);
 
 /// How a request ended.
 struct Ending<'a> {
@@ -56,11 +56,11 @@
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
-        if self.now >= request.claim_until {
+        if self.now >= request.claim_valid_until {
             request.outcome.on_claim_voided();
             return self.refuse(seq, Reason::PausedTooLong);
         }
-        let send_before = (self.now + SEND_LIMIT).min(request.claim_until);
+        let send_before = (self.now + SEND_TIMEOUT).min(request.claim_valid_until);
         let Some(facts) = &request.facts else {
             debug_assert!(false, "a request is judged before it runs");
             return;
@@ -96,7 +96,7 @@
         };
         let id = request.id();
         request.outcome.on_dispatch(attempt);
-        request.begun = None;
+        request.response_started_at = None;
         request.refusals.clear();
         request.stage = Stage::Running {
             cell,
@@ -142,7 +142,7 @@
         }
         match update {
             AttemptUpdate::FirstToken => {
-                self.note_begun(seq);
+                self.on_response_started(seq);
                 let attempt_number = attempt.number;
                 let step = Step::FirstToken {
                     attempt: attempt_number,
@@ -150,7 +150,7 @@
                 self.record(attempt.request, step);
             }
             AttemptUpdate::Progress { tokens } => self.on_progress(seq, tokens),
-            AttemptUpdate::EndpointEnded => self.on_endpoint_ended(seq),
+            AttemptUpdate::EndpointExited => self.on_endpoint_exited(seq),
             AttemptUpdate::Complete {
                 tokens,
                 prompt_tokens,
@@ -184,7 +184,7 @@
             tokens: reported,
         };
         if self.progress.is_empty() {
-            let at = self.now + PROGRESS_GATHER;
+            let at = self.now + PROGRESS_FLUSH_DELAY;
             self.timers.set(at, TimerKind::FlushProgress);
         }
         self.progress.entry(*home).or_default().push(checkpoint);
@@ -210,14 +210,14 @@
             return;
         };
         request.outcome.on_ended(attempt, Ran::Maybe);
-        self.ran_well(request.arrival.fingerprint);
+        self.on_run_succeeded(request.arrival.fingerprint);
         self.charge(seq, tokens.saturating_sub(request.stage.tokens()));
         let end = Ending {
             end: EndKind::Complete { prompt_tokens },
             tokens,
             verdict: None,
         };
-        self.let_go(&request, end);
+        self.release(&request, end);
     }
 
     fn on_failed(&mut self, failed: FailedAttempt) {
@@ -243,7 +243,7 @@
             delivered: request.delivered,
         };
         self.record(id, step);
-        self.leave_home(id, stage, tokens, EndKind::Failed(failed.reason));
+        self.release_at_home(id, stage, tokens, EndKind::Failed(failed.reason));
         if failed.reason == Reason::EndpointLeaving {
             self.with_membership(|membership, now, out| {
                 membership.endpoint_refused_leaving(now, endpoint, out);
@@ -263,7 +263,7 @@
             request.waiting_since = self.now;
         }
         let waited = self.now.since(request.waiting_since);
-        let patience = request.longest_wait().saturating_sub(waited);
+        let remaining_wait = request.longest_wait().saturating_sub(waited);
         let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
         let failure = AttemptFailure {
             reason: failed.reason,
@@ -271,7 +271,7 @@
             idempotent,
             delivered: request.delivered,
             attempts: request.attempts,
-            remaining_wait: patience,
+            remaining_wait,
             retry_after: failed.retry_after,
         };
         let decision = retry::decide(&failure, &mut self.budget, self.now, &mut self.rng);
@@ -279,7 +279,7 @@
             RetryDecision::Retry { after } | RetryDecision::Replay { after } => {
                 let until = self.now + after;
                 request.stage = Stage::BackingOff { until };
-                let give_up = request.gives_up_at();
+                let give_up = request.start_deadline();
                 let replay = request.delivered > 0;
                 let request = request.id();
                 self.record(request, Step::RetryIn { after, replay });
@@ -292,7 +292,7 @@
             }
             RetryDecision::Finish(verdict) => {
                 request.stage = Stage::BackingOff { until: self.now };
-                self.answer(seq, verdict);
+                self.finish_with(seq, verdict);
             }
         }
     }
@@ -309,7 +309,7 @@
             tokens: request.stage.tokens(),
             verdict: Some(&verdict),
         };
-        self.let_go(&request, end);
+        self.release(&request, end);
     }
 
     /// Ends a request with the strongest claim that its attempts bear out.
@@ -319,11 +319,11 @@
         };
         let delivered = request.delivered;
         let verdict = request.outcome.finish(reason, retry_after, delivered);
-        self.answer(seq, verdict);
+        self.finish_with(seq, verdict);
     }
 
     /// Gives the caller its final answer and forgets the request.
-    pub(super) fn answer(&mut self, seq: u64, verdict: Verdict) {
+    pub(super) fn finish_with(&mut self, seq: u64, verdict: Verdict) {
         let Some(request) = self.requests.remove(&seq) else {
             return;
         };
@@ -332,7 +332,7 @@
             tokens: request.stage.tokens(),
             verdict: Some(&verdict),
         };
-        self.let_go(&request, end);
+        self.release(&request, end);
         self.note_verdict(request.id(), verdict.outcome(), verdict.reason());
         self.out.push(Action::Finish {
             request: request.id(),
@@ -341,9 +341,9 @@
     }
 
     /// Gives back everything that a request held, once it is over.
-    fn let_go(&mut self, request: &Request, ending: Ending<'_>) {
+    fn release(&mut self, request: &Request, ending: Ending<'_>) {
         let id = request.id();
-        self.leave_home(id, request.stage, ending.tokens, ending.end);
+        self.release_at_home(id, request.stage, ending.tokens, ending.end);
         self.end_run(request);
         self.end_admission(id.seq);
         self.end_claim(id, ending.verdict);
--- a/crates/core/src/node/claims.rs
+++ b/crates/core/src/node/claims.rs
@@ -1,9 +1,9 @@
 //! Requests that carry a ticket or an idempotency key.
 
 use super::Node;
-use super::judge::JUDGE_LIMIT;
 use super::request::Stage;
 use super::timers::TimerKind;
+use super::validate::CATALOGUE_TIMEOUT;
 use crate::catalogue::sync::Lookup;
 use crate::event::{Action, PeerId};
 use crate::explain::Step;
@@ -17,7 +17,7 @@
 
 /// A ticket that is being drawn.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TicketDraw {
+pub(super) struct PendingTicket {
     ticket: RequestId,
     key_digest: [u8; 32],
     /// Until when the shard that may hold the workspace is waited for.
@@ -26,13 +26,13 @@
 
 impl Node {
     pub(super) fn with_keys(&mut self, call: impl FnOnce(&mut Keys, Time, &mut Vec<KeysAction>)) {
-        call(&mut self.keys, self.now, &mut self.keys_asked);
+        call(&mut self.keys, self.now, &mut self.keys_actions);
     }
 
     /// Carries out what the keys asked for.
     pub(super) fn carry_out_keys(&mut self) {
-        while !self.keys_asked.is_empty() {
-            for action in core::mem::take(&mut self.keys_asked) {
+        while !self.keys_actions.is_empty() {
+            for action in core::mem::take(&mut self.keys_actions) {
                 match action {
                     KeysAction::Send { to, message } => self.send(to, PeerMessage::Keys(message)),
                     KeysAction::Granted {
@@ -63,12 +63,14 @@
         if let Some(request) = self.requests.get_mut(&seq) {
             request.stage = Stage::Claiming;
         }
-        let issuer_life = match claim.id {
+        let issuer_incarnation = match claim.id {
             ClaimId::Ticket(ticket) => self.membership.incarnation(ticket.instance),
             ClaimId::Key(_) => None,
         };
         let list_age = self.membership.list_age(self.now);
-        self.with_keys(|keys, now, out| keys.request_claim(now, list_age, claim, issuer_life, out));
+        self.with_keys(|keys, now, out| {
+            keys.request_claim(now, list_age, claim, issuer_incarnation, out)
+        });
         true
     }
 
@@ -105,7 +107,7 @@
         }
         let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
         if !idempotent {
-            request.claim_until = valid_until;
+            request.claim_valid_until = valid_until;
         }
         request.outcome.on_claim_granted();
         self.record(id, Step::ClaimGranted);
@@ -117,7 +119,7 @@
             return;
         };
         if request.stage == Stage::Claiming {
-            self.answer(id.seq, verdict);
+            self.finish_with(id.seq, verdict);
         }
     }
 
@@ -140,32 +142,32 @@
     }
 
     /// A caller draws a ticket.
-    pub(super) fn on_draw_ticket(&mut self, key_digest: [u8; 32], ticket: RequestId) {
+    pub(super) fn on_ticket_request(&mut self, key_digest: [u8; 32], ticket: RequestId) {
         if self.is_stopping() {
             // It would be lost with the process, and with it every request
             // that names it, for its caller cannot draw another for the order.
             let result = Err(Reason::Stopping);
             return self.out.push(Action::Ticket { ticket, result });
         }
-        let until = self.now + JUDGE_LIMIT;
-        self.timers.set(until, TimerKind::Draws);
-        self.draws.push(TicketDraw {
+        let until = self.now + CATALOGUE_TIMEOUT;
+        self.timers.set(until, TimerKind::PendingTickets);
+        self.pending_tickets.push(PendingTicket {
             ticket,
             key_digest,
             until,
         });
-        self.judge_draws();
+        self.resolve_tickets();
     }
 
     /// Answers every draw whose workspace is known, or can't be known in time.
-    pub(super) fn judge_draws(&mut self) {
-        for draw in core::mem::take(&mut self.draws) {
-            let workspace = match self.sync.lookup(self.now, &draw.key_digest) {
+    pub(super) fn resolve_tickets(&mut self) {
+        for pending in core::mem::take(&mut self.pending_tickets) {
+            let workspace = match self.sync.lookup(self.now, &pending.key_digest) {
                 Lookup::Found(workspace) => Ok(workspace.key),
                 Lookup::Unknown => Err(Reason::BadKey),
-                Lookup::Missing(shard) if self.now < draw.until => {
+                Lookup::Missing(shard) if self.now < pending.until => {
                     self.with_sync(|sync, now, out| sync.want_shard(now, shard, out));
-                    self.draws.push(draw);
+                    self.pending_tickets.push(pending);
                     continue;
                 }
                 Lookup::Missing(_) | Lookup::Unavailable(_) | Lookup::NoCatalogue => {
@@ -173,9 +175,9 @@
                 }
             };
             let now = self.now;
-            let issue = |key| self.keys.issue_ticket(now, draw.ticket, key);
+            let issue = |key| self.keys.issue_ticket(now, pending.ticket, key);
             let result = workspace.and_then(issue);
-            let ticket = draw.ticket;
+            let ticket = pending.ticket;
             self.out.push(Action::Ticket { ticket, result });
         }
     }
--- a/crates/core/src/node/confirm.rs
+++ b/crates/core/src/node/confirm.rs
@@ -64,6 +64,6 @@
 
     fn is_held_at(&self, at: InstanceKey, seq: u64) -> bool {
         let stage = self.requests.get(&seq).map(|it| it.stage);
-        matches!(stage, Some(Stage::Asking { home, .. } | Stage::Running { home, .. }) if home == at)
+        matches!(stage, Some(Stage::Placing { home, .. } | Stage::Running { home, .. }) if home == at)
     }
 }
--- a/crates/core/src/node/ejections.rs
+++ b/crates/core/src/node/ejections.rs
@@ -8,17 +8,17 @@
 impl Node {
     /// Compares what the cells of this node think of their endpoints with what operators were
     /// told. An endpoint that left its cell while ejected is not said to be used again.
-    pub(super) fn tell_ejections(&mut self) {
+    pub(super) fn note_ejections(&mut self) {
         let cells = self.homes.cells.values();
         let ejected: BTreeSet<EndpointKey> = cells.flat_map(|it| it.cell.ejected()).collect();
         if ejected == self.homes.ejected {
             return;
         }
-        let told = core::mem::replace(&mut self.homes.ejected, ejected.clone());
-        for &endpoint in ejected.difference(&told) {
+        let noted = core::mem::replace(&mut self.homes.ejected, ejected.clone());
+        for &endpoint in ejected.difference(&noted) {
             self.note(Note::EndpointEjected(endpoint));
         }
-        for &endpoint in told.difference(&ejected) {
+        for &endpoint in noted.difference(&ejected) {
             let mut cells = self.homes.cells.values();
             if cells.any(|it| it.endpoints.contains(&endpoint)) {
                 self.note(Note::EndpointReadmitted(endpoint));
--- a/crates/core/src/node/fleet.rs
+++ b/crates/core/src/node/fleet.rs
@@ -19,13 +19,13 @@
         &mut self,
         call: impl FnOnce(&mut Membership, Time, &mut Vec<MembershipAction>),
     ) {
-        call(&mut self.membership, self.now, &mut self.asked);
+        call(&mut self.membership, self.now, &mut self.membership_actions);
     }
 
     /// Carries out what membership asked for.
     pub(super) fn carry_out_membership(&mut self) {
-        while !self.asked.is_empty() {
-            for action in core::mem::take(&mut self.asked) {
+        while !self.membership_actions.is_empty() {
+            for action in core::mem::take(&mut self.membership_actions) {
                 match action {
                     MembershipAction::Send { to, message } => {
                         let message = PeerMessage::Membership(message);
@@ -74,8 +74,8 @@
         self.refresh_cells();
         // In this order: a home that is told what runs drops all else that it
         // holds of this process in that cell, what was just asked included.
-        self.retell_moved();
-        self.re_ask_moved();
+        self.resync_moved();
+        self.rerequest_from_moved_homes();
     }
 
     /// A link to a peer is up: what either side knew of the other may be lost.
@@ -83,10 +83,10 @@
         self.with_membership(|membership, now, out| membership.peer_up(now, peer, out));
         self.with_sync(|sync, now, out| sync.peer_up(now, peer, out));
         self.carry_out_membership();
-        self.retell_to(peer.instance);
-        self.re_ask_at(peer.instance);
+        self.resync_with(peer.instance);
+        self.rerequest_from(peer.instance);
         self.confirm_with(peer);
-        self.tell_suspects_to(peer.instance);
+        self.send_suspects_to(peer.instance);
     }
 
     /// The link to a peer is gone.
@@ -107,7 +107,7 @@
     }
 
     /// Tells new homes what runs in their cells.
-    fn retell_moved(&mut self) {
+    fn resync_moved(&mut self) {
         let mut moved: BTreeSet<(InstanceKey, CellKey)> = BTreeSet::new();
         let mut left: Vec<(InstanceKey, u64)> = Vec::new();
         for (&seq, request) in &mut self.requests {
@@ -121,10 +121,10 @@
             }
         }
         for (old, seq) in left {
-            self.leave_old_home(old, seq);
+            self.withdraw_from_old_home(old, seq);
         }
         for (home, cell) in moved {
-            self.retell(home, cell);
+            self.resync(home, cell);
         }
     }
 
@@ -133,7 +133,7 @@
     /// What goes wrong otherwise: the request's end is told to its new home
     /// alone. The old one counts it as running for as long as both processes
     /// live, seen as memory that is never free once it is home again.
-    pub(super) fn leave_old_home(&mut self, old: InstanceKey, seq: u64) {
+    pub(super) fn withdraw_from_old_home(&mut self, old: InstanceKey, seq: u64) {
         // One that cannot be reached forgets by itself after its link is down.
         if old == self.me.instance || self.membership.is_linked(old) {
             self.withdraw_at(old, seq);
@@ -141,7 +141,7 @@
     }
 
     /// Tells a home everything that runs in its cells.
-    fn retell_to(&mut self, home: InstanceKey) {
+    fn resync_with(&mut self, home: InstanceKey) {
         let running = self.requests.values();
         let cells: BTreeSet<CellKey> = running
             .filter_map(|it| match it.stage {
@@ -150,11 +150,11 @@
             })
             .collect();
         for cell in cells {
-            self.retell(home, cell);
+            self.resync(home, cell);
         }
     }
 
-    fn retell(&mut self, home: InstanceKey, cell: CellKey) {
+    fn resync(&mut self, home: InstanceKey, cell: CellKey) {
         let running = self.requests.values();
         let running = running.filter_map(|it| it.to_running(cell));
         let running: Vec<RunningReport> = running.map(|it| RunningReport::from(&it)).collect();
--- a/crates/core/src/node/home.rs
+++ b/crates/core/src/node/home.rs
@@ -33,7 +33,7 @@
 pub(super) const HOLDER_LEASE: Duration = Duration::from_secs(10);
 
 /// When a caller is told to come back whose cell this node does not know.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// One cell that this node decides for.
 pub(super) struct HomeCell {
@@ -156,13 +156,13 @@
     /// A message between an entry and a home arrived, in either role.
     pub(super) fn on_cell_message(&mut self, from: PeerId, message: CellMessage) {
         match message {
-            CellMessage::Request(ask) => {
-                let cell = ask.cell;
-                let seq = ask.seq;
+            CellMessage::Request(request) => {
+                let cell = request.cell;
+                let seq = request.seq;
                 if !self.ensure_cell(cell) {
                     return self.refuse_unknown_cell(from, seq);
                 }
-                let req = (*ask).into_request(from, self.now);
+                let req = (*request).into_request(from, self.now);
                 self.homes.withdraw(self.now, req.id);
                 if let Some(home) = self.homes.cells.get_mut(&cell) {
                     let placement = Placement {
@@ -199,17 +199,17 @@
                     self.homes.withdraw(self.now, request_id(from, seq));
                 }
             }
-            CellMessage::Resync { cell, running } => self.on_retell(from, cell, running),
+            CellMessage::Resync { cell, running } => self.on_resync(from, cell, running),
             CellMessage::Confirm(seqs) => self.on_confirm(from.instance, seqs),
         }
     }
 
     /// An entry tells everything that it runs in a cell.
-    fn on_retell(
+    fn on_resync(
         &mut self,
         from: PeerId,
         cell: CellKey,
-        told: Vec<crate::cell::message::RunningReport>,
+        running: Vec<crate::cell::message::RunningReport>,
     ) {
         if !self.ensure_cell(cell) {
             return;
@@ -223,8 +223,8 @@
         for id in held.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.homes.withdraw(self.now, id);
         }
-        for told in told {
-            let running = told.into_running(from);
+        for report in running {
+            let running = report.into_running(from);
             if let Some(home) = self.homes.cells.get_mut(&cell) {
                 let placement = Placement {
                     cell,
@@ -242,7 +242,7 @@
         let refused = Refused {
             seq,
             reason: Reason::NoEndpoint,
-            retry_after_ms: millis(COME_BACK),
+            retry_after_ms: millis(RETRY_AFTER),
             predicted_wait_ms: 0,
             record: Default::default(),
         };
@@ -409,13 +409,17 @@
     }
 
     /// Ends the leases of a life whose link has stayed down.
-    pub(super) fn forget_holder_if_down(&mut self, instance: InstanceKey, life: Incarnation) {
+    pub(super) fn forget_holder_if_down(
+        &mut self,
+        instance: InstanceKey,
+        incarnation: Incarnation,
+    ) {
         // A link to another life under the same name says nothing of this one.
         // An instance that the list dropped in between is no longer known, so
         // that nothing else tells of the change.
         let linked = self.membership.is_linked(instance);
-        if !linked || self.membership.incarnation(instance) != Some(life) {
-            self.forget_holder(instance, life);
+        if !linked || self.membership.incarnation(instance) != Some(incarnation) {
+            self.forget_holder(instance, incarnation);
         }
     }
 
@@ -431,16 +435,16 @@
             }
         }
         for decision in decisions.drain(..) {
-            self.tell_decision(decision);
+            self.send_decision(decision);
         }
         self.homes.decisions = decisions;
         if any {
-            self.tell_ejections();
+            self.note_ejections();
         }
         any
     }
 
-    fn tell_decision(&mut self, decision: CellDecision) {
+    fn send_decision(&mut self, decision: CellDecision) {
         let id = decision.id();
         let message = match decision {
             CellDecision::Grant {
--- a/crates/core/src/node/limits.rs
+++ b/crates/core/src/node/limits.rs
@@ -19,14 +19,14 @@
             &mut self.leases,
             self.now,
             &self.membership,
-            &mut self.limits_asked,
+            &mut self.limits_actions,
         );
     }
 
     /// Carries out what the limits asked for.
     pub(super) fn carry_out_limits(&mut self) {
-        while !self.limits_asked.is_empty() {
-            for action in core::mem::take(&mut self.limits_asked) {
+        while !self.limits_actions.is_empty() {
+            for action in core::mem::take(&mut self.limits_actions) {
                 match action {
                     LimitsAction::Send { to, message } => {
                         self.send(to, PeerMessage::Limits(message));
@@ -48,9 +48,9 @@
 
     pub(super) fn on_limits_message(&mut self, from: PeerId, message: LimitsMessage) {
         match message {
-            LimitsMessage::Request(ask) => {
-                let (now, out) = (self.now, &mut self.limits_asked);
-                self.limit_home.on_request(now, from, &ask, out);
+            LimitsMessage::Request(request) => {
+                let (now, out) = (self.now, &mut self.limits_actions);
+                self.limit_home.on_request(now, from, &request, out);
             }
             LimitsMessage::Lease(lease) => {
                 self.with_leases(|leases, now, fleet, out| {
@@ -83,7 +83,7 @@
         if self.is_admitting(seq) {
             let id = self.requests[&seq].id();
             self.record(id, Step::Admitted);
-            self.begin_asking(seq);
+            self.begin_placement(seq);
         } else {
             // The caller left in the same turn; its place must not stay taken.
             self.end_admission(seq);
--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -9,21 +9,21 @@
 
 /// The least time between two looks at what is to be ordered. Orders take
 /// seconds to minutes; nothing is gained by looking more often.
-const LOOK_GAP: Duration = Duration::from_millis(100);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How many instances give orders under one revision of the list.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct GiverCount {
+pub(super) struct ControllerCount {
     list_revision: u64,
-    givers: u32,
+    controllers: u32,
 }
 
-impl Default for GiverCount {
+impl Default for ControllerCount {
     /// Without a list this node counts itself.
     fn default() -> Self {
-        GiverCount {
+        ControllerCount {
             list_revision: 0,
-            givers: 1,
+            controllers: 1,
         }
     }
 }
@@ -42,7 +42,12 @@
         }
     }
 
-    pub(super) fn on_order_done(&mut self, key: EndpointKey, fencing: u64, result: OrderResult) {
+    pub(super) fn on_order_answered(
+        &mut self,
+        key: EndpointKey,
+        fencing: u64,
+        result: OrderResult,
+    ) {
         self.orders
             .on_order_answered(self.now, key, fencing, result);
     }
@@ -52,12 +57,13 @@
         if self.orders_wake() > self.now {
             return;
         }
-        self.orders_looked = self.now;
-        let knowledge = self.knowledge();
+        self.orders_checked_at = self.now;
+        let controller_context = self.controller_context();
         let mut out = Vec::new();
         let homes = &self.homes;
         let is_used = |key, model: &_| homes.may_use(key, model);
-        self.orders.tick(self.now, &knowledge, &is_used, &mut out);
+        self.orders
+            .tick(self.now, &controller_context, &is_used, &mut out);
         for action in out {
             match action {
                 OrdersAction::Send {
@@ -81,24 +87,24 @@
 
     pub(super) fn orders_wake(&self) -> Time {
         let wake = self.orders.next_wake();
-        wake.max(self.orders_looked + LOOK_GAP)
+        wake.max(self.orders_checked_at + MIN_CHECK_INTERVAL)
     }
 
-    fn knowledge(&mut self) -> ControllerContext {
+    fn controller_context(&mut self) -> ControllerContext {
         let list_revision = self.membership.view().revision();
         // Ranking every instance for every cell takes half a millisecond in a
         // fleet of 390, and the answer follows from the list alone.
-        if self.givers.list_revision != list_revision {
-            self.givers = GiverCount {
+        if self.controller_count.list_revision != list_revision {
+            self.controller_count = ControllerCount {
                 list_revision,
-                givers: count_controllers(&self.membership),
+                controllers: count_controllers(&self.membership),
             };
         }
         ControllerContext {
             list_revision,
             confirmed: self.membership.list_confirmed_at(),
             is_catalogue_current: self.sync.is_current(),
-            controllers: self.givers.givers,
+            controllers: self.controller_count.controllers,
         }
     }
 }
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/placement.rs
@@ -21,7 +21,7 @@
 use rand::Rng;
 
 /// How long a request waits before it tries an endpoint again where it failed.
-const SECOND_CHANCE_AFTER: Duration = Duration::from_millis(500);
+const EXCLUDED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Refusals that mean "not here, now", so that another cell may do.
 fn is_local(reason: Reason) -> bool {
@@ -37,38 +37,38 @@
 
 impl Node {
     /// Starts to look for a place.
-    pub(super) fn begin_asking(&mut self, seq: u64) {
+    pub(super) fn begin_placement(&mut self, seq: u64) {
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
-        let at = request.gives_up_at();
+        let at = request.start_deadline();
         self.timers.set(at, TimerKind::Request(seq));
-        self.ask_next_cell(seq);
+        self.request_next_cell(seq);
     }
 
     /// Asks the next cell that has not refused yet, or gives up.
-    pub(super) fn ask_next_cell(&mut self, seq: u64) {
+    pub(super) fn request_next_cell(&mut self, seq: u64) {
         if !self.may_be_sent(seq) {
             return;
         }
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
-        let cell = match self.fresh_cell(request) {
+        let cell = match self.nearest_untried_cell(request) {
             Some(cell) => cell,
             None if request.accepts_longer_wait || request.refusals.is_empty() => {
-                return self.refuse_by_cells(seq);
+                return self.finish_with_cell_refusal(seq);
             }
-            None => match self.shortest_wait(request) {
+            None => match self.shortest_wait_cell(request) {
                 Some(cell) => cell,
-                None => return self.refuse_by_cells(seq),
+                None => return self.finish_with_cell_refusal(seq),
             },
         };
-        self.ask_cell(seq, cell);
+        self.request_grant(seq, cell);
     }
 
     /// Returns the nearest cell that has not refused the request in this round.
-    fn fresh_cell(&self, request: &Request) -> Option<CellKey> {
+    fn nearest_untried_cell(&self, request: &Request) -> Option<CellKey> {
         let facts = request.facts.as_ref()?;
         let own = self.membership.own_data_centre();
         let name = facts.view().target.name().to_owned();
@@ -88,7 +88,7 @@
 
     /// Returns the cell that promised the shortest wait, if any promised one
     /// that the request accepts.
-    fn shortest_wait(&self, request: &Request) -> Option<CellKey> {
+    fn shortest_wait_cell(&self, request: &Request) -> Option<CellKey> {
         let queues = request.refusals.iter().filter(|it| {
             matches!(it.reason, Reason::WaitTooLong | Reason::WaitExpired)
                 && it.predicted_wait <= request.longest_wait()
@@ -96,7 +96,7 @@
         queues.min_by_key(|it| it.predicted_wait).map(|it| it.cell)
     }
 
-    fn ask_cell(&mut self, seq: u64, cell: CellKey) {
+    fn request_grant(&mut self, seq: u64, cell: CellKey) {
         let Some(home) = self.membership.home_of_cell(cell) else {
             return self.refuse(seq, Reason::NoEndpoint);
         };
@@ -105,15 +105,18 @@
             return;
         };
         request.accepts_longer_wait |= request.refusals.iter().any(|it| it.cell == cell);
-        request.stage = Stage::Asking { cell, home };
+        request.stage = Stage::Placing { cell, home };
         let Some(facts) = &request.facts else {
             debug_assert!(false, "a request is judged before it asks");
             return;
         };
-        let ask = GrantRequest::from_request(cell, &request.to_cell_request(facts), now);
+        let grant_request = GrantRequest::from_request(cell, &request.to_cell_request(facts), now);
         let id = request.id();
         self.record(id, Step::Asked { cell, home });
-        self.send(home, PeerMessage::Cell(CellMessage::Request(Box::new(ask))));
+        self.send(
+            home,
+            PeerMessage::Cell(CellMessage::Request(Box::new(grant_request))),
+        );
     }
 
     /// A home grants a place.
@@ -121,7 +124,7 @@
         let Some(request) = self.requests.get(&grant.seq) else {
             return self.withdraw_at(from.instance, grant.seq);
         };
-        let Stage::Asking { cell, home } = request.stage else {
+        let Stage::Placing { cell, home } = request.stage else {
             // A home that was asked earlier grants late. Its lease would hold
             // memory that nobody uses.
             if !matches!(request.stage, Stage::Running { home, .. } if home == from.instance) {
@@ -141,7 +144,7 @@
             if let Some(request) = self.requests.get_mut(&grant.seq) {
                 request.exclude.push(grant.endpoint);
             }
-            return self.ask_cell(grant.seq, cell);
+            return self.request_grant(grant.seq, cell);
         }
         self.dispatch(grant.seq, cell, home, grant);
     }
@@ -151,7 +154,7 @@
         let Some(request) = self.requests.get_mut(&refused.seq) else {
             return;
         };
-        let Stage::Asking { cell, home } = request.stage else {
+        let Stage::Placing { cell, home } = request.stage else {
             return;
         };
         if home != from.instance {
@@ -173,42 +176,42 @@
         let id = request.id();
         self.record(id, step);
         match is_local(refused.reason) {
-            true => self.ask_next_cell(refused.seq),
-            false => self.refuse_by_cells(refused.seq),
+            true => self.request_next_cell(refused.seq),
+            false => self.finish_with_cell_refusal(refused.seq),
         }
     }
 
     /// Asks again wherever the home that was asked is no longer the home.
-    pub(super) fn re_ask_moved(&mut self) {
+    pub(super) fn rerequest_from_moved_homes(&mut self) {
         let mut moved: Vec<(u64, CellKey, InstanceKey)> = Vec::new();
         for (&seq, request) in &self.requests {
-            if let Stage::Asking { cell, home } = request.stage
+            if let Stage::Placing { cell, home } = request.stage
                 && self.membership.home_of_cell(cell) != Some(home)
             {
                 moved.push((seq, cell, home));
             }
         }
         for (seq, cell, old) in moved {
-            self.leave_old_home(old, seq);
+            self.withdraw_from_old_home(old, seq);
             match self.membership.view().cell(cell) {
-                Some(_) => self.ask_cell(seq, cell),
-                None => self.ask_next_cell(seq),
+                Some(_) => self.request_grant(seq, cell),
+                None => self.request_next_cell(seq),
             }
         }
     }
 
     /// Asks again whatever was asked of `home`, which has forgotten it or may
     /// never have heard it.
-    pub(super) fn re_ask_at(&mut self, home: InstanceKey) {
-        let asked = self
+    pub(super) fn rerequest_from(&mut self, home: InstanceKey) {
+        let pending = self
             .requests
             .iter()
             .filter_map(|(&seq, it)| match it.stage {
-                Stage::Asking { cell, home: at } if at == home => Some((seq, cell)),
+                Stage::Placing { cell, home: at } if at == home => Some((seq, cell)),
                 _ => None,
             });
-        for (seq, cell) in asked.collect::<Vec<_>>() {
-            self.ask_cell(seq, cell);
+        for (seq, cell) in pending.collect::<Vec<_>>() {
+            self.request_grant(seq, cell);
         }
     }
 
@@ -222,16 +225,18 @@
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
-        let over = self.now >= request.gives_up_at();
+        let over = self.now >= request.start_deadline();
         match request.stage {
-            Stage::Judging if self.now >= request.waiting_since + super::judge::JUDGE_LIMIT => {
+            Stage::Validating
+                if self.now >= request.waiting_since + super::validate::CATALOGUE_TIMEOUT =>
+            {
                 self.refuse(seq, Reason::NoCatalogue);
             }
-            Stage::AwaitingTurn if over => self.refuse(seq, Reason::TurnTaken),
-            Stage::Asking { .. } | Stage::Admitting if over => {
+            Stage::AwaitingRunLease if over => self.refuse(seq, Reason::TurnTaken),
+            Stage::Placing { .. } | Stage::Admitting if over => {
                 self.refuse(seq, Reason::HomeSilent);
             }
-            Stage::BackingOff { until } if self.now >= until => self.ask_next_cell(seq),
+            Stage::BackingOff { until } if self.now >= until => self.request_next_cell(seq),
             _ => {}
         }
     }
@@ -240,8 +245,8 @@
     /// again after a while. One that dropped a connection is often back within
     /// a second, and where a cell has one endpoint there is no other. Returns
     /// whether it does; the attempts are bounded by [`crate::retry`].
-    fn give_second_chance(&mut self, seq: u64) -> bool {
-        let until = self.now + SECOND_CHANCE_AFTER;
+    fn retry_excluded_endpoints(&mut self, seq: u64) -> bool {
+        let until = self.now + EXCLUDED_RETRY_DELAY;
         let Some(request) = self.requests.get_mut(&seq) else {
             return false;
         };
@@ -249,7 +254,7 @@
             .refusals
             .iter()
             .all(|it| it.reason == Reason::NoEndpoint);
-        if !none_left || request.exclude.is_empty() || until >= request.gives_up_at() {
+        if !none_left || request.exclude.is_empty() || until >= request.start_deadline() {
             return false;
         }
         request.exclude.clear();
@@ -260,8 +265,8 @@
     }
 
     /// Every cell refused: says why, and when it is worth coming back.
-    fn refuse_by_cells(&mut self, seq: u64) {
-        if self.give_second_chance(seq) {
+    fn finish_with_cell_refusal(&mut self, seq: u64) {
+        if self.retry_excluded_endpoints(seq) {
             return;
         }
         let Some(request) = self.requests.get(&seq) else {
@@ -287,9 +292,15 @@
     }
 
     /// Takes a request's place back at its home and forgets it.
-    pub(super) fn leave_home(&mut self, id: RequestId, stage: Stage, tokens: u32, end: EndKind) {
+    pub(super) fn release_at_home(
+        &mut self,
+        id: RequestId,
+        stage: Stage,
+        tokens: u32,
+        end: EndKind,
+    ) {
         match stage {
-            Stage::Asking { home, .. } => self.withdraw_at(home, id.seq),
+            Stage::Placing { home, .. } => self.withdraw_at(home, id.seq),
             Stage::Running { home, .. } => {
                 let ended = crate::cell::message::Ended {
                     seq: id.seq,
@@ -299,10 +310,10 @@
                 let message = CellMessage::Ended(vec![ended]);
                 self.send(home, PeerMessage::Cell(message));
             }
-            Stage::Judging
+            Stage::Validating
             | Stage::Claiming
             | Stage::Admitting
-            | Stage::AwaitingTurn
+            | Stage::AwaitingRunLease
             | Stage::BackingOff { .. } => {}
         }
     }
--- a/crates/core/src/node/platform.rs
+++ b/crates/core/src/node/platform.rs
@@ -14,13 +14,13 @@
         &mut self,
         call: impl FnOnce(&mut CatalogueSync, Time, &mut Vec<SyncAction>),
     ) {
-        call(&mut self.sync, self.now, &mut self.sync_asked);
+        call(&mut self.sync, self.now, &mut self.sync_actions);
     }
 
     /// Carries out what the synchronisation asked for.
     pub(super) fn carry_out_sync(&mut self) {
-        while !self.sync_asked.is_empty() {
-            for action in core::mem::take(&mut self.sync_asked) {
+        while !self.sync_actions.is_empty() {
+            for action in core::mem::take(&mut self.sync_actions) {
                 match action {
                     SyncAction::Read(name) => self.out.push(Action::Read(name)),
                     SyncAction::WatchIndex { above } => self.out.push(Action::Watch {
@@ -40,10 +40,10 @@
     fn on_sync_change(&mut self, change: SyncChange) {
         match change {
             SyncChange::InForce { .. } => {
-                self.judge_waiting();
+                self.validate_waiting();
                 self.refresh_goals();
             }
-            SyncChange::ShardReady(_) | SyncChange::ShardFailed(_) => self.judge_waiting(),
+            SyncChange::ShardReady(_) | SyncChange::ShardFailed(_) => self.validate_waiting(),
         }
     }
 
--- a/crates/core/src/node/request.rs
+++ b/crates/core/src/node/request.rs
@@ -14,15 +14,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The shard that may hold its workspace is being fetched.
-    Judging,
+    Validating,
     /// The claim of its ticket or key was asked for.
     Claiming,
     /// A place in the limits of its entry and workspace was asked for.
     Admitting,
     /// It ended an endpoint, and waits until it runs nowhere else.
-    AwaitingTurn,
+    AwaitingRunLease,
     /// A home was asked for a grant.
-    Asking {
+    Placing {
         /// The cell.
         cell: CellKey,
         /// The instance that was asked.
@@ -118,7 +118,7 @@
     /// Nothing may be sent for it after this point, when its claim is void.
     /// Work that may run twice has no such point: a long answer is replayed
     /// elsewhere long after its claim was asked for.
-    pub claim_until: Time,
+    pub claim_valid_until: Time,
     /// Where it stands.
     pub stage: Stage,
     /// What is known about whether it ran.
@@ -126,7 +126,7 @@
     /// Attempts so far.
     pub attempts: u32,
     /// When the answer to the present attempt began.
-    pub begun: Option<Time>,
+    pub response_started_at: Option<Time>,
     /// Tokens that the caller holds.
     pub delivered: u32,
     /// Endpoints where it failed.
@@ -146,11 +146,11 @@
             arrival,
             waiting_since: now,
             facts: None,
-            claim_until: Time::NEVER,
-            stage: Stage::Judging,
+            claim_valid_until: Time::NEVER,
+            stage: Stage::Validating,
             outcome,
             attempts: 0,
-            begun: None,
+            response_started_at: None,
             delivered: 0,
             exclude: Vec::new(),
             refusals: Vec::new(),
@@ -164,14 +164,14 @@
     }
 
     /// Returns when the request is given up if it has not started.
-    pub fn gives_up_at(&self) -> Time {
+    pub fn start_deadline(&self) -> Time {
         self.waiting_since + self.longest_wait() + HOME_GRACE
     }
 
     /// Returns the longest that the request may wait for a start.
     pub fn longest_wait(&self) -> Duration {
         let class = self.facts.as_ref().map(|it| it.class.longest_wait);
-        let class = class.unwrap_or(super::judge::JUDGE_LIMIT);
+        let class = class.unwrap_or(super::validate::CATALOGUE_TIMEOUT);
         self.arrival.patience.map_or(class, |it| it.min(class))
     }
 
--- a/crates/core/src/node/snapshot.rs
+++ b/crates/core/src/node/snapshot.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     /// Wait for the catalogue.
-    pub judging: u32,
+    pub validating: u32,
     /// Wait for a grant, or before asking again.
     pub waiting: u32,
     /// Run at an endpoint.
@@ -128,11 +128,11 @@
         let mut counts = RequestCounts::default();
         for request in self.requests.values() {
             match request.stage {
-                Stage::Judging => counts.judging += 1,
+                Stage::Validating => counts.validating += 1,
                 Stage::Claiming
                 | Stage::Admitting
-                | Stage::AwaitingTurn
-                | Stage::Asking { .. }
+                | Stage::AwaitingRunLease
+                | Stage::Placing { .. }
                 | Stage::BackingOff { .. } => counts.waiting += 1,
                 Stage::Running { .. } => counts.running += 1,
             }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -24,36 +24,36 @@
 
 /// How long the home of a suspect may take to answer before the next in rank is asked: long
 /// enough for a link that has to be made first.
-const HOME_PATIENCE: Duration = Duration::from_millis(250);
+const HOME_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a home that did not answer is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(1);
 
 /// How often what waits for a turn is looked at.
-const LOOK_ASKING: Duration = Duration::from_millis(10);
+const WAITING_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How often homes are told of suspects that run.
-const LOOK_RUNNING: Duration = Duration::from_millis(200);
+const RUNNING_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Suspects in one message, and the time between two messages: a watcher passes each on to all
 /// of its data centre.
-const MOST_TOLD: usize = 8;
+const MAX_RECORDS_PER_MESSAGE: usize = 8;
 
 /// See [`MOST_TOLD`].
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// All that a node knows of suspects.
 #[derive(Debug)]
 pub(super) struct Suspects {
     ledger: Ledger,
     runs: Runs,
-    turns: RunLeases<InstanceKey>,
+    run_leases: RunLeases<InstanceKey>,
     /// Homes that did not answer, and until when they are passed over.
-    silent: BTreeMap<InstanceKey, Time>,
+    unresponsive: BTreeMap<InstanceKey, Time>,
     /// Suspects that are to be told of, and who told this node.
-    untold: BTreeMap<Fingerprint, Option<PeerId>>,
+    pending_gossip: BTreeMap<Fingerprint, Option<PeerId>>,
     /// When others were told last.
-    told: Option<Time>,
+    last_gossip_at: Option<Time>,
     /// Buffer for the homes of a suspect.
     ranked: Vec<InstanceKey>,
 }
@@ -62,17 +62,17 @@
     pub(super) fn new(now: Time) -> Self {
         Suspects {
             ledger: Ledger::default(),
-            runs: Runs::new(HOME_PATIENCE),
-            turns: RunLeases::new(now),
-            silent: BTreeMap::new(),
-            untold: BTreeMap::new(),
-            told: None,
+            runs: Runs::new(HOME_TIMEOUT),
+            run_leases: RunLeases::new(now),
+            unresponsive: BTreeMap::new(),
+            pending_gossip: BTreeMap::new(),
+            last_gossip_at: None,
             ranked: Vec::new(),
         }
     }
 }
 
-fn turn_of(request: &Request) -> SuspectRun {
+fn suspect_run(request: &Request) -> SuspectRun {
     SuspectRun {
         fingerprint: request.arrival.fingerprint,
         run: request.id().seq,
@@ -82,20 +82,20 @@
 impl Node {
     /// Begins to listen to what others run, as the home of suspects.
     pub(super) fn start_suspects(&mut self) {
-        self.suspects.turns.restart_grace_period(self.now);
+        self.suspects.run_leases.restart_grace_period(self.now);
     }
 
     /// Takes in a request that is going to run.
     pub(super) fn begin_run(&mut self, seq: u64) {
         if let Some(request) = self.requests.get(&seq) {
-            self.suspects.runs.begin(turn_of(request));
+            self.suspects.runs.begin(suspect_run(request));
         }
     }
 
     /// Takes out a request that is over.
     pub(super) fn end_run(&mut self, request: &Request) {
-        if self.suspects.runs.end(turn_of(request)) {
-            self.timers.set(self.now, TimerKind::Turns);
+        if self.suspects.runs.end(suspect_run(request)) {
+            self.timers.set(self.now, TimerKind::RunLeases);
         }
     }
 
@@ -105,50 +105,50 @@
         let Some(request) = self.requests.get(&seq) else {
             return false;
         };
-        let turn = turn_of(request);
-        let standing = self.suspects.ledger.standing(self.now, turn.fingerprint);
-        match self.suspects.runs.admit(self.now, turn, standing) {
+        let run = suspect_run(request);
+        let standing = self.suspects.ledger.standing(self.now, run.fingerprint);
+        match self.suspects.runs.admit(self.now, run, standing) {
             Admission::Go => return true,
             Admission::Refused => self.refuse(seq, Reason::EndsEndpoints),
             Admission::NoHome => self.refuse(seq, Reason::TurnTaken),
-            Admission::Wait => self.await_turn(seq),
+            Admission::Wait => self.await_run_lease(seq),
         }
         false
     }
 
-    fn await_turn(&mut self, seq: u64) {
+    fn await_run_lease(&mut self, seq: u64) {
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
-        if request.stage == Stage::AwaitingTurn {
+        if request.stage == Stage::AwaitingRunLease {
             return;
         }
-        let (id, gives_up) = (request.id(), request.gives_up_at());
-        let stage = core::mem::replace(&mut request.stage, Stage::AwaitingTurn);
-        self.leave_home(id, stage, 0, EndKind::Cancelled);
+        let (id, gives_up) = (request.id(), request.start_deadline());
+        let stage = core::mem::replace(&mut request.stage, Stage::AwaitingRunLease);
+        self.release_at_home(id, stage, 0, EndKind::Cancelled);
         self.timers.set(gives_up, TimerKind::Request(seq));
-        self.timers.set(self.now, TimerKind::Turns);
+        self.timers.set(self.now, TimerKind::RunLeases);
     }
 
     /// Looks again at all requests that wait for their turn.
-    fn look_at_waiting(&mut self) {
+    fn retry_waiting(&mut self) {
         let waiting = self.requests.iter();
-        let waiting = waiting.filter(|(_, it)| it.stage == Stage::AwaitingTurn);
+        let waiting = waiting.filter(|(_, it)| it.stage == Stage::AwaitingRunLease);
         let waiting: Vec<u64> = waiting.map(|(&seq, _)| seq).collect();
         for seq in waiting {
-            self.ask_next_cell(seq);
+            self.request_next_cell(seq);
         }
     }
 
     /// The answer to an attempt began.
-    pub(super) fn note_begun(&mut self, seq: u64) {
+    pub(super) fn on_response_started(&mut self, seq: u64) {
         if let Some(request) = self.requests.get_mut(&seq) {
-            request.begun.get_or_insert(self.now);
+            request.response_started_at.get_or_insert(self.now);
         }
     }
 
     /// The endpoint of an attempt ended with it.
-    pub(super) fn on_endpoint_ended(&mut self, seq: u64) {
+    pub(super) fn on_endpoint_exited(&mut self, seq: u64) {
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
@@ -156,9 +156,9 @@
             return;
         };
         let fingerprint = request.arrival.fingerprint;
-        let begun = request.begun;
-        if begun.is_some_and(|at| self.now.since(at) >= SUCCESS_AFTER) {
-            return self.ran_well(fingerprint);
+        let response_started_at = request.response_started_at;
+        if response_started_at.is_some_and(|at| self.now.since(at) >= SUCCESS_AFTER) {
+            return self.on_run_succeeded(fingerprint);
         }
         if self.membership.endpoint_state(endpoint) == EndpointState::Leaving {
             // It ended as it said it would.
@@ -169,55 +169,55 @@
             .ledger
             .record_crash(self.now, fingerprint, endpoint)
         {
-            self.tell_soon(fingerprint, None);
+            self.gossip_soon(fingerprint, None);
         }
     }
 
     /// A request ran well, so that it is none that ends endpoints.
-    pub(super) fn ran_well(&mut self, fingerprint: Fingerprint) {
+    pub(super) fn on_run_succeeded(&mut self, fingerprint: Fingerprint) {
         if self.suspects.ledger.clear(self.now, fingerprint) {
-            self.tell_soon(fingerprint, None);
+            self.gossip_soon(fingerprint, None);
         }
     }
 
-    fn tell_soon(&mut self, fingerprint: Fingerprint, source: Option<PeerId>) {
-        self.suspects.untold.insert(fingerprint, source);
-        let told = self.suspects.told;
-        let at = told.map_or(self.now, |at| (at + TELL_INTERVAL).max(self.now));
-        self.timers.set(at, TimerKind::TellSuspects);
-        self.timers.set(self.now, TimerKind::Turns);
+    fn gossip_soon(&mut self, fingerprint: Fingerprint, source: Option<PeerId>) {
+        self.suspects.pending_gossip.insert(fingerprint, source);
+        let last = self.suspects.last_gossip_at;
+        let at = last.map_or(self.now, |at| (at + GOSSIP_INTERVAL).max(self.now));
+        self.timers.set(at, TimerKind::GossipSuspects);
+        self.timers.set(self.now, TimerKind::RunLeases);
     }
 
     /// Tells others of suspects, as many as one message holds.
-    pub(super) fn tell_suspects(&mut self) {
-        let told = self.suspects.told;
-        if told.is_some_and(|at| self.now.since(at) < TELL_INTERVAL) {
+    pub(super) fn gossip_suspects(&mut self) {
+        let last = self.suspects.last_gossip_at;
+        if last.is_some_and(|at| self.now.since(at) < GOSSIP_INTERVAL) {
             return;
         }
         let mut by_receiver: BTreeMap<InstanceKey, Vec<CrashRecord>> = BTreeMap::new();
-        for _ in 0..MOST_TOLD {
-            let Some((fingerprint, source)) = self.suspects.untold.pop_first() else {
+        for _ in 0..MAX_RECORDS_PER_MESSAGE {
+            let Some((fingerprint, source)) = self.suspects.pending_gossip.pop_first() else {
                 break;
             };
-            let Some(blame) = self.suspects.ledger.record(self.now, fingerprint) else {
+            let Some(record) = self.suspects.ledger.record(self.now, fingerprint) else {
                 continue;
             };
             for to in self.membership.gossip_targets(source, Vec::new()) {
-                by_receiver.entry(to).or_default().push(blame.clone());
+                by_receiver.entry(to).or_default().push(record.clone());
             }
         }
-        self.suspects.told = Some(self.now);
-        if !self.suspects.untold.is_empty() {
-            let at = self.now + TELL_INTERVAL;
-            self.timers.set(at, TimerKind::TellSuspects);
+        self.suspects.last_gossip_at = Some(self.now);
+        if !self.suspects.pending_gossip.is_empty() {
+            let at = self.now + GOSSIP_INTERVAL;
+            self.timers.set(at, TimerKind::GossipSuspects);
         }
-        for (to, blames) in by_receiver {
-            self.send(to, PeerMessage::Suspects(blames));
+        for (to, records) in by_receiver {
+            self.send(to, PeerMessage::Suspects(records));
         }
     }
 
     /// Tells a peer whose link has come up of the suspects that ended the most endpoints.
-    pub(super) fn tell_suspects_to(&mut self, to: InstanceKey) {
+    pub(super) fn send_suspects_to(&mut self, to: InstanceKey) {
         let worst = self.suspects.ledger.worst(self.now);
         if !worst.is_empty() {
             self.send(to, PeerMessage::Suspects(worst));
@@ -225,25 +225,25 @@
     }
 
     /// A peer told of suspects.
-    pub(super) fn on_suspects(&mut self, from: PeerId, blames: &[CrashRecord]) {
-        self.hear_blames(from, blames);
-        self.look_at_waiting();
+    pub(super) fn on_suspects(&mut self, from: PeerId, records: &[CrashRecord]) {
+        self.apply_crash_records(from, records);
+        self.retry_waiting();
     }
 
-    fn hear_blames(&mut self, from: PeerId, blames: &[CrashRecord]) {
-        for blame in blames {
-            if self.suspects.ledger.on_record(self.now, blame) {
-                self.tell_soon(blame.fingerprint, Some(from));
+    fn apply_crash_records(&mut self, from: PeerId, records: &[CrashRecord]) {
+        for record in records {
+            if self.suspects.ledger.on_record(self.now, record) {
+                self.gossip_soon(record.fingerprint, Some(from));
             }
         }
     }
 
     /// Tells the homes of suspects what runs and waits here.
-    pub(super) fn report_turns(&mut self) {
+    pub(super) fn report_run_leases(&mut self) {
         let now = self.now;
         self.suspects.ledger.tick(now);
-        self.suspects.turns.tick(now);
-        self.suspects.silent.retain(|_, until| now < *until);
+        self.suspects.run_leases.tick(now);
+        self.suspects.unresponsive.retain(|_, until| now < *until);
         if self.suspects.ledger.is_empty() && self.suspects.runs.no_run_ended() {
             return;
         }
@@ -252,20 +252,22 @@
         for fingerprint in self.suspects.runs.fingerprints() {
             let standing = self.suspects.ledger.standing(now, fingerprint);
             any_runs |= standing != Standing::Free;
-            self.report_turns_of(fingerprint, standing, &mut reports);
+            self.report_run_lease(fingerprint, standing, &mut reports);
         }
         for (home, report) in reports {
             self.send(home, PeerMessage::RunLeaseReport(report));
         }
         if self.suspects.runs.any_waiting() {
-            self.timers.set(now + LOOK_ASKING, TimerKind::Turns);
-            self.look_at_waiting();
+            self.timers
+                .set(now + WAITING_REPORT_INTERVAL, TimerKind::RunLeases);
+            self.retry_waiting();
         } else if any_runs {
-            self.timers.set(now + LOOK_RUNNING, TimerKind::Turns);
+            self.timers
+                .set(now + RUNNING_REPORT_INTERVAL, TimerKind::RunLeases);
         }
     }
 
-    fn report_turns_of(
+    fn report_run_lease(
         &mut self,
         fingerprint: Fingerprint,
         standing: Standing,
@@ -279,15 +281,15 @@
         let mut ranked = core::mem::take(&mut self.suspects.ranked);
         let key = fingerprint.rank_key();
         self.membership.ranked_homes(key, 2, &mut ranked);
-        let silent = &mut self.suspects.silent;
-        let acting = |silent: &BTreeMap<InstanceKey, Time>| {
-            let mut answering = ranked.iter().filter(|it| !silent.contains_key(it));
+        let unresponsive = &mut self.suspects.unresponsive;
+        let acting = |unresponsive: &BTreeMap<InstanceKey, Time>| {
+            let mut answering = ranked.iter().filter(|it| !unresponsive.contains_key(it));
             answering.next().or(ranked.first()).copied()
         };
         if due.is_unanswered
-            && let Some(home) = acting(silent)
+            && let Some(home) = acting(unresponsive)
         {
-            silent.insert(home, now + PASSED_OVER);
+            unresponsive.insert(home, now + UNRESPONSIVE_PERIOD);
         }
         let known = self.suspects.ledger.record(now, fingerprint);
         for &home in &ranked {
@@ -296,7 +298,7 @@
             report.renew.extend(&due.renew);
             report.release.extend(&due.release);
         }
-        if let Some(home) = acting(silent) {
+        if let Some(home) = acting(unresponsive) {
             reports
                 .entry(home)
                 .or_default()
@@ -307,11 +309,11 @@
     }
 
     /// A peer told this node, as the home of suspects, what it runs and asks for.
-    pub(super) fn on_turns(&mut self, from: PeerId, report: &RunLeaseReport) {
-        self.hear_blames(from, &report.records);
+    pub(super) fn on_run_lease_report(&mut self, from: PeerId, report: &RunLeaseReport) {
+        self.apply_crash_records(from, &report.records);
         let answer = self
             .suspects
-            .turns
+            .run_leases
             .on_report(self.now, from.instance, report);
         if !report.acquire.is_empty() {
             let answer = RunLeaseAnswer {
@@ -323,9 +325,9 @@
     }
 
     /// The home of suspects answered.
-    pub(super) fn on_turn_answer(&mut self, from: PeerId, answer: &RunLeaseAnswer) {
-        self.hear_blames(from, &answer.records);
+    pub(super) fn on_run_lease_answer(&mut self, from: PeerId, answer: &RunLeaseAnswer) {
+        self.apply_crash_records(from, &answer.records);
         self.suspects.runs.on_answer(self.now, answer);
-        self.look_at_waiting();
+        self.retry_waiting();
     }
 }
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -10,7 +10,7 @@
     /// Look again at a request of this process.
     Request(u64),
     /// Look again at the tickets that are being drawn.
-    Draws,
+    PendingTickets,
     /// Ask an endpoint of an own cell for its load.
     PollLoad(EndpointKey),
     /// Send the checkpoints that were gathered.
@@ -20,12 +20,12 @@
     /// End the leases of a life whose link has been down for too long.
     ForgetHolder(InstanceKey, Incarnation),
     /// Tell the homes of suspects what runs and waits here.
-    Turns,
+    RunLeases,
     /// Tell others of suspects.
-    TellSuspects,
+    GossipSuspects,
     /// Stop taking new requests, because a planned stop has lasted long enough
     /// for the balancer to notice it.
-    CloseDoor,
+    StopAccepting,
 }
 
 /// Timers in order of their time.
--- a/crates/core/src/node/judge.rs
+++ b/crates/core/src/node/validate.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::request::{Facts, Request, Stage};
-use super::stop::Door;
+use super::stop::StopPhase;
 use super::timers::TimerKind;
 use crate::catalogue::sync::Lookup;
 use crate::catalogue::{EntryView, TargetView, Workspace};
@@ -14,10 +14,10 @@
 use core::time::Duration;
 
 /// How long an arrival waits for the shard that may hold its workspace.
-pub(super) const JUDGE_LIMIT: Duration = Duration::from_secs(5);
+pub(super) const CATALOGUE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// When a caller is told to come back who met an instance that is not ready.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Tokens that a request asks for if it names no limit and the entry has none.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
@@ -26,9 +26,9 @@
     /// Takes a new request in, or refuses it.
     pub(super) fn on_arrival(&mut self, arrival: RequestArrival) {
         debug_assert!(!self.requests.contains_key(&arrival.id.seq));
-        if let Err(reason) = self.may_enter() {
+        if let Err(reason) = self.check_accepting() {
             let outcome = RequestOutcome::of_arrival(&arrival);
-            let verdict = outcome.finish(reason, Some(COME_BACK), 0);
+            let verdict = outcome.finish(reason, Some(RETRY_AFTER), 0);
             self.note_verdict(arrival.id, verdict.outcome(), reason);
             self.out.push(Action::Finish {
                 request: arrival.id,
@@ -40,12 +40,12 @@
         self.budget.on_request(self.now);
         self.requests.insert(seq, Request::new(arrival, self.now));
         self.timers
-            .set(self.now + JUDGE_LIMIT, TimerKind::Request(seq));
-        self.judge(seq);
+            .set(self.now + CATALOGUE_TIMEOUT, TimerKind::Request(seq));
+        self.validate(seq);
     }
 
-    fn may_enter(&self) -> Result<(), Reason> {
-        if self.door == Door::Closed {
+    fn check_accepting(&self) -> Result<(), Reason> {
+        if self.stop_phase == StopPhase::Draining {
             return Err(Reason::Stopping);
         }
         if self.requests.len() >= self.cfg.max_requests {
@@ -58,7 +58,7 @@
     }
 
     /// Judges a request, unless the shard that it needs is still on its way.
-    pub(super) fn judge(&mut self, seq: u64) {
+    pub(super) fn validate(&mut self, seq: u64) {
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
@@ -103,13 +103,13 @@
 
     /// Judges every request that waits for a shard; those whose shard cannot
     /// be had are refused by it.
-    pub(super) fn judge_waiting(&mut self) {
-        self.judge_draws();
+    pub(super) fn validate_waiting(&mut self) {
+        self.resolve_tickets();
         let waiting = self.requests.iter();
-        let waiting = waiting.filter(|(_, it)| it.stage == Stage::Judging);
+        let waiting = waiting.filter(|(_, it)| it.stage == Stage::Validating);
         let waiting: Vec<u64> = waiting.map(|(&seq, _)| seq).collect();
         for seq in waiting {
-            self.judge(seq);
+            self.validate(seq);
         }
     }
 
--- a/crates/core/src/note.rs
+++ b/crates/core/src/note.rs
@@ -44,7 +44,7 @@
     /// An instance was found dead or leaving.
     InstanceGone(InstanceKey),
     /// A published list was not believed.
-    ListDoubted {
+    ListQuarantined {
         /// Instances that the list names.
         named: u32,
         /// Instances known before it.
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -25,7 +25,7 @@
 impl PeerEnvelope {
     /// Returns what a peer that speaks this version can read; nothing if that is no message of
     /// several. What it cannot read would end its link.
-    pub fn spoken_in(&self, version: u16) -> Option<Cow<'_, PeerEnvelope>> {
+    pub fn readable_by(&self, version: u16) -> Option<Cow<'_, PeerEnvelope>> {
         if self.messages.iter().all(|it| it.since() <= version) {
             return Some(Cow::Borrowed(self));
         }
--- a/crates/core/tests/membership_failures.rs
+++ b/crates/core/tests/membership_failures.rs
@@ -74,7 +74,10 @@
     let list = fleet(1, 6, 4);
     let mut member = member("i0-000", &list);
     let out = actions(|out| member.list(T, broken(&list), out));
-    assert!(has_note(&out, |it| matches!(it, Note::ListDoubted { .. })));
+    assert!(has_note(&out, |it| matches!(
+        it,
+        Note::ListQuarantined { .. }
+    )));
     assert_eq!(member.live_count(), 6);
     assert_eq!(member.view().endpoints().count(), 4);
     let whole = changed(&broken(&list), |next| {
--- a/crates/core/tests/node/suspects.rs
+++ b/crates/core/tests/node/suspects.rs
@@ -23,7 +23,7 @@
             continue;
         };
         if ended.insert(last.endpoint.key) {
-            world.update(last.attempt, AttemptUpdate::EndpointEnded);
+            world.update(last.attempt, AttemptUpdate::EndpointExited);
             world.fail(last.attempt, Reason::ConnectionLost);
         }
     }
--- a/crates/core/tests/node/world/callers.rs
+++ b/crates/core/tests/node/world/callers.rs
@@ -98,7 +98,7 @@
     pub fn try_ticket(&mut self, n: usize) -> Option<RequestId> {
         let ticket = self.draw_id(n);
         let key_digest = Sha256::digest(KEY).into();
-        self.feed(self.key(n), Event::DrawTicket { key_digest, ticket });
+        self.feed(self.key(n), Event::RequestTicket { key_digest, ticket });
         self.run_for(Duration::from_millis(100));
         self.seat(n).tickets.contains(&ticket).then_some(ticket)
     }
--- a/crates/core/tests/node/world/outside.rs
+++ b/crates/core/tests/node/world/outside.rs
@@ -117,7 +117,7 @@
             fencing,
             kind,
         });
-        let event = Event::OrderDone {
+        let event = Event::OrderAnswered {
             endpoint,
             fencing,
             result: OrderResult::Accepted,
--- a/crates/core/tests/peer_versions.rs
+++ b/crates/core/tests/peer_versions.rs
@@ -19,7 +19,7 @@
 fn a_peer_of_this_version_is_sent_all() {
     let all = envelope(vec![PeerMessage::Heartbeat, news()]);
 
-    let sent = all.spoken_in(2);
+    let sent = all.readable_by(2);
 
     assert_eq!(sent, Some(Cow::Borrowed(&all)));
 }
@@ -31,8 +31,8 @@
 fn an_earlier_peer_is_sent_what_it_can_read() {
     let all = envelope(vec![news(), PeerMessage::Heartbeat]);
 
-    let sent = all.spoken_in(1).expect("some of it").into_owned();
+    let sent = all.readable_by(1).expect("some of it").into_owned();
 
     assert_eq!(sent, envelope(vec![PeerMessage::Heartbeat]));
-    assert_eq!(envelope(vec![news()]).spoken_in(1), None);
+    assert_eq!(envelope(vec![news()]).readable_by(1), None);
 }
--- a/crates/oriolemux/src/endpoints/polls.rs
+++ b/crates/oriolemux/src/endpoints/polls.rs
@@ -110,7 +110,7 @@
         let given = self.protocol.order(endpoint, fencing, kind, send_before);
         let result = given.await;
         let endpoint = endpoint.key;
-        let event = Event::OrderDone {
+        let event = Event::OrderAnswered {
             endpoint,
             fencing,
             result,
--- a/crates/oriolemux/src/events.rs
+++ b/crates/oriolemux/src/events.rs
@@ -91,7 +91,7 @@
                 &[display("instance", &instance_name(*instance, names))],
             );
         }
-        Note::ListDoubted { named, known } => {
+        Note::ListQuarantined { named, known } => {
             let fields = [display("named", named), display("known", known)];
             record(LogEvent::ListDoubted, &fields);
         }
--- a/crates/oriolemux/src/node_task.rs
+++ b/crates/oriolemux/src/node_task.rs
@@ -143,7 +143,7 @@
             } => {
                 self.tickets.insert(id.seq, reply);
                 let ticket = id;
-                self.handle(Event::DrawTicket { key_digest, ticket });
+                self.handle(Event::RequestTicket { key_digest, ticket });
             }
         }
     }
--- a/crates/oriolemux/src/node_task/view.rs
+++ b/crates/oriolemux/src/node_task/view.rs
@@ -49,7 +49,7 @@
             live_instances: snapshot.live_instances,
         },
         requests: RequestsStatus {
-            judging: snapshot.requests.judging,
+            judging: snapshot.requests.validating,
             waiting: snapshot.requests.waiting,
             running: snapshot.requests.running,
         },
--- a/crates/oriolemux/src/peers.rs
+++ b/crates/oriolemux/src/peers.rs
@@ -240,7 +240,7 @@
         let Some((queue, version)) = self.shared.queue(to) else {
             return SendOutcome::NoLink;
         };
-        let Some(envelope) = envelope.spoken_in(version) else {
+        let Some(envelope) = envelope.readable_by(version) else {
             return SendOutcome::Queued;
         };
         let envelope = &*envelope;
--- a/crates/oriolemux/src/relay/attempt.rs
+++ b/crates/oriolemux/src/relay/attempt.rs
@@ -132,7 +132,7 @@
             self.distrust_after(*reason);
         }
         if is_lost(step.report.as_ref()) && self.protocol.has_ended(&dispatch.endpoint).await {
-            let ended = Some(AttemptUpdate::EndpointEnded);
+            let ended = Some(AttemptUpdate::EndpointExited);
             self.report(dispatch.attempt, ended).await?;
         }
         self.report(dispatch.attempt, step.report).await?;
--- a/crates/oriolemux/tests/endpoints_polls.rs
+++ b/crates/oriolemux/tests/endpoints_polls.rs
@@ -195,7 +195,7 @@
 
     let events = fixture.events();
     let [
-        Event::OrderDone {
+        Event::OrderAnswered {
             fencing: 11,
             result,
             ..
@@ -228,7 +228,7 @@
     given.await.unwrap();
 
     let events = fixture.events();
-    let [Event::OrderDone { result, .. }] = &events[..] else {
+    let [Event::OrderAnswered { result, .. }] = &events[..] else {
         panic!("the end of the order, not {events:?}");
     };
     assert_eq!(*result, OrderResult::Failed);
@@ -284,7 +284,7 @@
     drop(fillers);
     assert!(!heard.contains("fencing"), "{heard}");
     let events = fixture.events();
-    let [Event::OrderDone { result, .. }] = &events[..] else {
+    let [Event::OrderAnswered { result, .. }] = &events[..] else {
         panic!("the end of the order, not {events:?}");
     };
     assert_eq!(*result, OrderResult::Failed);
