--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,8 +1,8 @@
-//! What a node is told and what it asks for.
+//! The input and output of a node.
 //!
-//! The shell turns sockets and timers into [`Event`]s and carries out
-//! [`Action`]s in the order given. Neither holds a socket, a future or a lock,
-//! so a test can write them down and compare them.
+//! The shell (the process around the core) turns sockets and timers into [`Event`]s and carries out
+//! [`Action`]s in the order given. Neither holds a socket, a future or a lock, so tests can
+//! construct and compare them.
 
 use crate::ids::{AttemptId, EndpointKey, InstanceKey, RequestId};
 use crate::outcome::{Ran, Verdict};
@@ -16,91 +16,89 @@
     PeerId, PeerTarget, RequestArrival, ValueName, Work,
 };
 
-/// An order to run one attempt now.
+/// A command to run one attempt now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
-    /// The attempt; its number is new for every order.
+    /// The attempt; its number is unique for each dispatch of a request.
     pub attempt: AttemptId,
-    /// Where to run it.
+    /// The endpoint that runs it.
     pub endpoint: EndpointTarget,
-    /// The model to ask for; empty for a plain service.
+    /// The model to request; empty for a plain service.
     pub model: String,
-    /// The adapter to ask for, if any.
+    /// The adapter to request, if any.
     pub adapter: Option<String>,
     /// The engine's priority; 0 is the most urgent.
     pub priority: u8,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// How the answer is delivered.
+    /// How the output is delivered.
     pub delivery: DeliveryMode,
-    /// Whether the work may be run more than once.
+    /// Whether the work may run more than once.
     pub idempotent: bool,
-    /// Fresh or replay.
+    /// Whether this is a fresh run or a replay.
     pub mode: AttemptMode,
-    /// The attempt must not be sent after this point. The shell reads its clock
-    /// right before the send, because a process may have been paused since the
-    /// decision.
+    /// The attempt must not be sent after this time. The shell reads its clock immediately before
+    /// the send, because the process may have been paused since the decision.
     pub send_before: Time,
-    /// Silence from the endpoint longer than this counts as a stall.
+    /// If the endpoint sends nothing for longer than this, the attempt counts as stalled.
     pub stall_limit: Duration,
 }
 
-/// What became of an attempt.
+/// Progress or the end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptUpdate {
-    /// The endpoint sent the first token or answer byte.
+    /// The endpoint sent the first token or response byte.
     FirstToken,
-    /// So many tokens have been received; reported at each checkpoint
-    /// ([`crate::checkpoint::is_checkpoint`]).
+    /// A checkpoint was reached; reported at each one ([`crate::checkpoint::is_checkpoint`]).
     Progress {
-        /// Tokens received from the endpoint in this attempt.
+        /// Tokens received from the endpoint in this attempt so far.
         tokens: u32,
     },
-    /// The whole answer was received and handed to the caller.
+    /// The complete response was received and delivered to the caller.
     Complete {
-        /// Tokens of the answer.
+        /// Tokens of the output.
         tokens: u32,
-        /// Tokens of the prompt as the engine counted them, if it said so.
+        /// Tokens of the prompt as the engine counted them, if it reported them.
         prompt_tokens: Option<u32>,
     },
-    /// The connection ended before the answer did, and nobody is at the endpoint's address any
-    /// more. That the attempt failed is reported after this.
+    /// The connection ended before the response did, and nothing accepts connections at the address
+    /// of the endpoint any more. [`AttemptUpdate::Failed`] follows.
     EndpointExited,
-    /// The attempt is over without a whole answer; the node decides what follows.
+    /// The attempt ended without a complete response; the node decides whether to retry.
     Failed {
         /// Why.
         reason: Reason,
-        /// What is known about whether the work ran.
+        /// Whether the work may have run.
         ran: Ran,
-        /// Tokens that the caller holds from this request in all.
+        /// Tokens delivered to the caller by all attempts of this request.
         delivered: u32,
-        /// When the endpoint asked to come back, if it said so.
+        /// The delay before a retry that the endpoint asked for, if any.
         retry_after: Option<Duration>,
     },
 }
 
-/// What a node is told.
+/// An input of a node.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller asks for something.
+    /// A request arrived from a caller.
     Request(Box<RequestArrival>),
-    /// The caller of a request went away.
+    /// The caller of a request disconnected.
     CallerGone(RequestId),
-    /// A caller draws a ticket; answered with [`Action::Ticket`].
+    /// A caller requests a ticket; answered with [`Action::Ticket`].
     RequestTicket {
         /// SHA-256 of the caller's bearer key.
         key_digest: [u8; 32],
-        /// The id drawn for the ticket by the shell.
+        /// The ID that the shell chose for the ticket.
         ticket: RequestId,
     },
-    /// Something became of an attempt.
+    /// An attempt made progress or ended.
     Attempt {
         /// The attempt.
         attempt: AttemptId,
-        /// What became of it.
+        /// The update.
         update: AttemptUpdate,
     },
-    /// A peer's message arrived.
+    /// Messages from a peer arrived.
     Peer {
         /// The authenticated sender.
         from: PeerId,
@@ -109,11 +107,11 @@
     },
     /// A link to a peer is up.
     PeerUp(PeerId),
-    /// The link to a peer is gone.
+    /// The link to a peer went down.
     PeerDown(PeerId),
     /// The link to a peer was closed because it was idle.
     PeerIdle(PeerId),
-    /// The platform's service answered a read or a watch.
+    /// The platform returned a value for a read or a watch.
     Value {
         /// Which value.
         name: ValueName,
@@ -122,12 +120,12 @@
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// The platform answered a watch: nothing is newer.
+    /// A watch ended without a newer value.
     ValueUnchanged {
         /// Which value.
         name: ValueName,
     },
-    /// The platform's service could not be read.
+    /// A read or watch of the platform failed.
     ValueFailed {
         /// Which value.
         name: ValueName,
@@ -136,96 +134,97 @@
     Load {
         /// Which endpoint.
         endpoint: EndpointKey,
-        /// What it said.
+        /// The report.
         report: LoadReport,
     },
-    /// An endpoint could not be asked for its load.
+    /// A load poll of an endpoint failed.
     LoadFailed {
         /// Which endpoint.
         endpoint: EndpointKey,
     },
-    /// Prefix blocks that an endpoint stored or evicted; late and with gaps.
+    /// Prefix blocks that an endpoint stored or evicted. Batches arrive late and may be lost.
     Cache {
         /// Which endpoint.
         endpoint: EndpointKey,
-        /// Whether events were lost since the last batch.
+        /// Whether events were lost since the previous batch.
         gap: bool,
-        /// Block hashes now held.
+        /// Hashes of blocks that were stored.
         stored: Vec<u64>,
-        /// Block hashes no longer held.
+        /// Hashes of blocks that were evicted.
         evicted: Vec<u64>,
     },
     /// An endpoint answered an order.
     OrderAnswered {
         /// Which endpoint.
         endpoint: EndpointKey,
-        /// The order's number.
+        /// The fencing number of the order.
         fencing: u64,
         /// Whether it was carried out, refused as stale, or failed.
         result: OrderResult,
     },
-    /// The timer asked for with [`Action::WakeAt`] is due.
+    /// The timer set with [`Action::WakeAt`] is due.
     Wake,
-    /// Planned stop: finish what runs, take nothing new.
+    /// A planned stop was requested: finish running requests, accept no new ones.
     Stop,
 }
 
-/// What a node asks the shell to do.
+/// An effect that the shell carries out for a node.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Run an attempt.
     Dispatch(Box<Dispatch>),
-    /// End the attempt that runs for a request at its endpoint and tell the caller nothing more.
+    /// Cancel the running attempt of a request at its endpoint, and send nothing more to the
+    /// caller.
     Cancel(RequestId),
-    /// Give the caller its final answer.
+    /// Send the caller the final verdict.
     Finish {
         /// Which request.
         request: RequestId,
-        /// What to say.
+        /// The verdict.
         verdict: Verdict,
     },
-    /// Answer a caller that draws a ticket.
+    /// Answer a caller that requested a ticket.
     Ticket {
         /// The ticket.
         ticket: RequestId,
-        /// Whether it is issued, or why not.
+        /// Whether it is issued, or why it is refused.
         result: Result<(), Reason>,
     },
-    /// Send a message to a peer. Lost if there is no link.
+    /// Send a message to a peer. It is lost if there is no link.
     Send {
-        /// To whom.
+        /// The receiver.
         to: InstanceKey,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
-    /// Keep links to exactly these peers.
+    /// Maintain links to exactly these peers.
     Links(Vec<PeerTarget>),
     /// Read a value once.
     Read(ValueName),
-    /// Watch a value for a revision above the one given; answered once.
+    /// Watch a value for a revision higher than the given one; answered once.
     Watch {
         /// Which value.
         name: ValueName,
         /// The highest revision already known.
         above: u64,
     },
-    /// Ask an endpoint for its load and cache events.
+    /// Poll an endpoint for its load and cache events.
     PollLoad(EndpointTarget),
-    /// Give an order to an endpoint.
+    /// Send an order to an endpoint.
     Order {
         /// Which endpoint.
         endpoint: EndpointTarget,
         /// The order's fencing number.
         fencing: u64,
-        /// What to do.
+        /// The kind of order.
         kind: OrderKind,
-        /// The order must not be sent after this point (see [`Dispatch::send_before`]).
+        /// The order must not be sent after this time (see [`Dispatch::send_before`]).
         send_before: Time,
     },
-    /// Deliver [`Event::Wake`] at this time; replaces the one asked for before.
+    /// Deliver [`Event::Wake`] at this time; replaces the previous wake time.
     WakeAt(Time),
-    /// Count and log something that operators should see.
+    /// Count and log an event for operators.
     Note(crate::note::Note),
-    /// Nothing is left to do after [`Event::Stop`]; the process may end.
+    /// All work is finished after [`Event::Stop`]; the process may end.
     Stopped,
 }
--- a/crates/core/src/explain.rs
+++ b/crates/core/src/explain.rs
@@ -1,9 +1,9 @@
-//! Why each request went as it did: a bounded ring of decision records.
+//! Decision records: why each request was handled as it was, in a bounded buffer.
 //!
-//! The node writes down every decision about a request as it takes it, typed
-//! and without formatting; text is made only when an operator asks. The names
-//! of steps are stable, and reasons are those of [`crate::reason`], so that an
-//! operator can go from a counter or a log event to the records and back.
+//! The node records every decision about a request when it makes it, typed and without formatting;
+//! text is produced only when an operator asks. The names of steps are stable, and reasons are
+//! those of [`crate::reason`], so that an operator can go from a counter or a log event to the
+//! records and back.
 
 mod render;
 mod step;
@@ -16,11 +16,11 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// Steps that are kept of one request. A request takes a handful; one that is
-/// tried again and again must not push out the others' records.
+/// Maximum number of steps kept for one request. A request needs a handful; one that is retried
+/// many times must not displace the records of others.
 pub const MAX_STEPS: usize = 32;
 
-/// A step and when it was taken.
+/// A step and the time at which it was taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timed {
     /// Time since the request arrived.
@@ -35,7 +35,7 @@
     id: RequestId,
     arrived: Time,
     steps: Vec<Timed>,
-    /// Steps that were not kept.
+    /// Number of steps that were dropped.
     left_out: u32,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns which request this is about.
+    /// Returns the ID of the request.
     pub fn id(&self) -> RequestId {
         self.id
     }
@@ -59,12 +59,13 @@
         &self.steps
     }
 
-    /// Returns how many steps were not kept, just before the last one.
+    /// Returns the number of steps that were dropped, directly before the last one.
     pub fn left_out(&self) -> u32 {
         self.left_out
     }
 
-    /// Keeps the first steps and the last.
+    /// Adds a step. When full, it replaces the last step, so that the first steps and the latest
+    /// are kept.
     fn push(&mut self, now: Time, step: Step) {
         let at = now.since(self.arrived);
         if self.steps.len() == MAX_STEPS {
@@ -75,16 +76,16 @@
     }
 }
 
-/// The decision records of the requests that this process accepted last.
+/// The decision records of the requests that this process accepted most recently.
 #[derive(Clone, Debug)]
 pub struct Explain {
     capacity: usize,
-    /// By sequence number, which grows with time, so that the first is the oldest.
+    /// By sequence number, which increases with time, so that the first record is the oldest.
     records: BTreeMap<u64, Record>,
 }
 
 impl Explain {
-    /// Creates a ring of `capacity` records.
+    /// Creates a buffer of `capacity` records.
     pub fn new(capacity: usize) -> Self {
         Explain {
             capacity: capacity.max(1),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Writes down a step. The first one of a request counts as its arrival.
+    /// Records a step. The time of the first one counts as the arrival of the request.
     pub fn push(&mut self, now: Time, id: RequestId, step: Step) {
         let record = self
             .records
@@ -104,17 +105,17 @@
         }
     }
 
-    /// Returns the record of a request, unless it is too old or another process's.
+    /// Returns the record of a request, unless it was dropped or belongs to another process.
     pub fn record(&self, id: RequestId) -> Option<&Record> {
         self.records.get(&id.seq).filter(|record| record.id == id)
     }
 
-    /// Returns how many records are held.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no record is held.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/core/src/explain/render.rs
+++ b/crates/core/src/explain/render.rs
@@ -1,4 +1,4 @@
-//! Records as text for people.
+//! Renders records as text for operators.
 
 use super::{Record, Step, Timed};
 use crate::cell::{GrantRecord, NotChosen};
@@ -9,13 +9,14 @@
 use core::time::Duration;
 use serde::{Deserialize, Serialize};
 
-/// Published names of what records know by key only.
+/// Published names of items that records contain only as keys.
 pub trait Names {
     /// Returns the name of an endpoint, if it is still known.
     fn endpoint(&self, key: EndpointKey) -> Option<&str>;
     /// Returns the name of an instance, if it is still known.
     fn instance(&self, key: InstanceKey) -> Option<&str>;
-    /// Returns what a cell serves and where, if the list still makes it.
+    /// Returns what a cell serves and in which data centre, if the list in force still has the
+    /// cell.
     fn cell(&self, key: CellKey) -> Option<String> {
         let _ = key;
         None
@@ -29,12 +30,12 @@
     pub at_ms: u64,
     /// The step's stable name.
     pub step: String,
-    /// What was decided, and from what.
+    /// The decision and the figures behind it.
     pub detail: String,
 }
 
 impl Record {
-    /// Returns the record as text, a step a line.
+    /// Returns the record as text, one line for each step.
     pub fn lines(&self, names: &impl Names) -> Vec<Line> {
         let mut lines: Vec<Line> = self.steps().iter().map(|it| line(it, names)).collect();
         if self.left_out() > 0 {
@@ -151,7 +152,7 @@
     text
 }
 
-/// An endpoint by its name, or by its key if the name is gone.
+/// Displays an endpoint by its name, or by its key if the name is no longer published.
 struct Endpoint<'a, N>(EndpointKey, &'a N);
 
 impl<N: Names> Display for Endpoint<'_, N> {
@@ -163,7 +164,7 @@
     }
 }
 
-/// An instance by its name, or by its key if the name is gone.
+/// Displays an instance by its name, or by its key if the name is no longer published.
 struct Instance<'a, N>(InstanceKey, &'a N);
 
 impl<N: Names> Display for Instance<'_, N> {
@@ -175,7 +176,7 @@
     }
 }
 
-/// A cell under its description, with the key that logs and status show.
+/// Displays a cell by its description and the key that logs and status show.
 struct Cell<'a, N>(CellKey, &'a N);
 
 impl<N: Names> Display for Cell<'_, N> {
@@ -195,7 +196,7 @@
     }
 }
 
-/// The figures that a cell decided from, and the endpoints that lost.
+/// Displays the figures behind the decision of a cell, and the endpoints that it did not choose.
 struct Figures<'a, N>(&'a GrantRecord, &'a N);
 
 impl<N: Names> Display for Figures<'_, N> {
@@ -209,15 +210,15 @@
         write!(f, "waited {} ms with {} queued", it.waited_ms, it.queued)?;
         for other in &it.alternatives {
             let endpoint = Endpoint(other.endpoint, self.1);
-            let lost = lost_text(other.reason);
+            let lost = not_chosen_text(other.reason);
             write!(f, "; {endpoint} lost: {lost}, {} free", other.free)?;
         }
         Ok(())
     }
 }
 
-fn lost_text(lost: NotChosen) -> &'static str {
-    match lost {
+fn not_chosen_text(reason: NotChosen) -> &'static str {
+    match reason {
         NotChosen::Leaving => "leaving",
         NotChosen::Ejected => "ejected",
         NotChosen::RampingUp => "ramping up",
--- a/crates/core/src/explain/step.rs
+++ b/crates/core/src/explain/step.rs
@@ -1,4 +1,4 @@
-//! The decisions that a record is made of.
+//! The steps of a decision record.
 
 use crate::cell::GrantRecord;
 use crate::ids::{CellKey, EndpointKey, InstanceKey};
@@ -10,24 +10,24 @@
 /// One decision about a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// It was judged by a catalogue and accepted.
+    /// It was validated against the catalogue and accepted.
     Accepted {
         /// The entry's name.
         entry: String,
-        /// The revision that it is judged by from here to its end.
+        /// The catalogue revision that applies to it from now to its end.
         catalogue_revision: u64,
         /// Tokens of its prompt.
         prompt_tokens: u32,
-        /// The most tokens to generate.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
     },
-    /// Its ticket or key was granted to it.
+    /// The claim of its ticket or key was granted.
     ClaimGranted,
-    /// Its ticket or key was not granted to it.
+    /// The claim of its ticket or key was refused.
     ClaimRefused(ClaimRefusal),
-    /// It holds its place in the limits of its entry and workspace.
+    /// It was admitted within the limits of its entry and workspace.
     Admitted,
-    /// The home of a cell was asked for a grant.
+    /// A grant was requested from the home of a cell.
     Asked {
         /// The cell.
         cell: CellKey,
@@ -40,33 +40,33 @@
         cell: CellKey,
         /// Why.
         reason: Reason,
-        /// How long it would have waited there.
+        /// Predicted wait at that cell.
         predicted_wait: Duration,
-        /// What was predicted and what was free.
+        /// The figures behind the refusal.
         record: Box<GrantRecord>,
     },
     /// The home of a cell granted an endpoint.
     Granted {
         /// The endpoint.
         endpoint: EndpointKey,
-        /// What was predicted, what was free and what lost.
+        /// The figures behind the choice, and the endpoints that were not chosen.
         record: Box<GrantRecord>,
     },
-    /// An attempt was ordered.
+    /// An attempt was dispatched.
     Dispatched {
         /// Its number.
         attempt: u32,
-        /// Where.
+        /// Which endpoint.
         endpoint: EndpointKey,
-        /// Fresh or replay.
+        /// Whether this is a fresh run or a replay.
         mode: AttemptMode,
     },
-    /// The first token arrived.
+    /// The first token was received.
     FirstToken {
         /// Of which attempt.
         attempt: u32,
     },
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete response.
     AttemptFailed {
         /// Its number.
         attempt: u32,
@@ -74,23 +74,24 @@
         reason: Reason,
         /// Whether there is proof that it did not run.
         proven_not_run: bool,
-        /// Tokens that the caller holds.
+        /// Tokens delivered to the caller.
         delivered: u32,
     },
-    /// It is tried again.
+    /// It will be retried.
     RetryIn {
-        /// How long it waits first.
+        /// Delay before the retry.
         after: Duration,
-        /// Whether the next attempt is compared with what the caller holds.
+        /// Whether the output of the next attempt is compared with the tokens that the caller
+        /// already holds.
         replay: bool,
     },
-    /// It is over.
+    /// It has ended.
     Ended {
-        /// What the caller may believe.
+        /// The outcome reported to the caller.
         outcome: Outcome,
-        /// Why, unless it ended well.
+        /// Why, unless it completed.
         reason: Option<Reason>,
-        /// Tokens that the caller holds.
+        /// Tokens delivered to the caller.
         delivered: u32,
     },
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,40 +1,39 @@
-//! Every decision of oriolemux, as deterministic state machines.
+//! The decision logic of oriolemux, as deterministic state machines.
 //!
-//! # The story
+//! # Overview
 //!
-//! A process of oriolemux (an *instance*) stands between callers and crowded
-//! endpoints. It accepts a request, learns from the [`catalogue`] what the
-//! request may take, asks the *home* of a cell of endpoints for a grant, runs
-//! one generation at the granted endpoint and delivers it. This crate holds
-//! the decisions of that path and none of its input or output: there is no
-//! clock, no socket, no thread, no runtime and no global here. Time and
-//! randomness come in as arguments, effects go out as [`Action`]s, and the
-//! order of iteration never depends on a hash seed. The same code therefore
-//! runs behind real sockets, in a test that replays a failure event by event,
-//! and in an experiment in virtual time.
+//! A process of oriolemux (an *instance*) routes requests of callers to endpoints with scarce
+//! capacity. It accepts a request, looks up its limits and its target in the [`catalogue`],
+//! requests a grant from the *home* of a cell of endpoints, dispatches the request to the granted
+//! endpoint and delivers the output. The home is the instance that decides for a cell, chosen by
+//! rendezvous hashing. This crate holds the decisions on that path and does no input or output: it
+//! contains no clock, socket, thread, runtime or global state. Time and randomness are arguments,
+//! effects are returned as [`Action`]s, and the order of iteration never depends on a hash seed. So
+//! the same code runs behind real sockets, in tests that replay a failure event by event, and in
+//! simulations in virtual time.
 //!
-//! The shell (the `oriolemux` crate) feeds a [`Node`] with [`Event`]s and
-//! carries out its [`Action`]s. Tokens never pass through the node: each
-//! stream owns a small machine of its own in [`delivery`].
+//! The shell (the `oriolemux` crate) passes [`Event`]s to a [`Node`] and carries out its
+//! [`Action`]s. Tokens never pass through the node: each stream has a small state machine of its
+//! own in [`delivery`].
 //!
-//! # The layers
+//! # Layers
 //!
-//! A module knows those of lower layers only, so that each can be read with what
-//! stands above it in this list. `tests/layers.rs` reads the list and holds the
-//! sources to it.
+//! A module depends only on modules of lower layers, so that each can be read together with those
+//! above it in this list. `tests/layers.rs` checks the sources against the list.
 //!
-//! 0. `ids`, `time`, `reason`, `findings`, `checkpoint`, `fingerprint`: names, values and rules that
-//!    know nothing else.
-//! 1. `value`, `rendezvous`, `length`, `routing`, `note`, `suspects`: values that subsystems
-//!    share, and arithmetic over them.
-//! 2. `membership`, `memory`, `outcome`, `gateway`: who is there, what fits, what became
-//!    of a request; and all that concerns HTTP entries, which needs none of the rest.
+//! 0. `ids`, `time`, `reason`, `findings`, `checkpoint`, `fingerprint`: names, values and rules
+//!    without dependencies on other modules.
+//! 1. `value`, `rendezvous`, `length`, `routing`, `note`, `suspects`: values that subsystems share,
+//!    and arithmetic over them.
+//! 2. `membership`, `memory`, `outcome`, `gateway`: the members of the fleet, KV cache forecasts,
+//!    outcomes of requests, and everything for HTTP entries, which needs none of the rest.
 //! 3. `catalogue`, `cell`, `keys`, `limits`, `retry`: the subsystems of one instance.
-//! 4. `orders`, `explain`, `peer`: what needs several of them, and what they say to peers.
-//! 5. `event`: what a node is told and asks for.
-//! 6. `node`, `delivery`: the node on top, and the machine of each stream beside it.
+//! 4. `orders`, `explain`, `peer`: modules that combine several subsystems, and the messages
+//!    between instances.
+//! 5. `event`: the input and output of a node.
+//! 6. `node`, `delivery`: the node that combines everything, and the state machine of each stream.
 //!
-//! See `docs/design/` for why each part is as it is.
+//! The reasons for the design are in `docs/design/`.
 
 pub mod catalogue;
 pub mod cell;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,24 +1,24 @@
-//! A whole node: every part of the core behind one event and one action type.
+//! The complete node: all parts of the core behind one event type and one action type.
 //!
-//! [`Node::handle`] takes one [`Event`] and the time, and appends the
-//! [`Action`]s that follow. A node plays every role at once: it is the *entry*
-//! for the requests of its own callers, and the *home* of the cells, workspaces
-//! and keys that rank it first. The roles talk in messages also when both are
-//! this process (`loopback`), so that there is one path to test.
+//! [`Node::handle`] takes one [`Event`] and the time, and appends the resulting [`Action`]s. A node
+//! has every role at once: it is the *entry instance* of its own callers' requests, and the *home*
+//! of some cells, limits and keys: the instance that decides for them, chosen by rendezvous
+//! hashing. The roles exchange messages even when both are this process (`loopback`), so that there
+//! is one code path to test.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `validate` | checks a new request against the catalogue |
-//! | `claims` | asks for the claim of a ticket or idempotency key |
+//! | `claims` | requests the claim of a ticket or idempotency key |
 //! | `placement` | chooses a cell and requests a grant from its home |
-//! | `limits` | places in the limits of entries and workspaces |
-//! | `attempt` | dispatches, follows and repeats attempts |
-//! | `confirm` | asks entries what still stands |
-//! | `home` | the cells that this node decides for |
-//! | `orders` | orders to endpoints about what they hold |
-//! | `fleet` | what changes when instances and endpoints come and go |
+//! | `limits` | admits requests within the limits of entries and workspaces |
+//! | `attempt` | dispatches, follows and retries attempts |
+//! | `confirm` | as a home, asks entry instances which of their requests still exist |
+//! | `home` | the cells whose home is this node |
+//! | `orders` | orders to endpoints to load and unload models |
+//! | `fleet` | reacts to instances and endpoints that join, leave or fail |
 //! | `platform` | values read from the platform |
-//! | `suspects` | requests that end the endpoints that begin them |
+//! | `suspects` | requests that may crash endpoints |
 //! | `stop` | planned stop |
 
 mod attempt;
@@ -66,40 +66,40 @@
 use suspects::Suspects;
 use timers::{TimerKind, Timers};
 
-/// Keeps the jitter of the catalogue apart from that of membership.
+/// Separates the jitter of the catalogue synchronisation from that of membership.
 const SYNC_SEED: u64 = 0x5359_4e43;
 
-/// Keeps the jitter of orders apart from that of membership.
+/// Separates the jitter of orders from that of membership.
 const ORDERS_SEED: u64 = 0x4f52_4452;
 
-/// How a node takes part.
+/// Configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The name under which the platform publishes this instance.
     pub name: String,
-    /// The life of this process, drawn at random.
+    /// The incarnation of this process, chosen at random.
     pub incarnation: Incarnation,
     /// The data centre of this instance.
     pub data_centre: String,
     /// Seed of all jitter.
     pub seed: u64,
-    /// Silence of an endpoint that counts as a stall.
+    /// How long an endpoint may send nothing before the attempt counts as stalled.
     pub stall_limit: Duration,
-    /// How long new requests are still taken after a planned stop began, so
-    /// that the balancer can notice it.
+    /// How long new requests are still accepted after a planned stop began, so that the load
+    /// balancer notices it first.
     pub stop_grace: Duration,
-    /// The most requests of own callers at once.
+    /// The maximum number of concurrent requests of this instance's own callers.
     pub max_requests: usize,
-    /// Requests whose decisions are remembered for [`Node::explain`].
+    /// Number of requests whose decisions are kept for [`Node::explain`].
     pub explain_records: usize,
-    /// How claims of tickets and keys are timed.
+    /// Timeouts of the claims of tickets and keys.
     pub keys: KeysConfig,
-    /// Loads that the weight store bears in a minute, over all instances.
+    /// Model loads per minute that the weight store sustains, over all instances.
     pub loads_per_minute: u32,
 }
 
 impl NodeConfig {
-    /// Returns a configuration with the usual limits.
+    /// Returns a configuration with the default limits.
     pub fn new(name: &str, incarnation: Incarnation, data_centre: &str, seed: u64) -> Self {
         NodeConfig {
             name: name.to_owned(),
@@ -118,8 +118,8 @@
 
 /// All decisions of one process.
 ///
-/// Invariant: between two calls of [`Node::handle`], `loopback` and `out` are
-/// empty and no cell has a decision due.
+/// Invariant: between two calls of [`Node::handle`], `loopback` and `out` are empty and no cell has
+/// a decision due.
 pub struct Node {
     cfg: NodeConfig,
     me: PeerId,
@@ -128,41 +128,41 @@
     rng: SmallRng,
     membership: Membership,
     sync: CatalogueSync,
-    /// Reused buffer for what the synchronisation asks.
+    /// Actions of the catalogue synchronisation that are still to be carried out; reused.
     sync_actions: Vec<SyncAction>,
     keys: Keys,
-    /// Reused buffer for what the keys ask.
+    /// Actions of the keys that are still to be carried out; reused.
     keys_actions: Vec<KeysAction>,
     leases: Leases,
     limit_home: LimitHome,
-    /// Reused buffer for what the limits ask.
+    /// Actions of the limits that are still to be carried out; reused.
     limits_actions: Vec<LimitsAction>,
     requests: BTreeMap<u64, Request>,
-    /// Tickets that wait for the shard that may hold their workspace.
+    /// Requested tickets that wait for the shard that may hold their workspace.
     pending_tickets: Vec<PendingTicket>,
     homes: Homes,
     orders: Orders,
-    /// When orders were looked at last.
+    /// When pending orders were last checked.
     orders_checked_at: Time,
-    /// How many instances give orders, counted once for each list.
+    /// Number of controllers, counted once for each list.
     controller_count: orders::ControllerCount,
     budget: RetryBudget,
     suspects: Suspects,
-    /// Checkpoints that wait to be sent, by home.
+    /// Checkpoints that are still to be sent, by home.
     progress: BTreeMap<InstanceKey, Vec<Checkpoint>>,
     explain: Explain,
     timers: Timers,
     stop_phase: StopPhase,
-    /// When a stopping process had answered its last request.
+    /// When a stopping process had finished its last request.
     last_finished_at: Option<Time>,
     loopback: VecDeque<PeerMessage>,
     out: Vec<Action>,
-    /// Reused buffer for what membership asks.
+    /// Actions of membership that are still to be carried out; reused.
     membership_actions: Vec<MembershipAction>,
 }
 
 impl Node {
-    /// Creates a node that knows nothing yet. Call [`Node::start`] next.
+    /// Creates a node without a list or catalogue. Call [`Node::start`] next.
     pub fn new(cfg: NodeConfig) -> Self {
         let me = PeerId {
             instance: InstanceKey::of(&cfg.name),
@@ -214,7 +214,7 @@
         self.run_until_idle(actions);
     }
 
-    /// Takes one event in and appends what follows to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         debug_assert!(self.loopback.is_empty() && self.out.is_empty());
         self.now = now;
@@ -222,12 +222,12 @@
         self.run_until_idle(actions);
     }
 
-    /// Returns which process this is.
+    /// Returns the identity of this process.
     pub fn me(&self) -> PeerId {
         self.me
     }
 
-    /// Returns what every message to a peer carries besides its content.
+    /// Wraps messages to a peer together with the revisions that this node has in force.
     pub fn envelope(&self, messages: Vec<PeerMessage>) -> PeerEnvelope {
         PeerEnvelope {
             catalogue_revision: self.sync.revision(),
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Works until nothing is left to do at this time.
+    /// Carries out everything that is due now, until no work is left.
     fn run_until_idle(&mut self, actions: &mut Vec<Action>) {
         self.run_timers();
         self.tick_orders();
@@ -350,8 +350,8 @@
 
     fn on_envelope(&mut self, from: PeerId, envelope: PeerEnvelope) {
         if !self.membership.is_current_incarnation(from) {
-            // A message of a life that was replaced: the process was paused and
-            // does not know. Its requests are void, so nothing of it may count.
+            // The sender is an incarnation that was replaced: its process was paused and does not
+            // know. Its requests are void, so its messages are discarded.
             self.note(Note::Discarded {
                 reason: Reason::LateAnswer,
             });
@@ -381,7 +381,7 @@
         }
     }
 
-    /// Sends a message, to this node itself if `to` is its own key.
+    /// Sends a message; over `loopback` if `to` is this node.
     fn send(&mut self, to: InstanceKey, message: PeerMessage) {
         if to == self.me.instance {
             self.loopback.push_back(message);
@@ -395,12 +395,12 @@
         self.out.push(Action::Note(note));
     }
 
-    /// Writes down a decision about a request.
+    /// Records a decision about a request for [`Node::explain`].
     fn record(&mut self, id: RequestId, step: Step) {
         self.explain.push(self.now, id, step);
     }
 
-    /// Tells operators how a request ended that did not end well.
+    /// Reports to operators a request that was refused or failed.
     fn note_verdict(&mut self, request: RequestId, outcome: Outcome, reason: Reason) {
         self.note(match outcome {
             Outcome::NotRun => Note::Refused { request, reason },
--- a/crates/core/src/node/attempt.rs
+++ b/crates/core/src/node/attempt.rs
@@ -1,4 +1,4 @@
-//! Dispatches, follows and repeats attempts.
+//! Dispatches, follows and retries attempts.
 
 use super::Node;
 use super::request::{Request, Stage};
@@ -15,25 +15,25 @@
 use crate::retry::{self, AttemptFailure, RetryDecision};
 use core::time::Duration;
 
-/// How long after the grant an attempt may still be sent. A process that was
-/// paused in between must ask again, because the home may have given the
-/// memory away and the endpoint may have left.
+/// How long after the grant an attempt may still be sent. A process that was paused in between must
+/// request a new grant, because the home may have granted the KV cache to another request and the
+/// endpoint may have left.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long checkpoints are gathered before they are sent in one message.
+/// How long checkpoints are batched before they are sent in one message.
 const PROGRESS_FLUSH_DELAY: Duration = Duration::from_millis(250);
 
 /// How a request ended.
 struct Ending<'a> {
-    /// As its home sees it.
+    /// What is reported to its home.
     end: EndKind,
     /// Tokens of its last attempt.
     tokens: u32,
-    /// What the caller was told; `None` for a whole answer.
+    /// The verdict for the caller; `None` for a complete response.
     verdict: Option<&'a Verdict>,
 }
 
-/// An attempt that ended without a whole answer.
+/// An attempt that ended without a complete response.
 #[derive(Clone, Copy, Debug)]
 struct FailedAttempt {
     attempt: AttemptId,
@@ -44,7 +44,7 @@
 }
 
 impl Node {
-    /// Orders the attempt that a home granted.
+    /// Dispatches the attempt that a home granted.
     pub(super) fn dispatch(&mut self, seq: u64, cell: CellKey, home: InstanceKey, grant: &Grant) {
         let Some(endpoint) = self.membership.view().endpoint_target(grant.endpoint) else {
             return self.refuse(seq, Reason::NoEndpoint);
@@ -62,7 +62,7 @@
         }
         let send_before = (self.now + SEND_TIMEOUT).min(request.claim_valid_until);
         let Some(facts) = &request.facts else {
-            debug_assert!(false, "a request is judged before it runs");
+            debug_assert!(false, "a request is validated before it runs");
             return;
         };
         request.attempts += 1;
@@ -123,7 +123,7 @@
         self.out.push(Action::Dispatch(Box::new(order)));
     }
 
-    /// Something became of an attempt.
+    /// Handles an update of an attempt.
     pub(super) fn on_attempt(&mut self, attempt: AttemptId, update: AttemptUpdate) {
         let seq = attempt.request.seq;
         let Some(request) = self.requests.get(&seq) else {
@@ -191,7 +191,7 @@
         self.charge(seq, new);
     }
 
-    /// Sends the checkpoints that were gathered.
+    /// Sends the batched checkpoints.
     pub(super) fn flush_progress(&mut self) {
         for (home, checkpoints) in core::mem::take(&mut self.progress) {
             let message = CellMessage::Progress(checkpoints);
@@ -257,9 +257,9 @@
             return;
         };
         if request.delivered > 0 {
-            // The caller holds a part of the answer; its wait for the rest
-            // begins now. Counted from the arrival, every replay of a long
-            // answer would be refused for having waited too long.
+            // The caller holds part of the output, and its wait for the rest begins now. Counted
+            // from the arrival, every replay of a long generation would be refused for having
+            // waited too long.
             request.waiting_since = self.now;
         }
         let waited = self.now.since(request.waiting_since);
@@ -297,7 +297,7 @@
         }
     }
 
-    /// The caller went away; the stream task has already cancelled the attempt.
+    /// Handles a caller that disconnected; its stream task has already cancelled the attempt.
     pub(super) fn on_caller_gone(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id.seq) else {
             return;
@@ -312,7 +312,7 @@
         self.release(&request, end);
     }
 
-    /// Ends a request with the strongest claim that its attempts bear out.
+    /// Ends a request with the strongest outcome that its attempts prove.
     pub(super) fn finish(&mut self, seq: u64, reason: Reason, retry_after: Option<Duration>) {
         let Some(request) = self.requests.get(&seq) else {
             return;
@@ -322,7 +322,7 @@
         self.finish_with(seq, verdict);
     }
 
-    /// Gives the caller its final answer and forgets the request.
+    /// Sends the caller its final verdict and removes the request.
     pub(super) fn finish_with(&mut self, seq: u64, verdict: Verdict) {
         let Some(request) = self.requests.remove(&seq) else {
             return;
@@ -340,7 +340,7 @@
         });
     }
 
-    /// Gives back everything that a request held, once it is over.
+    /// Releases everything that a finished request held.
     fn release(&mut self, request: &Request, ending: Ending<'_>) {
         let id = request.id();
         self.release_at_home(id, request.stage, ending.tokens, ending.end);
--- a/crates/core/src/node/claims.rs
+++ b/crates/core/src/node/claims.rs
@@ -15,12 +15,12 @@
 use crate::reason::Reason;
 use crate::time::Time;
 
-/// A ticket that is being drawn.
+/// A requested ticket that is not issued yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingTicket {
     ticket: RequestId,
     key_digest: [u8; 32],
-    /// Until when the shard that may hold the workspace is waited for.
+    /// How long to wait for the shard that may hold the workspace.
     until: Time,
 }
 
@@ -29,7 +29,7 @@
         call(&mut self.keys, self.now, &mut self.keys_actions);
     }
 
-    /// Carries out what the keys asked for.
+    /// Carries out the actions of the keys.
     pub(super) fn carry_out_keys(&mut self) {
         while !self.keys_actions.is_empty() {
             for action in core::mem::take(&mut self.keys_actions) {
@@ -55,7 +55,7 @@
         self.with_keys(|keys, now, out| keys.on_message(now, list_age, from, message, out));
     }
 
-    /// Asks for the request's claim if it carries a name; returns whether it does.
+    /// Requests the claim of a request that carries a ticket or key; returns whether it does.
     pub(super) fn begin_claim(&mut self, seq: u64) -> bool {
         let Some(claim) = self.claim_of(seq) else {
             return false;
@@ -101,8 +101,8 @@
             return;
         }
         if self.now >= valid_until {
-            // This process was paused with the grant in its socket. Another
-            // request may hold the name by now, so nothing is said of it.
+            // This process was paused with the grant in its socket. Another request may hold the
+            // claim by now, so the outcome of this one proves nothing about the name.
             return self.refuse(id.seq, Reason::PausedTooLong);
         }
         let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Tells the home of a request's claim how the request ended; `None` means
-    /// with a whole answer.
+    /// Reports to the home of a request's claim how the request ended; `None` means with a complete
+    /// response.
     pub(super) fn end_claim(&mut self, id: RequestId, verdict: Option<&Verdict>) {
         let state = HolderState::of(verdict);
         self.with_keys(|keys, now, out| keys.on_request_ended(now, id, state, out));
     }
 
-    /// Puts the list in force for the homes of keys.
+    /// Passes the list in force to the homes of keys.
     pub(super) fn refresh_keys(&mut self) {
         let view = self.membership.view();
         let live = view
@@ -141,11 +141,11 @@
         self.with_keys(|keys, now, out| keys.set_list(now, revision, live.into_iter(), out));
     }
 
-    /// A caller draws a ticket.
+    /// Handles a request for a ticket.
     pub(super) fn on_ticket_request(&mut self, key_digest: [u8; 32], ticket: RequestId) {
         if self.is_stopping() {
-            // It would be lost with the process, and with it every request
-            // that names it, for its caller cannot draw another for the order.
+            // The ticket would be lost with this process, and with it every request that names it,
+            // because its caller cannot request another for the same order.
             let result = Err(Reason::Stopping);
             return self.out.push(Action::Ticket { ticket, result });
         }
@@ -159,7 +159,7 @@
         self.resolve_tickets();
     }
 
-    /// Answers every draw whose workspace is known, or can't be known in time.
+    /// Answers every ticket request whose workspace is known, or cannot be known in time.
     pub(super) fn resolve_tickets(&mut self) {
         for pending in core::mem::take(&mut self.pending_tickets) {
             let workspace = match self.sync.lookup(self.now, &pending.key_digest) {
--- a/crates/core/src/node/confirm.rs
+++ b/crates/core/src/node/confirm.rs
@@ -1,10 +1,9 @@
-//! Homes ask entries whether what they hold for them still stands.
+//! Homes periodically ask entry instances which of their requests still exist.
 //!
-//! What goes wrong otherwise: the word that a request has ended is lost, with
-//! a link that breaks for a moment or in a queue that was full. The home then
-//! holds the request's place for as long as both processes live, seen as
-//! memory that is never free. So a home asks after a link came back, and from
-//! time to time; the entry takes back what it does not know of.
+//! The report that a request has ended can be lost, with a link that breaks for a moment or in a
+//! queue that is full. The home would then hold the grant of the request for as long as both
+//! processes run, which shows as KV cache that never becomes free. So a home asks whenever a link
+//! is up again, and periodically; the entry instance withdraws the requests that it does not know.
 
 use super::Node;
 use super::request::Stage;
@@ -16,11 +15,11 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// How often homes ask. At 40 running requests an entry that is 11 bytes a second.
+/// How often homes ask. With 40 running requests per entry instance this costs 11 bytes a second.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(30);
 
 impl Node {
-    /// Asks every entry about everything, now and again later.
+    /// Asks every entry instance about all its requests, and schedules the next round.
     pub(super) fn confirm_all(&mut self) {
         let mut held: BTreeMap<PeerId, Vec<u64>> = BTreeMap::new();
         for id in self.homes.held() {
@@ -37,7 +36,7 @@
         self.timers.set(next, TimerKind::Confirm);
     }
 
-    /// Asks an entry about everything that is held for it.
+    /// Asks an entry instance about all requests that are held for it.
     pub(super) fn confirm_with(&mut self, holder: PeerId) {
         let held = self.homes.held();
         let held = held
@@ -53,7 +52,7 @@
         self.send(holder, PeerMessage::Cell(message));
     }
 
-    /// A home asks what still stands; takes back what does not.
+    /// Answers a home that asks which requests still exist: withdraws those that do not.
     pub(super) fn on_confirm(&mut self, home: InstanceKey, mut seqs: Vec<u64>) {
         seqs.retain(|&seq| !self.is_held_at(home, seq));
         if !seqs.is_empty() {
--- a/crates/core/src/node/ejections.rs
+++ b/crates/core/src/node/ejections.rs
@@ -1,4 +1,4 @@
-//! Tells operators of endpoints that are ejected, and of those that are used again.
+//! Reports to operators which endpoints are ejected and which are used again.
 
 use super::Node;
 use crate::ids::EndpointKey;
@@ -6,8 +6,9 @@
 use std::collections::BTreeSet;
 
 impl Node {
-    /// Compares what the cells of this node think of their endpoints with what operators were
-    /// told. An endpoint that left its cell while ejected is not said to be used again.
+    /// Compares the ejected endpoints of the cells of this node with those already reported to
+    /// operators, and reports the difference. An endpoint that left its cell while ejected is not
+    /// reported as used again.
     pub(super) fn note_ejections(&mut self) {
         let cells = self.homes.cells.values();
         let ejected: BTreeSet<EndpointKey> = cells.flat_map(|it| it.cell.ejected()).collect();
--- a/crates/core/src/node/fleet.rs
+++ b/crates/core/src/node/fleet.rs
@@ -1,4 +1,4 @@
-//! What changes when instances and endpoints come and go.
+//! Reacts to instances and endpoints that join, leave or fail.
 
 use super::Node;
 use super::home::HOLDER_LEASE;
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 
 impl Node {
-    /// Calls a method of membership and keeps what it asks for.
+    /// Calls a method of membership and collects its actions.
     pub(super) fn with_membership(
         &mut self,
         call: impl FnOnce(&mut Membership, Time, &mut Vec<MembershipAction>),
@@ -22,7 +22,7 @@
         call(&mut self.membership, self.now, &mut self.membership_actions);
     }
 
-    /// Carries out what membership asked for.
+    /// Carries out the actions of membership.
     pub(super) fn carry_out_membership(&mut self) {
         while !self.membership_actions.is_empty() {
             for action in core::mem::take(&mut self.membership_actions) {
@@ -72,13 +72,13 @@
         self.refresh_roles();
         self.refresh_limits();
         self.refresh_cells();
-        // In this order: a home that is told what runs drops all else that it
-        // holds of this process in that cell, what was just asked included.
+        // The order matters: a home that receives a resync drops everything else that it holds of
+        // this process in that cell, requests sent just before it included.
         self.resync_moved();
         self.rerequest_from_moved_homes();
     }
 
-    /// A link to a peer is up: what either side knew of the other may be lost.
+    /// Handles a link that came up: messages may have been lost in either direction.
     pub(super) fn on_peer_up(&mut self, peer: PeerId) {
         self.with_membership(|membership, now, out| membership.peer_up(now, peer, out));
         self.with_sync(|sync, now, out| sync.peer_up(now, peer, out));
@@ -89,14 +89,14 @@
         self.send_suspects_to(peer.instance);
     }
 
-    /// The link to a peer is gone.
+    /// Handles a link that went down.
     pub(super) fn on_peer_down(&mut self, peer: PeerId) {
         self.with_membership(|membership, now, out| membership.peer_down(now, peer, out));
         let forget = TimerKind::ForgetHolder(peer.instance, peer.incarnation);
         self.timers.set(self.now + HOLDER_LEASE, forget);
     }
 
-    /// Every message of a peer says which revisions it knows.
+    /// Applies the revisions that a peer reports with every message.
     pub(super) fn on_peer_revisions(&mut self, from: PeerId, envelope: &PeerEnvelope) {
         let revision = envelope.list_revision;
         self.with_membership(|membership, now, out| {
@@ -106,7 +106,7 @@
         self.with_sync(|sync, now, _| sync.peer_revision(now, from, revision));
     }
 
-    /// Tells new homes what runs in their cells.
+    /// Sends the running requests of cells whose home has moved to the new homes.
     fn resync_moved(&mut self) {
         let mut moved: BTreeSet<(InstanceKey, CellKey)> = BTreeSet::new();
         let mut left: Vec<(InstanceKey, u64)> = Vec::new();
@@ -128,19 +128,19 @@
         }
     }
 
-    /// Takes a request's place back at an instance that is its home no longer.
+    /// Withdraws a request at an instance that is no longer its home.
     ///
-    /// What goes wrong otherwise: the request's end is told to its new home
-    /// alone. The old one counts it as running for as long as both processes
-    /// live, seen as memory that is never free once it is home again.
+    /// Otherwise only the new home would learn of the end of the request. The old one would count
+    /// it as running for as long as both processes run, which shows as KV cache that never becomes
+    /// free once that instance is the home again.
     pub(super) fn withdraw_from_old_home(&mut self, old: InstanceKey, seq: u64) {
-        // One that cannot be reached forgets by itself after its link is down.
+        // An unreachable one drops the request by itself once its link has been down for a while.
         if old == self.me.instance || self.membership.is_linked(old) {
             self.withdraw_at(old, seq);
         }
     }
 
-    /// Tells a home everything that runs in its cells.
+    /// Sends a home all requests of this process that run in its cells.
     fn resync_with(&mut self, home: InstanceKey) {
         let running = self.requests.values();
         let cells: BTreeSet<CellKey> = running
--- a/crates/core/src/node/home.rs
+++ b/crates/core/src/node/home.rs
@@ -1,8 +1,10 @@
-//! The cells that this node decides for.
+//! The cells whose home is this node.
 //!
-//! A node serves a cell as soon as somebody asks it to, also when its own list
-//! ranks another instance first: two homes over-commit, which shows in the
-//! endpoints' reports, while a refusal would fail requests during every change.
+//! The home of a cell is the instance that decides for it, chosen by rendezvous hashing.
+//!
+//! A node serves a cell as soon as a peer sends a request for it, even if its own list ranks
+//! another instance first. Two homes at once may over-commit endpoints, which shows in the load
+//! reports; a refusal would fail requests during every change of the list.
 
 use super::Node;
 use super::timers::TimerKind;
@@ -21,61 +23,61 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often a home asks each endpoint of its cells for its load.
+/// How often a home polls each endpoint of its cells for its load.
 ///
-/// Between two reports the home knows what it granted itself; a report corrects
-/// it and shows what others run. `docs/CAPACITY.md` says what polls cost.
+/// Between two reports the home knows only its own grants; a report corrects them and shows what
+/// others run. `docs/CAPACITY.md` states what the polls cost.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the leases of a life are kept after its link went down. Its
-/// generations go on running at the endpoints meanwhile, so that forgetting
-/// them at once would over-commit with every short break.
+/// How long the grants of an incarnation are kept after its link went down. Its generations
+/// continue at the endpoints meanwhile, so dropping the grants at once would over-commit after
+/// every short interruption.
 pub(super) const HOLDER_LEASE: Duration = Duration::from_secs(10);
 
-/// When a caller is told to come back whose cell this node does not know.
+/// Retry delay for a request for a cell that this node does not know.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// One cell that this node decides for.
+/// One cell whose home is this node.
 pub(super) struct HomeCell {
-    /// The decisions.
+    /// The state machine of the cell.
     pub cell: Cell,
-    /// Its endpoints, as told to the cell.
+    /// The endpoints that the cell has been given.
     pub endpoints: Vec<EndpointKey>,
-    /// When the cell wants to be polled next.
+    /// When the cell is due to be polled.
     next_poll: Time,
 }
 
-/// Where a request stands at its home.
+/// The placement of a request, as its home knows it.
 #[derive(Clone, Copy, Debug)]
 struct Placement {
     cell: CellKey,
     /// Where it runs; `None` while it is queued.
     endpoint: Option<EndpointKey>,
-    /// What it needs there; [`Requirement::ANY`] if it is not known.
+    /// What it requires of the endpoint; [`Requirement::ANY`] if that is not known.
     needs: Requirement,
 }
 
-/// All cells that this node decides for.
+/// All cells whose home is this node.
 ///
 /// Invariant: `placed` names only cells in `cells`.
 #[derive(Default)]
 pub(super) struct Homes {
     /// The cells.
     pub cells: BTreeMap<CellKey, HomeCell>,
-    /// Where each request is queued or runs.
+    /// The placement of each queued or running request.
     placed: BTreeMap<RequestId, Placement>,
     /// Endpoints whose next poll is scheduled.
     polled: BTreeSet<EndpointKey>,
-    /// Endpoints that operators were told are ejected.
+    /// Ejected endpoints that operators have been informed of.
     pub ejected: BTreeSet<EndpointKey>,
-    /// What endpoints said last that they run, by anybody's grant.
+    /// Number of running requests in each endpoint's last report, whoever granted them.
     reported: BTreeMap<EndpointKey, u32>,
     /// Reused buffer.
     decisions: Vec<CellDecision>,
 }
 
 impl Homes {
-    /// Returns when the first cell wants to be polled.
+    /// Returns when the first cell is due to be polled.
     pub fn next_poll(&self) -> Time {
         let polls = self.cells.values().map(|it| it.next_poll);
         polls.min().unwrap_or(Time::NEVER)
@@ -103,10 +105,9 @@
 
     /// Returns whether a generation may run on a model of an endpoint.
     ///
-    /// A model that is unloaded under a generation cuts it off. So whatever is
-    /// not known for certain counts as use: a grant of another home, which
-    /// shows only in the endpoint's report, and a request that was told by its
-    /// entry after a change of home.
+    /// Unloading a model ends the generations that use it. So whatever is not known for certain
+    /// counts as use: a grant of another home, which shows only in the load report of the endpoint,
+    /// and a request that its entry instance reported after a change of home.
     pub fn may_use(&self, endpoint: EndpointKey, model: &LoadedModel) -> bool {
         let reported = self.reported.get(&endpoint);
         let placed = self.placed.values();
@@ -126,7 +127,7 @@
         self.placed.keys().copied()
     }
 
-    /// Takes a request out of whatever cell it is in.
+    /// Withdraws a request from the cell that it is in.
     fn withdraw(&mut self, now: Time, id: RequestId) {
         if let Some(home) = self.cell_of(id) {
             home.cell.withdraw(now, id);
@@ -153,7 +154,7 @@
 }
 
 impl Node {
-    /// A message between an entry and a home arrived, in either role.
+    /// Handles a message between an entry instance and a home, in either role.
     pub(super) fn on_cell_message(&mut self, from: PeerId, message: CellMessage) {
         match message {
             CellMessage::Request(request) => {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// An entry tells everything that it runs in a cell.
+    /// Handles the full list of requests that an entry instance runs in a cell.
     fn on_resync(
         &mut self,
         from: PeerId,
@@ -214,8 +215,8 @@
         if !self.ensure_cell(cell) {
             return;
         }
-        // What the entry does not name has ended while no link was up. Left in
-        // place, its lease would hold memory for ever.
+        // Requests that the entry instance does not name have ended while no link was up. Their
+        // grants would otherwise reserve KV cache forever.
         let held = self.homes.placed.iter();
         let held = held.filter(|(id, at)| {
             (id.instance, id.incarnation) == (from.instance, from.incarnation) && at.cell == cell
@@ -250,7 +251,7 @@
         self.send(from.instance, PeerMessage::Cell(message));
     }
 
-    /// Makes sure that the node decides for a cell, if its list knows the cell.
+    /// Starts to serve a cell as its home, if the list contains the cell. Returns whether it does.
     fn ensure_cell(&mut self, key: CellKey) -> bool {
         if self.homes.cells.contains_key(&key) {
             return true;
@@ -269,7 +270,7 @@
         true
     }
 
-    /// Brings the cells in line with the list and the homes.
+    /// Adapts the cells to the list and the homes in force.
     pub(super) fn refresh_cells(&mut self) {
         let own: Vec<CellKey> = self.membership.own_cells().map(|it| it.plan.key).collect();
         for key in &own {
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Tells a cell which endpoints it has and in what state they are.
+    /// Updates the endpoints of a cell and their states.
     pub(super) fn refresh_cell(&mut self, key: CellKey) {
         let infos: Vec<EndpointInfo> = self
             .membership
@@ -317,7 +318,7 @@
         }
     }
 
-    /// Tells the cell of an endpoint that the endpoint's state changed.
+    /// Updates the state of an endpoint in its cell.
     pub(super) fn refresh_endpoint(&mut self, key: EndpointKey) {
         let Some(info) = self.endpoint_info(key) else {
             return;
@@ -346,15 +347,15 @@
         })
     }
 
-    /// Asks an endpoint for its load from now on, as long as this node decides
-    /// for it or gives it orders.
+    /// Starts to poll an endpoint for its load, for as long as this node is its home or its
+    /// controller.
     pub(super) fn begin_polls(&mut self, endpoint: EndpointKey) {
         if self.homes.polled.insert(endpoint) {
             self.timers.set(self.now, TimerKind::PollLoad(endpoint));
         }
     }
 
-    /// Asks an endpoint for its load, and again later.
+    /// Polls an endpoint for its load and schedules the next poll.
     pub(super) fn poll_load(&mut self, endpoint: EndpointKey) {
         if !self.homes.has(endpoint) && !self.orders.controls(endpoint) {
             self.homes.polled.remove(&endpoint);
@@ -371,7 +372,7 @@
         self.timers.set(next, TimerKind::PollLoad(endpoint));
     }
 
-    /// An endpoint reported its load.
+    /// Handles a load report of an endpoint.
     pub(super) fn on_load(&mut self, endpoint: EndpointKey, report: &LoadReport) {
         let now = self.now;
         if let Some(home) = self.homes.cell_with(endpoint) {
@@ -385,10 +386,10 @@
         });
     }
 
-    /// An endpoint could not be asked for its load.
+    /// Handles a failed load poll.
     pub(super) fn on_load_failed(&mut self, _endpoint: EndpointKey) {}
 
-    /// An endpoint told which prefix blocks it holds.
+    /// Handles the cache events of an endpoint.
     pub(super) fn on_cache(
         &mut self,
         endpoint: EndpointKey,
@@ -403,27 +404,27 @@
         }
     }
 
-    /// Ends the leases of a life that is over.
+    /// Drops the requests of an incarnation that has ended.
     pub(super) fn forget_holder(&mut self, instance: InstanceKey, incarnation: Incarnation) {
         self.homes.forget_holder(self.now, instance, incarnation);
     }
 
-    /// Ends the leases of a life whose link has stayed down.
+    /// Drops the requests of an incarnation whose link has stayed down.
     pub(super) fn forget_holder_if_down(
         &mut self,
         instance: InstanceKey,
         incarnation: Incarnation,
     ) {
-        // A link to another life under the same name says nothing of this one.
-        // An instance that the list dropped in between is no longer known, so
-        // that nothing else tells of the change.
+        // A link to another incarnation under the same name says nothing about this one. If the
+        // list dropped the instance in the meantime, it is no longer known, and nothing else
+        // reports the change.
         let linked = self.membership.is_linked(instance);
         if !linked || self.membership.incarnation(instance) != Some(incarnation) {
             self.forget_holder(instance, incarnation);
         }
     }
 
-    /// Polls the cells that are due; returns whether any was.
+    /// Polls the cells that are due and sends their decisions; returns whether any was due.
     pub(super) fn poll_cells(&mut self) -> bool {
         let mut decisions = core::mem::take(&mut self.homes.decisions);
         let mut any = false;
--- a/crates/core/src/node/limits.rs
+++ b/crates/core/src/node/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of entries and workspaces, in both roles.
+//! Limits of entries and workspaces: this node's leases, and the limits whose home it is.
 
 use super::Node;
 use super::request::{Request, Stage};
@@ -23,7 +23,7 @@
         );
     }
 
-    /// Carries out what the limits asked for.
+    /// Carries out the actions of the limits.
     pub(super) fn carry_out_limits(&mut self) {
         while !self.limits_actions.is_empty() {
             for action in core::mem::take(&mut self.limits_actions) {
@@ -60,15 +60,15 @@
         }
     }
 
-    /// Takes a request's place in the limits of its entry and workspace; the
-    /// answer comes now or later.
+    /// Requests the admission of a request within the limits of its entry and workspace. The answer
+    /// may come at once or later.
     pub(super) fn begin_admission(&mut self, seq: u64) {
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
         request.stage = Stage::Admitting;
         let Some(claim) = claim_of(request) else {
-            debug_assert!(false, "a request is judged before it is limited");
+            debug_assert!(false, "a request is validated before it is admitted");
             return;
         };
         self.with_leases(|leases, now, fleet, out| leases.submit(now, seq, claim, fleet, out));
@@ -85,24 +85,24 @@
             self.record(id, Step::Admitted);
             self.begin_placement(seq);
         } else {
-            // The caller left in the same turn; its place must not stay taken.
+            // The caller disconnected within the same event; its admission must be released.
             self.end_admission(seq);
         }
     }
 
-    /// Gives a request's place in the limits back.
+    /// Releases a request's admission.
     pub(super) fn end_admission(&mut self, seq: u64) {
         self.with_leases(|leases, now, fleet, out| leases.finish(now, seq, fleet, out));
     }
 
-    /// Charges tokens that a request has generated.
+    /// Charges generated tokens to the limits of a request.
     pub(super) fn charge(&mut self, seq: u64, tokens: u32) {
         if tokens > 0 {
             self.with_leases(|it, now, fleet, out| it.charge(now, seq, tokens, fleet, out));
         }
     }
 
-    /// The homes of limits may have moved.
+    /// Adapts the limits to the fleet, in which their homes may have moved.
     pub(super) fn refresh_limits(&mut self) {
         let usable = self.membership.live_count();
         let listed = self.membership.listed_count();
@@ -110,7 +110,7 @@
         self.with_leases(|leases, now, fleet, out| leases.homes_moved(now, fleet, out));
     }
 
-    /// A life of an instance is over; what it leased is free.
+    /// Frees what an incarnation that has ended held in leases.
     pub(super) fn forget_leases(&mut self, instance: InstanceKey, incarnation: Incarnation) {
         self.limit_home.incarnation_ended(PeerId {
             instance,
--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the endpoints that this node is the giver for.
+//! Orders to the endpoints whose controller is this node.
 
 use super::Node;
 use crate::event::{Action, OrderResult};
@@ -7,11 +7,11 @@
 use crate::time::Time;
 use core::time::Duration;
 
-/// The least time between two looks at what is to be ordered. Orders take
-/// seconds to minutes; nothing is gained by looking more often.
+/// Minimum time between two checks of pending orders. Orders take seconds to minutes, so checking
+/// more often has no benefit.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many instances give orders under one revision of the list.
+/// Number of controllers under one revision of the list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ControllerCount {
     list_revision: u64,
@@ -29,7 +29,8 @@
 }
 
 impl Node {
-    /// The list, a notice or the catalogue changed what endpoints should hold.
+    /// Recomputes what endpoints should have loaded, after a change of the list, the catalogue or
+    /// the state of an endpoint.
     pub(super) fn refresh_goals(&mut self) {
         let Some(catalogue) = self.sync.catalogue() else {
             return;
@@ -52,7 +53,7 @@
             .on_order_answered(self.now, key, fencing, result);
     }
 
-    /// Gives the orders that are due.
+    /// Sends the orders that are due.
     pub(super) fn tick_orders(&mut self) {
         if self.orders_wake() > self.now {
             return;
@@ -92,8 +93,8 @@
 
     fn controller_context(&mut self) -> ControllerContext {
         let list_revision = self.membership.view().revision();
-        // Ranking every instance for every cell takes half a millisecond in a
-        // fleet of 390, and the answer follows from the list alone.
+        // Ranking every instance for every cell takes half a millisecond in a fleet of 390, and the
+        // result depends on the list alone.
         if self.controller_count.list_revision != list_revision {
             self.controller_count = ControllerCount {
                 list_revision,
--- a/crates/core/src/node/placement.rs
+++ b/crates/core/src/node/placement.rs
@@ -1,10 +1,9 @@
-//! Finds a cell for a request, asks the cell's home, takes its answer.
+//! Chooses a cell for a request, requests a grant from the cell's home and handles the answer.
 //!
-//! A request is first offered to every cell that serves it, nearest first, on
-//! condition that it starts within its class's wait target. Only when all have
-//! refused is the longest wait accepted, at the cell that promised the
-//! shortest. So one crowded cell does not keep a request that another could
-//! start at once. See `docs/design/placement.md`.
+//! A request is first offered to every cell that serves it, nearest first, on condition that it
+//! starts within its class's wait target. Only when all have refused does it accept the longest
+//! wait, at the cell that predicted the shortest. So one crowded cell does not keep a request that
+//! another could start at once. See `docs/design/placement.md`.
 
 use super::Node;
 use super::request::{Refusal, Request, Stage};
@@ -20,10 +19,11 @@
 use core::time::Duration;
 use rand::Rng;
 
-/// How long a request waits before it tries an endpoint again where it failed.
+/// How long a request waits before it may retry an endpoint where it failed.
 const EXCLUDED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Refusals that mean "not here, now", so that another cell may do.
+/// Returns whether a refusal concerns only the cell that gave it, so that another cell may grant
+/// the request.
 fn is_local(reason: Reason) -> bool {
     matches!(
         reason,
@@ -36,7 +36,7 @@
 }
 
 impl Node {
-    /// Starts to look for a place.
+    /// Starts the placement of a request.
     pub(super) fn begin_placement(&mut self, seq: u64) {
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
@@ -46,7 +46,7 @@
         self.request_next_cell(seq);
     }
 
-    /// Asks the next cell that has not refused yet, or gives up.
+    /// Requests a grant from the next cell that has not refused yet, or gives up.
     pub(super) fn request_next_cell(&mut self, seq: u64) {
         if !self.may_be_sent(seq) {
             return;
@@ -80,14 +80,14 @@
             .take_while(|it| it.data_centre == nearest)
             .map(|it| it.plan.key)
             .collect();
-        // Cells of one data centre are alike; starting at a different one for
-        // each request spreads the load without any exchange of figures.
+        // Cells of one data centre are equivalent. Starting at a different one for each request
+        // spreads the load without any exchange of load figures.
         let pick = crate::rendezvous::score(request.id().seq, self.me.instance.0);
         level.get((pick % level.len() as u64) as usize).copied()
     }
 
-    /// Returns the cell that promised the shortest wait, if any promised one
-    /// that the request accepts.
+    /// Returns the cell that predicted the shortest wait, if any predicted one that the request
+    /// accepts.
     fn shortest_wait_cell(&self, request: &Request) -> Option<CellKey> {
         let queues = request.refusals.iter().filter(|it| {
             matches!(it.reason, Reason::WaitTooLong | Reason::WaitExpired)
@@ -107,7 +107,7 @@
         request.accepts_longer_wait |= request.refusals.iter().any(|it| it.cell == cell);
         request.stage = Stage::Placing { cell, home };
         let Some(facts) = &request.facts else {
-            debug_assert!(false, "a request is judged before it asks");
+            debug_assert!(false, "a request is validated before it is placed");
             return;
         };
         let grant_request = GrantRequest::from_request(cell, &request.to_cell_request(facts), now);
@@ -119,14 +119,14 @@
         );
     }
 
-    /// A home grants a place.
+    /// Handles a grant from a home.
     pub(super) fn on_grant(&mut self, from: PeerId, grant: &Grant) {
         let Some(request) = self.requests.get(&grant.seq) else {
             return self.withdraw_at(from.instance, grant.seq);
         };
         let Stage::Placing { cell, home } = request.stage else {
-            // A home that was asked earlier grants late. Its lease would hold
-            // memory that nobody uses.
+            // A late grant from a home that received the request earlier. Its lease would reserve KV cache
+            // that nobody uses.
             if !matches!(request.stage, Stage::Running { home, .. } if home == from.instance) {
                 self.withdraw_at(from.instance, grant.seq);
             }
@@ -139,8 +139,8 @@
         let is_known = in_cell.contains(&grant.endpoint);
         let state = self.membership.endpoint_state(grant.endpoint);
         if !is_known || state != EndpointState::Live {
-            // The home has not heard yet that the endpoint is leaving; this
-            // node has. Asking again without it keeps the promise.
+            // This node already knows that the endpoint is leaving; the home does not. Requesting
+            // again without it keeps the request off an endpoint that leaves.
             if let Some(request) = self.requests.get_mut(&grant.seq) {
                 request.exclude.push(grant.endpoint);
             }
@@ -149,7 +149,7 @@
         self.dispatch(grant.seq, cell, home, grant);
     }
 
-    /// A home refuses.
+    /// Handles a refusal from a home.
     pub(super) fn on_refused(&mut self, from: PeerId, refused: &Refused) {
         let Some(request) = self.requests.get_mut(&refused.seq) else {
             return;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Asks again wherever the home that was asked is no longer the home.
+    /// Sends pending requests again whose cell has moved to another home.
     pub(super) fn rerequest_from_moved_homes(&mut self) {
         let mut moved: Vec<(u64, CellKey, InstanceKey)> = Vec::new();
         for (&seq, request) in &self.requests {
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Asks again whatever was asked of `home`, which has forgotten it or may
-    /// never have heard it.
+    /// Sends again all requests that are pending at `home`, which has lost them or may never have
+    /// received them.
     pub(super) fn rerequest_from(&mut self, home: InstanceKey) {
         let pending = self
             .requests
@@ -220,7 +220,7 @@
         self.send(home, PeerMessage::Cell(message));
     }
 
-    /// The time set for a request has come.
+    /// Handles the timer of a request.
     pub(super) fn on_request_timer(&mut self, seq: u64) {
         let Some(request) = self.requests.get(&seq) else {
             return;
@@ -241,10 +241,10 @@
         }
     }
 
-    /// If only the endpoints where the request failed are left, lets it try them
-    /// again after a while. One that dropped a connection is often back within
-    /// a second, and where a cell has one endpoint there is no other. Returns
-    /// whether it does; the attempts are bounded by [`crate::retry`].
+    /// If only the endpoints where the request failed are left, allows them again after a delay. An
+    /// endpoint that dropped a connection is often back within a second, and where a cell has one
+    /// endpoint there is no other. Returns whether it does so; [`crate::retry`] bounds the number
+    /// of attempts.
     fn retry_excluded_endpoints(&mut self, seq: u64) -> bool {
         let until = self.now + EXCLUDED_RETRY_DELAY;
         let Some(request) = self.requests.get_mut(&seq) else {
@@ -264,7 +264,8 @@
         true
     }
 
-    /// Every cell refused: says why, and when it is worth coming back.
+    /// Ends a request that every cell refused, with the reason of the cell that names the shortest
+    /// delay before a retry.
     fn finish_with_cell_refusal(&mut self, seq: u64) {
         if self.retry_excluded_endpoints(seq) {
             return;
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Ends a request with the strongest claim that its attempts bear out.
+    /// Ends a request with the strongest outcome that its attempts prove.
     pub(super) fn refuse(&mut self, seq: u64, reason: Reason) {
         use crate::reason::ReasonGroup;
         let retry_after = match reason.group() {
@@ -291,7 +292,7 @@
         self.finish(seq, reason, retry_after);
     }
 
-    /// Takes a request's place back at its home and forgets it.
+    /// Releases what a request's home holds for it.
     pub(super) fn release_at_home(
         &mut self,
         id: RequestId,
--- a/crates/core/src/node/platform.rs
+++ b/crates/core/src/node/platform.rs
@@ -1,4 +1,4 @@
-//! Values read from the platform, and the catalogue made of them.
+//! Values read from the platform, and the catalogue built from them.
 
 use super::Node;
 use crate::catalogue::sync::{CatalogueSync, Lookup, Roles, SyncAction, SyncChange};
@@ -9,7 +9,7 @@
 use crate::time::Time;
 
 impl Node {
-    /// Calls a method of the catalogue's synchronisation and keeps what it asks for.
+    /// Calls a method of the catalogue synchronisation and collects its actions.
     pub(super) fn with_sync(
         &mut self,
         call: impl FnOnce(&mut CatalogueSync, Time, &mut Vec<SyncAction>),
@@ -17,7 +17,7 @@
         call(&mut self.sync, self.now, &mut self.sync_actions);
     }
 
-    /// Carries out what the synchronisation asked for.
+    /// Carries out the actions of the catalogue synchronisation.
     pub(super) fn carry_out_sync(&mut self) {
         while !self.sync_actions.is_empty() {
             for action in core::mem::take(&mut self.sync_actions) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Tells the synchronisation who watches and who keeps which shard.
+    /// Updates which instances watch the platform and which keep which shard.
     pub(super) fn refresh_roles(&mut self) {
         let roles = Roles::of(&self.membership);
         self.with_sync(|sync, now, out| sync.set_roles(now, roles, out));
@@ -57,13 +57,14 @@
     ///
     /// # Errors
     ///
-    /// Returns why the question cannot be answered.
+    /// Returns [`Reason::BadKey`] for an unknown key, and [`Reason::NoCatalogue`] if the catalogue
+    /// or the shard of the key is not available.
     pub fn entries(&mut self, key_digest: &[u8; 32]) -> Result<Vec<String>, Reason> {
         let workspace = match self.sync.lookup(self.now, key_digest) {
             Lookup::Found(workspace) => workspace.clone(),
             Lookup::Unknown => return Err(Reason::BadKey),
             Lookup::Missing(shard) => {
-                // The caller is told to come back, and finds the shard then.
+                // The caller is asked to retry and finds the shard then.
                 self.with_sync(|sync, now, out| sync.want_shard(now, shard, out));
                 return Err(Reason::NoCatalogue);
             }
@@ -75,7 +76,7 @@
         Ok(allowed.map(|it| it.entry.name.clone()).collect())
     }
 
-    /// The platform answered a read or a watch.
+    /// Handles a value that the platform returned for a read or a watch.
     pub(super) fn on_value(&mut self, name: ValueName, revision: u64, bytes: Vec<u8>) {
         match name {
             ValueName::Instances => self.on_list(&bytes),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The platform answered that there is nothing newer.
+    /// Handles a watch that ended without a newer value.
     pub(super) fn on_value_unchanged(&mut self, name: ValueName) {
         match name {
             ValueName::Instances => {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The platform's service could not be read.
+    /// Handles a read or watch that failed.
     pub(super) fn on_value_failed(&mut self, name: ValueName) {
         match name {
             ValueName::Instances => self.on_list_failed(),
--- a/crates/core/src/node/request.rs
+++ b/crates/core/src/node/request.rs
@@ -10,25 +10,26 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-/// Where a request stands.
+/// The stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The shard that may hold its workspace is being fetched.
+    /// Waits for the shard that may hold its workspace.
     Validating,
-    /// The claim of its ticket or key was asked for.
+    /// Waits for the claim of its ticket or key.
     Claiming,
-    /// A place in the limits of its entry and workspace was asked for.
+    /// Waits for admission within the limits of its entry and workspace.
     Admitting,
-    /// It ended an endpoint, and waits until it runs nowhere else.
+    /// Waits for a run lease, because it may have crashed an endpoint and must not run elsewhere at
+    /// the same time.
     AwaitingRunLease,
-    /// A home was asked for a grant.
+    /// Waits for a grant from a home.
     Placing {
         /// The cell.
         cell: CellKey,
-        /// The instance that was asked.
+        /// The instance that received the grant request.
         home: InstanceKey,
     },
-    /// Waits before it asks again.
+    /// Waits before it requests a grant again.
     BackingOff {
         /// Until when.
         until: Time,
@@ -37,24 +38,23 @@
     Running {
         /// The cell.
         cell: CellKey,
-        /// The instance that is told about its progress.
+        /// The instance that receives its progress.
         home: InstanceKey,
         /// Where it runs.
         endpoint: EndpointKey,
         /// The attempt.
         attempt: AttemptId,
-        /// Tokens of this attempt, as reported last.
+        /// Tokens of this attempt at the last checkpoint.
         tokens: u32,
     },
 }
 
-/// How long past the class's longest wait a home may be silent before the
-/// request is given up. The home refuses in time by itself; this only catches
-/// a home that is linked but does not work.
+/// How long beyond the longest wait a request waits for an answer of a home before it is given up.
+/// The home refuses in time by itself; this only catches a home that is linked but does not work.
 const HOME_GRACE: Duration = Duration::from_secs(1);
 
 impl Stage {
-    /// Returns the tokens of the attempt that runs, as reported last.
+    /// Returns the tokens of the running attempt at its last checkpoint.
     pub fn tokens(&self) -> u32 {
         match self {
             Stage::Running { tokens, .. } => *tokens,
@@ -63,38 +63,38 @@
     }
 }
 
-/// A cell whose home refused, and what it said.
+/// A refusal by the home of a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
     /// The cell.
     pub cell: CellKey,
     /// Why.
     pub reason: Reason,
-    /// When it is worth coming back.
+    /// The delay before a retry.
     pub retry_after: Duration,
     /// How long the request would have waited there.
     pub predicted_wait: Duration,
 }
 
-/// What the catalogue says about a request; fixed when it is accepted, so that
-/// it is judged by one revision from start to end.
+/// What the catalogue defines for a request. Fixed when the request is accepted, so that one
+/// revision applies from start to end.
 #[derive(Clone, Debug)]
 pub(super) struct Facts {
-    /// The revision that the request is judged by.
+    /// The revision that applies to the request.
     pub catalogue: Arc<Catalogue>,
     /// The entry.
     pub entry: EntryId,
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// What the workspace may take.
+    /// The limits of the workspace.
     pub workspace_limits: WorkspaceLimits,
-    /// The class, as the cell's home needs it.
+    /// The rules of the class that the home of a cell needs.
     pub class: ClassRules,
-    /// What an endpoint must hold.
+    /// What an endpoint must have loaded.
     pub needs: Requirement,
     /// Tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u32,
-    /// The most tokens to generate; 0 for a plain service.
+    /// Maximum number of tokens to generate; 0 for a plain service.
     pub max_tokens: u32,
 }
 
@@ -108,38 +108,38 @@
 /// A request of one of this process's own callers.
 #[derive(Debug)]
 pub(super) struct Request {
-    /// What the caller asked for.
+    /// The request as it arrived.
     pub arrival: RequestArrival,
-    /// Since when its caller waits for a start: its arrival, or the moment at
-    /// which the generation that it holds a part of was lost.
+    /// Since when the caller waits for a start: the arrival, or the time at which a generation was
+    /// lost of which the caller holds a part.
     pub waiting_since: Time,
-    /// What the catalogue says; `None` only in [`Stage::Judging`].
+    /// What the catalogue defines for it; `None` only in [`Stage::Validating`].
     pub facts: Option<Facts>,
-    /// Nothing may be sent for it after this point, when its claim is void.
-    /// Work that may run twice has no such point: a long answer is replayed
-    /// elsewhere long after its claim was asked for.
+    /// Nothing may be sent for the request after this time, because its claim is void then.
+    /// Idempotent work has no such time: a long generation is replayed elsewhere long after its
+    /// claim was requested.
     pub claim_valid_until: Time,
-    /// Where it stands.
+    /// The current stage.
     pub stage: Stage,
     /// What is known about whether it ran.
     pub outcome: RequestOutcome,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// When the answer to the present attempt began.
+    /// When the response to the current attempt started.
     pub response_started_at: Option<Time>,
-    /// Tokens that the caller holds.
+    /// Tokens delivered to the caller.
     pub delivered: u32,
-    /// Endpoints where it failed.
+    /// Endpoints where an attempt failed.
     pub exclude: Vec<EndpointKey>,
-    /// Homes that refused it since the last attempt.
+    /// Cells that refused it since the last attempt.
     pub refusals: Vec<Refusal>,
-    /// Every cell refused to start it within the class's wait target; now a
-    /// longer wait is asked for.
+    /// Whether every cell has refused to start it within the class's wait target, so that a longer
+    /// wait is now acceptable.
     pub accepts_longer_wait: bool,
 }
 
 impl Request {
-    /// Returns a request that nothing was decided about.
+    /// Returns a request in its first stage.
     pub fn new(arrival: RequestArrival, now: Time) -> Self {
         let outcome = RequestOutcome::of_arrival(&arrival);
         Request {
@@ -158,24 +158,24 @@
         }
     }
 
-    /// Returns the request's name.
+    /// Returns the request's ID.
     pub fn id(&self) -> RequestId {
         self.arrival.id
     }
 
-    /// Returns when the request is given up if it has not started.
+    /// Returns when the request is given up unless it has started.
     pub fn start_deadline(&self) -> Time {
         self.waiting_since + self.longest_wait() + HOME_GRACE
     }
 
-    /// Returns the longest that the request may wait for a start.
+    /// Returns the longest time that the request may wait for a start.
     pub fn longest_wait(&self) -> Duration {
         let class = self.facts.as_ref().map(|it| it.class.longest_wait);
         let class = class.unwrap_or(super::validate::CATALOGUE_TIMEOUT);
         self.arrival.patience.map_or(class, |it| it.min(class))
     }
 
-    /// Returns what the home of a cell is asked.
+    /// Returns the request that the home of a cell receives.
     pub fn to_cell_request(&self, facts: &Facts) -> CellRequest {
         let mut class = facts.class;
         class.longest_wait = if self.accepts_longer_wait {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Returns what a new home is told, if the request runs in `cell`.
+    /// Returns the report for a new home, if the request runs in `in_cell`.
     pub fn to_running(&self, in_cell: CellKey) -> Option<Running> {
         let facts = self.facts.as_ref()?;
         let Stage::Running {
--- a/crates/core/src/node/snapshot.rs
+++ b/crates/core/src/node/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a node shows to operators.
+//! The state of a node as shown to operators.
 
 use super::Node;
 use super::request::Stage;
@@ -9,22 +9,22 @@
 use crate::membership::{CellPlan, View};
 use core::time::Duration;
 
-/// How many requests of own callers stand where.
+/// Number of requests of this instance's own callers, by stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Wait for the catalogue.
+    /// Requests that wait for the catalogue.
     pub validating: u32,
-    /// Wait for a grant, or before asking again.
+    /// Requests that wait for a claim, an admission, a run lease or a grant, or before a retry.
     pub waiting: u32,
-    /// Run at an endpoint.
+    /// Requests that run at an endpoint.
     pub running: u32,
 }
 
-/// What a node shows to operators.
+/// The state of a node as shown to operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeSnapshot {
-    /// Whether new requests are welcome: a catalogue and a list are in force
-    /// and no stop has begun.
+    /// Whether the instance is ready for new requests: a catalogue and a list are in force and no
+    /// planned stop has begun.
     pub ready: bool,
     /// Whether a planned stop has begun.
     pub stopping: bool,
@@ -34,19 +34,19 @@
     pub rejection: Option<Rejection>,
     /// The list revision in force; 0 for none.
     pub list_revision: u64,
-    /// Since when the list has not been confirmed; `None` before the first.
+    /// Time since the list was last confirmed; `None` before the first confirmation.
     pub list_age: Option<Duration>,
     /// Instances that may be homes.
     pub live_instances: u32,
-    /// Peers that were linked or are to be, and whether the link is up.
+    /// Names of the other instances in the list, and whether the link to each is up.
     pub links: Vec<(String, bool)>,
-    /// Requests of own callers.
+    /// Requests of this instance's own callers.
     pub requests: RequestCounts,
-    /// The cells that this node decides for.
+    /// The cells whose home is this node.
     pub cells: Vec<(CellKey, CellSnapshot)>,
 }
 
-/// Names as the list in force publishes them.
+/// The names that the list in force publishes.
 struct PublishedNames<'a>(&'a View);
 
 impl Names for PublishedNames<'_> {
@@ -66,13 +66,13 @@
 }
 
 impl Node {
-    /// Returns whether new requests are welcome.
+    /// Returns whether the instance is ready for new requests.
     pub fn is_ready(&self) -> bool {
         let has_list = self.membership.view().revision() > 0;
         has_list && self.sync.catalogue().is_some() && !self.is_stopping()
     }
 
-    /// Returns what operators see.
+    /// Returns the state that is shown to operators.
     pub fn snapshot(&self) -> NodeSnapshot {
         NodeSnapshot {
             ready: self.is_ready(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns why a request went as it did, as text, if it is remembered.
+    /// Returns the decisions about a request as text, if they are still kept.
     pub fn explain(&self, id: RequestId) -> Option<Vec<Line>> {
         let record = self.explain.record(id)?;
         Some(record.lines(&self.names()))
@@ -105,7 +105,7 @@
         Some(&endpoint.record.name)
     }
 
-    /// Returns what the list in force makes of a cell.
+    /// Returns the plan of a cell in the list in force.
     pub fn cell_plan(&self, key: CellKey) -> Option<&CellPlan> {
         let cell = self.membership.view().cell(key)?;
         Some(&cell.plan)
--- a/crates/core/src/node/stop.rs
+++ b/crates/core/src/node/stop.rs
@@ -1,29 +1,28 @@
-//! Planned stop: nothing that was taken is cut off.
+//! Planned stop: accepted requests are finished before the process ends.
 
 use super::Node;
 use super::timers::TimerKind;
 use crate::event::Action;
 use core::time::Duration;
 
-/// How long a process that has answered its last request stays to hear that
-/// the ends of its claims were noted.
+/// How long a process that has finished its last request waits for the acknowledgement of the ends
+/// of its claims.
 const CLAIM_ACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether new requests are taken.
+/// The phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopPhase {
-    /// Yes.
+    /// No stop has begun.
     Serving,
-    /// Yes, but the stop has begun: the instance is not ready any more, and
-    /// the balancer will notice soon. Refusing in the meantime would fail
-    /// callers for no reason.
+    /// The stop has begun and the instance is no longer ready, but it still accepts requests until
+    /// the load balancer has noticed. Refusing them would fail callers for no reason.
     GracePeriod,
-    /// No; what was taken is finished.
+    /// New requests are refused; accepted ones are finished.
     Draining,
 }
 
 impl Node {
-    /// A planned stop begins.
+    /// Begins a planned stop.
     pub(super) fn on_stop(&mut self) {
         if self.stop_phase != StopPhase::Serving {
             return;
@@ -38,12 +37,12 @@
         self.stop_phase = StopPhase::Draining;
     }
 
-    /// Says that the process may end once the last request is answered and
-    /// the ends of its claims are noted where they were granted.
+    /// Reports that the process may end, once the last request is finished and the ends of its
+    /// claims are acknowledged by the instances that granted them.
     ///
-    /// What goes wrong otherwise: the word of the last request's end is lost
-    /// with the process. Its caller's repeat hears "already running, unknown"
-    /// for an hour, although the answer was whole and nothing failed.
+    /// Otherwise the report of the last request's end could be lost with the process. A duplicate
+    /// request of its caller would be refused as "already running, unknown" for an hour, although
+    /// the response was complete and nothing failed.
     pub(super) fn finish_stop(&mut self) {
         if self.stop_phase != StopPhase::Draining || !self.requests.is_empty() {
             return;
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -1,8 +1,8 @@
-//! Requests that end the endpoints that begin them.
+//! Suspects: requests that may crash the endpoints that run them.
 //!
-//! The decisions are those of [`crate::suspects`]; here they meet requests, peers and timers.
-//! A request asks no home of a cell for a place, and is not sent with one, unless it may run.
-//! What this node learns of suspects it tells along the watchers, as it tells what leaves.
+//! The decisions are made in [`crate::suspects`]; this module connects them to requests, peers and
+//! timers. A request neither requests a grant nor is dispatched with one unless it may run. New
+//! crash records are gossiped through the watchers, as the news of leaving endpoints is.
 
 use super::Node;
 use super::request::{Request, Stage};
@@ -22,39 +22,39 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// How long the home of a suspect may take to answer before the next in rank is asked: long
-/// enough for a link that has to be made first.
+/// How long the home of a suspect may take to answer before the next in rank is asked. It must
+/// cover a link that has to be established first.
 const HOME_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a home that did not answer is passed over.
+/// How long a home that did not answer counts as unresponsive.
 const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// How often what waits for a turn is looked at.
+/// How often requests that wait for a run lease are checked and reported.
 const WAITING_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often homes are told of suspects that run.
+/// How often homes receive a report of running suspects.
 const RUNNING_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Suspects in one message, and the time between two messages: a watcher passes each on to all
-/// of its data centre.
+/// Maximum number of crash records in one message, with [`GOSSIP_INTERVAL`] between two messages: a
+/// watcher forwards each message to all instances of its data centre.
 const MAX_RECORDS_PER_MESSAGE: usize = 8;
 
-/// See [`MOST_TOLD`].
+/// Minimum time between two messages; see [`MAX_RECORDS_PER_MESSAGE`].
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// All that a node knows of suspects.
+/// What a node knows about suspects.
 #[derive(Debug)]
 pub(super) struct Suspects {
     ledger: Ledger,
     runs: Runs,
     run_leases: RunLeases<InstanceKey>,
-    /// Homes that did not answer, and until when they are passed over.
+    /// Homes that did not answer, and until when they count as unresponsive.
     unresponsive: BTreeMap<InstanceKey, Time>,
-    /// Suspects that are to be told of, and who told this node.
+    /// Suspects whose crash records are to be gossiped, with the peer that sent them, if any.
     pending_gossip: BTreeMap<Fingerprint, Option<PeerId>>,
-    /// When others were told last.
+    /// When crash records were last gossiped.
     last_gossip_at: Option<Time>,
-    /// Buffer for the homes of a suspect.
+    /// Reused buffer for the homes of a suspect.
     ranked: Vec<InstanceKey>,
 }
 
@@ -80,27 +80,27 @@
 }
 
 impl Node {
-    /// Begins to listen to what others run, as the home of suspects.
+    /// Starts the grace period in which this node, as a home, learns which suspects others run.
     pub(super) fn start_suspects(&mut self) {
         self.suspects.run_leases.restart_grace_period(self.now);
     }
 
-    /// Takes in a request that is going to run.
+    /// Registers a request that is going to run.
     pub(super) fn begin_run(&mut self, seq: u64) {
         if let Some(request) = self.requests.get(&seq) {
             self.suspects.runs.begin(suspect_run(request));
         }
     }
 
-    /// Takes out a request that is over.
+    /// Removes a request that has ended.
     pub(super) fn end_run(&mut self, request: &Request) {
         if self.suspects.runs.end(suspect_run(request)) {
             self.timers.set(self.now, TimerKind::RunLeases);
         }
     }
 
-    /// Returns whether a request may ask for a place, and be sent with it. One that may not
-    /// waits for its turn from now on, or is refused.
+    /// Returns whether a request may request a grant, and be dispatched with it. One that may not
+    /// waits for a run lease from now on, or is refused.
     pub(super) fn may_be_sent(&mut self, seq: u64) -> bool {
         let Some(request) = self.requests.get(&seq) else {
             return false;
@@ -130,7 +130,7 @@
         self.timers.set(self.now, TimerKind::RunLeases);
     }
 
-    /// Looks again at all requests that wait for their turn.
+    /// Retries the placement of all requests that wait for a run lease.
     fn retry_waiting(&mut self) {
         let waiting = self.requests.iter();
         let waiting = waiting.filter(|(_, it)| it.stage == Stage::AwaitingRunLease);
@@ -140,14 +140,14 @@
         }
     }
 
-    /// The answer to an attempt began.
+    /// Records that the response to an attempt has started.
     pub(super) fn on_response_started(&mut self, seq: u64) {
         if let Some(request) = self.requests.get_mut(&seq) {
             request.response_started_at.get_or_insert(self.now);
         }
     }
 
-    /// The endpoint of an attempt ended with it.
+    /// Handles the end of the endpoint process that ran an attempt.
     pub(super) fn on_endpoint_exited(&mut self, seq: u64) {
         let Some(request) = self.requests.get(&seq) else {
             return;
@@ -161,7 +161,7 @@
             return self.on_run_succeeded(fingerprint);
         }
         if self.membership.endpoint_state(endpoint) == EndpointState::Leaving {
-            // It ended as it said it would.
+            // A planned exit that the endpoint had announced.
             return;
         }
         if self
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A request ran well, so that it is none that ends endpoints.
+    /// Clears the crash record of a request that ran successfully.
     pub(super) fn on_run_succeeded(&mut self, fingerprint: Fingerprint) {
         if self.suspects.ledger.clear(self.now, fingerprint) {
             self.gossip_soon(fingerprint, None);
@@ -188,7 +188,7 @@
         self.timers.set(self.now, TimerKind::RunLeases);
     }
 
-    /// Tells others of suspects, as many as one message holds.
+    /// Gossips pending crash records, as many as one message holds.
     pub(super) fn gossip_suspects(&mut self) {
         let last = self.suspects.last_gossip_at;
         if last.is_some_and(|at| self.now.since(at) < GOSSIP_INTERVAL) {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Tells a peer whose link has come up of the suspects that ended the most endpoints.
+    /// Sends the crash records with the most crashes to a peer whose link has come up.
     pub(super) fn send_suspects_to(&mut self, to: InstanceKey) {
         let worst = self.suspects.ledger.worst(self.now);
         if !worst.is_empty() {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A peer told of suspects.
+    /// Handles crash records from a peer.
     pub(super) fn on_suspects(&mut self, from: PeerId, records: &[CrashRecord]) {
         self.apply_crash_records(from, records);
         self.retry_waiting();
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Tells the homes of suspects what runs and waits here.
+    /// Reports to the homes of suspects which runs are active and which wait here.
     pub(super) fn report_run_leases(&mut self) {
         let now = self.now;
         self.suspects.ledger.tick(now);
@@ -283,8 +283,8 @@
         self.membership.ranked_homes(key, 2, &mut ranked);
         let unresponsive = &mut self.suspects.unresponsive;
         let acting = |unresponsive: &BTreeMap<InstanceKey, Time>| {
-            let mut answering = ranked.iter().filter(|it| !unresponsive.contains_key(it));
-            answering.next().or(ranked.first()).copied()
+            let mut responsive = ranked.iter().filter(|it| !unresponsive.contains_key(it));
+            responsive.next().or(ranked.first()).copied()
         };
         if due.is_unanswered
             && let Some(home) = acting(unresponsive)
@@ -308,7 +308,7 @@
         self.suspects.ranked = ranked;
     }
 
-    /// A peer told this node, as the home of suspects, what it runs and asks for.
+    /// Handles, as the home of suspects, the report of what a peer runs and requests.
     pub(super) fn on_run_lease_report(&mut self, from: PeerId, report: &RunLeaseReport) {
         self.apply_crash_records(from, &report.records);
         let answer = self
@@ -324,7 +324,7 @@
         }
     }
 
-    /// The home of suspects answered.
+    /// Handles the answer of a home of suspects.
     pub(super) fn on_run_lease_answer(&mut self, from: PeerId, answer: &RunLeaseAnswer) {
         self.apply_crash_records(from, &answer.records);
         self.suspects.runs.on_answer(self.now, answer);
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -1,37 +1,37 @@
-//! What the node itself wants to do later.
+//! The node's own timers.
 
 use crate::ids::{EndpointKey, Incarnation, InstanceKey};
 use crate::time::Time;
 use std::collections::BTreeSet;
 
-/// Something that the node does later.
+/// What a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// Look again at a request of this process.
+    /// Check a request of this process.
     Request(u64),
-    /// Look again at the tickets that are being drawn.
+    /// Check the requested tickets that are not issued yet.
     PendingTickets,
-    /// Ask an endpoint of an own cell for its load.
+    /// Poll an endpoint for its load.
     PollLoad(EndpointKey),
-    /// Send the checkpoints that were gathered.
+    /// Send the batched checkpoints.
     FlushProgress,
-    /// Ask entries whether what is held for them still stands.
+    /// Ask entry instances which of the requests held for them still exist.
     Confirm,
-    /// End the leases of a life whose link has been down for too long.
+    /// Drop the requests of an incarnation whose link has been down for too long.
     ForgetHolder(InstanceKey, Incarnation),
-    /// Tell the homes of suspects what runs and waits here.
+    /// Report to the homes of suspects which runs are active and which wait here.
     RunLeases,
-    /// Tell others of suspects.
+    /// Gossip crash records of suspects.
     GossipSuspects,
-    /// Stop taking new requests, because a planned stop has lasted long enough
-    /// for the balancer to notice it.
+    /// Stop accepting requests, because a planned stop has lasted long enough for the load balancer
+    /// to notice it. Also rechecks whether the process may end.
     StopAccepting,
 }
 
-/// Timers in order of their time.
+/// Timers in the order in which they are due.
 ///
-/// A timer that no longer matters is not removed: whoever handles it looks at
-/// the state first, which costs less than a second index.
+/// An obsolete timer is not removed: its handler checks the state first, which costs less than a
+/// second index.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Timers {
     due: BTreeSet<(Time, TimerKind)>,
@@ -43,7 +43,7 @@
         self.due.insert((at, kind));
     }
 
-    /// Takes the first timer that is due.
+    /// Removes and returns the first timer that is due.
     pub fn take_due(&mut self, now: Time) -> Option<TimerKind> {
         let (at, _) = self.due.first()?;
         if *at > now {
--- a/crates/core/src/node/validate.rs
+++ b/crates/core/src/node/validate.rs
@@ -1,4 +1,4 @@
-//! Holds an arrival against the catalogue.
+//! Checks a new request against the catalogue.
 
 use super::Node;
 use super::request::{Facts, Request, Stage};
@@ -13,17 +13,17 @@
 use crate::reason::Reason;
 use core::time::Duration;
 
-/// How long an arrival waits for the shard that may hold its workspace.
+/// How long a new request waits for the shard that may hold its workspace.
 pub(super) const CATALOGUE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a caller is told to come back who met an instance that is not ready.
+/// Retry delay for a caller whose request reached an instance that is not ready.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Tokens that a request asks for if it names no limit and the entry has none.
+/// Output tokens of a request if neither the request nor the entry names a limit.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
 
 impl Node {
-    /// Takes a new request in, or refuses it.
+    /// Accepts a new request, or refuses it.
     pub(super) fn on_arrival(&mut self, arrival: RequestArrival) {
         debug_assert!(!self.requests.contains_key(&arrival.id.seq));
         if let Err(reason) = self.check_accepting() {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Judges a request, unless the shard that it needs is still on its way.
+    /// Validates a request, unless the shard that it needs is still being fetched.
     pub(super) fn validate(&mut self, seq: u64) {
         let Some(request) = self.requests.get(&seq) else {
             return;
@@ -101,8 +101,8 @@
         self.record(request.id(), step);
     }
 
-    /// Judges every request that waits for a shard; those whose shard cannot
-    /// be had are refused by it.
+    /// Validates every request that waits for a shard. Those whose shard cannot be fetched are
+    /// refused.
     pub(super) fn validate_waiting(&mut self) {
         self.resolve_tickets();
         let waiting = self.requests.iter();
@@ -136,7 +136,7 @@
     }
 }
 
-/// Returns the prompt's tokens and the most tokens to generate.
+/// Returns the prompt's tokens and the maximum number of tokens to generate.
 fn tokens_of(work: &Work, view: &EntryView<'_>) -> Result<(u32, u32), Reason> {
     match (work, view.target.is_service()) {
         (Work::Call, true) => Ok((0, 0)),
@@ -162,7 +162,7 @@
     }
 }
 
-/// Returns the class as the home of a cell needs it.
+/// Returns the rules of the class that the home of a cell needs.
 fn class_rules(view: &EntryView<'_>) -> ClassRules {
     let class = view.class;
     ClassRules {
@@ -175,7 +175,7 @@
     }
 }
 
-/// Returns what an endpoint must hold to serve the entry.
+/// Returns what an endpoint must have loaded to serve the entry.
 fn requirement(view: &EntryView<'_>) -> Requirement {
     match view.target {
         TargetView::Model { model, adapter } => {
--- a/crates/core/src/note.rs
+++ b/crates/core/src/note.rs
@@ -1,12 +1,12 @@
-//! What operators are told, as typed notes.
+//! Typed events for operators.
 //!
-//! A [`Note`] is turned by the shell into a numbered log event and a counter.
-//! The numbers stand in `docs/EVENTS.md`, which a test holds equal to the code.
+//! The shell turns a [`Note`] into a numbered log event and a counter. The numbers are listed in
+//! `docs/EVENTS.md`, which a test compares with the code.
 
 use crate::ids::{EndpointKey, InstanceKey, RequestId};
 use crate::reason::Reason;
 
-/// Something that operators should be able to see.
+/// An event that is logged and counted for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
     /// A request was refused.
@@ -16,7 +16,7 @@
         /// Why.
         reason: Reason,
     },
-    /// An attempt is repeated elsewhere.
+    /// A request is retried after a failed attempt.
     Retried {
         /// Which request.
         request: RequestId,
@@ -30,24 +30,24 @@
         /// Why.
         reason: Reason,
     },
-    /// Something arrived that does not belong; it was dropped.
+    /// A late or foreign message was discarded.
     Discarded {
         /// Why.
         reason: Reason,
     },
     /// An endpoint is leaving.
     EndpointLeaving(EndpointKey),
-    /// An endpoint was ejected on evidence.
+    /// An endpoint was ejected after failures.
     EndpointEjected(EndpointKey),
     /// An ejected endpoint is used again.
     EndpointReadmitted(EndpointKey),
-    /// An instance was found dead or leaving.
+    /// An instance was found to be dead or leaving.
     InstanceGone(InstanceKey),
-    /// A published list was not believed.
+    /// A published list drops most of the fleet and was quarantined.
     ListQuarantined {
-        /// Instances that the list names.
+        /// Number of instances in the list.
         named: u32,
-        /// Instances known before it.
+        /// Number of instances known before.
         known: u32,
     },
     /// A published list is in force.
@@ -55,9 +55,9 @@
         /// Its revision.
         revision: u64,
     },
-    /// The list in force has not been confirmed for long; serving goes on with it.
+    /// The list in force has not been confirmed for a long time. Serving continues with it.
     ListStale {
-        /// For how many seconds.
+        /// Time since the last confirmation, in seconds.
         age_secs: u64,
     },
     /// A catalogue revision is in force.
@@ -65,39 +65,39 @@
         /// Its revision.
         revision: u64,
     },
-    /// A catalogue revision was rejected; nothing changed.
+    /// A catalogue revision was rejected; the one in force stays.
     CatalogueRejected {
         /// Its revision.
         revision: u64,
-        /// How many findings it had.
+        /// Number of findings.
         findings: u32,
     },
-    /// A lower revision than the one in force arrived and was ignored.
+    /// A catalogue revision lower than the one in force arrived and was ignored.
     CatalogueStale {
         /// The revision that arrived.
         revision: u64,
     },
-    /// A catalogue revision waits for shards that are not published.
+    /// A catalogue revision waits for shards that are not published yet.
     CatalogueWaiting {
         /// The revision that waits.
         revision: u64,
-        /// How many shards are missing.
+        /// Number of missing shards.
         shards: u32,
     },
-    /// The platform's service does not answer.
+    /// The platform does not answer.
     PlatformDown,
-    /// The platform's service answers again.
+    /// The platform answers again.
     PlatformUp,
-    /// An order was given.
+    /// An order was sent to an endpoint.
     Ordered {
-        /// To which endpoint.
+        /// Which endpoint.
         endpoint: EndpointKey,
         /// Its fencing number.
         fencing: u64,
     },
     /// An order is held back until it is safe.
     OrderHeld {
-        /// For which endpoint.
+        /// Which endpoint.
         endpoint: EndpointKey,
     },
 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,8 +1,7 @@
 //! Messages between instances.
 //!
-//! Each part of the core defines its own messages next to its decisions; this
-//! module only gathers them. `docs/design/peer-protocol.md` describes the
-//! frames and the handshake that carry them.
+//! Each part of the core defines its own messages next to its decisions; this module combines them.
+//! `docs/design/peer-protocol.md` describes the frames and the handshake that carry them.
 
 use core::fmt;
 use serde::de::{Error, SeqAccess, Visitor};
@@ -12,10 +11,10 @@
 /// One frame between two instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerEnvelope {
-    /// The catalogue revision in force at the sender. Riding on every message,
-    /// it heals a missed push with the next message of any kind.
+    /// The catalogue revision in force at the sender. Because every message carries it, any message
+    /// makes up for a catalogue announcement that was lost.
     pub catalogue_revision: u64,
-    /// The revision of the list of instances at the sender.
+    /// The revision of the list of instances in force at the sender.
     pub list_revision: u64,
     /// The messages, in order; at most [`MAX_MESSAGES`].
     #[serde(deserialize_with = "bounded_messages")]
@@ -23,8 +22,9 @@
 }
 
 impl PeerEnvelope {
-    /// Returns what a peer that speaks this version can read; nothing if that is no message of
-    /// several. What it cannot read would end its link.
+    /// Returns the part of the envelope that a peer with this protocol version can decode, or
+    /// `None` if it can decode none of the messages. A message that the peer cannot decode would
+    /// end its link.
     pub fn readable_by(&self, version: u16) -> Option<Cow<'_, PeerEnvelope>> {
         if self.messages.iter().all(|it| it.since() <= version) {
             return Some(Cow::Borrowed(self));
@@ -38,10 +38,10 @@
     }
 }
 
-/// The most messages of one envelope.
+/// Maximum number of messages in one envelope.
 ///
-/// One byte of a frame can stand for a whole message, so that without a bound
-/// a frame of a megabyte would unfold to a hundred times its size.
+/// One byte of a frame can encode a whole message, so without a limit a frame of one megabyte could
+/// expand to a hundred times its size in memory.
 pub const MAX_MESSAGES: usize = 4096;
 
 struct BoundedMessages;
@@ -76,28 +76,28 @@
 /// A message between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Keeps a link alive while there is traffic to protect.
+    /// Keeps a link alive that is in use.
     Heartbeat,
-    /// Who is there.
+    /// Membership of instances and endpoints.
     Membership(crate::membership::MembershipMessage),
     /// The catalogue and its shards.
     Catalogue(crate::catalogue::sync::CatalogueMessage),
     /// Leases of limits.
     Limits(crate::limits::LimitsMessage),
-    /// Between an entry and the home of a cell.
+    /// Between an entry instance and the home of a cell.
     Cell(crate::cell::CellMessage),
-    /// Who may run under a ticket or key.
+    /// Claims of tickets and idempotency keys.
     Keys(crate::keys::KeysMessage),
-    /// Requests that end endpoints: what is known of them.
+    /// Crash records of suspects.
     Suspects(Vec<crate::suspects::CrashRecord>),
-    /// What is run and asked for of them.
+    /// What the sender runs of suspects, and the run leases that it requests.
     RunLeaseReport(crate::suspects::RunLeaseReport),
-    /// What their home answers.
+    /// The answer of the home of suspects.
     RunLeaseAnswer(crate::suspects::RunLeaseAnswer),
 }
 
 impl PeerMessage {
-    /// Returns the version of the protocol in which it came.
+    /// Returns the first protocol version that contains the message.
     pub const fn since(&self) -> u16 {
         match self {
             PeerMessage::Heartbeat
