--- a/crates/core/tests/explain_records.rs
+++ b/crates/core/tests/explain_records.rs
@@ -1,4 +1,4 @@
-//! Decision records: bounded, typed, and readable.
+//! Decision records are bounded, typed and readable.
 
 use core::time::Duration;
 use oriolemux_core::cell::{Alternative, GrantRecord, NotChosen};
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_request_of_another_life_is_not_confused_with_ours() {
+fn a_request_of_another_incarnation_is_not_confused_with_ours() {
     let mut explain = Explain::new(3);
     explain.push(Time::ZERO, id(1), Step::ClaimGranted);
     let other = RequestId {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_request_tried_without_end_keeps_its_first_steps_and_its_last() {
+fn a_request_retried_many_times_keeps_its_first_steps_and_its_last() {
     let mut explain = Explain::new(3);
     explain.push(Time::ZERO, id(1), Step::ClaimGranted);
     for attempt in 0..100 {
--- a/crates/core/tests/layers.rs
+++ b/crates/core/tests/layers.rs
@@ -1,4 +1,4 @@
-//! The layers that the crate's root tells are those of the sources.
+//! The layers listed in the documentation of the crate are those of the sources.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,8 +8,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-/// The layer of each module, as the list in `lib.rs` has it: items of an ordered list
-/// whose names in backticks come before the colon.
+/// The layer of each module according to the ordered list in `lib.rs`: the names in backticks
+/// before the colon of each item.
 fn layers() -> BTreeMap<String, u32> {
     let root = fs::read_to_string(sources().join("lib.rs")).expect("the crate's root");
     let mut layers = BTreeMap::new();
@@ -21,14 +21,14 @@
         let Ok(layer) = number.parse() else { continue };
         let names = rest.split(':').next().unwrap_or_default();
         for name in names.split('`').skip(1).step_by(2) {
-            let twice = layers.insert(name.to_owned(), layer);
-            assert_eq!(twice, None, "`{name}` stands in two layers");
+            let duplicate = layers.insert(name.to_owned(), layer);
+            assert_eq!(duplicate, None, "`{name}` is listed in two layers");
         }
     }
     layers
 }
 
-/// All Rust files, with the module at the root that they belong to.
+/// Finds all Rust files, with the top-level module to which each belongs.
 fn files(dir: &Path, files_found: &mut Vec<(String, PathBuf)>) {
     for entry in fs::read_dir(dir).expect("a directory") {
         let path = entry.expect("an entry").path();
@@ -43,7 +43,7 @@
     }
 }
 
-/// Modules at the root that a line of code names; comments may name any.
+/// Returns the top-level modules that a line of code names; comments may name any.
 fn named(line: &str) -> impl Iterator<Item = &str> {
     let code = match line.trim_start().starts_with("//") {
         true => "",
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_module_knows_those_of_lower_layers_only() {
+fn a_module_depends_only_on_lower_layers() {
     let layers = layers();
     let mut sources_found = Vec::new();
     files(&sources(), &mut sources_found);
@@ -67,16 +67,17 @@
             continue;
         }
         let Some(own) = layers.get(module) else {
-            findings.push(format!("`{module}` stands in no layer"));
+            findings.push(format!("`{module}` is listed in no layer"));
             continue;
         };
         let text = fs::read_to_string(path).expect("a source");
         for (number, line) in text.lines().enumerate() {
             for other in named(line).filter(|other| other != module) {
-                // Names that the root exports again hide where they come from.
+                // A name that the crate root re-exports has no layer of its own and hides its
+                // module.
                 if layers.get(other).is_none_or(|layer| layer >= own) {
                     let place = format!("{}:{}", path.display(), number + 1);
-                    findings.push(format!("{place}: `{module}` knows `{other}`"));
+                    findings.push(format!("{place}: `{module}` depends on `{other}`"));
                 }
             }
         }
@@ -91,6 +92,6 @@
             .filter(|module| *module != "lib")
             .collect::<std::collections::BTreeSet<_>>()
             .len(),
-        "a layer names a module that is not there"
+        "a layer names a module that does not exist"
     );
 }
--- a/crates/core/tests/node/claims.rs
+++ b/crates/core/tests/node/claims.rs
@@ -1,4 +1,4 @@
-//! At most once, over whole nodes: repeats under one ticket or key.
+//! At-most-once execution across complete nodes: duplicate requests under one ticket or key.
 
 use crate::world::{Name, World};
 use oriolemux_core::event::{AttemptUpdate, Event};
@@ -8,18 +8,17 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Longer than a home waits before it grants a key that it knows nothing of.
+/// Longer than the settling time of a home, after which it grants keys that it has no record of.
 const SETTLED: Duration = Duration::from_secs(130);
 
-/// Symptom: a caller repeats its order, hears "not run" and orders anew; both
-/// ran. Sequence: the first order ran and its answer was lost; the repeat meets
-/// an instance that is stopping, or whose catalogue no longer has the entry.
-/// Cause: the repeat is refused before its claim is asked for, and "not run" is
-/// said of it although its caller believes that of the order.
+/// Failure: an order runs twice, because the caller was told "not run" for a duplicate of an order
+/// that ran. The response of the first order was lost; the duplicate reaches an instance that is
+/// stopping, or whose catalogue no longer has the entry, and is refused before its claim is
+/// requested. The caller takes "not run" as a statement about the order.
 #[rstest]
 #[case::stopping("order", true, Reason::Stopping)]
 #[case::no_such_entry("gone", false, Reason::UnknownEntry)]
-fn a_repeat_refused_before_its_claim_is_unknown(
+fn a_duplicate_request_refused_before_its_claim_is_unknown(
     #[case] entry: &str,
     #[case] stop: bool,
     #[case] reason: Reason,
@@ -32,10 +31,10 @@
     }
 
     for name in [Name::Key("order-7"), Name::Ticket(ticket)] {
-        let repeat = world.send(1, entry, name);
+        let duplicate = world.send(1, entry, name);
         world.run_for(SECOND);
 
-        let verdict = world.verdict(repeat).expect("refused");
+        let verdict = world.verdict(duplicate).expect("refused");
         assert_eq!(verdict.reason(), reason);
         assert_eq!(verdict.outcome(), Outcome::Unknown);
     }
@@ -45,11 +44,11 @@
     assert_eq!(verdict.outcome(), Outcome::NotRun);
 }
 
-/// Symptom: a first order that no endpoint ever got is told "unknown", and the
-/// caller cannot order again. Sequence: its claim is granted; then every
-/// endpoint is gone. Cause: the request's outcome does not learn of the grant.
+/// Failure: a first order that no endpoint received is reported as "unknown", so the caller cannot
+/// order again. Its claim was granted, then every endpoint was gone, and the outcome of the request
+/// did not record the grant.
 #[test]
-fn a_first_request_that_found_no_place_did_not_run() {
+fn a_first_request_without_a_placement_did_not_run() {
     let mut world = World::new(2, 0);
     world.run_for(SETTLED);
     let ticket = world.ticket(0);
@@ -64,26 +63,26 @@
     }
 }
 
-/// A world in which the homes of keys have settled.
+/// A fleet in which the homes of keys have settled.
 fn settled(nodes: usize) -> World {
     let mut world = World::new(nodes, 2);
     world.run_for(SETTLED);
     world
 }
 
-fn told(world: &World, id: RequestId) -> (Reason, Outcome) {
+fn refusal(world: &World, id: RequestId) -> (Reason, Outcome) {
     let verdict = world.verdict(id).expect("answered");
     (verdict.reason(), verdict.outcome())
 }
 
-/// Which kind of name a case uses.
+/// The kind of name that a case uses.
 #[derive(Clone, Copy)]
 enum Kind {
     Key,
     Ticket,
 }
 
-/// A name granted by node 2; a key needs a home that has settled.
+/// A name that is granted by one node; a key requires a home that has settled.
 struct Granted {
     key: String,
     ticket: RequestId,
@@ -107,11 +106,11 @@
     }
 }
 
-/// Symptom: a shirt is sold twice. Sequence: a caller times out and repeats
-/// its order, and the balancer hands the repeat to another entry, at the same
-/// moment or later. Cause: two entries that know nothing of each other.
+/// Failure: an order runs twice. A caller times out and repeats its order; the load balancer routes
+/// the duplicate to another instance, at the same moment or later, and neither instance knows of
+/// the other.
 #[rstest]
-fn a_repeat_elsewhere_runs_nothing(
+fn a_duplicate_request_at_another_instance_does_not_run(
     #[values(Kind::Key, Kind::Ticket)] kind: Kind,
     #[values(false, true)] at_once: bool,
 ) {
@@ -131,23 +130,22 @@
         false => (first, second),
     };
     let running = (Reason::AlreadyRunning, Outcome::Unknown);
-    assert_eq!(told(&world, other), running);
+    assert_eq!(refusal(&world, other), running);
     world.complete(world.dispatches(ran)[0].attempt);
     world.run_for(SECOND);
     let third = world.send(3, "order", granted.name());
     world.run_for(SECOND * 2);
     let complete = (Reason::AlreadyRan, Outcome::Complete);
-    assert_eq!(told(&world, third), complete);
+    assert_eq!(refusal(&world, third), complete);
     assert_eq!(world.runs(&[first, second, third]), 1);
 }
 
-/// Symptom: a repeat is told "not run" or runs again, though the first may have
-/// run. Sequence: an entry sends an order and its process dies; the repeat
-/// reaches another entry, and again for minutes. Cause: nobody is left who
-/// knows what became of it. `restarted`: a new life under the old name knows as
-/// little.
+/// Failure: a duplicate request is reported as "not run" or runs, although the first may have run.
+/// An instance dispatches an order and its process dies; duplicates reach another instance for
+/// minutes, and no process knows the outcome. `restarted`: a new incarnation under the same name
+/// does not know it either.
 #[rstest]
-fn a_repeat_after_its_holder_died_is_unknown(
+fn a_duplicate_request_after_its_holder_died_is_unknown(
     #[values(Kind::Key, Kind::Ticket)] kind: Kind,
     #[values(false, true)] restarted: bool,
 ) {
@@ -167,28 +165,30 @@
     let mut reasons = Vec::new();
     for _ in 0..10 {
         world.run_for(SECOND * 10);
-        let repeat = world.send(1, "order", granted.name());
+        let duplicate = world.send(1, "order", granted.name());
         world.run_for(SECOND);
-        let (reason, outcome) = told(&world, repeat);
-        assert_eq!((outcome, world.runs(&[repeat])), (Outcome::Unknown, 0));
+        let (reason, outcome) = refusal(&world, duplicate);
+        assert_eq!((outcome, world.runs(&[duplicate])), (Outcome::Unknown, 0));
         reasons.push(reason);
     }
     let expected = match restarted {
         true => Reason::HolderGone,
-        // Nobody can tell a dead holder from one that is cut off.
+        // A dead holder cannot be distinguished from a partitioned one.
         false => Reason::AlreadyRunning,
     };
     assert!(reasons.iter().all(|it| *it == expected), "{reasons:?}");
 }
 
-/// Symptom: both sides of a partition run one order, or a caller is told "not
-/// run" by one side while the other runs it. Sequence: entry 0 is cut off from
-/// the process that grants the name; the same order is sent to both sides.
-/// Cause: a side that cannot ask decides by itself.
+/// Failure: both sides of a partition run an order, or one side reports "not run" while the other
+/// runs it. Instance 0 is partitioned from the process that grants the name; the same order is sent
+/// to both sides, and a side that cannot request the claim decides by itself.
 #[rstest]
 #[case::key(Kind::Key, &[Reason::HomeSilent])]
 #[case::ticket(Kind::Ticket, &[Reason::HomeSilent])]
-fn an_entry_that_cannot_ask_runs_nothing(#[case] kind: Kind, #[case] reasons: &[Reason]) {
+fn an_instance_that_cannot_reach_the_home_runs_nothing(
+    #[case] kind: Kind,
+    #[case] reasons: &[Reason],
+) {
     let mut world = settled(4);
     let granted = Granted::by(&mut world, 2, kind);
     world.isolate(0);
@@ -196,12 +196,12 @@
     let mut sent = Vec::new();
     for _ in 0..20 {
         world.run_for(SECOND * 10);
-        let cut_off = world.send(0, "order", granted.name());
+        let isolated = world.send(0, "order", granted.name());
         world.run_for(SECOND * 2);
-        let (reason, outcome) = told(&world, cut_off);
+        let (reason, outcome) = refusal(&world, isolated);
         assert!(reasons.contains(&reason), "{reason}");
         assert_eq!(outcome, Outcome::Unknown);
-        sent.push(cut_off);
+        sent.push(isolated);
     }
     let other_side = world.send(1, "order", granted.name());
     world.run_for(SECOND);
@@ -212,15 +212,17 @@
     let healed = world.send(0, "order", granted.name());
     world.run_for(SECOND);
 
-    assert_eq!(told(&world, healed).0, Reason::AlreadyRunning);
+    assert_eq!(refusal(&world, healed).0, Reason::AlreadyRunning);
     assert_eq!(world.runs(&sent), 1);
 }
 
-/// Symptom: an order under a ticket runs twice. Sequence: the ticket's issuer
-/// is restarted under the same name and address before or after the ticket was
-/// used. Cause: the new life takes the ticket for one that it has not granted.
+/// Failure: an order under a ticket runs twice. The issuer of the ticket is restarted under the
+/// same name and address before or after the ticket was used, and the new incarnation treats the
+/// ticket as one that it has not granted yet.
 #[rstest]
-fn a_restarted_issuer_grants_no_ticket_of_its_former_life(#[values(false, true)] used: bool) {
+fn a_restarted_issuer_grants_no_ticket_of_its_former_incarnation(
+    #[values(false, true)] used: bool,
+) {
     let mut world = settled(3);
     let ticket = world.ticket(2);
     let mut sent = Vec::new();
@@ -235,27 +237,28 @@
 
     for n in [0, 1, 2, 0, 1, 2] {
         world.run_for(SECOND * 3);
-        let repeat = world.send(n, "order", Name::Ticket(ticket));
+        let duplicate = world.send(n, "order", Name::Ticket(ticket));
         world.run_for(SECOND * 2);
-        assert_eq!(told(&world, repeat), (Reason::HolderGone, Outcome::Unknown));
-        sent.push(repeat);
+        assert_eq!(
+            refusal(&world, duplicate),
+            (Reason::HolderGone, Outcome::Unknown)
+        );
+        sent.push(duplicate);
     }
 
     assert_eq!(world.runs(&sent), usize::from(used));
 }
 
-/// Symptom: a shirt is sold twice, minutes apart. Sequence: an entry asks for
-/// the claim of a key and is paused with the grant in its socket; the key's
-/// home leaves the list, the next one settles and grants the key to a repeat;
-/// the entry wakes and takes the grant. Cause: a claim that is still believed
-/// after its time.
+/// Failure: an order runs twice, minutes apart. An instance requests the claim of a key and is
+/// paused with the grant in its socket; the key's home leaves the list, the next home settles and
+/// grants the key to a duplicate; the instance resumes and uses the expired grant.
 #[test]
-fn an_entry_that_wakes_with_an_old_grant_sends_nothing() {
+fn an_instance_that_resumes_with_an_expired_grant_sends_nothing() {
     let mut world = settled(4);
     let key = world.key_at(2, 3);
     let warm_up = world.key_at(2, 1);
     for n in 0..4 {
-        // Links are up and the list is fresh, so that the grant comes at once.
+        // Establishes the links and refreshes the list, so that the grant comes at once.
         world.send(n, "plan", Name::Key(&warm_up));
         world.run_for(SECOND);
     }
@@ -267,28 +270,27 @@
     world.unlisted.insert(2);
     world.publish_list(2, 2);
     world.run_for(SETTLED);
-    let repeat = world.send(1, "order", Name::Key(&key));
+    let duplicate = world.send(1, "order", Name::Key(&key));
     world.run_for(SECOND);
-    assert_eq!(world.runs(&[repeat]), 1);
+    assert_eq!(world.runs(&[duplicate]), 1);
 
     world.resume(0);
     world.run_for(SECOND * 30);
 
     assert_eq!(world.runs(&[first]), 0);
     let paused = (Reason::PausedTooLong, Outcome::Unknown);
-    assert_eq!(told(&world, first), paused);
+    assert_eq!(refusal(&world, first), paused);
     let third = world.send(3, "order", Name::Key(&key));
     world.run_for(SECOND);
     let running = (Reason::AlreadyRunning, Outcome::Unknown);
-    assert_eq!(told(&world, third), running);
+    assert_eq!(refusal(&world, third), running);
 }
 
-/// Symptom: a rolling restart makes an order run twice, or keys are refused
-/// for good after it. Sequence: the home of a key is stopped as planned while
-/// an order under the key runs elsewhere, and leaves the list. Cause: its
-/// successor knows nothing of the key, or never feels sure of it.
+/// Failure: after a rolling restart an order runs twice, or its key is refused forever. The home of
+/// a key stops as planned while an order under the key runs at another instance, and leaves the
+/// list. Its successor has no record of the key, or never settles.
 #[test]
-fn a_planned_stop_of_a_keys_home_forgets_no_claim() {
+fn a_planned_stop_of_a_keys_home_loses_no_claim() {
     let mut world = settled(4);
     let key = world.key_at(2, 3);
     let first = world.send(0, "order", Name::Key(&key));
@@ -305,26 +307,25 @@
             world.publish_list(2, 2);
         }
         world.run_for(SECOND * 10);
-        let repeat = world.send(1, "order", Name::Key(&key));
+        let duplicate = world.send(1, "order", Name::Key(&key));
         world.run_for(SECOND);
-        assert_eq!(told(&world, repeat).1, Outcome::Unknown);
-        sent.push(repeat);
+        assert_eq!(refusal(&world, duplicate).1, Outcome::Unknown);
+        sent.push(duplicate);
     }
 
     assert_eq!(world.runs(&sent), 1);
     let last = *sent.last().expect("sent above");
-    assert_eq!(told(&world, last).0, Reason::AlreadyRunning);
+    assert_eq!(refusal(&world, last).0, Reason::AlreadyRunning);
     let fresh = world.send(1, "order", Name::Key(&format!("{key}-b")));
     world.run_for(SECOND);
     assert_eq!(world.runs(&[fresh]), 1);
 }
 
-/// Symptom: a plan that its caller named by a key breaks off when its engine
-/// dies, although others are free. Sequence: it has been streamed for minutes;
-/// its claim was asked for before that. Cause: the claim's time, which keeps
-/// work from running twice, is held against work that may.
+/// Failure: a generation under a key ends when its engine dies, although other engines are free. It
+/// has been streamed for longer than its claim is valid, and the validity limit, which prevents
+/// non-idempotent work from running twice, is applied to idempotent work.
 #[test]
-fn a_long_answer_under_a_key_is_replayed_elsewhere() {
+fn a_long_generation_under_a_key_is_replayed_elsewhere() {
     let mut world = settled(4);
     let key = world.key_at(2, 3);
     let id = world.send(0, "plan", Name::Key(&key));
@@ -347,12 +348,11 @@
     assert!(dispatches[1].send_before > world.now);
 }
 
-/// Symptom: a shirt is sold twice. Sequence: an entry sends an order under a
-/// key and dies together with the key's home (one rack); the list drops the
-/// home; the repeat reaches the next home. Cause: nobody is left who knows of
-/// the order, and the next home takes the key for a new one.
+/// Failure: an order runs twice. An instance dispatches an order under a key and dies together with
+/// the key's home, for example in the same rack; the list drops the home, and a duplicate reaches
+/// the next home, which has no record of the order and treats the key as new.
 #[test]
-fn a_key_whose_home_and_holder_are_gone_is_unknown_for_its_time() {
+fn a_key_without_home_and_holder_is_unknown_until_the_next_home_settles() {
     let mut world = settled(4);
     let key = world.key_at(2, 3);
     let first = world.send(0, "order", Name::Key(&key));
@@ -366,20 +366,19 @@
 
     for _ in 0..9 {
         world.run_for(SECOND * 11);
-        let repeat = world.send(1, "order", Name::Key(&key));
+        let duplicate = world.send(1, "order", Name::Key(&key));
         world.run_for(SECOND);
         let unsure = (Reason::KeyHomeUnsure, Outcome::Unknown);
-        assert_eq!(told(&world, repeat), unsure);
-        assert_eq!(world.runs(&[repeat]), 0);
+        assert_eq!(refusal(&world, duplicate), unsure);
+        assert_eq!(world.runs(&[duplicate]), 0);
     }
 }
 
-/// Symptom: after a rolling restart a caller's repeat hears "already running"
-/// about an order whose whole answer was delivered. Sequence: an entry that is
-/// stopping answers its last request and ends at once. Cause: the word of the
-/// claim's end was still on its way.
+/// Failure: after a rolling restart a duplicate request is refused as "already running", although
+/// the complete response was delivered. A stopping instance finished its last request and ended at
+/// once, before the report of the claim's end arrived.
 #[rstest]
-fn a_planned_stop_leaves_the_ends_of_its_claims_behind(
+fn a_planned_stop_waits_until_the_ends_of_its_claims_are_acknowledged(
     #[values(Kind::Key, Kind::Ticket)] kind: Kind,
 ) {
     let mut world = settled(4);
@@ -399,16 +398,15 @@
     }
     assert!(world.seat(0).stopped);
     world.kill(0);
-    let repeat = world.send(1, "order", granted.name());
+    let duplicate = world.send(1, "order", granted.name());
     world.run_for(SECOND * 3);
 
     let complete = (Reason::AlreadyRan, Outcome::Complete);
-    assert_eq!(told(&world, repeat), complete);
+    assert_eq!(refusal(&world, duplicate), complete);
 }
 
-/// Symptom: a caller's order can never be placed: each send under its ticket
-/// hears "holder gone". Sequence: the ticket was drawn at an instance that was
-/// about to end its planned stop. Cause: it still issued tickets.
+/// Failure: an order can never be placed, because each request under its ticket is refused as
+/// "holder gone". The ticket was issued by an instance that was about to end its planned stop.
 #[test]
 fn an_instance_that_is_stopping_issues_no_ticket() {
     let mut world = World::new(2, 1);
--- a/crates/core/tests/node/ejections.rs
+++ b/crates/core/tests/node/ejections.rs
@@ -1,4 +1,4 @@
-//! Operators are told once when an endpoint is ejected, and once when it is used again.
+//! Operators receive one event when an endpoint is ejected, and one when it is used again.
 
 use crate::world::World;
 use oriolemux_core::note::Note;
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// More failures than an endpoint is allowed, with room for retries elsewhere.
+/// More failures than lead to an ejection, with room for retries at the other endpoint.
 const FAILURES: usize = 12;
 
-/// Returns what the nodes told of ejections, in order.
-fn told(world: &World) -> Vec<Note> {
+/// Returns the ejection events of all nodes, in order.
+fn reported_ejections(world: &World) -> Vec<Note> {
     let notes = world.seats.values().flat_map(|seat| &seat.notes);
     let is_ejection =
         |note: &&Note| matches!(note, Note::EndpointEjected(_) | Note::EndpointReadmitted(_));
     notes.filter(is_ejection).cloned().collect()
 }
 
-/// Lets whatever runs at `endpoint` fail, and the rest complete.
+/// Fails the last attempt of a request if it ran at `endpoint`, and completes it otherwise.
 fn end_attempts(world: &mut World, id: oriolemux_core::RequestId, endpoint: EndpointKey) -> bool {
     let Some(last) = world.dispatches(id).last().cloned() else {
         return false;
@@ -30,11 +30,11 @@
     failed
 }
 
-/// Symptom: streams stall at one endpoint and operators see nothing but retries. Sequence: an
-/// endpoint stalls again and again until it gets no more work, then serves a probe. Cause: the
-/// cell that decided so told nobody.
+/// Failure: streams stall at one endpoint and operators see only retries. The endpoint stalls
+/// repeatedly until it is ejected, then serves a probe; the cell that ejects and readmits it
+/// reports nothing.
 #[test]
-fn ejection_and_return_are_told_once_each() {
+fn ejection_and_readmission_are_reported_once_each() {
     let mut world = World::new(1, 2);
     let first = world.request(0, "plan");
     world.run_for(SECOND);
@@ -50,7 +50,7 @@
         }
         world.run_for(SECOND);
     }
-    assert_eq!(told(&world), [Note::EndpointEjected(bad)]);
+    assert_eq!(reported_ejections(&world), [Note::EndpointEjected(bad)]);
 
     for _ in 0..FAILURES {
         let id = world.request(0, "plan");
@@ -61,5 +61,5 @@
     }
 
     let expected = [Note::EndpointEjected(bad), Note::EndpointReadmitted(bad)];
-    assert_eq!(told(&world), expected);
+    assert_eq!(reported_ejections(&world), expected);
 }
--- a/crates/core/tests/node/failures.rs
+++ b/crates/core/tests/node/failures.rs
@@ -8,12 +8,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Symptom: a caller waits until its longest wait and is refused, although
-/// endpoints are idle. Sequence: an entry asks the home of a cell; the home's
-/// process dies with the request in its queue. Cause: the entry waits for an
-/// answer that nobody will give, unless it asks the next home in rank.
+/// Failure: a request waits for its longest wait and is refused, although endpoints are idle. The
+/// home of the cell dies with the request in its queue, and the entry instance waits for its answer
+/// instead of requesting a grant from the next home in rank.
 #[test]
-fn a_home_that_dies_does_not_keep_its_queue() {
+fn queued_requests_move_to_the_next_home() {
     let mut world = World::new(3, 1);
     let first = world.request(0, "plan");
     world.run_for(SECOND);
@@ -31,10 +30,10 @@
     assert_eq!(world.dispatches(id).len(), 1);
 }
 
-/// Symptom: a shirt is sold twice. Sequence: a non-idempotent request is sent,
-/// the connection breaks before any answer. Cause: a retry on an unknown outcome.
+/// Failure: an order runs twice. The connection of a non-idempotent request breaks before any
+/// response, and the request is retried although its outcome is unknown.
 #[test]
-fn work_that_may_have_run_and_must_not_repeat_is_not_tried_again() {
+fn non_idempotent_work_that_may_have_run_is_not_retried() {
     let mut world = World::new(2, 2);
     let id = world.request(0, "order");
     world.run_for(SECOND);
@@ -47,11 +46,11 @@
     assert_eq!(verdict.outcome(), Outcome::Unknown);
 }
 
-/// Symptom: the caller of repeatable work sees an error though another
-/// endpoint is free. Sequence: the endpoint dies before the first token.
-/// Cause: no retry, or a retry at the endpoint that just failed.
+/// Failure: the caller of idempotent work receives an error although another endpoint is free. The
+/// endpoint dies before the first token, and there is no retry, or only one at the endpoint that
+/// just failed.
 #[test]
-fn repeatable_work_is_tried_at_another_endpoint() {
+fn idempotent_work_is_retried_at_another_endpoint() {
     let mut world = World::new(2, 2);
     let id = world.request(0, "plan");
     world.run_for(SECOND);
@@ -65,11 +64,11 @@
     assert_eq!(dispatches[1].attempt.number, 2);
 }
 
-/// Symptom: work is sent to an endpoint long after it said that it leaves.
-/// Sequence: one entry is refused with "leaving"; the published list still
-/// calls the endpoint live. Cause: the news stays with whoever heard it.
+/// Failure: work is sent to an endpoint long after it announced that it is leaving. One instance is
+/// refused with "leaving" while the published list still has the endpoint as live, and the instance
+/// does not gossip it.
 #[test]
-fn an_endpoint_that_refuses_as_leaving_gets_nothing_new_from_anyone() {
+fn an_endpoint_that_refuses_as_leaving_gets_nothing_new_from_any_instance() {
     let mut world = World::new(3, 2);
     let id = world.request(0, "plan");
     world.run_for(SECOND);
@@ -96,8 +95,8 @@
     }
 }
 
-/// Symptom: a rolling restart cuts plans off. Sequence: a stop is asked for
-/// while a stream runs. Cause: the process ends before its last stream.
+/// Failure: a rolling restart interrupts streams. A stop is requested while a stream runs, and the
+/// process ends before its last stream.
 #[test]
 fn a_planned_stop_waits_for_the_last_stream() {
     let mut world = World::new(2, 1);
@@ -114,11 +113,11 @@
     assert!(world.seat(0).stopped);
 }
 
-/// Symptom: a cell's memory counts as full though nothing runs. Sequence: an
-/// entry dies with granted requests and comes back under the same name.
-/// Cause: the home keeps the leases of the life that is over.
+/// Failure: the KV cache of a cell counts as full though nothing runs. An instance dies with
+/// granted requests and comes back under the same name, and the home keeps the grants of the ended
+/// incarnation.
 #[test]
-fn a_replaced_life_holds_no_room() {
+fn a_replaced_incarnation_holds_no_capacity() {
     let mut world = World::new(2, 1);
     let ids: Vec<_> = (0..4).map(|_| world.request(0, "plan")).collect();
     world.run_for(SECOND);
@@ -137,11 +136,11 @@
     assert_eq!(running, 0);
 }
 
-/// Symptom: requests on the smaller side of a partition all fail. Sequence: an
-/// entry loses every peer, the home among them. Cause: waiting for a home that
-/// cannot be reached instead of deciding alone, over-committing a little.
+/// Failure: all requests on the smaller side of a partition fail. An instance loses every peer, the
+/// home included, and waits for a home that cannot be reached instead of becoming the home itself,
+/// at the cost of some over-commitment.
 #[test]
-fn an_isolated_entry_decides_alone_and_rejoins() {
+fn an_isolated_instance_serves_its_callers_and_rejoins() {
     let mut world = World::new(3, 2);
 
     world.isolate(0);
@@ -159,11 +158,10 @@
     assert_eq!(world.dispatches(after).len(), 1);
 }
 
-/// Symptom: callers are refused for as long as the platform is down.
-/// Sequence: the platform stops answering after the start. Cause: serving
-/// depends on a fresh read.
+/// Failure: callers are refused while the platform is down. The platform stops answering after the
+/// start, and serving depends on a recent read.
 #[test]
-fn serving_goes_on_while_the_platform_is_down() {
+fn serving_continues_while_the_platform_is_down() {
     let mut world = World::new(2, 1);
     world.platform_down = true;
 
@@ -174,10 +172,9 @@
     assert_eq!(world.dispatches(id).len(), 1);
 }
 
-/// Symptom: a plan that was nearly done ends as partial although another
-/// endpoint is free. Sequence: a generation runs for longer than its class's
-/// longest wait, then its endpoint dies. Cause: the wait for the replay is
-/// counted from the request's arrival, so that every home refuses it.
+/// Failure: a generation that was nearly complete ends as partial although another endpoint is
+/// free. It ran for longer than the longest wait of its class, then its endpoint died; the wait for
+/// the replay is counted from the arrival of the request, so every home refuses it.
 #[test]
 fn a_long_generation_is_replayed_elsewhere() {
     let mut world = World::new(2, 2);
@@ -202,11 +199,11 @@
     assert_ne!(dispatches[1].endpoint.key, first.endpoint.key);
 }
 
-/// Symptom: where a model has one endpoint, one broken connection fails the
-/// request, though the endpoint is back at once. Sequence: the only endpoint
-/// fails before the first token. Cause: a retry excludes it for good.
+/// Failure: where a model has one endpoint, one broken connection fails the request, though the
+/// endpoint is available again at once. The endpoint fails before the first token, and the retry
+/// excludes it permanently.
 #[test]
-fn the_only_endpoint_is_tried_again() {
+fn the_only_endpoint_is_retried() {
     let mut world = World::new(1, 1);
     let id = world.request(0, "plan");
     world.run_for(SECOND);
@@ -217,11 +214,10 @@
     assert_eq!(world.dispatches(id).len(), 2, "{:?}", world.verdict(id));
 }
 
-/// Symptom: a mistake in the catalogue takes the service down, or is silently
-/// left out. Sequence: an index with a mistake is published. Cause: parts of it
-/// come into force, or nobody is told that it did not.
+/// Failure: an error in the catalogue interrupts the service, or is silently ignored. An index with
+/// an error is published, and parts of it come into force, or nothing shows that it was rejected.
 #[test]
-fn a_bad_catalogue_changes_nothing_and_is_shown() {
+fn an_invalid_catalogue_changes_nothing_and_is_shown() {
     let mut world = World::new(3, 1);
 
     let bad = b"revision = 2\nshards = []\n[[entry]]\nname = \"plan\"\n";
@@ -229,7 +225,7 @@
     world.run_for(Duration::from_secs(30));
 
     let shown = (0..3).filter(|&n| world.seat(n).node.snapshot().rejection.is_some());
-    assert!(shown.count() > 0, "at least the watchers show it");
+    assert!(shown.count() > 0, "at least the watchers report it");
     for n in 0..3 {
         assert_eq!(world.seat(n).node.snapshot().catalogue_revision, 1);
         let id = world.request(n, "plan");
@@ -238,15 +234,15 @@
     }
 }
 
-/// Symptom: after the loss of one instance, callers elsewhere wait until their
-/// longest wait and are refused with `home_silent`. Sequence: an entry runs
-/// some requests in a crowded cell and queues others there; the cell's home
-/// dies. Cause: the entry asks the next home again and then tells it what runs;
-/// the home takes what is not named for ended, the asks included.
+/// Failure: after the loss of one instance, requests at other instances wait for their longest wait
+/// and are refused with `home_silent`. An instance runs some requests in a crowded cell and has
+/// others queued there when the home of the cell dies. If it sends its queued requests to the next
+/// home before the resync of the running ones, the home drops everything that the resync does not
+/// name, the queued requests included.
 #[rstest]
 #[case::one(1)]
 #[case::the_other(2)]
-fn queued_requests_outlive_their_home_beside_running_ones(#[case] entry: usize) {
+fn queued_requests_survive_their_home_next_to_running_ones(#[case] entry: usize) {
     let mut world = World::new(3, 1);
     let first = world.request(0, "plan");
     world.run_for(SECOND);
--- a/crates/core/tests/node/histories.rs
+++ b/crates/core/tests/node/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of whole nodes: nothing runs twice, no "not run" is false,
-//! and every request ends once.
+//! Random histories of complete nodes: nothing runs twice, no "not run" is false, and every request
+//! ends exactly once.
 
 mod steps;
 
@@ -14,20 +14,20 @@
 use std::time::Duration;
 use steps::{How, Step, steps};
 
-/// Nodes of the world.
+/// Number of nodes.
 const NODES: usize = 4;
 const ENGINES: usize = 3;
 const KEYS: [&str; 3] = ["order-1", "order-2", "order-3"];
-/// How often the world is looked at.
+/// Interval at which the results are checked.
 const TICK: Duration = Duration::from_millis(250);
-/// No cut and no pause lasts longer (K2 of docs/design/at-most-once.md).
-const LONGEST_CUT: Duration = Duration::from_secs(6);
-/// Peers break a link after so much silence.
+/// Maximum duration of a partition or pause (K2 of docs/design/at-most-once.md).
+const LONGEST_FAULT: Duration = Duration::from_secs(6);
+/// Peers close a link after this much silence.
 const SILENCE: Duration = Duration::from_secs(4);
-/// Longer than any request waits, is judged or is taken back.
+/// Longer than any request waits, is validated or is withdrawn.
 const AFTERMATH: Duration = Duration::from_secs(90);
 
-/// Claims in a tenth of the usual times, so that a history sees them end.
+/// Timeouts of claims at a tenth of the defaults, so that a history includes their expiry.
 fn keys() -> KeysConfig {
     KeysConfig {
         memory: Duration::from_secs(12),
@@ -38,7 +38,7 @@
     }
 }
 
-/// What binds orders that must not both run.
+/// The name that binds orders of which at most one may run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bound {
     Key(usize),
@@ -50,17 +50,17 @@
 struct Sent {
     node: usize,
     name: Option<Bound>,
-    once: bool,
+    non_idempotent: bool,
     over: bool,
 }
 
-/// A send of an attempt, as its endpoint sees it.
+/// A dispatched attempt, as its endpoint sees it.
 #[derive(Debug)]
 struct Sending {
     attempt: AttemptId,
-    /// It was refused definitely, so that it did not run.
+    /// Whether the endpoint refused it, so that it provably did not run.
     refused: bool,
-    /// When it ended, or its process did.
+    /// When it ended, or the process that dispatched it did.
     ended: Option<Time>,
 }
 
@@ -69,11 +69,11 @@
     sent: BTreeMap<RequestId, Sent>,
     sendings: Vec<Sending>,
     tickets: [Option<RequestId>; 2],
-    /// Dispatches and answers of each node's present life that were looked at.
+    /// Number of dispatches and verdicts of each node's current incarnation that were checked.
     seen: [(usize, usize); NODES],
-    lives: u64,
+    incarnations: u64,
     list: u64,
-    hurt_since: Option<Time>,
+    fault_since: Option<Time>,
     faults: Vec<String>,
 }
 
@@ -87,9 +87,9 @@
             sendings: Vec::new(),
             tickets: [None; 2],
             seen: [(0, 0); NODES],
-            lives: 100,
+            incarnations: 100,
             list: 1,
-            hurt_since: None,
+            fault_since: None,
             faults: Vec::new(),
         }
     }
@@ -103,19 +103,19 @@
             Step::Kill(n) => self.kill(n),
             Step::Restart(n) => self.restart(n),
             Step::Stop(n) => self.world.feed(self.world.key(n), Event::Stop),
-            Step::Part(a, b) if a == b => {}
-            Step::Part(a, b) => {
-                self.hurt();
-                self.world.part(a, b);
+            Step::Partition(a, b) if a == b => {}
+            Step::Partition(a, b) => {
+                self.start_fault();
+                self.world.partition(a, b);
             }
             Step::Isolate(n) => {
-                self.hurt();
+                self.start_fault();
                 self.world.isolate(n);
             }
             Step::Heal => self.heal(),
             Step::Pause(n) => {
                 if self.is_up(n) {
-                    self.hurt();
+                    self.start_fault();
                     self.world.pause(n);
                 }
             }
@@ -123,11 +123,11 @@
             Step::Relist(n) => self.relist(n),
             Step::PassMillis(millis) => self.pass(Duration::from_millis(millis)),
         }
-        self.look();
+        self.observe();
     }
 
-    fn hurt(&mut self) {
-        self.hurt_since.get_or_insert(self.world.now);
+    fn start_fault(&mut self) {
+        self.fault_since.get_or_insert(self.world.now);
     }
 
     fn is_up(&self, n: usize) -> bool {
@@ -166,13 +166,13 @@
         let sent = Sent {
             node: n,
             name,
-            once: entry == "order",
+            non_idempotent: entry == "order",
             over: false,
         };
         self.sent.insert(id, sent);
     }
 
-    /// The attempts that run in processes that work.
+    /// Running attempts of nodes that are up.
     fn open(&self) -> Vec<usize> {
         let open = |it: &Sending| {
             let request = &self.sent[&it.attempt.request];
@@ -204,7 +204,7 @@
             retry_after: None,
         };
         let update = match how {
-            How::Whole => {
+            How::Complete => {
                 self.end(attempt.request);
                 return self.world.complete(attempt);
             }
@@ -248,9 +248,9 @@
         if self.world.seat(n).dead {
             return;
         }
-        let cut = self.world.cut.clone();
+        let partitioned = self.world.partitioned.clone();
         self.world.kill(n);
-        self.world.cut = cut;
+        self.world.partitioned = partitioned;
         let me = self.world.key(n);
         self.end_sendings(|it| it.attempt.request.instance == me);
         let lost = self.sent.values_mut().filter(|it| it.node == n);
@@ -259,13 +259,13 @@
 
     fn restart(&mut self, n: usize) {
         self.kill(n);
-        self.lives += 1;
-        self.world.start_node(n, Incarnation(self.lives));
+        self.incarnations += 1;
+        self.world.start_node(n, Incarnation(self.incarnations));
         self.seen[n] = (0, 0);
     }
 
     fn heal(&mut self) {
-        self.hurt_since = None;
+        self.fault_since = None;
         self.world.heal();
         for n in 0..NODES {
             if self.world.seat(n).paused && !self.world.seat(n).dead {
@@ -286,32 +286,32 @@
         let end = self.world.now + time;
         while self.world.now < end {
             let now = self.world.now;
-            if self.hurt_since.is_some_and(|it| now >= it + LONGEST_CUT) {
+            if self.fault_since.is_some_and(|it| now >= it + LONGEST_FAULT) {
                 self.heal();
             }
-            if self.hurt_since.is_some_and(|it| now >= it + SILENCE) {
+            if self.fault_since.is_some_and(|it| now >= it + SILENCE) {
                 let paused = (0..NODES).filter(|&n| self.world.seat(n).paused);
                 for n in paused.collect::<Vec<_>>() {
                     self.world.drop_links(n);
                 }
             }
             self.world.run_for(TICK.min(end.since(now)));
-            self.look();
+            self.observe();
         }
     }
 
-    /// Takes in what the nodes ordered and answered since the last look.
-    fn look(&mut self) {
+    /// Checks the dispatches and verdicts of the nodes since the last call.
+    fn observe(&mut self) {
         for n in 0..NODES {
             let seat = self.world.seat(n);
             let (dispatches, answers) = self.seen[n];
             let new: Vec<_> = seat.dispatched[dispatches..].to_vec();
-            let told: Vec<_> = seat.finished[answers..].to_vec();
+            let verdicts: Vec<_> = seat.finished[answers..].to_vec();
             self.seen[n] = (seat.dispatched.len(), seat.finished.len());
             for order in &new {
                 self.on_dispatch(order.attempt, order.send_before);
             }
-            for (id, verdict) in told {
+            for (id, verdict) in verdicts {
                 self.end(id);
                 if verdict.outcome() == Outcome::NotRun {
                     self.check_not_run(id, verdict.reason());
@@ -326,9 +326,9 @@
         if !seat.stopped || seat.dead {
             return;
         }
-        let cut_off = self.sent.iter().find(|(_, it)| it.node == n && !it.over);
-        if let Some((id, _)) = cut_off {
-            let fault = format!("{id} was cut off by a planned stop");
+        let unfinished = self.sent.iter().find(|(_, it)| it.node == n && !it.over);
+        if let Some((id, _)) = unfinished {
+            let fault = format!("{id} was interrupted by a planned stop");
             self.faults.push(fault);
         }
         self.kill(n);
@@ -347,12 +347,16 @@
         }
         let sent = &self.sent[&id];
         if sent.over {
-            self.faults.push(format!("{id} is sent after its end"));
+            self.faults
+                .push(format!("{id} is dispatched after its end"));
         }
-        if sent.once
+        if sent.non_idempotent
             && let Some(other) = self.other_run(id)
         {
-            let fault = format!("{id} is sent, and {other} may have run: {:?}", sent.name);
+            let fault = format!(
+                "{id} is dispatched, and {other} may have run: {:?}",
+                sent.name
+            );
             self.faults.push(fault);
         }
         self.sendings.push(Sending {
@@ -362,8 +366,8 @@
         });
     }
 
-    /// Returns a sending, of this request or of one under the same name, that
-    /// may have run and is still to be remembered.
+    /// Returns an attempt, of this request or of another under the same name, that may have run and
+    /// whose claim must still be remembered.
     fn other_run(&self, id: RequestId) -> Option<AttemptId> {
         let (now, memory) = (self.world.now, keys().memory);
         let name = self.sent[&id].name;
@@ -382,13 +386,13 @@
 
     fn check_not_run(&mut self, id: RequestId, reason: Reason) {
         if let Some(run) = self.other_run(id) {
-            let fault = format!("{id} is told not_run ({reason}), and {run} may have run");
+            let fault = format!("{id} is reported as not_run ({reason}), and {run} may have run");
             self.faults.push(fault);
         }
     }
 
-    /// Heals everything, answers everything, and returns what is wrong.
-    fn close(mut self) -> Vec<String> {
+    /// Heals all faults, completes all attempts, and returns the violations.
+    fn heal_and_check(mut self) -> Vec<String> {
         self.heal();
         self.world.platform_down = false;
         self.world.unlisted.clear();
@@ -398,14 +402,14 @@
         while self.world.now < end {
             self.pass(Duration::from_secs(1));
             for i in self.open() {
-                self.answer_sending(i, How::Whole);
+                self.answer_sending(i, How::Complete);
             }
         }
-        self.check_quiet();
+        self.check_idle();
         self.faults
     }
 
-    fn check_quiet(&mut self) {
+    fn check_idle(&mut self) {
         for (id, sent) in self.sent.iter().filter(|(_, it)| !it.over) {
             let seat = self.world.seat(sent.node);
             let why = seat.node.explain(*id);
@@ -415,13 +419,13 @@
         for n in up {
             let snapshot = self.world.seat(n).node.snapshot();
             if snapshot.requests != Default::default() {
-                let fault = format!("{n} keeps {:?}", snapshot.requests);
+                let fault = format!("node {n} still has {:?}", snapshot.requests);
                 self.faults.push(fault);
             }
             let running: u32 = snapshot.cells.iter().map(|(_, it)| it.running).sum();
             let queued: u32 = snapshot.cells.iter().map(|(_, it)| it.queued).sum();
             if running + queued > 0 {
-                let fault = format!("{n} counts {running} running, {queued} queued");
+                let fault = format!("node {n} counts {running} running, {queued} queued");
                 self.faults.push(fault);
             }
         }
@@ -435,19 +439,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Symptom: any of a second run, a false "not run", a request that ends
-    // twice, never, or by a planned stop, a place that is held for ever.
-    // Sequence: any of kills, restarts, planned stops, cuts, pauses, outages of
-    // the platform and changes of the list, in the middle of requests and
-    // repeats. Cause: whatever the cases above did not think of.
+    // Failure: a request runs twice, is falsely reported as "not run", ends twice or never, is
+    // interrupted by a planned stop, or its grant is never released. Caused by any combination of
+    // kills, restarts, planned stops, partitions, pauses, platform outages and list changes, in the
+    // middle of requests and duplicates, that the other tests do not cover.
     #[test]
-    fn no_history_breaks_a_promise_of_whole_nodes(steps in steps()) {
+    fn no_history_breaks_a_guarantee_of_complete_nodes(steps in steps()) {
         let mut history = History::new();
         for step in steps {
             history.apply(step);
             prop_assert!(history.faults.is_empty(), "{:#?}", history.faults);
         }
-        let faults = history.close();
+        let faults = history.heal_and_check();
         prop_assert!(faults.is_empty(), "{faults:#?}");
     }
 }
--- a/crates/core/tests/node/histories/steps.rs
+++ b/crates/core/tests/node/histories/steps.rs
@@ -1,4 +1,4 @@
-//! What can happen in a history, and how often.
+//! The steps of a random history and their relative frequency.
 
 use super::{KEYS, NODES};
 use proptest::prelude::*;
@@ -6,17 +6,17 @@
 /// One step of a history.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A request at a node: repeatable, or not and under which name.
+    /// A request at a node: idempotent, or non-idempotent and possibly under a name.
     Plan(usize),
     Order(usize, Option<usize>),
-    /// One of the attempts that run ends so.
+    /// One of the running attempts receives this result.
     Answer(usize, How),
-    /// The caller of one of the requests leaves.
+    /// The caller of one of the requests disconnects.
     Leave(usize),
     Kill(usize),
     Restart(usize),
     Stop(usize),
-    Part(usize, usize),
+    Partition(usize, usize),
     Isolate(usize),
     Heal,
     Pause(usize),
@@ -25,23 +25,23 @@
     PassMillis(u64),
 }
 
-/// What becomes of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum How {
-    Whole,
+    Complete,
     Lost,
     LostAfterTokens,
     Refused,
     Progress,
 }
 
-/// Returns any sequence of steps.
+/// Returns a strategy for sequences of steps.
 pub fn steps() -> impl Strategy<Value = Vec<Step>> {
     let node = 0..NODES;
     // The first three names are keys, the rest tickets.
     let name = prop::option::weighted(0.8, 0..KEYS.len() + 2);
     let how = prop_oneof![
-        2 => Just(How::Whole),
+        2 => Just(How::Complete),
         2 => Just(How::Lost),
         1 => Just(How::LostAfterTokens),
         2 => Just(How::Refused),
@@ -55,7 +55,7 @@
         1 => node.clone().prop_map(Step::Kill),
         1 => node.clone().prop_map(Step::Restart),
         1 => node.clone().prop_map(Step::Stop),
-        1 => (node.clone(), node.clone()).prop_map(|(a, b)| Step::Part(a, b)),
+        1 => (node.clone(), node.clone()).prop_map(|(a, b)| Step::Partition(a, b)),
         1 => node.clone().prop_map(Step::Isolate),
         1 => Just(Step::Heal),
         1 => node.clone().prop_map(Step::Pause),
--- a/crates/core/tests/node/leases.rs
+++ b/crates/core/tests/node/leases.rs
@@ -1,14 +1,15 @@
-//! Places that a home holds for requests are given back, whatever was lost.
+//! Grants that a home holds for requests are released, whatever messages were lost.
 
 use crate::world::World;
 use oriolemux_core::Incarnation;
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Longer than a home waits before it asks or forgets.
+/// Longer than the interval at which a home confirms its grants, or the time for which it keeps
+/// those of an unreachable instance.
 const LATER: Duration = Duration::from_secs(60);
 
-/// Requests that any home counts as waiting or running.
+/// Number of requests that any home counts as waiting or running.
 fn held(world: &World, nodes: usize) -> u32 {
     let alive = (0..nodes).filter(|&n| !world.seat(n).dead);
     let cells = alive.flat_map(|n| world.seat(n).node.snapshot().cells);
@@ -26,11 +27,11 @@
     cells.iter().map(|(_, it)| it.running + it.queued).sum()
 }
 
-/// Symptom: a cell's memory counts as full though nothing runs. Sequence: the
-/// list changes and the cell's home with it while a request runs; it ends; the
-/// list changes back. Cause: its end was told to the second home alone.
+/// Failure: the KV cache of a cell counts as full though nothing runs. The list changes, and with
+/// it the home of the cell, while a request runs; the request ends; the list changes back. The end
+/// of the request was reported to the second home only.
 #[test]
-fn a_home_that_comes_back_holds_no_place_of_its_first_time() {
+fn a_returning_home_holds_no_grants_from_before() {
     let mut world = World::new(4, 1);
     let id = world.request(0, "plan");
     world.run_for(SECOND);
@@ -48,11 +49,10 @@
     assert_eq!(held(&world, 4), 0);
 }
 
-/// Symptom: as above. Sequence: a request ends, and the link to the home
-/// breaks with that word on its way; both processes live on. Cause: nothing
-/// says it again.
+/// Failure: as above. A request ends and the link to the home breaks while the report is in flight;
+/// both processes keep running, and the report is not sent again.
 #[test]
-fn an_end_that_is_lost_with_its_link_gives_the_place_back() {
+fn a_lost_end_report_still_releases_its_grant() {
     let mut world = World::new(4, 1);
     let ids: Vec<_> = (0..4).map(|n| world.request(n, "plan")).collect();
     world.run_for(SECOND);
@@ -60,7 +60,7 @@
     let entry = (home + 1) % 4;
 
     world.complete(world.dispatches(ids[entry])[0].attempt);
-    world.part(entry, home);
+    world.partition(entry, home);
     world.run_for(SECOND);
     world.heal();
     world.run_for(SECOND);
@@ -68,11 +68,10 @@
     assert_eq!(held(&world, 4), 3);
 }
 
-/// Symptom: as above. Sequence: an entry dies with a granted request, leaves
-/// the list and is started again under its old name. Cause: its home takes the
-/// link to the new life for one to the old.
+/// Failure: as above. An instance dies with a granted request, leaves the list and is restarted
+/// under its old name; its home mistakes the link to the new incarnation for one to the old.
 #[test]
-fn a_life_that_was_replaced_while_unlisted_holds_no_place() {
+fn an_incarnation_replaced_while_unlisted_holds_no_grants() {
     let mut world = World::new(4, 1);
     let ids: Vec<_> = (0..4).map(|n| world.request(n, "plan")).collect();
     world.run_for(SECOND);
@@ -89,7 +88,7 @@
     world.publish_list(3, 1);
     world.run_for(SECOND * 3);
     for _ in 0..20 {
-        // Keeps the links in use.
+        // Keeps the links in use, so that they are not closed as idle.
         let id = world.request(entry, "plan");
         world.run_for(SECOND);
         world.complete(world.dispatches(id)[0].attempt);
--- a/crates/core/tests/node/main.rs
+++ b/crates/core/tests/node/main.rs
@@ -1,5 +1,5 @@
-//! Whole nodes in a small world: links that break, endpoints that leave,
-//! processes that are paused or replaced.
+//! Complete nodes in a simulated fleet: links that break, endpoints that leave, processes that are
+//! paused or replaced.
 
 mod claims;
 mod ejections;
--- a/crates/core/tests/node/orders.rs
+++ b/crates/core/tests/node/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that whole nodes give to fake engines.
+//! Orders that complete nodes send to simulated engines.
 
 use crate::world::{World, loom};
 use oriolemux_core::event::OrderKind;
@@ -12,21 +12,20 @@
     matches!(kind, OrderKind::Unload { .. })
 }
 
-/// Symptom: two givers order the same load twice, or each undoes the other's.
-/// Sequence: a new version comes into force at all nodes within a second.
-/// Cause: every node acts on what it sees.
+/// Failure: two controllers order the same load twice, or each reverts the orders of the other. A
+/// new version comes into force at all nodes within a second, and every node acts on it.
 #[test]
-fn a_new_version_is_ordered_by_one_giver_and_each_engine_gets_it_once() {
+fn a_new_version_is_ordered_by_one_controller_and_each_engine_gets_it_once() {
     let mut world = World::new(3, 4);
     world.run_for(2 * MINUTE);
-    assert!(world.orders.is_empty(), "nothing is to be changed");
+    assert!(world.orders.is_empty(), "nothing has to change");
 
     world.model_version = 2;
     world.publish_catalogue(2);
     world.run_for(10 * MINUTE);
 
-    let givers: BTreeSet<_> = world.orders.iter().map(|it| it.giver).collect();
-    assert_eq!(givers.len(), 1);
+    let controllers: BTreeSet<_> = world.orders.iter().map(|it| it.controller).collect();
+    assert_eq!(controllers.len(), 1);
     let loads = world.orders.iter().filter(|it| !is_unload(&it.kind));
     assert_eq!(loads.count(), 4, "one load for each engine");
     assert_eq!(world.loaded.len(), 4);
@@ -38,9 +37,8 @@
     }
 }
 
-/// Symptom: a plan is cut off in the middle by a change of version. Sequence:
-/// it runs on the version that the new catalogue no longer asks for. Cause:
-/// the old version is unloaded under it.
+/// Failure: a change of version interrupts a generation. It runs on the version that the new
+/// catalogue no longer contains, and that version is unloaded while it runs.
 #[test]
 fn a_version_is_not_unloaded_under_a_generation() {
     let mut world = World::new(2, 1);
@@ -58,9 +56,8 @@
     assert!(world.orders.iter().any(|it| is_unload(&it.kind)));
 }
 
-/// Symptom: engines are ordered about by a node that has heard nothing for an
-/// hour. Sequence: the platform goes down, then a change is waiting. Cause:
-/// orders are given on a list that nobody has confirmed.
+/// Failure: a node that has been without news for an hour sends orders to engines. The platform
+/// goes down while a change is pending, and orders are based on a list that is no longer confirmed.
 #[test]
 fn nothing_is_ordered_while_the_list_cannot_be_confirmed() {
     let mut world = World::new(2, 2);
--- a/crates/core/tests/node/path.rs
+++ b/crates/core/tests/node/path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path of a request.
+//! The path of a request without failures.
 
 use crate::world::World;
 use oriolemux_core::Outcome;
@@ -54,5 +54,8 @@
         world.complete(world.dispatches(*id)[0].attempt);
     }
     world.run_for(Duration::from_secs(3));
-    assert!(running(&world).len() > first.len(), "places are given on");
+    assert!(
+        running(&world).len() > first.len(),
+        "freed capacity is granted again"
+    );
 }
--- a/crates/core/tests/node/world.rs
+++ b/crates/core/tests/node/world.rs
@@ -1,4 +1,5 @@
-//! A few nodes, links between them, one platform and fake endpoints, in virtual time.
+//! A simulated fleet in virtual time: a few nodes, the links between them, one platform and
+//! simulated endpoints.
 
 mod callers;
 mod links;
@@ -14,14 +15,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The bearer key that the world's only workspace holds.
+/// The bearer key of the only workspace.
 const KEY: &str = "open-sesame";
-/// How long a message takes between two nodes.
+/// Delay of a message between two nodes.
 const HOP: Duration = Duration::from_micros(1_500);
-/// Tokens of KV memory of each fake endpoint.
+/// KV cache of each simulated endpoint, in tokens.
 const KV_TOKENS: u64 = 100_000;
 
-/// What binds requests that must not both run.
+/// The name that binds requests of which at most one may run.
 #[derive(Clone, Copy)]
 pub enum Name<'a> {
     None,
@@ -29,7 +30,7 @@
     Ticket(RequestId),
 }
 
-/// Something that happens later.
+/// A scheduled delivery.
 enum Later {
     Message {
         from: PeerId,
@@ -44,12 +45,12 @@
     },
 }
 
-/// One node with what the world knows about it.
+/// One node, its condition and its recorded actions.
 pub struct Seat {
     pub node: Node,
     pub wake: Time,
     pub paused: bool,
-    /// What waits for a paused node, in order.
+    /// Events for a paused node, in order.
     inbox: Vec<Event>,
     pub dead: bool,
     pub wants: BTreeSet<InstanceKey>,
@@ -60,40 +61,40 @@
     pub tickets: Vec<RequestId>,
 }
 
-/// An order as a fake engine received it.
-pub struct GivenOrder {
+/// An order as a simulated engine received it.
+pub struct ReceivedOrder {
     pub at: Time,
-    pub giver: InstanceKey,
+    pub controller: InstanceKey,
     pub endpoint: EndpointKey,
     pub fencing: u64,
     pub kind: OrderKind,
 }
 
-/// A few nodes and what stands around them.
+/// The simulated fleet and its surroundings.
 pub struct World {
     pub now: Time,
     names: Vec<String>,
     pub seats: BTreeMap<InstanceKey, Seat>,
     later: BTreeMap<(Time, u64), Later>,
     count: u64,
-    /// Links that are up, by ordered pair, with the number of that link.
+    /// Links that are up, by ordered pair, with a number that identifies the connection.
     links: BTreeMap<(InstanceKey, InstanceKey), u64>,
-    /// Pairs that cannot reach each other.
-    pub cut: BTreeSet<(InstanceKey, InstanceKey)>,
+    /// Pairs of nodes that cannot reach each other.
+    pub partitioned: BTreeSet<(InstanceKey, InstanceKey)>,
     values: BTreeMap<ValueName, (u64, Vec<u8>)>,
     pub platform_down: bool,
     pub leaving_endpoints: BTreeSet<EndpointKey>,
-    /// Nodes that the next published list leaves out.
+    /// Nodes that the next published list omits.
     pub unlisted: BTreeSet<usize>,
     watches: Vec<(InstanceKey, Incarnation, ValueName, u64)>,
     seqs: u64,
-    /// The version that the catalogue asks for; in force with the next one.
+    /// The model version in the next published catalogue.
     pub model_version: u32,
-    /// What the fake engines hold.
+    /// The models that the simulated engines have loaded.
     pub loaded: BTreeMap<EndpointKey, Vec<LoadedModel>>,
-    /// Orders that were given: by whom, to whom, with which number, what.
-    pub orders: Vec<GivenOrder>,
-    /// Requests that the workspace may run at once; in force with the next catalogue.
+    /// All orders that engines received.
+    pub orders: Vec<ReceivedOrder>,
+    /// Concurrency limit of the workspace in the next published catalogue.
     pub workspace_concurrent: u32,
     keys: KeysConfig,
 }
@@ -104,7 +105,7 @@
         World::with_keys(nodes, engines, KeysConfig::default())
     }
 
-    /// The same with other times of claims.
+    /// As [`World::new`], with other timeouts of claims.
     pub fn with_keys(nodes: usize, engines: usize, keys: KeysConfig) -> World {
         let mut world = World {
             now: Time::from_secs(1_000),
@@ -113,7 +114,7 @@
             later: BTreeMap::new(),
             count: 0,
             links: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             values: BTreeMap::new(),
             platform_down: false,
             leaving_endpoints: BTreeSet::new(),
@@ -135,7 +136,7 @@
         world
     }
 
-    /// Starts (or starts again) the node number `n` as a new life.
+    /// Starts or restarts node number `n` as a new incarnation.
     pub fn start_node(&mut self, n: usize, incarnation: Incarnation) {
         let mut cfg = NodeConfig::new(&self.names[n], incarnation, "Arima", incarnation.0);
         cfg.keys = self.keys;
@@ -170,7 +171,7 @@
         &self.seats[&self.key(n)]
     }
 
-    /// Gives a node an event now.
+    /// Passes an event to a node now.
     pub fn feed(&mut self, to: InstanceKey, event: Event) {
         let now = self.now;
         let Some(seat) = self.seats.get_mut(&to) else {
@@ -188,7 +189,7 @@
         self.carry_out(to, actions);
     }
 
-    /// Lets the world run.
+    /// Advances virtual time by `d`.
     pub fn run_for(&mut self, d: Duration) {
         let end = self.now + d;
         loop {
@@ -248,7 +249,7 @@
     }
 }
 
-/// Returns a version of the only model.
+/// Returns the only model in the given version.
 pub fn loom(version: &str) -> LoadedModel {
     LoadedModel {
         name: "loom".to_owned(),
--- a/crates/core/tests/node/world/callers.rs
+++ b/crates/core/tests/node/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the small world, and what became of their requests.
+//! Callers of the simulated fleet, and the results of their requests.
 
 use super::{KEY, Name, World};
 use oriolemux_core::event::{AttemptUpdate, Dispatch, Event, RequestArrival, Work};
@@ -21,10 +21,10 @@
         self.send_body(n, entry, name, &body)
     }
 
-    /// Sends a request with a certain body to node number `n` and returns its id.
+    /// Sends a request with a given body to node number `n` and returns its ID.
     pub fn send_body(&mut self, n: usize, entry: &str, name: Name<'_>, body: &str) -> RequestId {
         let key = self.key(n);
-        let id = self.draw_id(n);
+        let id = self.next_id(n);
         let fingerprint = Fingerprint::of(&Identity {
             deployment: 0,
             workspace: None,
@@ -59,8 +59,8 @@
         id
     }
 
-    /// Returns a key whose home is node number `n`, by a list of all nodes,
-    /// and node number `next` by a list without `n`.
+    /// Returns a key whose home is node number `n` under a list of all nodes, and node number
+    /// `next` under a list without `n`.
     pub fn key_at(&self, n: usize, next: usize) -> String {
         let all = self.names.iter().map(|it| InstanceKey::of(it));
         let all: Vec<_> = all.map(Candidate::anywhere).collect();
@@ -74,12 +74,12 @@
         keys.find(|key| ranks(key)).expect("a key")
     }
 
-    /// Returns the dispatches of all `requests` that may be sent now or were.
+    /// Returns the number of dispatches of all `requests`.
     pub fn runs(&self, requests: &[RequestId]) -> usize {
         requests.iter().map(|&id| self.dispatches(id).len()).sum()
     }
 
-    fn draw_id(&mut self, n: usize) -> RequestId {
+    fn next_id(&mut self, n: usize) -> RequestId {
         let instance = self.key(n);
         self.seqs += 1;
         RequestId {
@@ -89,26 +89,26 @@
         }
     }
 
-    /// Draws a ticket at node number `n`, which issues it.
+    /// Requests a ticket from node number `n`, which must issue it.
     pub fn ticket(&mut self, n: usize) -> RequestId {
         self.try_ticket(n).expect("a ticket is issued")
     }
 
-    /// Draws a ticket at node number `n`, which may refuse it.
+    /// Requests a ticket from node number `n`, which may refuse it.
     pub fn try_ticket(&mut self, n: usize) -> Option<RequestId> {
-        let ticket = self.draw_id(n);
+        let ticket = self.next_id(n);
         let key_digest = Sha256::digest(KEY).into();
         self.feed(self.key(n), Event::RequestTicket { key_digest, ticket });
         self.run_for(Duration::from_millis(100));
         self.seat(n).tickets.contains(&ticket).then_some(ticket)
     }
 
-    /// Reports something about an attempt to the node that ordered it.
+    /// Passes an update of an attempt to the node that dispatched it.
     pub fn update(&mut self, attempt: AttemptId, update: AttemptUpdate) {
         self.feed(attempt.request.instance, Event::Attempt { attempt, update });
     }
 
-    /// Ends an attempt with a whole answer.
+    /// Ends an attempt with a complete response.
     pub fn complete(&mut self, attempt: AttemptId) {
         let update = AttemptUpdate::Complete {
             tokens: 10,
@@ -117,7 +117,7 @@
         self.update(attempt, update);
     }
 
-    /// Ends an attempt without one, with nothing known about whether it ran.
+    /// Fails an attempt; it may have run.
     pub fn fail(&mut self, attempt: AttemptId, reason: oriolemux_core::Reason) {
         let update = AttemptUpdate::Failed {
             reason,
@@ -135,7 +135,7 @@
         all.filter(|it| it.attempt.request == id).cloned().collect()
     }
 
-    /// Returns the final answer to a request, if it was given.
+    /// Returns the final verdict of a request, if there is one.
     pub fn verdict(&self, id: RequestId) -> Option<Verdict> {
         let finished = &self.seats[&id.instance].finished;
         let mut found = finished.iter().filter(|(it, _)| *it == id);
--- a/crates/core/tests/node/world/links.rs
+++ b/crates/core/tests/node/world/links.rs
@@ -1,30 +1,30 @@
-//! Links between the nodes of the small world, and processes that go.
+//! Links between the nodes of the simulated fleet, and pauses and deaths of processes.
 
 use super::{Seat, World, pair};
 use oriolemux_core::InstanceKey;
 use oriolemux_core::event::{Event, PeerId};
 
 impl World {
-    /// Cuts every link of node number `n` to the others, in both directions.
+    /// Partitions node number `n` from all others.
     pub fn isolate(&mut self, n: usize) {
         let me = self.key(n);
         let others: Vec<InstanceKey> = self.seats.keys().copied().collect();
         for other in others.into_iter().filter(|it| *it != me) {
-            self.cut.insert(pair(me, other));
+            self.partitioned.insert(pair(me, other));
             self.drop_link(me, other);
         }
     }
 
-    /// Cuts the link between two nodes.
-    pub fn part(&mut self, a: usize, b: usize) {
+    /// Partitions two nodes from each other.
+    pub fn partition(&mut self, a: usize, b: usize) {
         let (a, b) = (self.key(a), self.key(b));
-        self.cut.insert(pair(a, b));
+        self.partitioned.insert(pair(a, b));
         self.drop_link(a, b);
     }
 
-    /// Heals every cut.
+    /// Heals every partition.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
     }
 
     /// Pauses node number `n`: its sockets stay open, and what arrives waits.
@@ -33,7 +33,7 @@
         self.seats.get_mut(&me).expect("a node").paused = true;
     }
 
-    /// Wakes node number `n`, which finds what has waited for it.
+    /// Resumes node number `n`, which then handles the events that arrived meanwhile.
     pub fn resume(&mut self, n: usize) {
         let me = self.key(n);
         let seat = self.seats.get_mut(&me).expect("a node");
@@ -44,7 +44,7 @@
         self.feed(me, Event::Wake);
     }
 
-    /// Breaks every link of node number `n`, as its peers do after some silence.
+    /// Closes every link of node number `n`, as its peers do after some silence.
     pub fn drop_links(&mut self, n: usize) {
         let me = self.key(n);
         let others: Vec<InstanceKey> = self.seats.keys().copied().collect();
@@ -60,8 +60,8 @@
             seat.dead = true;
         }
         self.drop_links(n);
-        let cut: Vec<_> = self.seats.keys().map(|other| pair(me, *other)).collect();
-        self.cut.extend(cut);
+        let partitioned: Vec<_> = self.seats.keys().map(|other| pair(me, *other)).collect();
+        self.partitioned.extend(partitioned);
     }
 
     fn drop_link(&mut self, a: InstanceKey, b: InstanceKey) {
@@ -90,7 +90,7 @@
                 let seat = self.seats.get(&key);
                 seat.is_some_and(|it: &Seat| !it.dead && !it.paused)
             };
-            let open = !self.cut.contains(&(a, b)) && there(a) && there(b);
+            let open = !self.partitioned.contains(&(a, b)) && there(a) && there(b);
             if !open || self.links.contains_key(&(a, b)) {
                 continue;
             }
--- a/crates/core/tests/node/world/outside.rs
+++ b/crates/core/tests/node/world/outside.rs
@@ -1,6 +1,6 @@
-//! What nodes ask of the platform and of engines, carried out.
+//! The platform and the engines: carries out the actions of nodes.
 
-use super::{GivenOrder, HOP, KV_TOKENS, Later, World, loom, pair};
+use super::{HOP, KV_TOKENS, Later, ReceivedOrder, World, loom, pair};
 use oriolemux_core::event::{Action, Event, LoadReport, OrderKind, OrderResult, ValueName};
 use oriolemux_core::{EndpointKey, Incarnation, InstanceKey};
 
@@ -68,7 +68,7 @@
                     fencing,
                     kind,
                     ..
-                } => self.take_order(me, endpoint.key, fencing, kind),
+                } => self.execute_order(me, endpoint.key, fencing, kind),
                 other => self.carry_out_own(me, other),
             }
         }
@@ -93,10 +93,10 @@
         }
     }
 
-    /// Carries an order out at once, as an engine does that ignores fencing.
-    fn take_order(
+    /// Carries an order out at once, as an engine that ignores fencing does.
+    fn execute_order(
         &mut self,
-        giver: InstanceKey,
+        controller: InstanceKey,
         endpoint: EndpointKey,
         fencing: u64,
         kind: OrderKind,
@@ -110,9 +110,9 @@
             OrderKind::Unload { version, .. } => models.retain(|it| it.version != *version),
             OrderKind::Role { .. } => {}
         }
-        self.orders.push(GivenOrder {
+        self.orders.push(ReceivedOrder {
             at: self.now,
-            giver,
+            controller,
             endpoint,
             fencing,
             kind,
@@ -122,9 +122,9 @@
             fencing,
             result: OrderResult::Accepted,
         };
-        let incarnation = self.seats[&giver].node.me().incarnation;
+        let incarnation = self.seats[&controller].node.me().incarnation;
         let later = Later::Event {
-            to: giver,
+            to: controller,
             incarnation,
             event,
         };
--- a/crates/core/tests/node/world/publish.rs
+++ b/crates/core/tests/node/world/publish.rs
@@ -1,4 +1,4 @@
-//! What the platform of the small world publishes.
+//! What the platform of the simulated fleet publishes.
 
 use super::{KEY, World};
 use oriolemux_core::event::ValueName;
@@ -74,7 +74,7 @@
         self.publish(ValueName::CatalogueIndex, revision, index.into_bytes());
     }
 
-    /// Publishes a value as it is.
+    /// Publishes a value unchanged.
     pub fn publish(&mut self, name: ValueName, revision: u64, bytes: Vec<u8>) {
         self.values.insert(name.clone(), (revision, bytes));
         let watches = std::mem::take(&mut self.watches);
--- a/crates/core/tests/peer_versions.rs
+++ b/crates/core/tests/peer_versions.rs
@@ -1,4 +1,4 @@
-//! What a peer of an earlier version is sent.
+//! Messages to peers with an older protocol version.
 
 use oriolemux_core::peer::{PeerEnvelope, PeerMessage};
 use std::borrow::Cow;
@@ -11,28 +11,28 @@
     }
 }
 
-fn news() -> PeerMessage {
+fn suspects_message() -> PeerMessage {
     PeerMessage::Suspects(Vec::new())
 }
 
 #[test]
-fn a_peer_of_this_version_is_sent_all() {
-    let all = envelope(vec![PeerMessage::Heartbeat, news()]);
+fn a_peer_of_this_version_receives_all_messages() {
+    let all = envelope(vec![PeerMessage::Heartbeat, suspects_message()]);
 
     let sent = all.readable_by(2);
 
     assert_eq!(sent, Some(Cow::Borrowed(&all)));
 }
 
-/// Symptom: while the product is updated, links between old and new instances break again and
-/// again. Sequence: a new instance tells an old one of a suspect. Cause: a message that the old one
-/// cannot read ends its link.
+/// Failure: during an update, links between old and new instances break repeatedly. A new instance
+/// sends crash records of suspects to an old one, which cannot decode the message and closes the
+/// link.
 #[test]
-fn an_earlier_peer_is_sent_what_it_can_read() {
-    let all = envelope(vec![news(), PeerMessage::Heartbeat]);
+fn an_older_peer_receives_only_what_it_can_decode() {
+    let all = envelope(vec![suspects_message(), PeerMessage::Heartbeat]);
 
     let sent = all.readable_by(1).expect("some of it").into_owned();
 
     assert_eq!(sent, envelope(vec![PeerMessage::Heartbeat]));
-    assert_eq!(envelope(vec![news()]).readable_by(1), None);
+    assert_eq!(envelope(vec![suspects_message()]).readable_by(1), None);
 }
