--- a/crates/core/src/explain.rs
+++ b/crates/core/src/explain.rs
@@ -22,7 +22,7 @@
 
 /// A step and the time at which it was taken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Timed {
+pub struct TimedStep {
     /// Time since the request arrived.
     pub at: Duration,
     /// What was decided.
@@ -34,7 +34,7 @@
 pub struct Record {
     id: RequestId,
     arrived: Time,
-    steps: Vec<Timed>,
+    steps: Vec<TimedStep>,
     /// Number of steps that were dropped.
     left_out: u32,
 }
@@ -55,7 +55,7 @@
     }
 
     /// Returns the steps that were kept.
-    pub fn steps(&self) -> &[Timed] {
+    pub fn steps(&self) -> &[TimedStep] {
         &self.steps
     }
 
@@ -72,7 +72,7 @@
             self.steps.pop();
             self.left_out += 1;
         }
-        self.steps.push(Timed { at, step });
+        self.steps.push(TimedStep { at, step });
     }
 }
 
--- a/crates/core/src/explain/render.rs
+++ b/crates/core/src/explain/render.rs
@@ -1,6 +1,6 @@
 //! Renders records as text for operators.
 
-use super::{Record, Step, Timed};
+use super::{Record, Step, TimedStep};
 use crate::cell::{GrantRecord, NotChosen};
 use crate::ids::{CellKey, EndpointKey, InstanceKey};
 use crate::reason::{Outcome, Reason};
@@ -52,7 +52,7 @@
     }
 }
 
-fn line(timed: &Timed, names: &impl Names) -> Line {
+fn line(timed: &TimedStep, names: &impl Names) -> Line {
     Line {
         at_ms: u64::try_from(timed.at.as_millis()).unwrap_or(u64::MAX),
         step: timed.step.name().to_owned(),
@@ -81,7 +81,7 @@
                 verdict.delivered(),
             )
         }
-        Step::Asked { cell, home } => {
+        Step::GrantRequested { cell, home } => {
             let (cell, home) = (Cell(*cell, names), Instance(*home, names));
             format!("{cell}, home {home}")
         }
--- a/crates/core/src/explain/step.rs
+++ b/crates/core/src/explain/step.rs
@@ -28,7 +28,7 @@
     /// It was admitted within the limits of its entry and workspace.
     Admitted,
     /// A grant was requested from the home of a cell.
-    Asked {
+    GrantRequested {
         /// The cell.
         cell: CellKey,
         /// Its home.
@@ -104,7 +104,7 @@
             Step::ClaimGranted => "claim_granted",
             Step::ClaimRefused(_) => "claim_refused",
             Step::Admitted => "admitted",
-            Step::Asked { .. } => "asked",
+            Step::GrantRequested { .. } => "asked",
             Step::CellRefused { .. } => "cell_refused",
             Step::Granted { .. } => "granted",
             Step::Dispatched { .. } => "dispatched",
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -15,7 +15,7 @@
 //! | `attempt` | dispatches, follows and retries attempts |
 //! | `confirm` | as a home, asks entry instances which of their requests still exist |
 //! | `home` | the cells whose home is this node |
-//! | `orders` | orders to endpoints to load and unload models |
+//! | `orders` | orders to endpoints: models to load and unload, roles |
 //! | `fleet` | reacts to instances and endpoints that join, leave or fail |
 //! | `platform` | values read from the platform |
 //! | `suspects` | requests that may crash endpoints |
--- a/crates/core/src/node/attempt.rs
+++ b/crates/core/src/node/attempt.rs
@@ -61,7 +61,7 @@
             return self.refuse(seq, Reason::PausedTooLong);
         }
         let send_before = (self.now + SEND_TIMEOUT).min(request.claim_valid_until);
-        let Some(facts) = &request.facts else {
+        let Some(spec) = &request.spec else {
             debug_assert!(false, "a request is validated before it runs");
             return;
         };
@@ -70,7 +70,7 @@
             request: request.arrival.id,
             number: request.attempts,
         };
-        let view = facts.view();
+        let view = spec.view();
         let (model, adapter) = match view.target {
             crate::catalogue::TargetView::Model { model, adapter } => {
                 (model.name.clone(), adapter.map(str::to_owned))
@@ -87,7 +87,7 @@
             model,
             adapter,
             priority: grant.priority,
-            max_tokens: facts.max_tokens,
+            max_tokens: spec.max_tokens,
             delivery: view.class.delivery,
             idempotent: view.class.idempotent,
             mode,
@@ -264,7 +264,7 @@
         }
         let waited = self.now.since(request.waiting_since);
         let remaining_wait = request.longest_wait().saturating_sub(waited);
-        let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
+        let idempotent = request.spec.as_ref().is_some_and(|it| it.class.idempotent);
         let failure = AttemptFailure {
             reason: failed.reason,
             outcome: &request.outcome,
@@ -279,12 +279,12 @@
             RetryDecision::Retry { after } | RetryDecision::Replay { after } => {
                 let until = self.now + after;
                 request.stage = Stage::BackingOff { until };
-                let give_up = request.start_deadline();
+                let start_deadline = request.start_deadline();
                 let replay = request.delivered > 0;
                 let request = request.id();
                 self.record(request, Step::RetryIn { after, replay });
                 self.timers.set(until, TimerKind::Request(seq));
-                self.timers.set(give_up, TimerKind::Request(seq));
+                self.timers.set(start_deadline, TimerKind::Request(seq));
                 self.note(Note::Retried {
                     request,
                     reason: failed.reason,
--- a/crates/core/src/node/claims.rs
+++ b/crates/core/src/node/claims.rs
@@ -76,7 +76,7 @@
 
     fn claim_of(&self, seq: u64) -> Option<Claim> {
         let request = self.requests.get(&seq)?;
-        let workspace = request.facts.as_ref()?.workspace;
+        let workspace = request.spec.as_ref()?.workspace;
         let arrival = &request.arrival;
         let key = arrival.idempotency_key.as_deref();
         let id = match (arrival.ticket, key) {
@@ -105,7 +105,7 @@
             // claim by now, so the outcome of this one proves nothing about the name.
             return self.refuse(id.seq, Reason::PausedTooLong);
         }
-        let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
+        let idempotent = request.spec.as_ref().is_some_and(|it| it.class.idempotent);
         if !idempotent {
             request.claim_valid_until = valid_until;
         }
--- a/crates/core/src/node/fleet.rs
+++ b/crates/core/src/node/fleet.rs
@@ -1,7 +1,7 @@
 //! Reacts to instances and endpoints that join, leave or fail.
 
 use super::Node;
-use super::home::HOLDER_LEASE;
+use super::home::HOLDER_TTL;
 use super::request::Stage;
 use super::timers::TimerKind;
 use crate::cell::CellMessage;
@@ -93,7 +93,7 @@
     pub(super) fn on_peer_down(&mut self, peer: PeerId) {
         self.with_membership(|membership, now, out| membership.peer_down(now, peer, out));
         let forget = TimerKind::ForgetHolder(peer.instance, peer.incarnation);
-        self.timers.set(self.now + HOLDER_LEASE, forget);
+        self.timers.set(self.now + HOLDER_TTL, forget);
     }
 
     /// Applies the revisions that a peer reports with every message.
--- a/crates/core/src/node/home.rs
+++ b/crates/core/src/node/home.rs
@@ -32,7 +32,7 @@
 /// How long the grants of an incarnation are kept after its link went down. Its generations
 /// continue at the endpoints meanwhile, so dropping the grants at once would over-commit after
 /// every short interruption.
-pub(super) const HOLDER_LEASE: Duration = Duration::from_secs(10);
+pub(super) const HOLDER_TTL: Duration = Duration::from_secs(10);
 
 /// Retry delay for a request for a cell that this node does not know.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/core/src/node/limits.rs
+++ b/crates/core/src/node/limits.rs
@@ -129,15 +129,15 @@
 }
 
 fn claim_of(request: &Request) -> Option<Claim> {
-    let facts = request.facts.as_ref()?;
-    let view = facts.view();
-    let revision = facts.catalogue.revision();
+    let spec = request.spec.as_ref()?;
+    let view = spec.view();
+    let revision = spec.catalogue.revision();
     let limits = &view.entry.limits;
     Some(Claim {
-        workspace: facts.workspace,
+        workspace: spec.workspace,
         workspace_allowance: Allowance {
-            concurrent: facts.workspace_limits.concurrent,
-            tokens_per_minute: facts.workspace_limits.tokens_per_minute,
+            concurrent: spec.workspace_limits.concurrent,
+            tokens_per_minute: spec.workspace_limits.tokens_per_minute,
             revision,
         },
         entry: view.entry.key,
@@ -147,7 +147,7 @@
             revision,
         },
         queue: limits.queue,
-        tokens: (!view.target.is_service()).then_some(facts.prompt_tokens),
+        tokens: (!view.target.is_service()).then_some(spec.prompt_tokens),
         deadline: request.waiting_since + request.longest_wait(),
     })
 }
--- a/crates/core/src/node/placement.rs
+++ b/crates/core/src/node/placement.rs
@@ -69,9 +69,9 @@
 
     /// Returns the nearest cell that has not refused the request in this round.
     fn nearest_untried_cell(&self, request: &Request) -> Option<CellKey> {
-        let facts = request.facts.as_ref()?;
+        let spec = request.spec.as_ref()?;
         let own = self.membership.own_data_centre();
-        let name = facts.view().target.name().to_owned();
+        let name = spec.view().target.name().to_owned();
         let cells = self.membership.cells_serving(&name, own);
         let fresh = |cell: CellKey| !request.refusals.iter().any(|it| it.cell == cell);
         let mut open = cells.iter().filter(|it| fresh(it.plan.key)).peekable();
@@ -106,13 +106,13 @@
         };
         request.accepts_longer_wait |= request.refusals.iter().any(|it| it.cell == cell);
         request.stage = Stage::Placing { cell, home };
-        let Some(facts) = &request.facts else {
+        let Some(spec) = &request.spec else {
             debug_assert!(false, "a request is validated before it is placed");
             return;
         };
-        let grant_request = GrantRequest::from_request(cell, &request.to_cell_request(facts), now);
+        let grant_request = GrantRequest::from_request(cell, &request.to_cell_request(spec), now);
         let id = request.id();
-        self.record(id, Step::Asked { cell, home });
+        self.record(id, Step::GrantRequested { cell, home });
         self.send(
             home,
             PeerMessage::Cell(CellMessage::Request(Box::new(grant_request))),
--- a/crates/core/src/node/request.rs
+++ b/crates/core/src/node/request.rs
@@ -79,7 +79,7 @@
 /// What the catalogue defines for a request. Fixed when the request is accepted, so that one
 /// revision applies from start to end.
 #[derive(Clone, Debug)]
-pub(super) struct Facts {
+pub(super) struct RequestSpec {
     /// The revision that applies to the request.
     pub catalogue: Arc<Catalogue>,
     /// The entry.
@@ -98,7 +98,7 @@
     pub max_tokens: u32,
 }
 
-impl Facts {
+impl RequestSpec {
     /// Returns the entry with its class and target.
     pub fn view(&self) -> EntryView<'_> {
         self.catalogue.view(self.entry)
@@ -114,7 +114,7 @@
     /// lost of which the caller holds a part.
     pub waiting_since: Time,
     /// What the catalogue defines for it; `None` only in [`Stage::Validating`].
-    pub facts: Option<Facts>,
+    pub spec: Option<RequestSpec>,
     /// Nothing may be sent for the request after this time, because its claim is void then.
     /// Idempotent work has no such time: a long generation is replayed elsewhere long after its
     /// claim was requested.
@@ -145,7 +145,7 @@
         Request {
             arrival,
             waiting_since: now,
-            facts: None,
+            spec: None,
             claim_valid_until: Time::NEVER,
             stage: Stage::Validating,
             outcome,
@@ -170,14 +170,14 @@
 
     /// Returns the longest time that the request may wait for a start.
     pub fn longest_wait(&self) -> Duration {
-        let class = self.facts.as_ref().map(|it| it.class.longest_wait);
+        let class = self.spec.as_ref().map(|it| it.class.longest_wait);
         let class = class.unwrap_or(super::validate::CATALOGUE_TIMEOUT);
         self.arrival.patience.map_or(class, |it| it.min(class))
     }
 
     /// Returns the request that the home of a cell receives.
-    pub fn to_cell_request(&self, facts: &Facts) -> CellRequest {
-        let mut class = facts.class;
+    pub fn to_cell_request(&self, spec: &RequestSpec) -> CellRequest {
+        let mut class = spec.class;
         class.longest_wait = if self.accepts_longer_wait {
             self.longest_wait()
         } else {
@@ -189,22 +189,22 @@
         };
         CellRequest {
             id: self.id(),
-            entry: facts.view().entry.key,
-            workspace: facts.workspace,
+            entry: spec.view().entry.key,
+            workspace: spec.workspace,
             class,
             arrived: self.waiting_since,
-            prompt_tokens: facts.prompt_tokens,
-            max_tokens: facts.max_tokens,
+            prompt_tokens: spec.prompt_tokens,
+            max_tokens: spec.max_tokens,
             prefix,
             exclude: self.exclude.clone(),
             replay_tokens: self.delivered,
-            needs: facts.needs,
+            needs: spec.needs,
         }
     }
 
     /// Returns the report for a new home, if the request runs in `in_cell`.
     pub fn to_running(&self, in_cell: CellKey) -> Option<Running> {
-        let facts = self.facts.as_ref()?;
+        let spec = self.spec.as_ref()?;
         let Stage::Running {
             cell,
             endpoint,
@@ -217,11 +217,11 @@
         (cell == in_cell).then(|| Running {
             id: self.id(),
             endpoint,
-            entry: facts.view().entry.key,
-            workspace: facts.workspace,
-            class: facts.class,
-            prompt_tokens: facts.prompt_tokens,
-            max_tokens: facts.max_tokens,
+            entry: spec.view().entry.key,
+            workspace: spec.workspace,
+            class: spec.class,
+            prompt_tokens: spec.prompt_tokens,
+            max_tokens: spec.max_tokens,
             tokens,
         })
     }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns whether a request may request a grant, and be dispatched with it. One that may not
+    /// Returns whether a request may ask for a grant, and be dispatched with it. One that may not
     /// waits for a run lease from now on, or is refused.
     pub(super) fn may_be_sent(&mut self, seq: u64) -> bool {
         let Some(request) = self.requests.get(&seq) else {
@@ -123,10 +123,10 @@
         if request.stage == Stage::AwaitingRunLease {
             return;
         }
-        let (id, gives_up) = (request.id(), request.start_deadline());
+        let (id, start_deadline) = (request.id(), request.start_deadline());
         let stage = core::mem::replace(&mut request.stage, Stage::AwaitingRunLease);
         self.release_at_home(id, stage, 0, EndKind::Cancelled);
-        self.timers.set(gives_up, TimerKind::Request(seq));
+        self.timers.set(start_deadline, TimerKind::Request(seq));
         self.timers.set(self.now, TimerKind::RunLeases);
     }
 
--- a/crates/core/src/node/validate.rs
+++ b/crates/core/src/node/validate.rs
@@ -1,7 +1,7 @@
 //! Checks a new request against the catalogue.
 
 use super::Node;
-use super::request::{Facts, Request, Stage};
+use super::request::{Request, RequestSpec, Stage};
 use super::stop::StopPhase;
 use super::timers::TimerKind;
 use crate::catalogue::sync::Lookup;
@@ -73,11 +73,11 @@
                 return self.with_sync(|sync, now, out| sync.want_shard(now, shard, out));
             }
         };
-        match self.facts(seq, &workspace) {
-            Ok(facts) => {
-                self.record_accepted(seq, &facts);
+        match self.resolve_spec(seq, &workspace) {
+            Ok(spec) => {
+                self.record_accepted(seq, &spec);
                 if let Some(request) = self.requests.get_mut(&seq) {
-                    request.facts = Some(facts);
+                    request.spec = Some(spec);
                 }
                 self.begin_run(seq);
                 if !self.begin_claim(seq) {
@@ -88,15 +88,15 @@
         }
     }
 
-    fn record_accepted(&mut self, seq: u64, facts: &Facts) {
+    fn record_accepted(&mut self, seq: u64, spec: &RequestSpec) {
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
         let step = Step::Accepted {
             entry: request.arrival.entry.clone(),
-            catalogue_revision: facts.catalogue.revision(),
-            prompt_tokens: facts.prompt_tokens,
-            max_tokens: facts.max_tokens,
+            catalogue_revision: spec.catalogue.revision(),
+            prompt_tokens: spec.prompt_tokens,
+            max_tokens: spec.max_tokens,
         };
         self.record(request.id(), step);
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    fn facts(&self, seq: u64, workspace: &Workspace) -> Result<Facts, Reason> {
+    fn resolve_spec(&self, seq: u64, workspace: &Workspace) -> Result<RequestSpec, Reason> {
         let catalogue = self.sync.catalogue().ok_or(Reason::NoCatalogue)?;
         let arrival = &self.requests[&seq].arrival;
         let view = catalogue
@@ -123,7 +123,7 @@
             return Err(Reason::EntryForbidden);
         }
         let (prompt_tokens, max_tokens) = tokens_of(&arrival.work, &view)?;
-        Ok(Facts {
+        Ok(RequestSpec {
             entry: view.id,
             workspace: workspace.key,
             workspace_limits: workspace.limits,
--- a/crates/core/tests/explain_records.rs
+++ b/crates/core/tests/explain_records.rs
@@ -64,7 +64,7 @@
         (0, Step::ClaimGranted),
         (
             1,
-            Step::Asked {
+            Step::GrantRequested {
                 cell: CellKey(0xce11),
                 home: InstanceKey::of("arima-1"),
             },
