--- a/crates/core/src/node/attempt.rs
+++ b/crates/core/src/node/attempt.rs
@@ -1,4 +1,4 @@
-//! Dispatches, follows and repeats attempts.
+//! Dispatches, follows and retries attempts.
 
 use super::Node;
 use super::request::{Request, Stage};
@@ -15,25 +15,25 @@
 use crate::retry::{self, AttemptFailure, RetryDecision};
 use core::time::Duration;
 
-/// How long after the grant an attempt may still be sent. A process that was
-/// paused in between must ask again, because the home may have given the
-/// memory away and the endpoint may have left.
-const SEND_LIMIT: Duration = Duration::from_secs(2);
+/// How long after the grant an attempt may still be sent. A process that was paused in between must
+/// request a new grant, because the home may have granted the KV cache to another request and the
+/// endpoint may have left.
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long checkpoints are gathered before they are sent in one message.
-const PROGRESS_GATHER: Duration = Duration::from_millis(250);
+/// How long checkpoints are batched before they are sent in one message.
+const PROGRESS_FLUSH_DELAY: Duration = Duration::from_millis(250);
 
 /// How a request ended.
 struct Ending<'a> {
-    /// As its home sees it.
+    /// What is reported to its home.
     end: EndKind,
     /// Tokens of its last attempt.
     tokens: u32,
-    /// What the caller was told; `None` for a whole answer.
+    /// The verdict for the caller; `None` for a complete response.
     verdict: Option<&'a Verdict>,
 }
 
-/// An attempt that ended without a whole answer.
+/// An attempt that ended without a complete response.
 #[derive(Clone, Copy, Debug)]
 struct FailedAttempt {
     attempt: AttemptId,
@@ -44,7 +44,7 @@
 }
 
 impl Node {
-    /// Orders the attempt that a home granted.
+    /// Dispatches the attempt that a home granted.
     pub(super) fn dispatch(&mut self, seq: u64, cell: CellKey, home: InstanceKey, grant: &Grant) {
         let Some(endpoint) = self.membership.view().endpoint_target(grant.endpoint) else {
             return self.refuse(seq, Reason::NoEndpoint);
@@ -56,13 +56,13 @@
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
-        if self.now >= request.claim_until {
+        if self.now >= request.claim_valid_until {
             request.outcome.on_claim_voided();
             return self.refuse(seq, Reason::PausedTooLong);
         }
-        let send_before = (self.now + SEND_LIMIT).min(request.claim_until);
-        let Some(facts) = &request.facts else {
-            debug_assert!(false, "a request is judged before it runs");
+        let send_before = (self.now + SEND_TIMEOUT).min(request.claim_valid_until);
+        let Some(spec) = &request.spec else {
+            debug_assert!(false, "a request is validated before it runs");
             return;
         };
         request.attempts += 1;
@@ -70,7 +70,7 @@
             request: request.arrival.id,
             number: request.attempts,
         };
-        let view = facts.view();
+        let view = spec.view();
         let (model, adapter) = match view.target {
             crate::catalogue::TargetView::Model { model, adapter } => {
                 (model.name.clone(), adapter.map(str::to_owned))
@@ -87,7 +87,7 @@
             model,
             adapter,
             priority: grant.priority,
-            max_tokens: facts.max_tokens,
+            max_tokens: spec.max_tokens,
             delivery: view.class.delivery,
             idempotent: view.class.idempotent,
             mode,
@@ -96,7 +96,7 @@
         };
         let id = request.id();
         request.outcome.on_dispatch(attempt);
-        request.begun = None;
+        request.response_started_at = None;
         request.refusals.clear();
         request.stage = Stage::Running {
             cell,
@@ -123,7 +123,7 @@
         self.out.push(Action::Dispatch(Box::new(order)));
     }
 
-    /// Something became of an attempt.
+    /// Handles an update of an attempt.
     pub(super) fn on_attempt(&mut self, attempt: AttemptId, update: AttemptUpdate) {
         let seq = attempt.request.seq;
         let Some(request) = self.requests.get(&seq) else {
@@ -142,7 +142,7 @@
         }
         match update {
             AttemptUpdate::FirstToken => {
-                self.note_begun(seq);
+                self.on_response_started(seq);
                 let attempt_number = attempt.number;
                 let step = Step::FirstToken {
                     attempt: attempt_number,
@@ -150,7 +150,7 @@
                 self.record(attempt.request, step);
             }
             AttemptUpdate::Progress { tokens } => self.on_progress(seq, tokens),
-            AttemptUpdate::EndpointEnded => self.on_endpoint_ended(seq),
+            AttemptUpdate::EndpointExited => self.on_endpoint_exited(seq),
             AttemptUpdate::Complete {
                 tokens,
                 prompt_tokens,
@@ -184,14 +184,14 @@
             tokens: reported,
         };
         if self.progress.is_empty() {
-            let at = self.now + PROGRESS_GATHER;
+            let at = self.now + PROGRESS_FLUSH_DELAY;
             self.timers.set(at, TimerKind::FlushProgress);
         }
         self.progress.entry(*home).or_default().push(checkpoint);
         self.charge(seq, new);
     }
 
-    /// Sends the checkpoints that were gathered.
+    /// Sends the batched checkpoints.
     pub(super) fn flush_progress(&mut self) {
         for (home, checkpoints) in core::mem::take(&mut self.progress) {
             let message = CellMessage::Progress(checkpoints);
@@ -210,14 +210,14 @@
             return;
         };
         request.outcome.on_ended(attempt, Ran::Maybe);
-        self.ran_well(request.arrival.fingerprint);
+        self.on_run_succeeded(request.arrival.fingerprint);
         self.charge(seq, tokens.saturating_sub(request.stage.tokens()));
         let end = Ending {
             end: EndKind::Complete { prompt_tokens },
             tokens,
             verdict: None,
         };
-        self.let_go(&request, end);
+        self.release(&request, end);
     }
 
     fn on_failed(&mut self, failed: FailedAttempt) {
@@ -243,7 +243,7 @@
             delivered: request.delivered,
         };
         self.record(id, step);
-        self.leave_home(id, stage, tokens, EndKind::Failed(failed.reason));
+        self.release_at_home(id, stage, tokens, EndKind::Failed(failed.reason));
         if failed.reason == Reason::EndpointLeaving {
             self.with_membership(|membership, now, out| {
                 membership.endpoint_refused_leaving(now, endpoint, out);
@@ -257,21 +257,21 @@
             return;
         };
         if request.delivered > 0 {
-            // The caller holds a part of the answer; its wait for the rest
-            // begins now. Counted from the arrival, every replay of a long
-            // answer would be refused for having waited too long.
+            // The caller holds part of the output, and its wait for the rest begins now. Counted
+            // from the arrival, every replay of a long generation would be refused for having
+            // waited too long.
             request.waiting_since = self.now;
         }
         let waited = self.now.since(request.waiting_since);
-        let patience = request.longest_wait().saturating_sub(waited);
-        let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
+        let remaining_wait = request.longest_wait().saturating_sub(waited);
+        let idempotent = request.spec.as_ref().is_some_and(|it| it.class.idempotent);
         let failure = AttemptFailure {
             reason: failed.reason,
             outcome: &request.outcome,
             idempotent,
             delivered: request.delivered,
             attempts: request.attempts,
-            remaining_wait: patience,
+            remaining_wait,
             retry_after: failed.retry_after,
         };
         let decision = retry::decide(&failure, &mut self.budget, self.now, &mut self.rng);
@@ -279,12 +279,12 @@
             RetryDecision::Retry { after } | RetryDecision::Replay { after } => {
                 let until = self.now + after;
                 request.stage = Stage::BackingOff { until };
-                let give_up = request.gives_up_at();
+                let start_deadline = request.start_deadline();
                 let replay = request.delivered > 0;
                 let request = request.id();
                 self.record(request, Step::RetryIn { after, replay });
                 self.timers.set(until, TimerKind::Request(seq));
-                self.timers.set(give_up, TimerKind::Request(seq));
+                self.timers.set(start_deadline, TimerKind::Request(seq));
                 self.note(Note::Retried {
                     request,
                     reason: failed.reason,
@@ -292,12 +292,12 @@
             }
             RetryDecision::Finish(verdict) => {
                 request.stage = Stage::BackingOff { until: self.now };
-                self.answer(seq, verdict);
+                self.finish_with(seq, verdict);
             }
         }
     }
 
-    /// The caller went away; the stream task has already cancelled the attempt.
+    /// Handles a caller that disconnected; its stream task has already cancelled the attempt.
     pub(super) fn on_caller_gone(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id.seq) else {
             return;
@@ -309,21 +309,21 @@
             tokens: request.stage.tokens(),
             verdict: Some(&verdict),
         };
-        self.let_go(&request, end);
+        self.release(&request, end);
     }
 
-    /// Ends a request with the strongest claim that its attempts bear out.
+    /// Ends a request with the strongest outcome that its attempts prove.
     pub(super) fn finish(&mut self, seq: u64, reason: Reason, retry_after: Option<Duration>) {
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
         let delivered = request.delivered;
         let verdict = request.outcome.finish(reason, retry_after, delivered);
-        self.answer(seq, verdict);
+        self.finish_with(seq, verdict);
     }
 
-    /// Gives the caller its final answer and forgets the request.
-    pub(super) fn answer(&mut self, seq: u64, verdict: Verdict) {
+    /// Sends the caller its final verdict and removes the request.
+    pub(super) fn finish_with(&mut self, seq: u64, verdict: Verdict) {
         let Some(request) = self.requests.remove(&seq) else {
             return;
         };
@@ -332,7 +332,7 @@
             tokens: request.stage.tokens(),
             verdict: Some(&verdict),
         };
-        self.let_go(&request, end);
+        self.release(&request, end);
         self.note_verdict(request.id(), verdict.outcome(), verdict.reason());
         self.out.push(Action::Finish {
             request: request.id(),
@@ -340,10 +340,10 @@
         });
     }
 
-    /// Gives back everything that a request held, once it is over.
-    fn let_go(&mut self, request: &Request, ending: Ending<'_>) {
+    /// Releases everything that a finished request held.
+    fn release(&mut self, request: &Request, ending: Ending<'_>) {
         let id = request.id();
-        self.leave_home(id, request.stage, ending.tokens, ending.end);
+        self.release_at_home(id, request.stage, ending.tokens, ending.end);
         self.end_run(request);
         self.end_admission(id.seq);
         self.end_claim(id, ending.verdict);
--- a/crates/core/src/node/claims.rs
+++ b/crates/core/src/node/claims.rs
@@ -1,9 +1,9 @@
 //! Requests that carry a ticket or an idempotency key.
 
 use super::Node;
-use super::judge::JUDGE_LIMIT;
 use super::request::Stage;
 use super::timers::TimerKind;
+use super::validate::CATALOGUE_TIMEOUT;
 use crate::catalogue::sync::Lookup;
 use crate::event::{Action, PeerId};
 use crate::explain::Step;
@@ -15,24 +15,24 @@
 use crate::reason::Reason;
 use crate::time::Time;
 
-/// A ticket that is being drawn.
+/// A requested ticket that is not issued yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TicketDraw {
+pub(super) struct PendingTicket {
     ticket: RequestId,
     key_digest: [u8; 32],
-    /// Until when the shard that may hold the workspace is waited for.
+    /// How long to wait for the shard that may hold the workspace.
     until: Time,
 }
 
 impl Node {
     pub(super) fn with_keys(&mut self, call: impl FnOnce(&mut Keys, Time, &mut Vec<KeysAction>)) {
-        call(&mut self.keys, self.now, &mut self.keys_asked);
+        call(&mut self.keys, self.now, &mut self.keys_actions);
     }
 
-    /// Carries out what the keys asked for.
+    /// Carries out the actions of the keys.
     pub(super) fn carry_out_keys(&mut self) {
-        while !self.keys_asked.is_empty() {
-            for action in core::mem::take(&mut self.keys_asked) {
+        while !self.keys_actions.is_empty() {
+            for action in core::mem::take(&mut self.keys_actions) {
                 match action {
                     KeysAction::Send { to, message } => self.send(to, PeerMessage::Keys(message)),
                     KeysAction::Granted {
@@ -55,7 +55,7 @@
         self.with_keys(|keys, now, out| keys.on_message(now, list_age, from, message, out));
     }
 
-    /// Asks for the request's claim if it carries a name; returns whether it does.
+    /// Requests the claim of a request that carries a ticket or key; returns whether it does.
     pub(super) fn begin_claim(&mut self, seq: u64) -> bool {
         let Some(claim) = self.claim_of(seq) else {
             return false;
@@ -63,18 +63,20 @@
         if let Some(request) = self.requests.get_mut(&seq) {
             request.stage = Stage::Claiming;
         }
-        let issuer_life = match claim.id {
+        let issuer_incarnation = match claim.id {
             ClaimId::Ticket(ticket) => self.membership.incarnation(ticket.instance),
             ClaimId::Key(_) => None,
         };
         let list_age = self.membership.list_age(self.now);
-        self.with_keys(|keys, now, out| keys.request_claim(now, list_age, claim, issuer_life, out));
+        self.with_keys(|keys, now, out| {
+            keys.request_claim(now, list_age, claim, issuer_incarnation, out)
+        });
         true
     }
 
     fn claim_of(&self, seq: u64) -> Option<Claim> {
         let request = self.requests.get(&seq)?;
-        let workspace = request.facts.as_ref()?.workspace;
+        let workspace = request.spec.as_ref()?.workspace;
         let arrival = &request.arrival;
         let key = arrival.idempotency_key.as_deref();
         let id = match (arrival.ticket, key) {
@@ -99,13 +101,13 @@
             return;
         }
         if self.now >= valid_until {
-            // This process was paused with the grant in its socket. Another
-            // request may hold the name by now, so nothing is said of it.
+            // This process was paused with the grant in its socket. Another request may hold the
+            // claim by now, so the outcome of this one proves nothing about the name.
             return self.refuse(id.seq, Reason::PausedTooLong);
         }
-        let idempotent = request.facts.as_ref().is_some_and(|it| it.class.idempotent);
+        let idempotent = request.spec.as_ref().is_some_and(|it| it.class.idempotent);
         if !idempotent {
-            request.claim_until = valid_until;
+            request.claim_valid_until = valid_until;
         }
         request.outcome.on_claim_granted();
         self.record(id, Step::ClaimGranted);
@@ -117,18 +119,18 @@
             return;
         };
         if request.stage == Stage::Claiming {
-            self.answer(id.seq, verdict);
+            self.finish_with(id.seq, verdict);
         }
     }
 
-    /// Tells the home of a request's claim how the request ended; `None` means
-    /// with a whole answer.
+    /// Reports to the home of a request's claim how the request ended; `None` means with a complete
+    /// response.
     pub(super) fn end_claim(&mut self, id: RequestId, verdict: Option<&Verdict>) {
         let state = HolderState::of(verdict);
         self.with_keys(|keys, now, out| keys.on_request_ended(now, id, state, out));
     }
 
-    /// Puts the list in force for the homes of keys.
+    /// Passes the list in force to the homes of keys.
     pub(super) fn refresh_keys(&mut self) {
         let view = self.membership.view();
         let live = view
@@ -139,33 +141,33 @@
         self.with_keys(|keys, now, out| keys.set_list(now, revision, live.into_iter(), out));
     }
 
-    /// A caller draws a ticket.
-    pub(super) fn on_draw_ticket(&mut self, key_digest: [u8; 32], ticket: RequestId) {
+    /// Handles a request for a ticket.
+    pub(super) fn on_ticket_request(&mut self, key_digest: [u8; 32], ticket: RequestId) {
         if self.is_stopping() {
-            // It would be lost with the process, and with it every request
-            // that names it, for its caller cannot draw another for the order.
+            // The ticket would be lost with this process, and with it every request that names it,
+            // because its caller cannot request another for the same order.
             let result = Err(Reason::Stopping);
             return self.out.push(Action::Ticket { ticket, result });
         }
-        let until = self.now + JUDGE_LIMIT;
-        self.timers.set(until, TimerKind::Draws);
-        self.draws.push(TicketDraw {
+        let until = self.now + CATALOGUE_TIMEOUT;
+        self.timers.set(until, TimerKind::PendingTickets);
+        self.pending_tickets.push(PendingTicket {
             ticket,
             key_digest,
             until,
         });
-        self.judge_draws();
+        self.resolve_tickets();
     }
 
-    /// Answers every draw whose workspace is known, or can't be known in time.
-    pub(super) fn judge_draws(&mut self) {
-        for draw in core::mem::take(&mut self.draws) {
-            let workspace = match self.sync.lookup(self.now, &draw.key_digest) {
+    /// Answers every ticket request whose workspace is known, or cannot be known in time.
+    pub(super) fn resolve_tickets(&mut self) {
+        for pending in core::mem::take(&mut self.pending_tickets) {
+            let workspace = match self.sync.lookup(self.now, &pending.key_digest) {
                 Lookup::Found(workspace) => Ok(workspace.key),
                 Lookup::Unknown => Err(Reason::BadKey),
-                Lookup::Missing(shard) if self.now < draw.until => {
+                Lookup::Missing(shard) if self.now < pending.until => {
                     self.with_sync(|sync, now, out| sync.want_shard(now, shard, out));
-                    self.draws.push(draw);
+                    self.pending_tickets.push(pending);
                     continue;
                 }
                 Lookup::Missing(_) | Lookup::Unavailable(_) | Lookup::NoCatalogue => {
@@ -173,9 +175,9 @@
                 }
             };
             let now = self.now;
-            let issue = |key| self.keys.issue_ticket(now, draw.ticket, key);
+            let issue = |key| self.keys.issue_ticket(now, pending.ticket, key);
             let result = workspace.and_then(issue);
-            let ticket = draw.ticket;
+            let ticket = pending.ticket;
             self.out.push(Action::Ticket { ticket, result });
         }
     }
--- a/crates/core/src/node/limits.rs
+++ b/crates/core/src/node/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of entries and workspaces, in both roles.
+//! Limits of entries and workspaces: this node's leases, and the limits whose home it is.
 
 use super::Node;
 use super::request::{Request, Stage};
@@ -19,14 +19,14 @@
             &mut self.leases,
             self.now,
             &self.membership,
-            &mut self.limits_asked,
+            &mut self.limits_actions,
         );
     }
 
-    /// Carries out what the limits asked for.
+    /// Carries out the actions of the limits.
     pub(super) fn carry_out_limits(&mut self) {
-        while !self.limits_asked.is_empty() {
-            for action in core::mem::take(&mut self.limits_asked) {
+        while !self.limits_actions.is_empty() {
+            for action in core::mem::take(&mut self.limits_actions) {
                 match action {
                     LimitsAction::Send { to, message } => {
                         self.send(to, PeerMessage::Limits(message));
@@ -48,9 +48,9 @@
 
     pub(super) fn on_limits_message(&mut self, from: PeerId, message: LimitsMessage) {
         match message {
-            LimitsMessage::Request(ask) => {
-                let (now, out) = (self.now, &mut self.limits_asked);
-                self.limit_home.on_request(now, from, &ask, out);
+            LimitsMessage::Request(request) => {
+                let (now, out) = (self.now, &mut self.limits_actions);
+                self.limit_home.on_request(now, from, &request, out);
             }
             LimitsMessage::Lease(lease) => {
                 self.with_leases(|leases, now, fleet, out| {
@@ -60,15 +60,15 @@
         }
     }
 
-    /// Takes a request's place in the limits of its entry and workspace; the
-    /// answer comes now or later.
+    /// Requests the admission of a request within the limits of its entry and workspace. The answer
+    /// may come at once or later.
     pub(super) fn begin_admission(&mut self, seq: u64) {
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
         request.stage = Stage::Admitting;
         let Some(claim) = claim_of(request) else {
-            debug_assert!(false, "a request is judged before it is limited");
+            debug_assert!(false, "a request is validated before it is admitted");
             return;
         };
         self.with_leases(|leases, now, fleet, out| leases.submit(now, seq, claim, fleet, out));
@@ -83,26 +83,26 @@
         if self.is_admitting(seq) {
             let id = self.requests[&seq].id();
             self.record(id, Step::Admitted);
-            self.begin_asking(seq);
+            self.begin_placement(seq);
         } else {
-            // The caller left in the same turn; its place must not stay taken.
+            // The caller disconnected within the same event; its admission must be released.
             self.end_admission(seq);
         }
     }
 
-    /// Gives a request's place in the limits back.
+    /// Releases a request's admission.
     pub(super) fn end_admission(&mut self, seq: u64) {
         self.with_leases(|leases, now, fleet, out| leases.finish(now, seq, fleet, out));
     }
 
-    /// Charges tokens that a request has generated.
+    /// Charges generated tokens to the limits of a request.
     pub(super) fn charge(&mut self, seq: u64, tokens: u32) {
         if tokens > 0 {
             self.with_leases(|it, now, fleet, out| it.charge(now, seq, tokens, fleet, out));
         }
     }
 
-    /// The homes of limits may have moved.
+    /// Adapts the limits to the fleet, in which their homes may have moved.
     pub(super) fn refresh_limits(&mut self) {
         let usable = self.membership.live_count();
         let listed = self.membership.listed_count();
@@ -110,7 +110,7 @@
         self.with_leases(|leases, now, fleet, out| leases.homes_moved(now, fleet, out));
     }
 
-    /// A life of an instance is over; what it leased is free.
+    /// Frees what an incarnation that has ended held in leases.
     pub(super) fn forget_leases(&mut self, instance: InstanceKey, incarnation: Incarnation) {
         self.limit_home.incarnation_ended(PeerId {
             instance,
@@ -129,15 +129,15 @@
 }
 
 fn claim_of(request: &Request) -> Option<Claim> {
-    let facts = request.facts.as_ref()?;
-    let view = facts.view();
-    let revision = facts.catalogue.revision();
+    let spec = request.spec.as_ref()?;
+    let view = spec.view();
+    let revision = spec.catalogue.revision();
     let limits = &view.entry.limits;
     Some(Claim {
-        workspace: facts.workspace,
+        workspace: spec.workspace,
         workspace_allowance: Allowance {
-            concurrent: facts.workspace_limits.concurrent,
-            tokens_per_minute: facts.workspace_limits.tokens_per_minute,
+            concurrent: spec.workspace_limits.concurrent,
+            tokens_per_minute: spec.workspace_limits.tokens_per_minute,
             revision,
         },
         entry: view.entry.key,
@@ -147,7 +147,7 @@
             revision,
         },
         queue: limits.queue,
-        tokens: (!view.target.is_service()).then_some(facts.prompt_tokens),
+        tokens: (!view.target.is_service()).then_some(spec.prompt_tokens),
         deadline: request.waiting_since + request.longest_wait(),
     })
 }
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/placement.rs
@@ -1,10 +1,9 @@
-//! Finds a cell for a request, asks the cell's home, takes its answer.
+//! Chooses a cell for a request, requests a grant from the cell's home and handles the answer.
 //!
-//! A request is first offered to every cell that serves it, nearest first, on
-//! condition that it starts within its class's wait target. Only when all have
-//! refused is the longest wait accepted, at the cell that promised the
-//! shortest. So one crowded cell does not keep a request that another could
-//! start at once. See `docs/design/placement.md`.
+//! A request is first offered to every cell that serves it, nearest first, on condition that it
+//! starts within its class's wait target. Only when all have refused does it accept the longest
+//! wait, at the cell that predicted the shortest. So one crowded cell does not keep a request that
+//! another could start at once. See `docs/design/placement.md`.
 
 use super::Node;
 use super::request::{Refusal, Request, Stage};
@@ -20,10 +19,11 @@
 use core::time::Duration;
 use rand::Rng;
 
-/// How long a request waits before it tries an endpoint again where it failed.
-const SECOND_CHANCE_AFTER: Duration = Duration::from_millis(500);
+/// How long a request waits before it may retry an endpoint where it failed.
+const EXCLUDED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Refusals that mean "not here, now", so that another cell may do.
+/// Returns whether a refusal concerns only the cell that gave it, so that another cell may grant
+/// the request.
 fn is_local(reason: Reason) -> bool {
     matches!(
         reason,
@@ -36,42 +36,42 @@
 }
 
 impl Node {
-    /// Starts to look for a place.
-    pub(super) fn begin_asking(&mut self, seq: u64) {
+    /// Starts the placement of a request.
+    pub(super) fn begin_placement(&mut self, seq: u64) {
         let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
-        let at = request.gives_up_at();
+        let at = request.start_deadline();
         self.timers.set(at, TimerKind::Request(seq));
-        self.ask_next_cell(seq);
+        self.request_next_cell(seq);
     }
 
-    /// Asks the next cell that has not refused yet, or gives up.
-    pub(super) fn ask_next_cell(&mut self, seq: u64) {
+    /// Requests a grant from the next cell that has not refused yet, or gives up.
+    pub(super) fn request_next_cell(&mut self, seq: u64) {
         if !self.may_be_sent(seq) {
             return;
         }
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
-        let cell = match self.fresh_cell(request) {
+        let cell = match self.nearest_untried_cell(request) {
             Some(cell) => cell,
             None if request.accepts_longer_wait || request.refusals.is_empty() => {
-                return self.refuse_by_cells(seq);
+                return self.finish_with_cell_refusal(seq);
             }
-            None => match self.shortest_wait(request) {
+            None => match self.shortest_wait_cell(request) {
                 Some(cell) => cell,
-                None => return self.refuse_by_cells(seq),
+                None => return self.finish_with_cell_refusal(seq),
             },
         };
-        self.ask_cell(seq, cell);
+        self.request_grant(seq, cell);
     }
 
     /// Returns the nearest cell that has not refused the request in this round.
-    fn fresh_cell(&self, request: &Request) -> Option<CellKey> {
-        let facts = request.facts.as_ref()?;
+    fn nearest_untried_cell(&self, request: &Request) -> Option<CellKey> {
+        let spec = request.spec.as_ref()?;
         let own = self.membership.own_data_centre();
-        let name = facts.view().target.name().to_owned();
+        let name = spec.view().target.name().to_owned();
         let cells = self.membership.cells_serving(&name, own);
         let fresh = |cell: CellKey| !request.refusals.iter().any(|it| it.cell == cell);
         let mut open = cells.iter().filter(|it| fresh(it.plan.key)).peekable();
@@ -80,15 +80,15 @@
             .take_while(|it| it.data_centre == nearest)
             .map(|it| it.plan.key)
             .collect();
-        // Cells of one data centre are alike; starting at a different one for
-        // each request spreads the load without any exchange of figures.
+        // Cells of one data centre are equivalent. Starting at a different one for each request
+        // spreads the load without any exchange of load figures.
         let pick = crate::rendezvous::score(request.id().seq, self.me.instance.0);
         level.get((pick % level.len() as u64) as usize).copied()
     }
 
-    /// Returns the cell that promised the shortest wait, if any promised one
-    /// that the request accepts.
-    fn shortest_wait(&self, request: &Request) -> Option<CellKey> {
+    /// Returns the cell that predicted the shortest wait, if any predicted one that the request
+    /// accepts.
+    fn shortest_wait_cell(&self, request: &Request) -> Option<CellKey> {
         let queues = request.refusals.iter().filter(|it| {
             matches!(it.reason, Reason::WaitTooLong | Reason::WaitExpired)
                 && it.predicted_wait <= request.longest_wait()
@@ -96,7 +96,7 @@
         queues.min_by_key(|it| it.predicted_wait).map(|it| it.cell)
     }
 
-    fn ask_cell(&mut self, seq: u64, cell: CellKey) {
+    fn request_grant(&mut self, seq: u64, cell: CellKey) {
         let Some(home) = self.membership.home_of_cell(cell) else {
             return self.refuse(seq, Reason::NoEndpoint);
         };
@@ -105,25 +105,28 @@
             return;
         };
         request.accepts_longer_wait |= request.refusals.iter().any(|it| it.cell == cell);
-        request.stage = Stage::Asking { cell, home };
-        let Some(facts) = &request.facts else {
-            debug_assert!(false, "a request is judged before it asks");
+        request.stage = Stage::Placing { cell, home };
+        let Some(spec) = &request.spec else {
+            debug_assert!(false, "a request is validated before it is placed");
             return;
         };
-        let ask = GrantRequest::from_request(cell, &request.to_cell_request(facts), now);
+        let grant_request = GrantRequest::from_request(cell, &request.to_cell_request(spec), now);
         let id = request.id();
-        self.record(id, Step::Asked { cell, home });
-        self.send(home, PeerMessage::Cell(CellMessage::Request(Box::new(ask))));
+        self.record(id, Step::GrantRequested { cell, home });
+        self.send(
+            home,
+            PeerMessage::Cell(CellMessage::Request(Box::new(grant_request))),
+        );
     }
 
-    /// A home grants a place.
+    /// Handles a grant from a home.
     pub(super) fn on_grant(&mut self, from: PeerId, grant: &Grant) {
         let Some(request) = self.requests.get(&grant.seq) else {
             return self.withdraw_at(from.instance, grant.seq);
         };
-        let Stage::Asking { cell, home } = request.stage else {
-            // A home that was asked earlier grants late. Its lease would hold
-            // memory that nobody uses.
+        let Stage::Placing { cell, home } = request.stage else {
+            // A late grant from a home that received the request earlier. Its lease would reserve KV cache
+            // that nobody uses.
             if !matches!(request.stage, Stage::Running { home, .. } if home == from.instance) {
                 self.withdraw_at(from.instance, grant.seq);
             }
@@ -136,22 +139,22 @@
         let is_known = in_cell.contains(&grant.endpoint);
         let state = self.membership.endpoint_state(grant.endpoint);
         if !is_known || state != EndpointState::Live {
-            // The home has not heard yet that the endpoint is leaving; this
-            // node has. Asking again without it keeps the promise.
+            // This node already knows that the endpoint is leaving; the home does not. Requesting
+            // again without it keeps the request off an endpoint that leaves.
             if let Some(request) = self.requests.get_mut(&grant.seq) {
                 request.exclude.push(grant.endpoint);
             }
-            return self.ask_cell(grant.seq, cell);
+            return self.request_grant(grant.seq, cell);
         }
         self.dispatch(grant.seq, cell, home, grant);
     }
 
-    /// A home refuses.
+    /// Handles a refusal from a home.
     pub(super) fn on_refused(&mut self, from: PeerId, refused: &Refused) {
         let Some(request) = self.requests.get_mut(&refused.seq) else {
             return;
         };
-        let Stage::Asking { cell, home } = request.stage else {
+        let Stage::Placing { cell, home } = request.stage else {
             return;
         };
         if home != from.instance {
@@ -173,42 +176,42 @@
         let id = request.id();
         self.record(id, step);
         match is_local(refused.reason) {
-            true => self.ask_next_cell(refused.seq),
-            false => self.refuse_by_cells(refused.seq),
+            true => self.request_next_cell(refused.seq),
+            false => self.finish_with_cell_refusal(refused.seq),
         }
     }
 
-    /// Asks again wherever the home that was asked is no longer the home.
-    pub(super) fn re_ask_moved(&mut self) {
+    /// Sends pending requests again whose cell has moved to another home.
+    pub(super) fn rerequest_from_moved_homes(&mut self) {
         let mut moved: Vec<(u64, CellKey, InstanceKey)> = Vec::new();
         for (&seq, request) in &self.requests {
-            if let Stage::Asking { cell, home } = request.stage
+            if let Stage::Placing { cell, home } = request.stage
                 && self.membership.home_of_cell(cell) != Some(home)
             {
                 moved.push((seq, cell, home));
             }
         }
         for (seq, cell, old) in moved {
-            self.leave_old_home(old, seq);
+            self.withdraw_from_old_home(old, seq);
             match self.membership.view().cell(cell) {
-                Some(_) => self.ask_cell(seq, cell),
-                None => self.ask_next_cell(seq),
+                Some(_) => self.request_grant(seq, cell),
+                None => self.request_next_cell(seq),
             }
         }
     }
 
-    /// Asks again whatever was asked of `home`, which has forgotten it or may
-    /// never have heard it.
-    pub(super) fn re_ask_at(&mut self, home: InstanceKey) {
-        let asked = self
+    /// Sends again all requests that are pending at `home`, which has lost them or may never have
+    /// received them.
+    pub(super) fn rerequest_from(&mut self, home: InstanceKey) {
+        let pending = self
             .requests
             .iter()
             .filter_map(|(&seq, it)| match it.stage {
-                Stage::Asking { cell, home: at } if at == home => Some((seq, cell)),
+                Stage::Placing { cell, home: at } if at == home => Some((seq, cell)),
                 _ => None,
             });
-        for (seq, cell) in asked.collect::<Vec<_>>() {
-            self.ask_cell(seq, cell);
+        for (seq, cell) in pending.collect::<Vec<_>>() {
+            self.request_grant(seq, cell);
         }
     }
 
@@ -217,31 +220,33 @@
         self.send(home, PeerMessage::Cell(message));
     }
 
-    /// The time set for a request has come.
+    /// Handles the timer of a request.
     pub(super) fn on_request_timer(&mut self, seq: u64) {
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
-        let over = self.now >= request.gives_up_at();
+        let over = self.now >= request.start_deadline();
         match request.stage {
-            Stage::Judging if self.now >= request.waiting_since + super::judge::JUDGE_LIMIT => {
+            Stage::Validating
+                if self.now >= request.waiting_since + super::validate::CATALOGUE_TIMEOUT =>
+            {
                 self.refuse(seq, Reason::NoCatalogue);
             }
-            Stage::AwaitingTurn if over => self.refuse(seq, Reason::TurnTaken),
-            Stage::Asking { .. } | Stage::Admitting if over => {
+            Stage::AwaitingRunLease if over => self.refuse(seq, Reason::TurnTaken),
+            Stage::Placing { .. } | Stage::Admitting if over => {
                 self.refuse(seq, Reason::HomeSilent);
             }
-            Stage::BackingOff { until } if self.now >= until => self.ask_next_cell(seq),
+            Stage::BackingOff { until } if self.now >= until => self.request_next_cell(seq),
             _ => {}
         }
     }
 
-    /// If only the endpoints where the request failed are left, lets it try them
-    /// again after a while. One that dropped a connection is often back within
-    /// a second, and where a cell has one endpoint there is no other. Returns
-    /// whether it does; the attempts are bounded by [`crate::retry`].
-    fn give_second_chance(&mut self, seq: u64) -> bool {
-        let until = self.now + SECOND_CHANCE_AFTER;
+    /// If only the endpoints where the request failed are left, allows them again after a delay. An
+    /// endpoint that dropped a connection is often back within a second, and where a cell has one
+    /// endpoint there is no other. Returns whether it does so; [`crate::retry`] bounds the number
+    /// of attempts.
+    fn retry_excluded_endpoints(&mut self, seq: u64) -> bool {
+        let until = self.now + EXCLUDED_RETRY_DELAY;
         let Some(request) = self.requests.get_mut(&seq) else {
             return false;
         };
@@ -249,7 +254,7 @@
             .refusals
             .iter()
             .all(|it| it.reason == Reason::NoEndpoint);
-        if !none_left || request.exclude.is_empty() || until >= request.gives_up_at() {
+        if !none_left || request.exclude.is_empty() || until >= request.start_deadline() {
             return false;
         }
         request.exclude.clear();
@@ -259,9 +264,10 @@
         true
     }
 
-    /// Every cell refused: says why, and when it is worth coming back.
-    fn refuse_by_cells(&mut self, seq: u64) {
-        if self.give_second_chance(seq) {
+    /// Ends a request that every cell refused, with the reason of the cell that names the shortest
+    /// delay before a retry.
+    fn finish_with_cell_refusal(&mut self, seq: u64) {
+        if self.retry_excluded_endpoints(seq) {
             return;
         }
         let Some(request) = self.requests.get(&seq) else {
@@ -274,7 +280,7 @@
         }
     }
 
-    /// Ends a request with the strongest claim that its attempts bear out.
+    /// Ends a request with the strongest outcome that its attempts prove.
     pub(super) fn refuse(&mut self, seq: u64, reason: Reason) {
         use crate::reason::ReasonGroup;
         let retry_after = match reason.group() {
@@ -286,10 +292,16 @@
         self.finish(seq, reason, retry_after);
     }
 
-    /// Takes a request's place back at its home and forgets it.
-    pub(super) fn leave_home(&mut self, id: RequestId, stage: Stage, tokens: u32, end: EndKind) {
+    /// Releases what a request's home holds for it.
+    pub(super) fn release_at_home(
+        &mut self,
+        id: RequestId,
+        stage: Stage,
+        tokens: u32,
+        end: EndKind,
+    ) {
         match stage {
-            Stage::Asking { home, .. } => self.withdraw_at(home, id.seq),
+            Stage::Placing { home, .. } => self.withdraw_at(home, id.seq),
             Stage::Running { home, .. } => {
                 let ended = crate::cell::message::Ended {
                     seq: id.seq,
@@ -299,10 +311,10 @@
                 let message = CellMessage::Ended(vec![ended]);
                 self.send(home, PeerMessage::Cell(message));
             }
-            Stage::Judging
+            Stage::Validating
             | Stage::Claiming
             | Stage::Admitting
-            | Stage::AwaitingTurn
+            | Stage::AwaitingRunLease
             | Stage::BackingOff { .. } => {}
         }
     }
--- a/crates/core/src/node/judge.rs
+++ b/crates/core/src/node/validate.rs
@@ -1,8 +1,8 @@
-//! Holds an arrival against the catalogue.
+//! Checks a new request against the catalogue.
 
 use super::Node;
-use super::request::{Facts, Request, Stage};
-use super::stop::Door;
+use super::request::{Request, RequestSpec, Stage};
+use super::stop::StopPhase;
 use super::timers::TimerKind;
 use crate::catalogue::sync::Lookup;
 use crate::catalogue::{EntryView, TargetView, Workspace};
@@ -13,22 +13,22 @@
 use crate::reason::Reason;
 use core::time::Duration;
 
-/// How long an arrival waits for the shard that may hold its workspace.
-pub(super) const JUDGE_LIMIT: Duration = Duration::from_secs(5);
+/// How long a new request waits for the shard that may hold its workspace.
+pub(super) const CATALOGUE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a caller is told to come back who met an instance that is not ready.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry delay for a caller whose request reached an instance that is not ready.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Tokens that a request asks for if it names no limit and the entry has none.
+/// Output tokens of a request if neither the request nor the entry names a limit.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
 
 impl Node {
-    /// Takes a new request in, or refuses it.
+    /// Accepts a new request, or refuses it.
     pub(super) fn on_arrival(&mut self, arrival: RequestArrival) {
         debug_assert!(!self.requests.contains_key(&arrival.id.seq));
-        if let Err(reason) = self.may_enter() {
+        if let Err(reason) = self.check_accepting() {
             let outcome = RequestOutcome::of_arrival(&arrival);
-            let verdict = outcome.finish(reason, Some(COME_BACK), 0);
+            let verdict = outcome.finish(reason, Some(RETRY_AFTER), 0);
             self.note_verdict(arrival.id, verdict.outcome(), reason);
             self.out.push(Action::Finish {
                 request: arrival.id,
@@ -40,12 +40,12 @@
         self.budget.on_request(self.now);
         self.requests.insert(seq, Request::new(arrival, self.now));
         self.timers
-            .set(self.now + JUDGE_LIMIT, TimerKind::Request(seq));
-        self.judge(seq);
+            .set(self.now + CATALOGUE_TIMEOUT, TimerKind::Request(seq));
+        self.validate(seq);
     }
 
-    fn may_enter(&self) -> Result<(), Reason> {
-        if self.door == Door::Closed {
+    fn check_accepting(&self) -> Result<(), Reason> {
+        if self.stop_phase == StopPhase::Draining {
             return Err(Reason::Stopping);
         }
         if self.requests.len() >= self.cfg.max_requests {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Judges a request, unless the shard that it needs is still on its way.
-    pub(super) fn judge(&mut self, seq: u64) {
+    /// Validates a request, unless the shard that it needs is still being fetched.
+    pub(super) fn validate(&mut self, seq: u64) {
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
@@ -73,11 +73,11 @@
                 return self.with_sync(|sync, now, out| sync.want_shard(now, shard, out));
             }
         };
-        match self.facts(seq, &workspace) {
-            Ok(facts) => {
-                self.record_accepted(seq, &facts);
+        match self.resolve_spec(seq, &workspace) {
+            Ok(spec) => {
+                self.record_accepted(seq, &spec);
                 if let Some(request) = self.requests.get_mut(&seq) {
-                    request.facts = Some(facts);
+                    request.spec = Some(spec);
                 }
                 self.begin_run(seq);
                 if !self.begin_claim(seq) {
@@ -88,32 +88,32 @@
         }
     }
 
-    fn record_accepted(&mut self, seq: u64, facts: &Facts) {
+    fn record_accepted(&mut self, seq: u64, spec: &RequestSpec) {
         let Some(request) = self.requests.get(&seq) else {
             return;
         };
         let step = Step::Accepted {
             entry: request.arrival.entry.clone(),
-            catalogue_revision: facts.catalogue.revision(),
-            prompt_tokens: facts.prompt_tokens,
-            max_tokens: facts.max_tokens,
+            catalogue_revision: spec.catalogue.revision(),
+            prompt_tokens: spec.prompt_tokens,
+            max_tokens: spec.max_tokens,
         };
         self.record(request.id(), step);
     }
 
-    /// Judges every request that waits for a shard; those whose shard cannot
-    /// be had are refused by it.
-    pub(super) fn judge_waiting(&mut self) {
-        self.judge_draws();
+    /// Validates every request that waits for a shard. Those whose shard cannot be fetched are
+    /// refused.
+    pub(super) fn validate_waiting(&mut self) {
+        self.resolve_tickets();
         let waiting = self.requests.iter();
-        let waiting = waiting.filter(|(_, it)| it.stage == Stage::Judging);
+        let waiting = waiting.filter(|(_, it)| it.stage == Stage::Validating);
         let waiting: Vec<u64> = waiting.map(|(&seq, _)| seq).collect();
         for seq in waiting {
-            self.judge(seq);
+            self.validate(seq);
         }
     }
 
-    fn facts(&self, seq: u64, workspace: &Workspace) -> Result<Facts, Reason> {
+    fn resolve_spec(&self, seq: u64, workspace: &Workspace) -> Result<RequestSpec, Reason> {
         let catalogue = self.sync.catalogue().ok_or(Reason::NoCatalogue)?;
         let arrival = &self.requests[&seq].arrival;
         let view = catalogue
@@ -123,7 +123,7 @@
             return Err(Reason::EntryForbidden);
         }
         let (prompt_tokens, max_tokens) = tokens_of(&arrival.work, &view)?;
-        Ok(Facts {
+        Ok(RequestSpec {
             entry: view.id,
             workspace: workspace.key,
             workspace_limits: workspace.limits,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Returns the prompt's tokens and the most tokens to generate.
+/// Returns the prompt's tokens and the maximum number of tokens to generate.
 fn tokens_of(work: &Work, view: &EntryView<'_>) -> Result<(u32, u32), Reason> {
     match (work, view.target.is_service()) {
         (Work::Call, true) => Ok((0, 0)),
@@ -162,7 +162,7 @@
     }
 }
 
-/// Returns the class as the home of a cell needs it.
+/// Returns the rules of the class that the home of a cell needs.
 fn class_rules(view: &EntryView<'_>) -> ClassRules {
     let class = view.class;
     ClassRules {
@@ -175,7 +175,7 @@
     }
 }
 
-/// Returns what an endpoint must hold to serve the entry.
+/// Returns what an endpoint must have loaded to serve the entry.
 fn requirement(view: &EntryView<'_>) -> Requirement {
     match view.target {
         TargetView::Model { model, adapter } => {
