--- a/crates/core/src/checkpoint.rs
+++ b/crates/core/src/checkpoint.rs
@@ -1,15 +1,18 @@
-//! When a running request tells its home how far it is.
+//! The token counts at which a running request reports its progress to its home.
+//!
+//! The home is the instance that decides for a key, chosen by rendezvous hashing.
 
-/// Generated tokens at the first checkpoint; each later one doubles it, up to
+/// Generated tokens at the first checkpoint. Each later checkpoint doubles the count, up to
 /// [`CHECKPOINT_STEP`].
 pub const FIRST_CHECKPOINT: u32 = 64;
-/// Generated tokens from one checkpoint to the next, once so many are reached.
+/// Generated tokens between two checkpoints once this count is reached.
 ///
-/// Doubling without end, the age of a generation of 15,000 tokens was a guess
-/// from a report that was two minutes old; a guess past the caller's limit
-/// counted it as about to end, and its memory was given away.
+/// With unlimited doubling, the progress of a generation of 15,000 tokens is estimated from a
+/// report that is two minutes old. An estimate beyond the caller's limit counts the generation as
+/// about to end, and its KV cache is promised to others.
 pub const CHECKPOINT_STEP: u32 = 1_024;
-/// Returns whether a running request tells its home that it has generated `tokens`.
+
+/// Returns whether a running request reports to its home when it has generated `tokens`.
 pub fn is_checkpoint(tokens: u32) -> bool {
     match tokens < CHECKPOINT_STEP {
         true => tokens >= FIRST_CHECKPOINT && tokens.is_power_of_two(),
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,22 +1,22 @@
-//! What makes two requests the same.
+//! Fingerprints that identify identical requests.
 
 use core::fmt;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// All that decides whether two requests are the same: who asks, for what, and the body.
+/// The parts of a request that a fingerprint covers.
 ///
-/// The caller's name of its attempt is none of it, nor are the headers: a request that is
-/// sent once more has new ones.
+/// The headers and the caller's id of its attempt are not part of it, because they differ when the
+/// caller retries the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
-    /// Tells deployments apart.
+    /// Identifies the deployment.
     pub deployment: u64,
-    /// The workspace; nothing where entries are open to all.
+    /// The workspace; `None` where entries are open to all callers.
     pub workspace: Option<&'a str>,
-    /// The host that the caller named.
+    /// The host that the caller requested.
     pub host: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
@@ -24,11 +24,12 @@
     pub body: &'a [u8],
 }
 
-/// A hash by which instances tell each other of a request without any text of it.
+/// A hash that identifies a request between instances without containing any of its text.
 ///
-/// It is the first half of a SHA-256. What goes wrong with a hash for which equal values can
-/// be made: a caller has the request of another one refused by sending its twin. The
-/// workspace is hashed too, so that a caller could harm its own requests only.
+/// It is the first half of a SHA-256 digest. With a hash that is not collision resistant, a caller
+/// could get another caller's request refused by sending a different one with the same hash. The
+/// hash covers the workspace, so that a collision could affect only requests of the same
+/// workspace.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(u128);
@@ -57,7 +58,7 @@
         )
     }
 
-    /// Returns a number that ranks instances for this request.
+    /// Returns the key for rendezvous hashing of this request.
     pub const fn rank_key(self) -> u64 {
         (self.0 >> 64) as u64 ^ self.0 as u64
     }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,10 +1,9 @@
-//! Names of things, as small integers.
+//! Integer identifiers.
 //!
-//! There are two kinds. *Keys* are stable 64-bit hashes of published names:
-//! every instance computes the same key from the same name, so keys travel in
-//! messages. *Entities* (`u32` newtypes made with `entity_impl!`) index dense
-//! maps inside one process and never leave it; they are declared next to the
-//! map that owns them.
+//! There are two kinds. *Keys* are stable 64-bit hashes of published names. Every instance computes
+//! the same key from the same name, so messages between instances carry keys. *Entities* (`u32`
+//! newtypes made with `entity_impl!`) index dense maps inside one process and never leave it; they
+//! are declared next to the map that owns them.
 
 use core::fmt;
 use serde::{Deserialize, Serialize};
@@ -12,11 +11,11 @@
 use std::net::SocketAddrV4;
 use twox_hash::XxHash64;
 
-/// Seed of all published hashes. Changing it changes every home, so it is part
-/// of the peer protocol's version.
+/// Seed of all hashes of published names. A change of the seed assigns every key to another home
+/// (the instance that decides for the key), so it belongs to the version of the peer protocol.
 const KEY_SEED: u64 = 0x6f72_696f_6c65;
 
-/// Returns the stable hash of an address, as rendezvous hashing takes it.
+/// Returns the stable hash of an address for use in rendezvous hashing.
 pub fn address_hash(address: SocketAddrV4) -> u64 {
     stable_hash(&[&address.ip().octets(), &address.port().to_le_bytes()])
 }
@@ -90,27 +89,26 @@
     CellKey, "cell"
 );
 
-/// One life of one instance.
+/// Identifies one process run of an instance.
 ///
-/// A process draws a new incarnation at random when it starts, so that a
-/// restarted instance under the same name and address is never mistaken for
-/// the process that came before it.
+/// A process draws its incarnation at random when it starts, so that a restarted instance with the
+/// same name and address is never mistaken for its predecessor.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// One request, named by the process that accepted it.
+/// Identifies a request. The process that accepts the request assigns the id.
 ///
 /// Invariant: `seq` is never used twice within one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// The instance that accepted the request.
     pub instance: InstanceKey,
-    /// The life of that instance.
+    /// The incarnation of that instance.
     pub incarnation: Incarnation,
-    /// Counts the requests of that life, from 1.
+    /// Sequence number of the request within the incarnation, from 1.
     pub seq: u64,
 }
 
@@ -153,12 +151,12 @@
     }
 }
 
-/// One try of one request at one endpoint.
+/// Identifies one attempt to run a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request that is tried.
+    /// The request.
     pub request: RequestId,
-    /// Counts the tries, from 1.
+    /// Number of the attempt, from 1.
     pub number: u32,
 }
 
--- a/crates/core/src/memory.rs
+++ b/crates/core/src/memory.rs
@@ -1,9 +1,9 @@
-//! What the generations of one endpoint will hold of its KV memory.
+//! Forecasts the KV cache use of the generations that run at one endpoint.
 //!
-//! A generation of prompt `p` and age `a` holds `p + a` tokens until it ends.
-//! For each of a few horizons the ledger keeps the mean and the variance of
-//! what is held then, summed over everything that runs. Admission asks how
-//! likely one more would run when memory is short ([`Margins`]). See
+//! A generation with a prompt of `p` tokens that has generated `a` tokens holds `p + a` tokens
+//! until it ends. For each horizon the ledger keeps the mean and the variance of the use at that
+//! point, summed over all running generations. Admission bounds the probability that one more
+//! generation still runs when the KV cache is full ([`Margins`]). See
 //! `docs/design/admission.md`.
 
 use crate::ids::RequestId;
@@ -14,56 +14,56 @@
 use core::time::Duration;
 use cranelift_entity::entity_impl;
 
-/// Horizons, in generated tokens from now, at which memory is forecast.
+/// Horizons, in generated tokens from now, at which KV cache use is forecast.
 ///
-/// With fewer, a cohort that started together at the turn of the hour peaks
-/// unseen between two of them.
+/// With fewer horizons, the peak of a cohort of generations that started together (at the full
+/// hour, for example) falls between two of them and is missed.
 pub const HORIZONS: [u32; 8] = [64, 128, 256, 512, 1024, 2048, 4096, 8192];
 
-/// Points of a forecast: now, and each horizon.
+/// Number of points of a forecast: now, and each horizon.
 pub const POINTS: usize = 1 + HORIZONS.len();
 
-/// Tokens a second that a generation is assumed to make before any was timed.
-const START_RATE: f64 = 30.0;
-/// Weight of one timed checkpoint in an endpoint's token rate.
+/// Tokens per second that a generation is assumed to produce before any rate was measured.
+const INITIAL_RATE: f64 = 30.0;
+/// Weight of one checkpoint interval in the moving average of an endpoint's token rate.
 const RATE_GAIN: f64 = 0.2;
-/// Share of the estimated tokens since the last checkpoint that are certain:
-/// a generation slows down when others join it.
-const RATE_DOUBT: f64 = 0.85;
-/// Standard deviation of the error of learned hazards, as a logarithm.
-const HAZARD_ERROR: f64 = 0.15;
-/// Chance below which a generation counts as ended, to bound a logarithm.
-const LEAST_ALIVE: f64 = 1e-6;
-/// Tokens that a generation takes on average in its last, half empty KV block.
+/// Share of the estimated tokens since the last checkpoint that counts as certain, because a
+/// generation slows down when others join it.
+const CERTAIN_RATE_SHARE: f64 = 0.85;
+/// Standard deviation of the error of the logarithm of learned hazards.
+const HAZARD_LOG_DEVIATION: f64 = 0.15;
+/// Lowest survival probability that is used, to bound its logarithm.
+const MIN_SURVIVAL: f64 = 1e-6;
+/// Average number of unused tokens in the last, partly filled KV block of a generation.
 const BLOCK_SLACK: u32 = 8;
 
-/// A class, as one cell counts it.
+/// A class, as a dense index within one cell.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassIx(u32);
 entity_impl!(ClassIx, "class");
 
-/// What a generation asks of memory.
+/// Bounds of the KV cache use of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Tokens of the prompt, corrected.
+    /// Tokens of the prompt, after correction of the estimate.
     pub prompt: u32,
-    /// The most tokens that may be generated.
+    /// Maximum number of tokens that may be generated.
     pub cap: u32,
-    /// The answer is known to be at least this long.
+    /// Minimum number of generated tokens, as far as known.
     pub floor: u32,
 }
 
-/// How many tokens a generation has made, between two bounds.
+/// The number of tokens that a generation has produced, as an estimated range.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Age {
-    /// At least about so many.
+    /// Estimated lower bound.
     pub low: u32,
-    /// At most about so many.
+    /// Estimated upper bound.
     pub high: u32,
 }
 
 impl Age {
-    /// Returns the age of a generation known to have made `tokens`.
+    /// Returns the age of a generation that is known to have produced `tokens`.
     pub fn exactly(tokens: u32) -> Age {
         Age {
             low: tokens,
@@ -72,22 +72,22 @@
     }
 }
 
-/// Mean and variance of the memory held at each point, in tokens.
+/// Mean and variance of the KV cache use at each point, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Forecast {
     mean: [f64; POINTS],
-    /// Variance by chance, independent from one generation to the next.
+    /// Random variance, independent between generations.
     var: [f64; POINTS],
-    /// Change of the mean if all hazards were wrong by a factor of e; shared
-    /// by all generations, so that it adds up and does not average out.
+    /// Change of the mean if all hazards were wrong by a factor of e. The error is common to all
+    /// generations, so that it adds up and does not average out.
     shift: [f64; POINTS],
 }
 
 impl Forecast {
-    /// Forecasts one generation that has made between `age.low` and `age.high` tokens.
+    /// Forecasts one generation that has produced between `age.low` and `age.high` tokens.
     ///
-    /// The low age says when it ends, the high one what it holds: both err on
-    /// the side of too much memory.
+    /// The low age determines when it ends, the high age how many tokens it holds. Both choices
+    /// overestimate the use.
     pub fn of(demand: Demand, age: Age, curve: &Curve) -> Forecast {
         let mut forecast = Forecast::default();
         let base = demand.prompt + BLOCK_SLACK;
@@ -104,7 +104,7 @@
             let size = f64::from(base + age.high + horizon);
             forecast.mean[point + 1] = p * size;
             forecast.var[point + 1] = p * (1.0 - p) * size * size;
-            forecast.shift[point + 1] = -p * p.max(LEAST_ALIVE).ln() * size;
+            forecast.shift[point + 1] = -p * p.max(MIN_SURVIVAL).ln() * size;
         }
         forecast
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes `other` away, which was added before.
+    /// Subtracts `other`, which was added before.
     pub fn sub(&mut self, other: &Forecast) {
         for point in 0..POINTS {
             self.mean[point] = (self.mean[point] - other.mean[point]).max(0.0);
@@ -127,18 +127,18 @@
         }
     }
 
-    /// Returns what is held now.
+    /// Returns the use now, in tokens.
     pub fn now(&self) -> f64 {
         self.mean[0]
     }
 
     /// Returns the standard deviation at a point.
     fn deviation(&self, point: usize) -> f64 {
-        let shared = HAZARD_ERROR * self.shift[point];
+        let shared = HAZARD_LOG_DEVIATION * self.shift[point];
         (self.var[point] + shared * shared).sqrt()
     }
 
-    /// Returns the highest of mean plus `sigmas` standard deviations over all points.
+    /// Returns the maximum over all points of the mean plus `sigmas` standard deviations.
     pub fn peak(&self, sigmas: f64) -> f64 {
         let mut peak: f64 = 0.0;
         for point in 0..POINTS {
@@ -147,7 +147,7 @@
         peak
     }
 
-    /// Returns [`Forecast::peak`] of this and `other` together.
+    /// Returns the [`Forecast::peak`] of the sum of this and `other`.
     pub fn peak_with(&self, other: &Forecast, sigmas: f64) -> f64 {
         let mut both = *self;
         both.add(other);
@@ -155,12 +155,12 @@
     }
 }
 
-/// What one more generation asks of an endpoint at each point.
+/// The room that an endpoint needs at each point to admit one more generation.
 ///
-/// A generation is to blame for a preemption only while it runs itself. So the
-/// chance that it still runs at a point *and* memory is short then is held
-/// below the accepted risk: the less likely it runs that long, the smaller the
-/// margin it must leave to the uncertainty of what runs already.
+/// A generation can cause a preemption only while it runs. So the probability that it still runs
+/// at a point *and* the KV cache is full then is bounded by the accepted risk. The less likely it
+/// is to run that long, the smaller the margin that it must leave for the uncertainty of the
+/// running generations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Margins {
     points: [Option<Margin>; POINTS],
@@ -168,14 +168,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Margin {
-    /// Tokens that the generation holds if it still runs.
+    /// Tokens that the generation holds if it still runs at this point.
     size: f64,
-    /// Standard deviations of what runs already that must stay free.
+    /// Margin, in standard deviations of the use by running generations.
     sigmas: f64,
 }
 
 impl Margins {
-    /// Returns the margins of one generation, for an accepted risk from 0 to 1.
+    /// Returns the margins of one generation for an accepted risk between 0 and 1.
     pub fn of(forecast: &Forecast, risk: f64) -> Margins {
         let mut margins = Margins::default();
         for point in 0..POINTS {
@@ -196,8 +196,7 @@
         margins
     }
 
-    /// Returns the highest that memory may come to, margins included, when the
-    /// generation joins what `sum` forecasts.
+    /// Returns the peak use, margins included, if the generation joins those that `sum` forecasts.
     pub fn peak(&self, sum: &Forecast) -> f64 {
         let mut peak: f64 = 0.0;
         for (point, margin) in self.points.iter().enumerate() {
@@ -210,10 +209,10 @@
     }
 }
 
-/// Returns the point that a standard normal variable exceeds with probability
-/// `q`, or 0 for `q` of a half and more.
+/// Returns the value that a standard normal variable exceeds with probability `q`, or 0 if `q` is
+/// 0.5 or more.
 ///
-/// The rational approximation is Abramowitz and Stegun's 26.2.23, within 4.5e-4.
+/// Uses the rational approximation 26.2.23 of Abramowitz and Stegun; its error is below 4.5e-4.
 fn upper_quantile(q: f64) -> f64 {
     if q >= 0.5 {
         return 0.0;
@@ -231,46 +230,46 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassIx,
-    /// Whether it counts as urgent.
+    /// Whether it is urgent.
     pub urgent: bool,
-    /// Where its length is estimated.
+    /// The node of the length model that estimates its length.
     pub node: LengthNode,
-    /// What it asks of memory.
+    /// Bounds of its KV cache use.
     pub demand: Demand,
     /// Tokens at the last checkpoint.
-    pub told: u32,
-    /// When that checkpoint came, or the grant.
-    pub told_at: Time,
+    pub reported: u32,
+    /// When that checkpoint was reported, or the time of the grant if none was.
+    pub reported_at: Time,
     /// When it was granted.
     pub granted: Time,
-    /// Buckets before this one were counted as passed.
+    /// First length bucket that the length model has not counted as survived.
     pub passed: usize,
-    /// Its part in the ledger's sums.
+    /// Its contribution to the ledger's sums.
     pub forecast: Forecast,
 }
 
 impl Held {
-    /// Returns how many tokens it has probably made at `now`.
+    /// Estimates how many tokens it has produced at `now`.
     ///
-    /// That is capped just below the next checkpoint, whose report would have come.
+    /// The estimate stays below the next checkpoint, because that one has not been reported yet.
     fn age(&self, now: Time, rate: f64) -> Age {
-        let more = now.since(self.told_at).as_secs_f64() * rate;
-        let last = crate::checkpoint::next_checkpoint(self.told) - 1;
+        let more = now.since(self.reported_at).as_secs_f64() * rate;
+        let last = crate::checkpoint::next_checkpoint(self.reported) - 1;
         let after = |more: f64| {
-            let age = self.told.saturating_add(more as u32);
+            let age = self.reported.saturating_add(more as u32);
             age.min(last).min(self.demand.cap)
         };
         Age {
-            low: after(more * RATE_DOUBT),
+            low: after(more * CERTAIN_RATE_SHARE),
             high: after(more),
         }
     }
 }
 
-/// Everything that runs at one endpoint under this cell's grants.
+/// The generations that run at one endpoint under this cell's grants.
 ///
-/// Invariant: `sum` is the sum of the forecasts in `held`, up to rounding that
-/// each [`Ledger::refresh`] removes.
+/// Invariant: `sum` is the sum of the forecasts in `held`, up to rounding errors, which
+/// [`Ledger::refresh`] removes.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     held: Vec<Held>,
@@ -287,7 +286,7 @@
             sum: Forecast::default(),
             urgent_now: 0.0,
             urgent_count: 0,
-            rate: START_RATE,
+            rate: INITIAL_RATE,
         }
     }
 }
@@ -315,25 +314,25 @@
         Some(held)
     }
 
-    /// Learns that a generation has made `tokens`.
+    /// Records that a generation has produced `tokens`.
     pub fn progress(&mut self, now: Time, id: RequestId, tokens: u32) {
         let Some(held) = self.held.iter_mut().find(|held| held.id == id) else {
             return;
         };
-        if tokens <= held.told {
+        if tokens <= held.reported {
             return;
         }
-        let time = now.since(held.told_at).as_secs_f64();
+        let time = now.since(held.reported_at).as_secs_f64();
         // The time to the first checkpoint includes the wait for the first token.
-        if held.told > 0 && time > 0.0 {
-            let rate = f64::from(tokens - held.told) / time;
+        if held.reported > 0 && time > 0.0 {
+            let rate = f64::from(tokens - held.reported) / time;
             self.rate += RATE_GAIN * (rate - self.rate);
         }
-        held.told = tokens;
-        held.told_at = now;
+        held.reported = tokens;
+        held.reported_at = now;
     }
 
-    /// Forecasts everything anew, and counts the lengths that were passed.
+    /// Recomputes all forecasts, and counts in `lengths` the buckets that each generation survived.
     pub fn refresh(&mut self, now: Time, lengths: &mut LengthModel) {
         self.sum = Forecast::default();
         self.urgent_now = 0.0;
@@ -352,36 +351,36 @@
         }
     }
 
-    /// Returns the sums over everything that runs.
+    /// Returns the sum of the forecasts of all running generations.
     pub fn sum(&self) -> &Forecast {
         &self.sum
     }
 
-    /// Returns what urgent work holds now, in tokens.
+    /// Returns the tokens that urgent generations hold now.
     pub fn urgent_now(&self) -> f64 {
         self.urgent_now
     }
 
-    /// Returns how many urgent generations run.
+    /// Returns the number of running urgent generations.
     pub fn urgent_count(&self) -> u32 {
         self.urgent_count
     }
 
-    /// Returns everything that runs.
+    /// Returns all running generations.
     pub fn held(&self) -> &[Held] {
         &self.held
     }
 
-    /// Returns tokens a second of one generation, as far as known.
+    /// Returns the estimated token rate of one generation, in tokens per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 }
 
-/// What an endpoint's reports show beyond this cell's own grants.
+/// The load of an endpoint that does not come from this cell's grants.
 ///
-/// A report is compared with what the ledger held when its figures were taken,
-/// so that grants given since are not counted twice.
+/// A load report is compared with the ledger's state at the time when its figures were taken, so
+/// that later grants do not distort the difference.
 #[derive(Clone, Debug, Default)]
 pub struct Foreign {
     past: std::collections::VecDeque<Sample>,
@@ -396,20 +395,20 @@
     count: u32,
 }
 
-/// Samples closer together than this are kept as one, the later one.
+/// A sample that follows the previous one within this time replaces its values.
 const SAMPLE_SPACING: Duration = Duration::from_millis(50);
-/// The most samples kept; with [`SAMPLE_SPACING`] they reach back 6 s at least.
+/// Maximum number of samples; with [`SAMPLE_SPACING`] they cover at least 6 s.
 const MAX_SAMPLES: usize = 128;
 /// Weight of one report in the smoothed foreign load.
 const FOREIGN_GAIN: f64 = 0.5;
-/// Share of an endpoint's memory by which report and ledger may differ
-/// before the difference counts as someone else's.
+/// Share of an endpoint's KV cache by which report and ledger may differ before the difference
+/// counts as foreign load.
 const FOREIGN_DEADBAND: f64 = 0.02;
-/// Generations by which report and ledger may differ.
+/// Number of generations by which report and ledger may differ.
 const FOREIGN_DEADBAND_COUNT: f64 = 1.0;
 
 impl Foreign {
-    /// Notes what the ledger holds at `now`.
+    /// Records the ledger's state at `now`.
     pub fn sample(&mut self, now: Time, ledger: &Ledger) {
         let sample = Sample {
             at: now,
@@ -429,7 +428,7 @@
         self.past.push_back(sample);
     }
 
-    /// Takes in that `tokens` and `count` were in use at `taken`, of `total` tokens.
+    /// Applies a report that `tokens` of `total` were in use by `count` generations at `taken`.
     pub fn report(&mut self, taken: Time, tokens: u64, count: u32, total: u64) {
         let own = self.at(taken);
         let (own_tokens, own_count) = own.map_or((0.0, 0.0), |s| (s.tokens, f64::from(s.count)));
@@ -440,12 +439,12 @@
         self.count += FOREIGN_GAIN * (count - self.count);
     }
 
-    /// Returns the tokens that others hold.
+    /// Returns the estimated tokens that foreign generations hold.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Returns how many generations of others there are.
+    /// Returns the estimated number of foreign generations.
     pub fn count(&self) -> u32 {
         self.count.round() as u32
     }
--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -1,25 +1,24 @@
-//! The one list of reasons for refusals, retries and typed failures.
+//! Reasons of refusals, retries and typed failures.
 //!
-//! The same names are the `reason` of an error sent to a caller, the label of
-//! a counter and the text of a log event, so that an operator can go from one
-//! to the others without a dictionary.
+//! The `reason` field of an error response, the label of a counter and the text of a log event all
+//! use the same names, so that an operator can correlate them.
 
 use serde::{Deserialize, Serialize};
 
-/// What a caller may believe about a request that did not end well.
+/// What is known about whether a request ran, as its caller is told.
 ///
-/// `docs/GUARANTEES.md` says what each value promises.
+/// `docs/GUARANTEES.md` defines the guarantee behind each value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request truly did not run anywhere. The claim is made only through
-    /// `outcome::NotRun`, which cannot be built once a request may have run.
+    /// The request did not run anywhere. Only `outcome::NotRun` yields this value, and it cannot be
+    /// constructed once the request may have run.
     NotRun,
     /// The request may or may not have run.
     Unknown,
-    /// Some tokens of one single generation were delivered, then no more.
+    /// Only the first tokens of one generation were delivered.
     Partial,
-    /// The request ran and its whole answer was delivered.
+    /// The request ran and its full response was delivered.
     Complete,
 }
 
@@ -55,12 +54,12 @@
                 match self { $(Reason::$name => $status,)* }
             }
 
-            /// Returns its meaning, line by line, for the catalogue of events.
+            /// Returns the lines of its description for the catalogue of events.
             pub const fn doc(self) -> &'static [&'static str] {
                 match self { $(Reason::$name => &[$($doc),*],)* }
             }
 
-            /// Returns what kind of reason this is.
+            /// Returns its group.
             pub const fn group(self) -> ReasonGroup {
                 match self { $(Reason::$name => ReasonGroup::$group,)* }
             }
@@ -73,11 +72,11 @@
 pub enum ReasonGroup {
     /// The caller's input is at fault; the same request will be refused again.
     Input,
-    /// A limit or lack of room; the same request may be taken later.
+    /// A limit is reached or capacity is missing; the same request may be accepted later.
     Limit,
-    /// Something failed on the way.
+    /// A component or connection failed while the request was handled.
     Failure,
-    /// Something arrived that does not belong where it arrived; it was dropped.
+    /// A received message did not match the state of its attempt and was dropped.
     Discard,
 }
 
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,36 +1,35 @@
-//! Points in time as the core sees them.
+//! The core's time type.
 //!
-//! The core never reads a clock. The shell hands in microseconds of a
-//! monotonic clock with an arbitrary origin; experiments hand in virtual time.
+//! The core never reads a clock. The shell passes in the time of a monotonic clock with an arbitrary
+//! origin, in microseconds; simulations pass in virtual time.
 
 use core::fmt;
 use core::ops::{Add, AddAssign, Sub};
 use core::time::Duration;
 
-/// A point of the local monotonic clock, in microseconds from an arbitrary origin.
+/// A time of the local monotonic clock, in microseconds since an arbitrary origin.
 ///
-/// Times of two processes must never be compared: messages between instances
-/// carry durations only.
+/// Times of two processes are not comparable, so messages between instances carry durations only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(u64);
 
 impl Time {
     /// The origin of the clock.
     pub const ZERO: Time = Time(0);
-    /// A point that is never reached, for timers that are not set.
+    /// A time that is never reached, for timers that are not set.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// Returns the point `micros` microseconds after the origin.
+    /// Returns the time `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Time(micros)
     }
 
-    /// Returns the point `millis` milliseconds after the origin.
+    /// Returns the time `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Time(millis * 1_000)
     }
 
-    /// Returns the point `secs` seconds after the origin.
+    /// Returns the time `secs` seconds after the origin.
     pub const fn from_secs(secs: u64) -> Self {
         Time(secs * 1_000_000)
     }
@@ -50,13 +49,13 @@
         self.0 as f64 / 1e6
     }
 
-    /// Returns the point `d` before this one, or nothing if that lies before the origin.
+    /// Returns the time `d` before this one, or `None` if that is before the origin.
     pub fn before(self, d: Duration) -> Option<Time> {
         let micros = u64::try_from(d.as_micros()).ok()?;
         self.0.checked_sub(micros).map(Time)
     }
 
-    /// Returns the time passed since `earlier`, or zero if that lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than this time.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/core/src/value.rs
+++ b/crates/core/src/value.rs
@@ -1,69 +1,70 @@
-//! Values that subsystems take and give, and that mean the same to all of them.
+//! Value types that subsystems exchange.
 //!
-//! They hold no decision and know no subsystem, so that each subsystem can be read
-//! without the others.
+//! They contain no logic and depend on no subsystem, so that each subsystem can be read on its
+//! own.
 
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointKey, Incarnation, InstanceKey, RequestId};
 use core::time::Duration;
 
-/// Which process a peer message came from.
+/// The process that sent a peer message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId {
     /// The instance, by its published name.
     pub instance: InstanceKey,
-    /// Its life, as authenticated when the connection was made.
+    /// Its incarnation, as authenticated when the connection was made.
     pub incarnation: Incarnation,
 }
 
-/// Where a peer is reached.
+/// The address of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerTarget {
     /// The peer's key.
     pub key: InstanceKey,
     /// Its published name.
     pub name: String,
-    /// Its address and port for peers, by number.
+    /// Its numeric address and port for peer connections.
     pub address: std::net::SocketAddr,
 }
 
-/// Where an endpoint is reached and how it is spoken to.
+/// The address of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointTarget {
     /// The endpoint's key.
     pub key: EndpointKey,
     /// Its published name.
     pub name: String,
-    /// Its address and port, by number.
+    /// Its numeric address and port.
     pub address: std::net::SocketAddr,
 }
 
-/// What a caller asked for, after the shell has read and bounded it.
+/// A request of a caller, after the shell has parsed it and checked its size limits.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// The request's name, drawn by the shell.
+    /// The request's id, assigned by the shell.
     pub id: RequestId,
     /// SHA-256 of the caller's bearer key.
     pub key_digest: [u8; 32],
-    /// The entry's name, as the caller wrote it.
+    /// The entry's name, as the caller sent it.
     pub entry: String,
-    /// What is to be done.
+    /// The work to run.
     pub work: Work,
     /// The caller's idempotency key, if it sent one.
     pub idempotency_key: Option<String>,
-    /// The ticket that the caller drew earlier, if it sent one.
+    /// The ticket that the caller obtained earlier, if it sent one.
     pub ticket: Option<RequestId>,
-    /// A stable hash of the body, to tell a repeat from a reuse of a key.
+    /// A stable hash of the body, to distinguish a duplicate request from the reuse of a key for a
+    /// different request.
     pub body_hash: u64,
-    /// What makes it the same request as another one, of any caller that holds the key.
+    /// Equal for all identical requests, from any caller that holds the workspace's key.
     pub fingerprint: Fingerprint,
-    /// How long the caller is willing to wait, if it said so.
+    /// The longest wait that the caller accepts, if it sent one.
     pub patience: Option<Duration>,
 }
 
 impl RequestArrival {
-    /// Returns whether the request carries a ticket or key, so that an earlier
-    /// request under the same name may have run.
+    /// Returns whether the request carries a ticket or idempotency key, so that an earlier request
+    /// under the same ticket or key may have run.
     pub const fn has_name(&self) -> bool {
         self.ticket.is_some() || self.idempotency_key.is_some()
     }
@@ -76,11 +77,11 @@
     Completion {
         /// Tokens of the prompt, declared by the caller or estimated by the shell.
         prompt_tokens: u32,
-        /// The most tokens that the caller wants, if it said so.
+        /// The maximum number of tokens to generate, if the caller set one.
         max_tokens: Option<u32>,
-        /// Whether the caller wants tokens as they come.
+        /// Whether the caller requested streaming.
         stream: bool,
-        /// Stable hashes of the prompt's leading blocks, longest prefix last.
+        /// Stable hashes of the prompt's prefixes in whole blocks, longest prefix last.
         prefix: Vec<u64>,
     },
     /// A call of a plain service.
@@ -90,51 +91,51 @@
 /// How an attempt is to be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptMode {
-    /// Nothing was delivered; start a generation.
+    /// Nothing was delivered yet; start a generation.
     Fresh,
-    /// Start a generation elsewhere and compare it with the first `delivered`
-    /// tokens before going on (`docs/design/delivery.md`).
+    /// Start a generation at another endpoint and compare its first `delivered` tokens with those
+    /// delivered before continuing (`docs/design/delivery.md`).
     Replay {
-        /// How many tokens the caller already holds.
+        /// Number of tokens that the caller has already received.
         delivered: u32,
     },
 }
 
-/// How an answer reaches its caller.
+/// How a response is delivered to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DeliveryMode {
-    /// Tokens are sent on as they come.
+    /// Tokens are forwarded as they arrive.
     Stream,
-    /// Nothing is sent on until the generation is complete.
+    /// Nothing is forwarded until the generation is complete.
     Whole,
 }
 
-/// How full an endpoint said it was, with a lag.
+/// The load that an endpoint reports, with a lag.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LoadReport {
     /// Age of the figures when they were sent, in milliseconds.
     pub lag_ms: u32,
-    /// Generations (or calls) that run.
+    /// Running generations (or calls).
     pub running: u32,
-    /// Generations (or calls) that wait inside the endpoint.
+    /// Generations (or calls) queued inside the endpoint.
     pub waiting: u32,
-    /// Tokens of KV memory in all; 0 for a plain service.
+    /// Capacity of the KV cache in tokens; 0 for a plain service.
     pub kv_tokens_total: u64,
-    /// Tokens of KV memory in use by running generations.
+    /// Tokens of the KV cache in use by running generations.
     pub kv_tokens_used: u64,
-    /// The most generations that run at once.
+    /// Maximum number of generations that run at once.
     pub max_running: u32,
     /// Preemptions since the endpoint started.
     pub preemptions: u64,
-    /// Models that are loaded, with version and adapters.
+    /// Loaded models, with version and adapters.
     pub models: Vec<LoadedModel>,
-    /// The endpoint says that it is leaving.
+    /// Whether the endpoint announces that it is leaving.
     pub leaving: bool,
-    /// The highest fencing number that the endpoint has seen.
+    /// The highest fencing token that the endpoint has seen.
     pub fencing: u64,
 }
 
-/// A model that an endpoint holds.
+/// A model that an endpoint has loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LoadedModel {
     /// The model's name.
@@ -145,7 +146,7 @@
     pub adapters: Vec<String>,
 }
 
-/// An order to an endpoint to change what it holds.
+/// An order to an endpoint to change its models or its role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderKind {
     /// Load a model, a version or an adapter.
@@ -173,21 +174,21 @@
     },
 }
 
-/// What became of an order to an endpoint.
+/// The result of an order to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The endpoint carries it out.
+    /// The endpoint accepted the order.
     Accepted,
-    /// The endpoint has seen a higher fencing number.
+    /// The endpoint has seen a higher fencing token and refused.
     Fenced {
-        /// The highest number that the endpoint has seen.
+        /// The highest fencing token that the endpoint has seen.
         highest: u64,
     },
-    /// The endpoint did not answer or failed.
+    /// The endpoint did not respond or failed.
     Failed,
 }
 
-/// One value of the platform's service.
+/// A value that the platform publishes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ValueName {
     /// The list of instances and endpoints.
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -1,10 +1,10 @@
-//! What makes two requests the same.
+//! Fingerprints of requests are equal only for identical requests.
 
 use oriolemux_core::fingerprint::{Fingerprint, Identity};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-fn usual() -> Identity<'static> {
+fn base_identity() -> Identity<'static> {
     Identity {
         deployment: 1,
         workspace: Some("north-desk"),
@@ -16,32 +16,32 @@
 }
 
 #[test]
-fn the_same_request_has_the_same_fingerprint() {
-    let first = Fingerprint::of(&usual());
+fn identical_requests_have_equal_fingerprints() {
+    let first = Fingerprint::of(&base_identity());
 
-    let again = Fingerprint::of(&usual());
+    let again = Fingerprint::of(&base_identity());
 
     assert_eq!(first, again);
 }
 
 #[rstest]
-#[case::another_workspace(Identity { workspace: Some("south-desk"), ..usual() })]
-#[case::no_workspace(Identity { workspace: None, ..usual() })]
-#[case::another_host(Identity { host: "shop.example", ..usual() })]
-#[case::another_method(Identity { method: "PUT", ..usual() })]
-#[case::another_path(Identity { path: "/plan/2?size=2", ..usual() })]
-#[case::another_query(Identity { path: "/plan/1?size=3", ..usual() })]
-#[case::another_body(Identity { body: b"b prompt", ..usual() })]
-#[case::another_deployment(Identity { deployment: 2, ..usual() })]
-fn any_difference_makes_another_fingerprint(#[case] other: Identity<'_>) {
-    assert_ne!(Fingerprint::of(&usual()), Fingerprint::of(&other));
+#[case::another_workspace(Identity { workspace: Some("south-desk"), ..base_identity() })]
+#[case::no_workspace(Identity { workspace: None, ..base_identity() })]
+#[case::another_host(Identity { host: "shop.example", ..base_identity() })]
+#[case::another_method(Identity { method: "PUT", ..base_identity() })]
+#[case::another_path(Identity { path: "/plan/2?size=2", ..base_identity() })]
+#[case::another_query(Identity { path: "/plan/1?size=3", ..base_identity() })]
+#[case::another_body(Identity { body: b"b prompt", ..base_identity() })]
+#[case::another_deployment(Identity { deployment: 2, ..base_identity() })]
+fn any_difference_changes_the_fingerprint(#[case] other: Identity<'_>) {
+    assert_ne!(Fingerprint::of(&base_identity()), Fingerprint::of(&other));
 }
 
-/// Symptom: the request of one caller is refused for what another one's did. Sequence: a caller
-/// moves letters from one part of its request to the next. Cause: parts were hashed one after
-/// the other, without their lengths.
+/// Guards against one caller's request being refused because of another caller's request. If the
+/// parts were hashed without their lengths, requests that differ only in the boundary between two
+/// parts would have the same fingerprint.
 #[test]
-fn letters_that_move_from_part_to_part_make_another_fingerprint() {
+fn moving_characters_between_parts_changes_the_fingerprint() {
     let workspaces = ["north-desk", "north-des", "north-deskd", ""];
     let hosts = [
         "desk.example",
@@ -56,7 +56,7 @@
             Fingerprint::of(&Identity {
                 workspace: Some(workspace),
                 host,
-                ..usual()
+                ..base_identity()
             })
         })
         .collect();
@@ -64,10 +64,10 @@
     assert_eq!(all.len(), 4);
 }
 
-/// Instances of several versions and machines must agree on it.
+/// Instances of different versions and on different machines must compute equal fingerprints.
 #[test]
-fn a_fingerprint_is_the_same_for_ever() {
+fn fingerprint_is_stable_across_versions() {
     let known = "8397acb37fd4108289c3921205659948";
 
-    assert_eq!(Fingerprint::of(&usual()).to_string(), known);
+    assert_eq!(Fingerprint::of(&base_identity()).to_string(), known);
 }
