--- a/crates/core/src/catalogue/sync.rs
+++ b/crates/core/src/catalogue/sync.rs
@@ -1,22 +1,21 @@
-//! Keeps the catalogue in force at one node.
+//! Keeps the catalogue in force at one instance.
 //!
-//! A few *watchers* of each data centre watch the platform's index. A new index
-//! becomes a *candidate*. At a watcher it comes into force once it and all of
-//! its shards are verified; the watchers then tell the rest, which take it over
-//! from them and need to verify only what they hold. So no instance uses a
-//! revision of which any part would be rejected, and the platform is read by
-//! few (`docs/design/catalogue.md`).
+//! A few *watchers* in each data centre watch the platform's index. A new index becomes a
+//! *candidate*. At a watcher it comes into force once it and all of its shards are verified. The
+//! watchers then announce it to the other instances, which pull it from them and verify only the
+//! shards that they hold. So no instance uses a revision of which any part would be rejected, and
+//! only a few instances read the platform (`docs/design/catalogue.md`).
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `candidate` | what may come into force, and when |
-//! | `platform` | reads and watches the index, within a budget |
-//! | `pull` | takes the index over from peers |
-//! | `fetch` | gets shards from keepers or the platform |
-//! | `serve` | gives the index and shards to peers that ask |
-//! | `store` | what is held of the shards |
-//! | `roles` | who watches, who keeps which shard |
-//! | `pieces`, `delta` | values on their way between peers |
+//! | `candidate` | candidate revisions and when they come into force |
+//! | `platform` | reads and watches the index, within the read budget |
+//! | `pull` | pulls the index from peers |
+//! | `fetch` | fetches shards from keepers or the platform |
+//! | `serve` | serves the index and shards to peers |
+//! | `store` | caches of shards |
+//! | `roles` | which instances watch, and which keep each shard |
+//! | `pieces`, `delta` | transfer of values between peers |
 
 mod budget;
 mod candidate;
@@ -55,19 +54,19 @@
 use std::sync::Arc;
 use store::{RawStore, ShardStore};
 
-/// How the node holds the catalogue. Both limits are in bytes.
+/// Configuration of [`CatalogueSync`]. Both limits are in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct SyncConfig {
     /// Seed of all jitter.
     pub seed: u64,
-    /// Memory for shards in use.
+    /// Memory limit for shards in use.
     pub shard_memory: usize,
-    /// Memory for shards kept for peers.
+    /// Memory limit for shards kept for peers.
     pub kept_memory: usize,
 }
 
 impl SyncConfig {
-    /// Returns the usual limits.
+    /// Returns the default limits.
     pub fn new(seed: u64) -> Self {
         SyncConfig {
             seed,
@@ -77,59 +76,59 @@
     }
 }
 
-/// What other parts of the node may have to react to.
+/// A change that other parts of the instance may have to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncChange {
     /// A revision came into force.
     InForce {
-        /// Which.
+        /// The revision.
         revision: u64,
     },
-    /// A shard that was asked for is here.
+    /// A requested shard is available.
     ShardReady(u32),
-    /// A shard that was asked for cannot be had for now.
+    /// A requested shard is unavailable for now.
     ShardFailed(u32),
 }
 
-/// What the machine asks of the node.
+/// An action that the state machine requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SyncAction {
     /// Read a value once.
     Read(ValueName),
-    /// Watch the index for a platform revision above this; answered once.
+    /// Watch the index for a platform revision above this one. One response ends the watch.
     WatchIndex {
-        /// The platform's revision that was seen last.
+        /// The last platform revision seen.
         above: u64,
     },
-    /// Tell a peer something.
+    /// Send a message to a peer.
     Send {
-        /// Whom.
+        /// The peer.
         to: InstanceKey,
-        /// What.
+        /// The message.
         message: CatalogueMessage,
     },
-    /// Tell operators.
+    /// Emit a numbered event.
     Note(Note),
-    /// Something changed that other parts may react to.
+    /// Report a change to other parts of the instance.
     Changed(SyncChange),
 }
 
-/// What is known of the holder of a bearer key.
+/// The result of the lookup of a bearer key.
 #[derive(Debug)]
 pub enum Lookup<'a> {
-    /// The workspace that holds it.
+    /// The workspace that holds the key.
     Found(&'a Workspace),
-    /// No workspace holds it.
+    /// No workspace holds the key.
     Unknown,
-    /// The shard that says so is not here. Ask for it with [`CatalogueSync::want_shard`].
+    /// The shard that decides is not in memory. Fetch it with [`CatalogueSync::want_shard`].
     Missing(u32),
-    /// The shard could not be had lately; it is not asked for again yet.
+    /// The last fetch of the shard failed, and it is not fetched again yet.
     Unavailable(u32),
     /// No catalogue is in force.
     NoCatalogue,
 }
 
-/// An index with its bytes, as it is served to peers.
+/// An index with the bytes that are served to peers.
 #[derive(Clone, Debug)]
 struct Held {
     catalogue: Arc<Catalogue>,
@@ -145,10 +144,10 @@
 
 /// Keeps the catalogue in force.
 ///
-/// Invariants: the revision in force never falls; the revisions of candidates
-/// are above it; no candidate's digest is in `rejected`.
+/// Invariants: the revision in force never decreases; the revisions of candidates are higher; no
+/// candidate's digest is in `rejected`.
 ///
-/// After every method the caller asks [`CatalogueSync::next_wake`] and calls
+/// After every method call, the caller reads [`CatalogueSync::next_wake`] and calls
 /// [`CatalogueSync::tick`] at that time.
 #[derive(Debug)]
 pub struct CatalogueSync {
@@ -171,7 +170,7 @@
 }
 
 impl CatalogueSync {
-    /// Creates the state of a process that knows nothing yet.
+    /// Creates the initial state, without a catalogue.
     pub fn new(cfg: SyncConfig) -> Self {
         CatalogueSync {
             rng: SmallRng::seed_from_u64(cfg.seed),
@@ -191,13 +190,13 @@
         }
     }
 
-    /// Returns the catalogue in force. A request keeps it, and is so judged by
-    /// one revision from start to end.
+    /// Returns the catalogue in force. A request keeps this reference, so that one revision applies
+    /// from its start to its end.
     pub fn catalogue(&self) -> Option<&Arc<Catalogue>> {
         self.in_force.as_ref().map(|held| &held.catalogue)
     }
 
-    /// Returns the revision in force; 0 for none.
+    /// Returns the revision in force, or 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.catalogue().map_or(0, |catalogue| catalogue.revision())
     }
@@ -220,13 +219,12 @@
         }
     }
 
-    /// Starts with nothing. Reads begin once the roles are known, or after a
-    /// while without them.
+    /// Starts the sync. Reads begin once the roles are known, or after a grace period without them.
     pub fn start(&mut self, now: Time) {
         self.begin_calls(now);
     }
 
-    /// Membership changed.
+    /// Applies the roles that follow from a change of membership.
     pub fn set_roles(&mut self, now: Time, roles: Roles, out: &mut Vec<SyncAction>) {
         if roles == self.roles {
             return;
@@ -236,7 +234,7 @@
         self.budget.set_watcher(now, self.roles.is_watcher());
         self.reschedule_calls(now, first);
         if first {
-            self.ask_first(now, out);
+            self.start_initial_pulls(now, out);
         }
     }
 
@@ -251,7 +249,7 @@
         parts.into_iter().min().unwrap_or(Time::NEVER)
     }
 
-    /// Does whatever is due.
+    /// Runs all actions that are due.
     pub fn tick(&mut self, now: Time, out: &mut Vec<SyncAction>) {
         self.tick_calls(now, out);
         self.tick_pulls(now, out);
@@ -259,7 +257,7 @@
         self.tick_candidates(now, out);
     }
 
-    /// A peer message arrived.
+    /// Handles a message from a peer.
     pub fn message(
         &mut self,
         now: Time,
@@ -272,9 +270,9 @@
             CatalogueMessage::InForce { revision, digest } => {
                 self.on_in_force(now, from, revision, digest, out);
             }
-            CatalogueMessage::IndexWanted { have } => self.answer_index(from, have, out),
+            CatalogueMessage::IndexWanted { have } => self.on_index_wanted(from, have, out),
             CatalogueMessage::IndexMore { digest, offset } => {
-                self.answer_index_piece(from, digest, offset, out);
+                self.send_index_piece(from, digest, offset, out);
             }
             CatalogueMessage::IndexPiece { digest, piece } => {
                 self.on_index_piece(now, from, digest, &piece, out);
@@ -288,7 +286,7 @@
             }
             CatalogueMessage::IndexAbsent => self.on_index_absent(now, from, out),
             CatalogueMessage::ShardWanted { id, offset } => {
-                self.answer_shard(now, from, id, offset, out);
+                self.on_shard_wanted(now, from, id, offset, out);
             }
             CatalogueMessage::ShardPiece { id, piece } => {
                 self.on_shard_piece(now, from, id, &piece, out);
@@ -297,8 +295,8 @@
         }
     }
 
-    fn jitter(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.rng.random_range(0.0..1.0))
+    fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.rng.random_range(0.0..1.0))
     }
 }
 
--- a/crates/core/src/catalogue/sync/budget.rs
+++ b/crates/core/src/catalogue/sync/budget.rs
@@ -1,28 +1,28 @@
-//! How many reads of the platform a node allows itself.
+//! Rate limit for an instance's reads from the platform.
 //!
-//! The platform answers about two thousand calls a second for all readers
-//! together. Whatever goes wrong at once, the sum of these budgets stays far
-//! below: at 390 nodes, 20 of them watchers, 20 × 8 + 370 × 1 = 530 a second.
+//! The platform serves about 2,000 calls per second for all readers together. The sum of these
+//! budgets stays far below that under any combination of failures: with 390 instances, 20 of them
+//! watchers, it is 20 × 8 + 370 × 1 = 530 calls per second.
 
 use crate::time::Time;
 use core::time::Duration;
 
-/// Reads a second of a watcher, which verifies whole catalogues.
+/// Reads per second of a watcher, which verifies full catalogues.
 const WATCHER_READS_PER_SECOND: f64 = 8.0;
-/// Reads a second of any other node.
+/// Reads per second of any other instance.
 const OTHER_READS_PER_SECOND: f64 = 1.0;
-/// Seconds of reads that may be saved up.
+/// Burst size, in seconds of reads.
 const BURST_SECONDS: f64 = 2.0;
 
-/// The shortest wait for the next read. A wait that rounds to no time at all
-/// would be over before the bucket gains anything, and be asked for again for ever.
+/// Minimum wait for the next read. A wait that rounds to zero would end before the bucket is
+/// refilled, and the caller would retry in an endless loop.
 const SHORTEST_WAIT: Duration = Duration::from_millis(1);
 
 /// A token bucket for reads.
 #[derive(Debug)]
 pub struct ReadBudget {
     per_second: f64,
-    /// Reads that are allowed now, at `refilled`.
+    /// Available reads as of `refilled`.
     tokens: f64,
     refilled: Time,
 }
@@ -38,7 +38,7 @@
 }
 
 impl ReadBudget {
-    /// Sets the rate of a watcher, or of any other node.
+    /// Sets the rate for a watcher or for any other instance.
     pub fn set_watcher(&mut self, now: Time, is_watcher: bool) {
         self.refill(now);
         self.per_second = match is_watcher {
@@ -47,7 +47,7 @@
         };
     }
 
-    /// Takes one read, or returns how long to wait for the next.
+    /// Spends one read, or returns the wait until the next one is available.
     pub fn take(&mut self, now: Time) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= 1.0 {
--- a/crates/core/src/catalogue/sync/candidate.rs
+++ b/crates/core/src/catalogue/sync/candidate.rs
@@ -1,10 +1,9 @@
-//! What may come into force, and when it does.
+//! Candidate revisions and the conditions under which they come into force.
 //!
-//! There are two candidates at most. One is *proposed* by the platform and
-//! needs all of its shards verified here. The other is *adopted* from a peer
-//! where it is in force, and needs only the shards in use here. Neither waits
-//! for the other: a proposal whose shards are not published yet must not hold
-//! back the revision that the rest of the fleet already uses.
+//! There are at most two candidates. One is *proposed* by the platform and requires the verification
+//! of all its shards at this instance. The other is *adopted* from a peer where it is in force, and
+//! requires only the shards in use here. They are independent: a proposal whose shards are not
+//! published yet must not delay the revision that the rest of the fleet already uses.
 
 use super::message::{CatalogueMessage, ShardId};
 use super::status::{Rejection, RejectionCause};
@@ -17,24 +16,24 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// An adopted revision waits no longer than this for the shards in use here;
-/// those that are missing then are fetched when they are needed.
+/// Maximum wait of an adopted revision for the shards in use here. Shards that are still missing
+/// after it are fetched on demand.
 pub const ACCEPT_LIMIT: Duration = Duration::from_secs(3);
 
-/// A proposal that waits for its shards for so long is reported: the publisher
-/// may have failed between two writes, and nothing else would say so.
+/// Time after which a proposal that waits for its shards is reported. The publisher may have failed
+/// between two writes, and nothing else would show it.
 pub const WAITING_LIMIT: Duration = Duration::from_secs(10);
 
-/// Bytes of earlier indexes that are kept to send only what changed.
+/// Maximum total size of the earlier indexes that are kept to compute deltas for peers.
 const HISTORY_BYTES: usize = 256 * 1024;
 
-/// Where a candidate came from.
+/// The source of a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// From the platform; no instance may have verified it yet.
+    /// The platform; possibly no instance has verified the revision yet.
     Platform,
-    /// From a peer that has it in force, and so has verified it or has it from
-    /// an instance that did.
+    /// A peer that has the revision in force, so that the peer or an instance before it has verified
+    /// it.
     Peer,
 }
 
@@ -42,12 +41,12 @@
 #[derive(Debug)]
 pub(super) struct Candidate {
     pub held: Held,
-    /// Shards that must be verified first.
+    /// Shards that must be verified before it comes into force.
     pub pending: BTreeSet<u32>,
     /// When it became a candidate.
     pub since: Time,
-    /// Whether operators were told that it waits.
-    told: bool,
+    /// Whether its wait was reported to operators.
+    reported: bool,
 }
 
 impl Candidate {
@@ -75,9 +74,9 @@
     pub fn next_wake(&self) -> Time {
         let adopted = self.adopted.as_ref();
         let accept = adopted.map_or(Time::NEVER, |it| it.since + ACCEPT_LIMIT);
-        let untold = self.proposed.as_ref().filter(|it| !it.told);
-        let tell = untold.map_or(Time::NEVER, |it| it.since + WAITING_LIMIT);
-        accept.min(tell)
+        let unreported = self.proposed.as_ref().filter(|it| !it.reported);
+        let report = unreported.map_or(Time::NEVER, |it| it.since + WAITING_LIMIT);
+        accept.min(report)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &Candidate> {
@@ -88,21 +87,21 @@
         self.adopted.iter_mut().chain(&mut self.proposed)
     }
 
-    /// Returns whether one of them lists the shard.
+    /// Returns whether a candidate lists the shard.
     pub fn list(&self, id: ShardId) -> bool {
         self.iter().any(|candidate| candidate.lists(id))
     }
 
-    /// Returns the adopted revision; 0 for none.
+    /// Returns the adopted revision, or 0 if there is none.
     pub fn adopted_revision(&self) -> u64 {
         self.adopted.as_ref().map_or(0, Candidate::revision)
     }
 
-    /// Returns whether a candidate of this origin gives way to one of `revision`.
+    /// Returns whether a candidate with `revision` replaces the present one of the same origin.
     ///
-    /// The publisher may correct a proposal under the same revision, as long as
-    /// it is in force nowhere.
-    fn gives_way(&self, origin: Origin, revision: u64) -> bool {
+    /// The publisher may correct a proposal without a new revision as long as it is not in force at
+    /// any instance.
+    fn is_replaced_by(&self, origin: Origin, revision: u64) -> bool {
         match origin {
             Origin::Platform => {
                 let proposed = self.proposed.as_ref();
@@ -128,7 +127,7 @@
 }
 
 impl CatalogueSync {
-    /// Considers an index that the platform or a peer gave.
+    /// Handles an index received from the platform or a peer.
     pub(super) fn consider(
         &mut self,
         now: Time,
@@ -181,8 +180,8 @@
             return;
         }
         if revision == self.revision() {
-            // Two indexes under one revision: whichever came first stays, or
-            // the catalogue would change without its revision saying so.
+            // Two indexes have the same revision. The first one stays, or the catalogue would change
+            // without a change of its revision.
             let rejection = Rejection {
                 revision,
                 digest: catalogue.digest(),
@@ -190,23 +189,23 @@
             };
             return self.reject(rejection, out);
         }
-        if self.candidates.gives_way(origin, revision) {
+        if self.candidates.is_replaced_by(origin, revision) {
             let held = Held {
                 catalogue: Arc::new(catalogue),
                 bytes: bytes.into(),
             };
-            self.put_up(now, held, origin, out);
+            self.set_candidate(now, held, origin, out);
         }
     }
 
-    fn put_up(&mut self, now: Time, held: Held, origin: Origin, out: &mut Vec<SyncAction>) {
+    fn set_candidate(&mut self, now: Time, held: Held, origin: Origin, out: &mut Vec<SyncAction>) {
         let pending = self.missing_shards(now, &held.catalogue, origin);
         let catalogue = held.catalogue.clone();
         let candidate = Candidate {
             held,
             pending: pending.clone(),
             since: now,
-            told: false,
+            reported: false,
         };
         match origin {
             Origin::Platform => self.candidates.proposed = Some(candidate),
@@ -217,7 +216,7 @@
         for number in pending {
             let id = shard_id(&catalogue, number);
             if !self.candidates.list(id) {
-                // A shard that was at hand has just had it rejected.
+                // A shard that this instance already holds has caused its rejection.
                 break;
             }
             self.fetch_for_candidate(now, id, recent.contains(&number), out);
@@ -226,8 +225,8 @@
         self.try_accept(now, out);
     }
 
-    /// Returns the shards that must be verified before a catalogue of this
-    /// origin may come into force.
+    /// Returns the shards that must be verified before a catalogue from this source may come into
+    /// force.
     fn missing_shards(&self, now: Time, catalogue: &Catalogue, origin: Origin) -> BTreeSet<u32> {
         let count = catalogue.shard_count();
         let is_verified = |number: &u32| self.verified.contains(&shard_id(catalogue, *number));
@@ -241,15 +240,15 @@
         }
     }
 
-    /// Takes a proposed revision for adopted that turned out to be in force at a peer.
+    /// Turns the proposed revision into the adopted one, because a peer has it in force.
     pub(super) fn adopt_proposed(&mut self, now: Time, digest: Digest, out: &mut Vec<SyncAction>) {
         let proposed = &mut self.candidates.proposed;
         if let Some(candidate) = proposed.take_if(|it| it.digest() == digest) {
-            self.put_up(now, candidate.held, Origin::Peer, out);
+            self.set_candidate(now, candidate.held, Origin::Peer, out);
         }
     }
 
-    /// A shard was verified.
+    /// Handles the verification of a shard.
     pub(super) fn settle_pending(&mut self, id: ShardId) {
         for candidate in self.candidates.iter_mut() {
             if candidate.lists(id) {
@@ -263,8 +262,8 @@
         let Some(waiting) = &mut self.candidates.proposed else {
             return;
         };
-        if !waiting.told && waiting.since + WAITING_LIMIT <= now {
-            waiting.told = true;
+        if !waiting.reported && waiting.since + WAITING_LIMIT <= now {
+            waiting.reported = true;
             out.push(SyncAction::Note(Note::CatalogueWaiting {
                 revision: waiting.revision(),
                 shards: waiting.pending.len() as u32,
@@ -273,9 +272,9 @@
     }
 
     pub(super) fn try_accept(&mut self, now: Time, out: &mut Vec<SyncAction>) {
-        // A new instance would otherwise begin with what a stale service says,
-        // and go back in time against the process that it replaces.
-        let may_propose = !self.pulls.is_asking_first();
+        // Otherwise a new instance could start with a revision from a stale platform that is older
+        // than the one of the process that it replaces.
+        let may_propose = !self.pulls.in_initial_pulls();
         while let Some(candidate) = self.candidates.take_ready(now, may_propose) {
             if candidate.revision() > self.revision() {
                 self.put_in_force(now, candidate.held, out);
@@ -295,14 +294,14 @@
         out.push(SyncAction::Note(Note::CatalogueAccepted { revision }));
         out.push(SyncAction::Changed(SyncChange::InForce { revision }));
         let digest = catalogue.digest();
-        for to in self.roles.told() {
+        for to in self.roles.announce_to() {
             let message = CatalogueMessage::InForce { revision, digest };
             out.push(SyncAction::Send { to, message });
         }
         self.advance_fetches(now, out);
     }
 
-    /// Forgets what is known of shards that no catalogue lists any more.
+    /// Drops all state of shards that neither the catalogue in force nor a candidate lists.
     fn forget_unlisted(&mut self) {
         let in_force = self.catalogue().cloned();
         let candidates = &self.candidates;
@@ -336,7 +335,7 @@
         self.rejected.insert(rejection);
     }
 
-    /// Rejects the candidates that list a shard that is not valid.
+    /// Rejects the candidates that list an invalid shard.
     pub(super) fn reject_listing(
         &mut self,
         id: ShardId,
--- a/crates/core/src/catalogue/sync/delta.rs
+++ b/crates/core/src/catalogue/sync/delta.rs
@@ -1,17 +1,16 @@
-//! What changed from one index to the next, in lines.
+//! Line-based deltas between two indexes.
 //!
-//! Hundreds of changes a day go to every instance, and most touch two lines of
-//! an index of tens of kilobytes: the revision and one digest. Sent whole, they
-//! would cost a watcher more than a kilobyte a second (`docs/design/catalogue.md`).
+//! Every instance receives hundreds of changes per day. Most change two lines of an index of tens of
+//! kilobytes: the revision and one digest. Sending the full index each time would cost a watcher
+//! more than a kilobyte per second (`docs/design/catalogue.md`).
 
 use super::message::{Edit, PIECE_BYTES};
 use crate::catalogue::MAX_VALUE_BYTES;
 
-/// How far ahead the lines are searched for the next equal ones.
-const WINDOW: usize = 64;
+/// Maximum number of lines to search ahead for the next equal line.
+const SEARCH_WINDOW: usize = 64;
 
-/// Returns the edits that turn `old` into `new`, or `None` if they would take
-/// more than one message.
+/// Returns the edits that turn `old` into `new`, or `None` if they do not fit into one message.
 pub fn diff(old: &str, new: &str) -> Option<Vec<Edit>> {
     let old: Vec<&str> = old.split_inclusive('\n').collect();
     let new: Vec<&str> = new.split_inclusive('\n').collect();
@@ -48,10 +47,10 @@
     old.iter().zip(new).take_while(|(a, b)| a == b).count()
 }
 
-/// Returns how many lines to leave out and put in until the texts meet again;
-/// all that is left if they do not within the window.
+/// Returns how many lines to omit and to insert before the next equal line, or all remaining lines
+/// if there is none within the window.
 fn next_equal(old: &[&str], new: &[&str]) -> (usize, usize) {
-    for distance in 1..=WINDOW {
+    for distance in 1..=SEARCH_WINDOW {
         for skip in 0..=distance {
             let insert = distance - skip;
             let met = old
@@ -65,8 +64,8 @@
     (old.len(), new.len())
 }
 
-/// Applies edits to `old`. Returns `None` if they do not fit it or if the
-/// result would be larger than a value may be.
+/// Applies edits to `old`. Returns `None` if they do not match it or if the result would exceed
+/// [`MAX_VALUE_BYTES`].
 pub fn apply(old: &str, edits: &[Edit]) -> Option<String> {
     let mut lines = old.split_inclusive('\n');
     let mut new = String::with_capacity(old.len());
--- a/crates/core/src/catalogue/sync/fetch.rs
+++ b/crates/core/src/catalogue/sync/fetch.rs
@@ -1,4 +1,4 @@
-//! Getting shards: from keepers, else from the platform.
+//! Fetches shards from keepers, or from the platform as the last source.
 
 use super::message::{CatalogueMessage, Piece, ShardId};
 use super::pieces::{Assembly, Progress};
@@ -12,56 +12,56 @@
 use core::time::Duration;
 use std::collections::BTreeMap;
 
-/// Shards that are asked for at once.
+/// Maximum number of concurrent requests for shards.
 const MAX_ACTIVE: usize = 16;
 
-/// A peer that does not send a piece by then is given up for the next source.
-const PEER_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout for each piece from a peer; after it the next source is tried.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A read of the platform that was not answered by then has failed.
-const READ_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for a read from the platform.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The wait after all sources failed; doubles up to [`RETRY_MOST`].
-const RETRY_FIRST: Duration = Duration::from_millis(200);
-/// The longest wait after all sources failed.
-const RETRY_MOST: Duration = Duration::from_secs(5);
+/// Initial backoff after all sources failed; doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+/// Maximum backoff after all sources failed.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// A shard that requests or peers wait for is given up after so long. The
-/// candidate's shards are not: a publisher may take its time between two writes.
-const GIVE_UP: Duration = Duration::from_secs(4);
+/// Timeout for a shard that requests or peers wait for. It does not apply to the shards of a
+/// candidate, because a publisher may pause between two writes.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A shard that was given up is not asked for again for so long, so that callers
-/// with keys of that shard cannot turn an outage into a storm of reads.
-const REFUSE: Duration = Duration::from_secs(1);
+/// Time for which a shard is not fetched again after a timeout, so that requests with keys of that
+/// shard cannot cause a storm of reads during an outage.
+const REFUSAL_PERIOD: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 pub(super) enum Step {
-    /// Waits for one of [`MAX_ACTIVE`] places.
+    /// Waits until fewer than [`MAX_ACTIVE`] requests are in flight.
     Queued,
-    /// A peer was asked.
-    Asking {
+    /// A request to a peer is in flight.
+    Requesting {
         from: InstanceKey,
         assembly: Assembly,
         until: Time,
     },
-    /// The platform was asked.
+    /// A read from the platform is in flight.
     Reading { until: Time },
-    /// All sources failed, or the budget is used up.
+    /// Backs off: all sources failed, or the read budget is used up.
     Waiting { until: Time },
 }
 
 #[derive(Debug)]
 pub(super) struct Fetch {
-    /// Whether the candidate needs the shard verified.
+    /// Whether a candidate needs the shard to be verified.
     pub verify: bool,
     /// Whether requests need the shard.
     pub hold: bool,
     /// Peers that wait for it.
-    pub askers: Vec<InstanceKey>,
+    pub waiting_peers: Vec<InstanceKey>,
     sources: Vec<Source>,
     /// The source to try next.
     next: usize,
-    /// Rounds through all sources that failed.
+    /// Number of times that all sources failed.
     rounds: u32,
     started: Time,
     step: Step,
@@ -69,32 +69,34 @@
 
 impl Fetch {
     fn is_active(&self) -> bool {
-        matches!(self.step, Step::Asking { .. } | Step::Reading { .. })
+        matches!(self.step, Step::Requesting { .. } | Step::Reading { .. })
     }
 
-    /// Returns whether the shard was asked for at this peer.
-    pub fn asks(&self, peer: InstanceKey) -> bool {
-        matches!(self.step, Step::Asking { from, .. } if from == peer)
+    /// Returns whether a request to this peer is in flight.
+    pub fn is_requested_from(&self, peer: InstanceKey) -> bool {
+        matches!(self.step, Step::Requesting { from, .. } if from == peer)
     }
 
     fn due(&self) -> Time {
         let step = match self.step {
             Step::Queued => Time::NEVER,
-            Step::Asking { until, .. } | Step::Reading { until } | Step::Waiting { until } => until,
+            Step::Requesting { until, .. } | Step::Reading { until } | Step::Waiting { until } => {
+                until
+            }
         };
-        let give_up = match self.verify {
+        let time_out = match self.verify {
             true => Time::NEVER,
-            false => self.started + GIVE_UP,
+            false => self.started + FETCH_TIMEOUT,
         };
-        step.min(give_up)
+        step.min(time_out)
     }
 }
 
-/// The fetches that are not done.
+/// The open fetches.
 #[derive(Debug, Default)]
 pub(super) struct Fetches {
     pub open: BTreeMap<ShardId, Fetch>,
-    /// Until when a shard is not asked for again.
+    /// Time until which a shard is not fetched again.
     refused: BTreeMap<u32, Time>,
 }
 
@@ -114,10 +116,10 @@
 }
 
 impl CatalogueSync {
-    /// Asks for a shard of the catalogue in force, because a request needs it.
+    /// Fetches a shard of the catalogue in force that a request needs.
     ///
-    /// [`SyncChange::ShardReady`] or [`SyncChange::ShardFailed`] follows, or
-    /// [`SyncChange::InForce`], after which whoever still waits asks again.
+    /// [`SyncChange::ShardReady`] or [`SyncChange::ShardFailed`] follows, or [`SyncChange::InForce`],
+    /// after which a caller that still needs the shard must call this method again.
     pub fn want_shard(&mut self, now: Time, number: u32, out: &mut Vec<SyncAction>) {
         let catalogue = match self.catalogue() {
             Some(catalogue) if number < catalogue.shard_count() => catalogue,
@@ -129,7 +131,7 @@
             return;
         }
         self.fetch(now, id).hold = true;
-        self.take_kept(now, id, out);
+        self.complete_from_kept(now, id, out);
         self.advance_fetches(now, out);
     }
 
@@ -143,11 +145,11 @@
         let fetch = self.fetch(now, id);
         fetch.verify = true;
         fetch.hold |= hold;
-        self.take_kept(now, id, out);
+        self.complete_from_kept(now, id, out);
     }
 
-    /// Ends a fetch at once if this instance keeps the shard for others.
-    fn take_kept(&mut self, now: Time, id: ShardId, out: &mut Vec<SyncAction>) {
+    /// Completes a fetch immediately if this instance keeps the shard for its peers.
+    fn complete_from_kept(&mut self, now: Time, id: ShardId, out: &mut Vec<SyncAction>) {
         if let Some(bytes) = self.kept.get(id).cloned() {
             self.fetched(now, id, bytes.to_vec(), out);
         }
@@ -158,7 +160,7 @@
         self.fetches.open.entry(id).or_insert_with(|| Fetch {
             verify: false,
             hold: false,
-            askers: Vec::new(),
+            waiting_peers: Vec::new(),
             sources: roles.sources(id),
             next: 0,
             rounds: 0,
@@ -167,7 +169,8 @@
         })
     }
 
-    /// Drops the purposes that fetches no longer have, and fetches without any.
+    /// Clears the flags of fetches that no catalogue or candidate needs any more, and drops fetches
+    /// that nothing needs.
     pub(super) fn prune_fetches(&mut self) {
         let in_force = self.catalogue().cloned();
         let candidates = &self.candidates;
@@ -177,7 +180,7 @@
             let proposed = candidates.list(*id);
             fetch.verify &= proposed;
             fetch.hold &= proposed || listed;
-            fetch.verify || fetch.hold || !fetch.askers.is_empty()
+            fetch.verify || fetch.hold || !fetch.waiting_peers.is_empty()
         });
     }
 
@@ -200,20 +203,19 @@
         let Some(fetch) = self.fetches.open.get_mut(&id) else {
             return;
         };
-        if !fetch.verify && fetch.started + GIVE_UP <= now {
-            return self.give_up(now, id, out);
+        if !fetch.verify && fetch.started + FETCH_TIMEOUT <= now {
+            return self.time_out(now, id, out);
         }
         match fetch.step {
             Step::Waiting { until } if until <= now => fetch.step = Step::Queued,
-            Step::Asking { until, .. } | Step::Reading { until } if until <= now => {
+            Step::Requesting { until, .. } | Step::Reading { until } if until <= now => {
                 self.source_failed(now, id);
             }
             _ => {}
         }
     }
 
-    /// The source that was asked does not have the shard: on to the next, or a
-    /// pause after the last.
+    /// Handles the failure of a source: tries the next source, or backs off after the last one.
     fn source_failed(&mut self, now: Time, id: ShardId) {
         let share = self.jitter(Duration::from_secs(1)).as_secs_f64();
         let Some(fetch) = self.fetches.open.get_mut(&id) else {
@@ -224,7 +226,7 @@
             fetch.step = Step::Queued;
             return;
         }
-        let most = (RETRY_FIRST * (1 << fetch.rounds.min(8))).min(RETRY_MOST);
+        let most = (MIN_BACKOFF * (1 << fetch.rounds.min(8))).min(MAX_BACKOFF);
         fetch.rounds += 1;
         fetch.next = 0;
         fetch.sources = self.roles.sources(id);
@@ -233,11 +235,11 @@
         };
     }
 
-    fn give_up(&mut self, now: Time, id: ShardId, out: &mut Vec<SyncAction>) {
+    fn time_out(&mut self, now: Time, id: ShardId, out: &mut Vec<SyncAction>) {
         let Some(fetch) = self.fetches.open.remove(&id) else {
             return;
         };
-        for to in fetch.askers {
+        for to in fetch.waiting_peers {
             let message = CatalogueMessage::ShardAbsent { id };
             out.push(SyncAction::Send { to, message });
         }
@@ -249,11 +251,11 @@
     fn shard_unavailable(&mut self, now: Time, number: u32, out: &mut Vec<SyncAction>) {
         self.counters.shards_unavailable += 1;
         self.fetches.refused.retain(|_, until| now < *until);
-        self.fetches.refused.insert(number, now + REFUSE);
+        self.fetches.refused.insert(number, now + REFUSAL_PERIOD);
         out.push(SyncAction::Changed(SyncChange::ShardFailed(number)));
     }
 
-    /// Starts queued fetches while there is room.
+    /// Starts queued fetches, up to [`MAX_ACTIVE`] in flight.
     pub(super) fn advance_fetches(&mut self, now: Time, out: &mut Vec<SyncAction>) {
         let mut room = MAX_ACTIVE.saturating_sub(self.fetches.active());
         let queued = self.fetches.open.iter();
@@ -264,20 +266,20 @@
                 break;
             }
             room -= 1;
-            self.ask_source(now, id, out);
+            self.request_from_source(now, id, out);
         }
     }
 
-    fn ask_source(&mut self, now: Time, id: ShardId, out: &mut Vec<SyncAction>) {
+    fn request_from_source(&mut self, now: Time, id: ShardId, out: &mut Vec<SyncAction>) {
         let Some(fetch) = self.fetches.open.get_mut(&id) else {
             return;
         };
         let source = fetch.sources.get(fetch.next).copied();
         if let Some(Source::Peer(from)) = source {
-            fetch.step = Step::Asking {
+            fetch.step = Step::Requesting {
                 from,
                 assembly: Assembly::new(id.digest),
-                until: now + PEER_LIMIT,
+                until: now + PEER_TIMEOUT,
             };
             let message = CatalogueMessage::ShardWanted { id, offset: 0 };
             out.push(SyncAction::Send { to: from, message });
@@ -288,7 +290,7 @@
                 self.counters.platform_calls += 1;
                 out.push(SyncAction::Read(ValueName::CatalogueShard(id.number)));
                 Step::Reading {
-                    until: now + READ_LIMIT,
+                    until: now + READ_TIMEOUT,
                 }
             }
             Err(wait) => {
@@ -311,8 +313,8 @@
                 self.counters.shards_from_platform += 1;
                 self.fetched(now, id, bytes.to_vec(), out);
             } else if self.is_reading(id) {
-                // The publisher has written the index and not yet the shard, or
-                // the other way round. Either will follow: nothing is rejected.
+                // The publisher has written the index but not yet the shard, or the reverse. The other
+                // write will follow, so nothing is rejected.
                 self.counters.digest_mismatches += 1;
                 self.source_failed(now, id);
             }
@@ -355,7 +357,7 @@
         let Some(fetch) = self.fetches.open.get_mut(&id) else {
             return;
         };
-        let Step::Asking {
+        let Step::Requesting {
             from,
             assembly,
             until,
@@ -368,18 +370,18 @@
         }
         match assembly.add(piece) {
             Progress::More(offset) => {
-                *until = now + PEER_LIMIT;
+                *until = now + PEER_TIMEOUT;
                 let message = CatalogueMessage::ShardWanted { id, offset };
                 out.push(SyncAction::Send {
                     to: sender,
                     message,
                 });
             }
-            Progress::Whole(bytes) => {
+            Progress::Complete(bytes) => {
                 self.counters.shards_from_peers += 1;
                 self.fetched(now, id, bytes, out);
             }
-            Progress::Wrong => self.source_failed(now, id),
+            Progress::Invalid => self.source_failed(now, id),
         }
         self.advance_fetches(now, out);
     }
@@ -392,21 +394,22 @@
         out: &mut Vec<SyncAction>,
     ) {
         let fetch = self.fetches.open.get(&id);
-        let asked = fetch
-            .is_some_and(|fetch| matches!(fetch.step, Step::Asking { from, .. } if from == sender));
+        let asked = fetch.is_some_and(
+            |fetch| matches!(fetch.step, Step::Requesting { from, .. } if from == sender),
+        );
         if asked {
             self.source_failed(now, id);
             self.advance_fetches(now, out);
         }
     }
 
-    /// The bytes of a shard are here and have the right digest.
+    /// Completes a fetch with bytes that have the expected digest.
     fn fetched(&mut self, now: Time, id: ShardId, bytes: Vec<u8>, out: &mut Vec<SyncAction>) {
         debug_assert_eq!(Digest::of(&bytes), id.digest);
         let Some(fetch) = self.fetches.open.remove(&id) else {
             return;
         };
-        for to in &fetch.askers {
+        for to in &fetch.waiting_peers {
             send_piece(*to, id, &bytes, 0, out);
         }
         if fetch.verify || fetch.hold {
--- a/crates/core/src/catalogue/sync/message.rs
+++ b/crates/core/src/catalogue/sync/message.rs
@@ -3,19 +3,19 @@
 use crate::catalogue::Digest;
 use serde::{Deserialize, Serialize};
 
-/// The most bytes of a value in one message. A value goes piece by piece, each
-/// asked for, so that neither a link's queue nor a sender has to hold it whole.
+/// Maximum size of the part of a value that one message carries. The receiver requests each piece,
+/// so that neither a link's queue nor the sender has to buffer the full value.
 pub const PIECE_BYTES: usize = 32 * 1024;
 
-/// Which shard of which catalogue, by content.
+/// Identifies a shard of a catalogue by its content.
 ///
-/// Two revisions that share a shard share its id, so a shard that did not
-/// change is neither fetched nor verified again.
+/// A shard that is unchanged between two revisions has the same id in both, so it is neither
+/// fetched nor verified again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId {
-    /// Its number.
+    /// The number of the shard.
     pub number: u32,
-    /// Shards in all.
+    /// The number of shards of the catalogue.
     pub count: u32,
     /// The digest of its bytes.
     pub digest: Digest,
@@ -24,22 +24,22 @@
 /// A part of a value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Where the part starts.
+    /// The offset of the part, in bytes.
     pub offset: u32,
-    /// Bytes of the whole value.
+    /// The size of the full value, in bytes.
     pub total: u32,
-    /// The part, at most [`PIECE_BYTES`].
+    /// The part, at most [`PIECE_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
 /// One step that turns an earlier index into a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Edit {
-    /// Take over so many lines.
+    /// Copy this number of lines.
     Keep(u32),
-    /// Leave out so many lines.
+    /// Omit this number of lines.
     Skip(u32),
-    /// Put in this text.
+    /// Insert this text.
     Insert(String),
 }
 
@@ -53,16 +53,16 @@
         /// The digest of its index.
         digest: Digest,
     },
-    /// Asks for the index in force at the receiver.
+    /// Requests the index in force at the receiver.
     IndexWanted {
-        /// The index that the asker holds, to be sent only what changed since.
+        /// The index that the sender holds, so that the receiver can send only the changes.
         have: Option<Digest>,
     },
-    /// Asks for a further piece of an index.
+    /// Requests another piece of an index.
     IndexMore {
         /// The digest of the index.
         digest: Digest,
-        /// Where the piece starts.
+        /// The offset of the piece, in bytes.
         offset: u32,
     },
     /// A piece of the index in force.
@@ -72,7 +72,7 @@
         /// The piece.
         piece: Piece,
     },
-    /// What changed from one index to the one in force.
+    /// The changes from an earlier index to the one in force.
     IndexDelta {
         /// The digest of the index to start from.
         from: Digest,
@@ -81,13 +81,13 @@
         /// The changes, in order.
         edits: Vec<Edit>,
     },
-    /// The receiver's question for an index cannot be answered.
+    /// The sender cannot provide the requested index.
     IndexAbsent,
-    /// Asks for a piece of a shard.
+    /// Requests a piece of a shard.
     ShardWanted {
         /// The shard.
         id: ShardId,
-        /// Where the piece starts.
+        /// The offset of the piece, in bytes.
         offset: u32,
     },
     /// A piece of a shard.
--- a/crates/core/src/catalogue/sync/pieces.rs
+++ b/crates/core/src/catalogue/sync/pieces.rs
@@ -1,10 +1,10 @@
-//! Values cut into pieces and put together again.
+//! Splitting values into pieces and reassembling them.
 
 use super::message::{PIECE_BYTES, Piece};
 use crate::catalogue::{Digest, MAX_VALUE_BYTES};
 
 /// Returns the piece of `bytes` that starts at `offset`, or `None` beyond the end.
-pub fn cut(bytes: &[u8], offset: u32) -> Option<Piece> {
+pub fn piece_at(bytes: &[u8], offset: u32) -> Option<Piece> {
     let rest = bytes.get(offset as usize..)?;
     if rest.is_empty() && !bytes.is_empty() {
         return None;
@@ -16,18 +16,18 @@
     })
 }
 
-/// What putting in a piece led to.
+/// The result of adding a piece to an [`Assembly`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The piece at this offset is needed next.
     More(u32),
-    /// The value is whole and has the right digest.
-    Whole(Vec<u8>),
-    /// The piece does not fit, or the value has another digest.
-    Wrong,
+    /// The value is complete and has the expected digest.
+    Complete(Vec<u8>),
+    /// The piece does not follow the previous one, or the value has another digest.
+    Invalid,
 }
 
-/// A value that is being put together.
+/// A value that is being reassembled from pieces.
 #[derive(Clone, Debug)]
 pub struct Assembly {
     digest: Digest,
@@ -35,7 +35,7 @@
 }
 
 impl Assembly {
-    /// Starts a value that will have this digest.
+    /// Starts the reassembly of the value with this digest.
     pub fn new(digest: Digest) -> Self {
         Assembly {
             digest,
@@ -43,15 +43,15 @@
         }
     }
 
-    /// Returns the digest that the value will have.
+    /// Returns the expected digest of the value.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
     /// Adds the next piece.
     ///
-    /// A piece is taken only at the place where the value ends so far, so a
-    /// repeated or crossed piece can neither damage nor grow it.
+    /// A piece is accepted only at the current end of the value, so that a duplicate or reordered
+    /// piece can neither corrupt nor extend it.
     pub fn add(&mut self, piece: &Piece) -> Progress {
         let total = piece.total as usize;
         let fits = piece.offset as usize == self.bytes.len()
@@ -60,15 +60,15 @@
             && self.bytes.len() + piece.bytes.len() <= total;
         let stuck = piece.bytes.is_empty() && total > 0;
         if !fits || stuck {
-            return Progress::Wrong;
+            return Progress::Invalid;
         }
         self.bytes.extend_from_slice(&piece.bytes);
         if self.bytes.len() < total {
             return Progress::More(self.bytes.len() as u32);
         }
         if Digest::of(&self.bytes) != self.digest {
-            return Progress::Wrong;
+            return Progress::Invalid;
         }
-        Progress::Whole(core::mem::take(&mut self.bytes))
+        Progress::Complete(core::mem::take(&mut self.bytes))
     }
 }
--- a/crates/core/src/catalogue/sync/platform.rs
+++ b/crates/core/src/catalogue/sync/platform.rs
@@ -1,4 +1,4 @@
-//! Reads and watches of the index.
+//! Reads and watches the index at the platform.
 
 use super::candidate::Origin;
 use super::{CatalogueSync, SyncAction};
@@ -6,50 +6,50 @@
 use crate::value::ValueName;
 use core::time::Duration;
 
-/// First reads of a fleet that starts at once are spread over so long.
+/// Jitter of the first read, which spreads the reads of a fleet that starts at once.
 const START_SPREAD: Duration = Duration::from_millis(500);
 
-/// How long a new instance waits for the list, which says whom to ask. Without
-/// a list it then reads the platform by itself.
-const ROLES_GRACE: Duration = Duration::from_secs(5);
+/// Time that a new instance waits for the list of instances, which determines its peers. Without a
+/// list it then reads the platform itself.
+const LIST_GRACE: Duration = Duration::from_secs(5);
 
-/// A node that is no watcher and has no catalogue reads the platform after
-/// between one and two times this long.
-const ALONE_GRACE: Duration = Duration::from_secs(15);
+/// An instance that is not a watcher and has no catalogue reads the platform after one to two times
+/// this duration.
+const NON_WATCHER_GRACE: Duration = Duration::from_secs(15);
 
-/// A node that is no watcher watches the platform about so often, in case its
-/// watchers are dead or cut off and the list does not say so yet.
+/// Approximate interval of the watches by an instance that is not a watcher. They cover the case
+/// that its watchers are down or partitioned and the list does not show it yet.
 const SAFETY_INTERVAL: Duration = Duration::from_secs(120);
 
-/// The shortest time between two watches, should the platform answer at once.
+/// Minimum time between two watches, for a platform that responds immediately.
 const WATCH_GAP: Duration = Duration::from_millis(100);
 
-/// Every so many watches, a watcher reads the index whatever its revision: a
-/// service restored from an older copy counts its revisions from below again,
-/// and a watch above the old count would wait for ever.
+/// Number of watches after which the index is read regardless of its revision. A platform that was
+/// restored from an older backup restarts its revisions from a lower number, and a watch above the
+/// old number would wait forever.
 const WATCHES_PER_READ: u32 = 24;
 
-/// The first wait after a failure; doubles up to [`RETRY_MOST`].
-const RETRY_FIRST: Duration = Duration::from_millis(250);
-/// The longest wait after a failure.
-const RETRY_MOST: Duration = Duration::from_secs(10);
+/// Initial backoff after a failure; doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
+/// Maximum backoff after a failure.
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// A call that was not answered by then has failed. The shell's own limit is
-/// shorter; this one covers an answer that got lost inside the process.
-const ANSWER_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of a call. The shell's own timeout is shorter; this one covers a response that is lost
+/// inside the process.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The calls for the index; at most one is out.
+/// The calls for the index. At most one is in flight.
 #[derive(Debug)]
 pub(super) struct IndexCalls {
     /// When to make the next call.
     due: Time,
-    /// When the call that is out has failed, if one is.
-    out_until: Option<Time>,
-    /// The platform's revision of the index that was answered last.
+    /// Deadline of the call in flight, if any.
+    call_deadline: Option<Time>,
+    /// The platform's revision of the index in the last response.
     seen: u64,
     /// Watches since the last read.
     watches: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
 }
 
@@ -57,7 +57,7 @@
     fn default() -> Self {
         IndexCalls {
             due: Time::NEVER,
-            out_until: None,
+            call_deadline: None,
             seen: 0,
             watches: 0,
             failures: 0,
@@ -67,21 +67,21 @@
 
 impl IndexCalls {
     pub fn next_wake(&self) -> Time {
-        self.out_until.unwrap_or(self.due)
+        self.call_deadline.unwrap_or(self.due)
     }
 }
 
 impl CatalogueSync {
     pub(super) fn begin_calls(&mut self, now: Time) {
-        self.calls.due = now + ROLES_GRACE + self.jitter(ROLES_GRACE);
+        self.calls.due = now + LIST_GRACE + self.jitter(LIST_GRACE);
     }
 
-    /// Plans the next call anew because the roles changed.
+    /// Reschedules the next call after a change of the roles.
     pub(super) fn reschedule_calls(&mut self, now: Time, first: bool) {
         let delay = match (self.roles.is_watcher(), first) {
             (true, true) => self.jitter(START_SPREAD),
             (true, false) => WATCH_GAP,
-            (false, true) => ALONE_GRACE + self.jitter(ALONE_GRACE),
+            (false, true) => NON_WATCHER_GRACE + self.jitter(NON_WATCHER_GRACE),
             (false, false) => return,
         };
         let failing = self.calls.failures > 0;
@@ -92,10 +92,10 @@
     }
 
     pub(super) fn tick_calls(&mut self, now: Time, out: &mut Vec<SyncAction>) {
-        if self.calls.out_until.is_some_and(|until| until <= now) {
+        if self.calls.call_deadline.is_some_and(|until| until <= now) {
             self.index_call_failed(now);
         }
-        if self.calls.out_until.is_none() && self.calls.due <= now {
+        if self.calls.call_deadline.is_none() && self.calls.due <= now {
             self.call_for_index(now, out);
         }
     }
@@ -107,7 +107,7 @@
             return;
         }
         self.counters.platform_calls += 1;
-        self.calls.out_until = Some(now + ANSWER_LIMIT);
+        self.calls.call_deadline = Some(now + CALL_TIMEOUT);
         let read = self.calls.seen == 0 || self.calls.watches >= WATCHES_PER_READ;
         if read {
             self.calls.watches = 0;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The platform answered a read or a watch.
+    /// Handles the platform's response to a read or a watch.
     pub fn value(
         &mut self,
         now: Time,
@@ -131,7 +131,7 @@
         match name {
             ValueName::CatalogueIndex => {
                 self.calls.seen = platform_revision;
-                self.index_call_answered(now);
+                self.index_call_succeeded(now);
                 self.consider(now, bytes, Origin::Platform, out);
             }
             ValueName::CatalogueShard(number) => self.on_shard_value(now, *number, bytes, out),
@@ -139,14 +139,14 @@
         }
     }
 
-    /// The platform answered a watch: there is nothing newer.
+    /// Handles a watch that ended without a newer revision.
     pub fn unchanged(&mut self, now: Time, name: &ValueName) {
         if *name == ValueName::CatalogueIndex {
-            self.index_call_answered(now);
+            self.index_call_succeeded(now);
         }
     }
 
-    /// The platform did not answer.
+    /// Handles a failed call to the platform.
     pub fn failed(&mut self, now: Time, name: &ValueName, out: &mut Vec<SyncAction>) {
         match name {
             ValueName::CatalogueIndex => self.index_call_failed(now),
@@ -155,8 +155,8 @@
         }
     }
 
-    fn index_call_answered(&mut self, now: Time) {
-        self.calls.out_until = None;
+    fn index_call_succeeded(&mut self, now: Time) {
+        self.calls.call_deadline = None;
         self.calls.failures = 0;
         let delay = match self.roles.is_watcher() {
             true => WATCH_GAP + self.jitter(WATCH_GAP),
@@ -166,8 +166,8 @@
     }
 
     fn index_call_failed(&mut self, now: Time) {
-        self.calls.out_until = None;
-        let most = (RETRY_FIRST * (1 << self.calls.failures.min(6))).min(RETRY_MOST);
+        self.calls.call_deadline = None;
+        let most = (MIN_BACKOFF * (1 << self.calls.failures.min(6))).min(MAX_BACKOFF);
         self.calls.failures = self.calls.failures.saturating_add(1);
         self.calls.due = now + most / 2 + self.jitter(most / 2);
     }
--- a/crates/core/src/catalogue/sync/pull.rs
+++ b/crates/core/src/catalogue/sync/pull.rs
@@ -1,4 +1,4 @@
-//! Taking the index over from peers.
+//! Pulls the index from peers.
 
 use super::candidate::Origin;
 use super::delta::apply;
@@ -13,34 +13,34 @@
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// Pulls that follow from one announcement are spread over so long.
+/// Jitter of the pulls that follow an announcement.
 const PULL_SPREAD: Duration = Duration::from_millis(200);
 
-/// A peer that does not answer by then is given up for another.
-const PULL_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout of a pull; after it another peer is tried.
+const PULL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A new instance gives each peer that it asks first so long to answer.
-const FIRST_PULL_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of each initial pull of a new instance.
+const INITIAL_PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A new instance waits no longer than this for the peers that it asks first.
-const FIRST_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout of all initial pulls of a new instance together.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A node without any catalogue asks its watchers again after about so long.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+/// Approximate time between the pulls of an instance without a catalogue from its watchers.
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A revision that was pulled and did not come into force is not asked for again
-/// for so long. During an upgrade, newer instances may have an index in force
-/// that this one rejects, and each of their messages names its revision.
-const FRUITLESS_PAUSE: Duration = Duration::from_secs(60);
+/// Time for which a revision that was pulled and did not come into force is not pulled again. During
+/// an upgrade, newer instances may have an index in force that this one rejects, and each of their
+/// messages names its revision.
+const REJECTED_PAUSE: Duration = Duration::from_secs(60);
 
-/// A revision that a peer named and then did not give is not asked for again for
-/// so long, whoever else names it.
+/// Time for which a revision that a peer announced and did not send is not pulled again, even if
+/// another peer announces it.
 const FAILED_PAUSE: Duration = Duration::from_secs(2);
 
-/// Peers that are remembered to hold a newer revision.
-const HOLDERS: usize = 4;
+/// Maximum number of peers to remember that hold a newer revision.
+const MAX_HOLDERS: usize = 4;
 
-/// What is being asked of whom.
+/// A pull in flight.
 #[derive(Debug)]
 struct Pull {
     from: InstanceKey,
@@ -48,7 +48,7 @@
     until: Time,
 }
 
-/// Pulls of the index; at most one is out.
+/// The pulls of the index. At most one is in flight.
 #[derive(Debug)]
 pub(super) struct Pulls {
     out: Option<Pull>,
@@ -56,13 +56,13 @@
     holders: VecDeque<(InstanceKey, u64)>,
     /// When to pull next.
     due: Time,
-    /// A revision that was pulled to no avail, and until when it is not asked
-    /// for because a message names it.
-    fruitless: Option<(u64, Time)>,
-    /// Peers that a new instance has not asked yet, the next one last.
-    first: Vec<InstanceKey>,
-    /// Until when a new instance waits for what its peers know.
-    first_until: Option<Time>,
+    /// A revision whose pull did not succeed, and the time until which announcements of it are
+    /// ignored.
+    suppressed: Option<(u64, Time)>,
+    /// Remaining peers for the initial pulls of a new instance, the next one last.
+    initial: Vec<InstanceKey>,
+    /// Deadline of the initial pulls, while they run.
+    initial_deadline: Option<Time>,
 }
 
 impl Default for Pulls {
@@ -71,9 +71,9 @@
             out: None,
             holders: VecDeque::new(),
             due: Time::NEVER,
-            fruitless: None,
-            first: Vec::new(),
-            first_until: None,
+            suppressed: None,
+            initial: Vec::new(),
+            initial_deadline: None,
         }
     }
 }
@@ -81,25 +81,25 @@
 impl Pulls {
     pub fn next_wake(&self) -> Time {
         let pull = self.out.as_ref().map_or(self.due, |pull| pull.until);
-        pull.min(self.first_until.unwrap_or(Time::NEVER))
+        pull.min(self.initial_deadline.unwrap_or(Time::NEVER))
     }
 
-    /// Returns whether a new instance still asks what its peers know.
-    pub fn is_asking_first(&self) -> bool {
-        self.first_until.is_some()
+    /// Returns whether the initial pulls of a new instance are still running.
+    pub fn in_initial_pulls(&self) -> bool {
+        self.initial_deadline.is_some()
     }
 
-    fn end_first(&mut self) {
-        self.first.clear();
-        self.first_until = None;
+    fn end_initial(&mut self) {
+        self.initial.clear();
+        self.initial_deadline = None;
     }
 
-    fn is_fruitless(&self, now: Time, revision: u64) -> bool {
-        let fruitless = self.fruitless;
-        fruitless.is_some_and(|(pulled, until)| revision <= pulled && now < until)
+    fn is_suppressed(&self, now: Time, revision: u64) -> bool {
+        let suppressed = self.suppressed;
+        suppressed.is_some_and(|(pulled, until)| revision <= pulled && now < until)
     }
 
-    /// Forgets a holder; returns the revision that it was said to hold.
+    /// Removes a holder and returns the revision that it announced, or 0.
     fn take_holder(&mut self, holder: InstanceKey) -> u64 {
         let at = self.holders.iter().position(|(it, _)| *it == holder);
         let held = at.and_then(|at| self.holders.remove(at));
@@ -108,7 +108,7 @@
 
     fn add_holder(&mut self, holder: InstanceKey, revision: u64) {
         self.holders.retain(|(known, _)| *known != holder);
-        if self.holders.len() == HOLDERS {
+        if self.holders.len() == MAX_HOLDERS {
             self.holders.pop_front();
         }
         self.holders.push_back((holder, revision));
@@ -116,27 +116,28 @@
 }
 
 impl CatalogueSync {
-    /// A peer's message said which revision it has in force.
+    /// Handles the revision in force that a peer's message states.
     pub fn peer_revision(&mut self, now: Time, from: PeerId, revision: u64) {
         let known = self.highest_known();
-        if revision <= known || self.pulls.is_fruitless(now, revision) {
+        if revision <= known || self.pulls.is_suppressed(now, revision) {
             return;
         }
-        self.learn_holder(now, from.instance, revision);
+        self.record_holder(now, from.instance, revision);
     }
 
-    /// Returns whether the catalogue in force is the newest that anybody has
-    /// told of.
+    /// Returns whether the catalogue in force is the newest that any peer has announced.
     pub fn is_current(&self) -> bool {
         let in_force = self.revision();
-        let told = self.pulls.holders.iter();
+        let announced = self.pulls.holders.iter();
         in_force > 0
             && self.candidates.iter().next().is_none()
-            && told.map(|(_, revision)| *revision).all(|it| it <= in_force)
+            && announced
+                .map(|(_, revision)| *revision)
+                .all(|it| it <= in_force)
     }
 
-    /// A link to a peer is up. What was sent while it was down is lost, so the
-    /// announcement is repeated, and a new instance's question too.
+    /// Handles a new link to a peer. Messages sent while the link was down are lost, so the
+    /// announcement, or the request of an instance without a catalogue, is sent again.
     pub fn peer_up(&mut self, now: Time, peer: PeerId, out: &mut Vec<SyncAction>) {
         let to = peer.instance;
         let Some(catalogue) = self.catalogue() else {
@@ -152,7 +153,7 @@
         out.push(SyncAction::Send { to, message });
     }
 
-    /// Returns the highest revision that is in force here or about to be.
+    /// Returns the higher of the revision in force and the adopted one.
     fn highest_known(&self) -> u64 {
         self.revision().max(self.candidates.adopted_revision())
     }
@@ -172,47 +173,47 @@
             return self.adopt_proposed(now, digest, out);
         }
         if revision > self.highest_known() {
-            self.learn_holder(now, from, revision);
+            self.record_holder(now, from, revision);
         }
     }
 
-    fn learn_holder(&mut self, now: Time, holder: InstanceKey, revision: u64) {
+    fn record_holder(&mut self, now: Time, holder: InstanceKey, revision: u64) {
         self.pulls.add_holder(holder, revision);
         if self.pulls.out.is_none() && self.pulls.due > now + PULL_SPREAD {
             self.pulls.due = now + self.jitter(PULL_SPREAD);
         }
     }
 
-    /// Asks the watchers what is in force, as a new instance does before it
-    /// believes the platform, which may be stale or have been down since before
-    /// the process started. A watcher of each other data centre is asked too,
-    /// because the own ones may have restarted together with this instance.
-    pub(super) fn ask_first(&mut self, now: Time, out: &mut Vec<SyncAction>) {
+    /// Starts the initial pulls. A new instance requests the index in force from the watchers before
+    /// it accepts one from the platform, which may be stale or may have been down since before the
+    /// process started. It also asks a watcher of each other data centre, because the watchers of
+    /// its own may have restarted at the same time.
+    pub(super) fn start_initial_pulls(&mut self, now: Time, out: &mut Vec<SyncAction>) {
         let me = self.roles.me;
         let mut first = self.roles.far.clone();
         first.extend(self.roles.watchers.iter().filter(|it| **it != me));
         if first.is_empty() || self.in_force.is_some() {
             return;
         }
-        self.pulls.first = first;
-        self.pulls.first_until = Some(now + FIRST_LIMIT);
-        self.ask_next_first(now, out);
+        self.pulls.initial = first;
+        self.pulls.initial_deadline = Some(now + INITIAL_TIMEOUT);
+        self.pull_next_initial(now, out);
     }
 
-    /// Asks the next of the first peers, or ends the wait for them.
-    fn ask_next_first(&mut self, now: Time, out: &mut Vec<SyncAction>) {
-        match self.pulls.first.pop() {
+    /// Pulls from the next of the initial peers, or ends the initial pulls.
+    fn pull_next_initial(&mut self, now: Time, out: &mut Vec<SyncAction>) {
+        match self.pulls.initial.pop() {
             Some(peer) => self.pull_from(now, peer, out),
             None => {
-                self.pulls.end_first();
-                self.pulls.due = now + ASK_AGAIN / 2 + self.jitter(ASK_AGAIN);
+                self.pulls.end_initial();
+                self.pulls.due = now + RETRY_INTERVAL / 2 + self.jitter(RETRY_INTERVAL);
                 self.try_accept(now, out);
             }
         }
     }
 
-    /// Asks any watcher for the index.
-    fn ask_for_index(&mut self, now: Time, out: &mut Vec<SyncAction>) {
+    /// Pulls the index from a random watcher.
+    fn pull_from_watcher(&mut self, now: Time, out: &mut Vec<SyncAction>) {
         if let Some(to) = self.choose_watcher() {
             self.pull_from(now, to, out);
         }
@@ -235,9 +236,9 @@
     }
 
     fn pull_from(&mut self, now: Time, to: InstanceKey, out: &mut Vec<SyncAction>) {
-        let limit = match self.pulls.is_asking_first() {
-            true => FIRST_PULL_LIMIT,
-            false => PULL_LIMIT,
+        let limit = match self.pulls.in_initial_pulls() {
+            true => INITIAL_PULL_TIMEOUT,
+            false => PULL_TIMEOUT,
         };
         self.pulls.out = Some(Pull {
             from: to,
@@ -254,8 +255,12 @@
         if let Some(pull) = self.pulls.out.take_if(|pull| pull.until <= now) {
             self.pull_failed(now, pull.from, out);
         }
-        if self.pulls.first_until.is_some_and(|until| until <= now) {
-            self.pulls.end_first();
+        if self
+            .pulls
+            .initial_deadline
+            .is_some_and(|until| until <= now)
+        {
+            self.pulls.end_initial();
             self.try_accept(now, out);
         }
         if self.pulls.out.is_some() || self.pulls.due > now {
@@ -264,27 +269,27 @@
         self.pulls.due = Time::NEVER;
         match self.pulls.holders.back().copied() {
             Some((holder, _)) => self.pull_from(now, holder, out),
-            None if self.in_force.is_none() => self.ask_for_index(now, out),
+            None if self.in_force.is_none() => self.pull_from_watcher(now, out),
             None => {}
         }
     }
 
     fn pull_failed(&mut self, now: Time, from: InstanceKey, out: &mut Vec<SyncAction>) {
         self.pulls.out = None;
-        let told = self.pulls.take_holder(from);
-        if told > 0 {
-            self.pulls.fruitless = Some((told, now + FAILED_PAUSE));
+        let announced = self.pulls.take_holder(from);
+        if announced > 0 {
+            self.pulls.suppressed = Some((announced, now + FAILED_PAUSE));
         }
         if !self.pulls.holders.is_empty() {
             self.pulls.due = now + self.jitter(PULL_SPREAD);
-        } else if self.pulls.is_asking_first() {
-            self.ask_next_first(now, out);
+        } else if self.pulls.in_initial_pulls() {
+            self.pull_next_initial(now, out);
         } else if self.in_force.is_none() {
-            self.pulls.due = now + ASK_AGAIN / 2 + self.jitter(ASK_AGAIN);
+            self.pulls.due = now + RETRY_INTERVAL / 2 + self.jitter(RETRY_INTERVAL);
         }
     }
 
-    /// Forgets holders of revisions that are no longer newer than the one in force.
+    /// Removes holders of revisions that are not newer than the one in force.
     pub(super) fn settle_pulls(&mut self) {
         let revision = self.revision();
         self.pulls.holders.retain(|(_, held)| *held > revision);
@@ -324,12 +329,12 @@
         }
         match assembly.add(piece) {
             Progress::More(offset) => {
-                pull.until = now + PULL_LIMIT;
+                pull.until = now + PULL_TIMEOUT;
                 let message = CatalogueMessage::IndexMore { digest, offset };
                 out.push(SyncAction::Send { to: from, message });
             }
-            Progress::Whole(bytes) => self.pulled(now, &bytes, out),
-            Progress::Wrong => self.pull_failed(now, from, out),
+            Progress::Complete(bytes) => self.pulled(now, &bytes, out),
+            Progress::Invalid => self.pull_failed(now, from, out),
         }
     }
 
@@ -359,13 +364,13 @@
 
     fn pulled(&mut self, now: Time, bytes: &[u8], out: &mut Vec<SyncAction>) {
         let pull = self.pulls.out.take();
-        let told = pull.map_or(0, |pull| self.pulls.take_holder(pull.from));
+        let announced = pull.map_or(0, |pull| self.pulls.take_holder(pull.from));
         self.counters.index_pulls += 1;
-        self.pulls.end_first();
+        self.pulls.end_initial();
         self.consider(now, bytes, Origin::Peer, out);
         let known = self.highest_known();
-        if known < told {
-            self.pulls.fruitless = Some((told, now + FRUITLESS_PAUSE));
+        if known < announced {
+            self.pulls.suppressed = Some((announced, now + REJECTED_PAUSE));
         }
         self.pulls.holders.retain(|(_, held)| *held > known);
         if !self.pulls.holders.is_empty() {
--- a/crates/core/src/catalogue/sync/roles.rs
+++ b/crates/core/src/catalogue/sync/roles.rs
@@ -1,24 +1,25 @@
-//! Who watches the platform and who keeps which shard.
+//! Which instances watch the platform, and which ones keep each shard for their peers.
 
 use super::message::ShardId;
 use crate::ids::InstanceKey;
 use crate::membership::Membership;
 use crate::rendezvous::{self, Candidate};
 
-/// Instances of a data centre that keep the bytes of a shard. One would do, and
-/// a second covers its loss; four share the work when a shard changes that every
-/// instance uses. With two, the busiest of 390 instances sent 2.0 MB for a change
-/// of 35 kB; with four, which fetch from the first of them, it sends 0.8 MB.
+/// Number of instances per data centre that keep the bytes of a shard.
+///
+/// One is sufficient and a second covers its loss. Four share the load when a shard that every
+/// instance uses changes: with two keepers, the busiest of 390 instances sends 2.0 MB for a change
+/// of 35 kB; with four, of which three fetch from the first, it sends 0.8 MB.
 pub const KEEPERS: usize = 4;
 
-/// What membership says about this instance and its peers.
+/// The roles of this instance and its peers, derived from membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Roles {
     /// This instance.
     pub me: InstanceKey,
-    /// The watchers of the own data centre, by rank.
+    /// The watchers of this data centre, by rank.
     pub watchers: Vec<InstanceKey>,
-    /// The usable instances of the own data centre.
+    /// The usable instances of this data centre.
     pub near: Vec<InstanceKey>,
     /// The first watcher of each other data centre.
     pub far: Vec<InstanceKey>,
@@ -26,7 +27,7 @@
     pub all: Vec<InstanceKey>,
 }
 
-/// Where a shard may be had.
+/// A source of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// From a peer.
@@ -52,27 +53,27 @@
         self.watchers.contains(&self.me)
     }
 
-    /// Returns whom to tell of a new revision: the own watchers; a watcher also
-    /// tells its data centre and the watchers of the others.
-    pub fn told(&self) -> Vec<InstanceKey> {
-        let mut told = self.watchers.clone();
+    /// Returns the peers to notify of a new revision: the watchers of this data centre; from a
+    /// watcher also all instances of this data centre and the first watcher of each other one.
+    pub fn announce_to(&self) -> Vec<InstanceKey> {
+        let mut peers = self.watchers.clone();
         if self.is_watcher() {
-            told.extend(&self.near);
-            told.extend(&self.far);
+            peers.extend(&self.near);
+            peers.extend(&self.far);
         }
-        told.sort_unstable();
-        told.dedup();
-        told.retain(|it| *it != self.me);
-        told
+        peers.sort_unstable();
+        peers.dedup();
+        peers.retain(|it| *it != self.me);
+        peers
     }
 
-    /// Returns the instance that reads a shard from the platform for all others.
+    /// Returns the instance that reads a shard from the platform on behalf of all others.
     pub fn reader(&self, id: ShardId) -> Option<InstanceKey> {
         let all = self.all.iter().map(|it| Candidate::anywhere(*it));
         rendezvous::first(shard_key(id), all)
     }
 
-    /// Returns the instances of the own data centre that keep a shard, by rank.
+    /// Returns the instances of this data centre that keep a shard, by rank.
     pub fn keepers(&self, id: ShardId) -> Vec<InstanceKey> {
         let mut keepers = Vec::with_capacity(KEEPERS);
         let near = self.near.iter().map(|it| Candidate::anywhere(*it));
@@ -85,18 +86,18 @@
         self.keepers(id).contains(&self.me) || self.reader(id) == Some(self.me)
     }
 
-    /// Returns where to get a shard, in the order to try.
+    /// Returns the sources of a shard in the order to try.
     ///
-    /// Whoever is no keeper asks the keepers, each beginning with another one;
-    /// a keeper asks the first of them, which asks the reader, which asks the
-    /// platform. So one read serves the fleet, and nobody serves more than a
-    /// few. The platform comes last for everybody: views of the fleet may
-    /// differ, and then the chain may end at somebody who waits for another.
+    /// An instance that is not a keeper tries the keepers, starting at a position that differs
+    /// between instances. A keeper requests the shard from the first keeper, which requests it from
+    /// the reader, which reads the platform. So one read serves the fleet, and each instance serves
+    /// only a few others. The platform is the last source of every instance, because views of the
+    /// fleet may differ and the chain may then end at an instance that waits for another one.
     pub fn sources(&self, id: ShardId) -> Vec<Source> {
         let reader = self.reader(id);
         let mut peers = Vec::with_capacity(KEEPERS + 1);
         if reader != Some(self.me) {
-            peers = self.keepers_to_ask(id);
+            peers = self.keepers_to_try(id);
             peers.extend(reader);
         }
         let mut sources: Vec<Source> = peers.into_iter().map(Source::Peer).collect();
@@ -105,7 +106,7 @@
         sources
     }
 
-    fn keepers_to_ask(&self, id: ShardId) -> Vec<InstanceKey> {
+    fn keepers_to_try(&self, id: ShardId) -> Vec<InstanceKey> {
         let mut keepers = self.keepers(id);
         match keepers.iter().position(|it| *it == self.me) {
             Some(0) => keepers.clear(),
@@ -121,8 +122,8 @@
     }
 }
 
-/// Returns the key that ranks instances for a shard. It is the shard's number
-/// that ranks, not its digest, so that a change does not move it.
+/// Returns the rendezvous key of a shard. It is derived from the shard's number and not from its
+/// digest, so that a shard stays at its instances when its content changes.
 fn shard_key(id: ShardId) -> u64 {
     crate::ids::stable_hash(&[b"catalogue-shard", &id.number.to_be_bytes()])
 }
--- a/crates/core/src/catalogue/sync/serve.rs
+++ b/crates/core/src/catalogue/sync/serve.rs
@@ -1,22 +1,23 @@
-//! Serving the index and shards to peers.
+//! Serves the index and shards to peers.
 
 use super::delta::diff;
 use super::message::{CatalogueMessage, ShardId};
-use super::pieces::cut;
+use super::pieces::piece_at;
 use super::{CatalogueSync, Held, SyncAction};
 use crate::catalogue::{Digest, MAX_SHARDS};
 use crate::ids::InstanceKey;
 use crate::time::Time;
 use std::sync::Arc;
 
-/// Shards that are fetched only because peers asked, at once.
+/// Maximum number of concurrent fetches that only peers requested.
 const MAX_FOR_PEERS: usize = 64;
 
-/// Peers that wait for one shard here. One more is told to ask elsewhere.
-const MAX_ASKERS: usize = 512;
+/// Maximum number of peers that wait for one shard. Further requests get `ShardAbsent`, so that the
+/// peer tries its next source.
+const MAX_WAITING_PEERS: usize = 512;
 
 impl CatalogueSync {
-    pub(super) fn answer_index(
+    pub(super) fn on_index_wanted(
         &self,
         to: InstanceKey,
         have: Option<Digest>,
@@ -35,7 +36,7 @@
         }
         match have.and_then(|have| self.changes_since(have, held)) {
             Some(message) => out.push(SyncAction::Send { to, message }),
-            None => self.answer_index_piece(to, digest, 0, out),
+            None => self.send_index_piece(to, digest, 0, out),
         }
     }
 
@@ -52,14 +53,14 @@
         })
     }
 
-    pub(super) fn answer_index_piece(
+    pub(super) fn send_index_piece(
         &self,
         to: InstanceKey,
         digest: Digest,
         offset: u32,
         out: &mut Vec<SyncAction>,
     ) {
-        let piece = self.index_bytes(digest).and_then(|it| cut(it, offset));
+        let piece = self.index_bytes(digest).and_then(|it| piece_at(it, offset));
         let message = match piece {
             Some(piece) => CatalogueMessage::IndexPiece { digest, piece },
             None => CatalogueMessage::IndexAbsent,
@@ -78,7 +79,7 @@
         Some(&former.bytes)
     }
 
-    pub(super) fn answer_shard(
+    pub(super) fn on_shard_wanted(
         &mut self,
         now: Time,
         to: InstanceKey,
@@ -95,23 +96,23 @@
             return;
         }
         let fetch = self.fetch(now, id);
-        if !fetch.askers.contains(&to) {
-            fetch.askers.push(to);
+        if !fetch.waiting_peers.contains(&to) {
+            fetch.waiting_peers.push(to);
         }
         self.advance_fetches(now, out);
     }
 
-    /// Returns whether this instance gets a shard that it does not hold for a peer.
-    fn may_fetch_for(&self, asker: InstanceKey, id: ShardId) -> bool {
+    /// Returns whether this instance fetches, on behalf of a peer, a shard that it does not hold.
+    fn may_fetch_for(&self, peer: InstanceKey, id: ShardId) -> bool {
         let sound = id.number < id.count && id.count as usize <= MAX_SHARDS;
         if !sound || !self.roles.keeps(id) {
             return false;
         }
         match self.fetches.open.get(&id) {
             Some(fetch) => {
-                // Two instances that take each other for the reader would wait
-                // for each other until both give up.
-                !fetch.asks(asker) && fetch.askers.len() < MAX_ASKERS
+                // Two instances that regard each other as the reader would wait for each other until
+                // both time out.
+                !fetch.is_requested_from(peer) && fetch.waiting_peers.len() < MAX_WAITING_PEERS
             }
             None => {
                 let open = self.fetches.open.values();
@@ -130,7 +131,7 @@
     offset: u32,
     out: &mut Vec<SyncAction>,
 ) {
-    let message = match cut(bytes, offset) {
+    let message = match piece_at(bytes, offset) {
         Some(piece) => CatalogueMessage::ShardPiece { id, piece },
         None => CatalogueMessage::ShardAbsent { id },
     };
--- a/crates/core/src/catalogue/sync/status.rs
+++ b/crates/core/src/catalogue/sync/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown, and what was rejected.
+//! The status for operators, and the rejected indexes.
 
 use super::CatalogueSync;
 use super::candidate::Candidate;
@@ -8,29 +8,29 @@
 use core::time::Duration;
 use std::collections::VecDeque;
 
-/// Rejected indexes that are remembered, so that they are neither fetched nor
-/// reported again and again.
-const REMEMBERED: usize = 16;
+/// Maximum number of rejected indexes to remember, so that they are neither fetched nor reported
+/// repeatedly.
+const MAX_REJECTED: usize = 16;
 
-/// What happened since the process started.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SyncCounters {
-    /// Calls of the platform: reads and watches.
+    /// Calls to the platform: reads and watches.
     pub platform_calls: u64,
-    /// Indexes taken over from a peer, whole or as changes.
+    /// Indexes received from a peer, in full or as a delta.
     pub index_pulls: u64,
     /// Shards fetched from peers.
     pub shards_from_peers: u64,
     /// Shards read from the platform.
     pub shards_from_platform: u64,
-    /// Shards whose bytes had another digest than the index lists, because the
-    /// publisher was between two writes or the service was stale.
+    /// Shards whose digest differed from the one in the index, because the publisher was between two
+    /// writes or the platform returned a stale value.
     pub digest_mismatches: u64,
     /// Indexes with a lower revision than the one in force.
     pub stale: u64,
     /// Indexes that were rejected.
     pub rejected: u64,
-    /// Shards that were asked for and could not be had in time.
+    /// Requested shards that could not be obtained in time.
     pub shards_unavailable: u64,
     /// Reads that waited for the budget.
     pub reads_deferred: u64,
@@ -39,14 +39,14 @@
 /// Why an index was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
-    /// It or one of its shards is not valid.
+    /// The index or one of its shards is not valid.
     Findings(Findings),
-    /// Its revision belongs to another index that is in force.
+    /// Another index with the same revision is in force.
     RevisionReused,
 }
 
 impl RejectionCause {
-    /// Returns how many findings there are.
+    /// Returns the number of findings.
     pub(super) fn findings(&self) -> u32 {
         match self {
             RejectionCause::Findings(findings) => findings.len() as u32,
@@ -58,15 +58,15 @@
 /// An index that was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The revision that it states; 0 if none can be read.
+    /// The revision that it states, or 0 if none can be read.
     pub revision: u64,
     /// The digest of its bytes.
     pub digest: Digest,
-    /// Why.
+    /// Why it was rejected.
     pub cause: RejectionCause,
 }
 
-/// The rejected indexes; only the last one keeps its findings.
+/// The rejected indexes. Only the findings of the last one are kept.
 #[derive(Debug, Default)]
 pub(super) struct Rejected {
     digests: VecDeque<Digest>,
@@ -79,7 +79,7 @@
     }
 
     pub fn insert(&mut self, rejection: Rejection) {
-        if self.digests.len() == REMEMBERED {
+        if self.digests.len() == MAX_REJECTED {
             self.digests.pop_front();
         }
         self.digests.push_back(rejection.digest);
@@ -87,18 +87,18 @@
     }
 }
 
-/// What operators are shown.
+/// The state of the catalogue at this instance, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SyncStatus {
-    /// The revision in force; 0 for none.
+    /// The revision in force, or 0 if there is none.
     pub revision: u64,
     /// The digest of its index.
     pub digest: Option<Digest>,
     /// The revision that is being verified.
     pub candidate: Option<u64>,
-    /// Its shards that are not verified yet.
+    /// The number of its shards that are not verified yet.
     pub pending_shards: u32,
-    /// For how long it has been verified.
+    /// How long its verification has been running.
     pub pending_for: Duration,
     /// The last rejection.
     pub rejection: Option<Rejection>,
@@ -108,17 +108,17 @@
     pub shard_memory: usize,
     /// Bytes of shards kept for peers.
     pub kept_memory: usize,
-    /// What happened so far.
+    /// Counters since the start of the process.
     pub counters: SyncCounters,
 }
 
 impl CatalogueSync {
-    /// Returns the last rejection, whether or not a good revision came after it.
+    /// Returns the last rejection, even if a valid revision came into force after it.
     pub fn rejection(&self) -> Option<&Rejection> {
         self.rejected.last.as_ref()
     }
 
-    /// Returns what operators are shown.
+    /// Returns the status for operators.
     pub fn status(&self, now: Time) -> SyncStatus {
         let candidate = self.candidates.iter().max_by_key(|it| it.revision());
         SyncStatus {
--- a/crates/core/src/catalogue/sync/store.rs
+++ b/crates/core/src/catalogue/sync/store.rs
@@ -1,4 +1,4 @@
-//! What is held of the shards: parsed for use, and raw for peers.
+//! The shards in memory: parsed for use, and raw for peers.
 
 use super::message::ShardId;
 use crate::catalogue::Shard;
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A shard that was used within this time is fetched before a new revision
-/// comes into force, so that its workspaces do not wait for it afterwards.
+/// A shard that was used within this time is fetched before a new revision comes into force, so
+/// that requests of its workspaces do not have to wait for it.
 pub const RECENT_USE: Duration = Duration::from_secs(300);
 
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     used: Time,
 }
 
-/// Parsed shards, the least recently used leaving first.
+/// An LRU cache of parsed shards.
 #[derive(Debug)]
 pub struct ShardStore {
     held: BTreeMap<ShardId, Held>,
@@ -27,7 +27,7 @@
 }
 
 impl ShardStore {
-    /// Returns an empty store for about `limit` bytes.
+    /// Returns an empty cache with a limit of about `limit` bytes.
     pub fn new(limit: usize) -> Self {
         ShardStore {
             held: BTreeMap::new(),
@@ -36,19 +36,19 @@
         }
     }
 
-    /// Returns a shard and notes its use.
+    /// Returns a shard and records its use.
     pub fn touch(&mut self, now: Time, id: ShardId) -> Option<&Arc<Shard>> {
         let held = self.held.get_mut(&id)?;
         held.used = now;
         Some(&held.shard)
     }
 
-    /// Returns whether a shard is held.
+    /// Returns whether a shard is in the cache.
     pub fn contains(&self, id: ShardId) -> bool {
         self.held.contains_key(&id)
     }
 
-    /// Puts a shard in, and others out to make room.
+    /// Inserts a shard, and evicts others to make room.
     pub fn insert(&mut self, now: Time, id: ShardId, shard: Shard) {
         let memory = shard.memory_bytes();
         self.remove(id);
@@ -74,7 +74,7 @@
         removed.is_some()
     }
 
-    /// Drops every shard that `keep` does not name.
+    /// Removes every shard for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(ShardId) -> bool) {
         let gone: Vec<ShardId> = self.held.keys().copied().filter(|id| !keep(*id)).collect();
         for id in gone {
@@ -82,31 +82,31 @@
         }
     }
 
-    /// Returns the numbers of the shards that were used lately.
+    /// Returns the numbers of the shards that were used within [`RECENT_USE`].
     pub fn recent(&self, now: Time) -> impl Iterator<Item = u32> {
         let recent = self.held.iter();
         let recent = recent.filter(move |(_, held)| now.since(held.used) < RECENT_USE);
         recent.map(|(id, _)| id.number)
     }
 
-    /// Returns about how many bytes are held.
+    /// Returns the approximate memory use in bytes.
     pub fn memory(&self) -> usize {
         self.memory
     }
 }
 
-/// Bytes of shards that this instance keeps for its peers, the oldest leaving first.
+/// A FIFO cache of the bytes of shards that this instance keeps for its peers.
 #[derive(Debug)]
 pub struct RawStore {
     held: BTreeMap<ShardId, (u64, Arc<[u8]>)>,
-    /// Counts insertions, to tell the oldest.
+    /// Number of insertions, which orders the shards by age.
     sequence: u64,
     memory: usize,
     limit: usize,
 }
 
 impl RawStore {
-    /// Returns an empty store for at most `limit` bytes.
+    /// Returns an empty cache with a limit of `limit` bytes.
     pub fn new(limit: usize) -> Self {
         RawStore {
             held: BTreeMap::new(),
@@ -121,7 +121,7 @@
         self.held.get(&id).map(|(_, bytes)| bytes)
     }
 
-    /// Puts the bytes of a shard in, and others out to make room.
+    /// Inserts the bytes of a shard, and evicts others to make room.
     pub fn insert(&mut self, id: ShardId, bytes: Vec<u8>) {
         if self.held.contains_key(&id) {
             return;
@@ -142,7 +142,7 @@
         true
     }
 
-    /// Returns how many bytes are held.
+    /// Returns the memory use in bytes.
     pub fn memory(&self) -> usize {
         self.memory
     }
