--- a/crates/core/tests/catalogue_bytes.rs
+++ b/crates/core/tests/catalogue_bytes.rs
@@ -1,4 +1,4 @@
-//! Whatever the bytes, and whatever a peer sends, nothing panics.
+//! No input bytes and no messages from a peer cause a panic.
 
 use core::time::Duration;
 use oriolemux_core::Time;
@@ -15,8 +15,8 @@
 const GOOD: &str = include_str!("../../../examples/savannah-threads/catalogue-index.toml");
 const GOOD_SHARD: &str = include_str!("../../../examples/savannah-threads/catalogue-shard-0.toml");
 
-/// A valid text with a few characters overwritten, cut or put in: most are
-/// broken in one place, which reaches deeper than noise does.
+/// A valid text with a few characters overwritten, truncated or inserted. Most results have one
+/// error, which reaches deeper code than random bytes do.
 fn mutated(text: &'static str) -> impl Strategy<Value = Vec<u8>> {
     let edit = (0..text.len(), 0..3_u8, any::<u8>());
     vec(edit, 1..8).prop_map(move |edits| {
@@ -33,8 +33,8 @@
     })
 }
 
-/// Words of the format in any order.
-fn soup() -> impl Strategy<Value = Vec<u8>> {
+/// Tokens of the format in any order.
+fn shuffled_tokens() -> impl Strategy<Value = Vec<u8>> {
     let word = prop_oneof![
         Just("[[entry]]\n"),
         Just("[[class]]\n"),
@@ -59,7 +59,7 @@
 proptest! {
     #[test]
     fn no_bytes_panic_the_readers(
-        bytes in prop_oneof![mutated(GOOD), mutated(GOOD_SHARD), soup(), vec(any::<u8>(), 0..300)],
+        bytes in prop_oneof![mutated(GOOD), mutated(GOOD_SHARD), shuffled_tokens(), vec(any::<u8>(), 0..300)],
         number in any::<u32>(),
         count in any::<u32>(),
     ) {
--- a/crates/core/tests/catalogue_faults.rs
+++ b/crates/core/tests/catalogue_faults.rs
@@ -1,5 +1,5 @@
-//! Any sequence of faults: no revision reverts, none that is not valid comes
-//! into force, and once the faults are over the latest one is everywhere.
+//! Random sequences of faults: no instance reverts to an earlier revision, no invalid revision comes
+//! into force, and after the faults end the latest revision is in force everywhere.
 
 #[path = "support/catalogue_fleet.rs"]
 mod catalogue_fleet;
@@ -14,7 +14,7 @@
 const SHARDS: u32 = 4;
 const WORKSPACES: usize = 12;
 
-/// Longer than the safety net of a node that hears of nothing.
+/// Longer than the interval at which an instance that receives no messages watches the platform.
 const QUIET: Duration = Duration::from_secs(400);
 
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     ServeFirstRevision,
     PlatformDown,
     PlatformUp,
-    Cut,
+    Partition,
     Heal,
     Kill(usize),
     Start(usize),
@@ -44,7 +44,7 @@
         1 => Just(Fault::ServeFirstRevision),
         1 => Just(Fault::PlatformDown),
         1 => Just(Fault::PlatformUp),
-        1 => Just(Fault::Cut),
+        1 => Just(Fault::Partition),
         1 => Just(Fault::Heal),
         2 => (0..NODES).prop_map(Fault::Kill),
         2 => (0..NODES).prop_map(Fault::Start),
@@ -110,7 +110,7 @@
             Fault::ServeFirstRevision => self.fleet.publish(&catalogue(1)),
             Fault::PlatformDown => self.fleet.platform.up = false,
             Fault::PlatformUp => self.fleet.platform.up = true,
-            Fault::Cut => self.fleet.cut = Some(|node| node % DATA_CENTRES == 2),
+            Fault::Partition => self.fleet.partition = Some(|node| node % DATA_CENTRES == 2),
             Fault::Heal => self.fleet.heal(),
             Fault::Kill(node) => self.fleet.kill(node),
             Fault::Start(node) => self.fleet.start(node),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Ends all faults and publishes a last revision.
+    /// Ends all faults and publishes a final revision.
     fn settle(&mut self) -> u64 {
         self.fleet.platform.up = true;
         self.fleet.list_lags = false;
@@ -130,7 +130,7 @@
                 self.fleet.start(node);
             }
         }
-        self.fleet.tell_roles();
+        self.fleet.send_roles();
         let last = catalogue(self.next_revision());
         self.fleet.publish(&last);
         let end = self.fleet.now + QUIET;
--- a/crates/core/tests/catalogue_sync.rs
+++ b/crates/core/tests/catalogue_sync.rs
@@ -1,4 +1,4 @@
-//! The catalogue under failures: it spreads, and never reverts.
+//! The catalogue sync under failures: changes reach every instance, and no instance reverts.
 
 #[path = "support/catalogue_fleet.rs"]
 mod catalogue_fleet;
@@ -47,13 +47,12 @@
     assert!(reach(&mut fleet, 6, secs(3)));
 }
 
-// Symptom: a restarted instance judges requests by an older revision than its peers.
-// Sequence: revision 6 is in force; the platform's service falls back to an old
-// copy with revision 5; one instance restarts and reads it.
-// Cause: only the platform is asked, which may be stale, and not the peers; or
-// the platform's answer comes into force because it is there first.
+// Guards against a restarted instance with an older revision than its peers. Revision 6 is in force,
+// the platform falls back to a stale copy with revision 5, and one instance restarts and reads it.
+// This fails if a new instance asks only the platform, or if the platform's response comes into
+// force because it arrives first.
 #[test]
-fn restart_of_one_with_a_stale_service_takes_the_peers_revision() {
+fn restarted_instance_prefers_peers_revision_to_stale_platform() {
     let mut fleet = running_fleet();
     fleet.publish(&catalogue(6));
     assert!(reach(&mut fleet, 6, secs(3)));
@@ -70,11 +69,11 @@
     assert!(fleet.all_at(6));
 }
 
-// Symptom: two instances that restart together serve by an older revision.
-// Sequence: as above, but both watchers of a data centre restart at once.
-// Cause: each asks the other, which knows nothing either, and nobody else.
+// Guards against two restarted instances with an older revision than their peers. As above, but both
+// watchers of a data centre restart at once. This fails if each of them asks only the other one,
+// which has no catalogue either.
 #[test]
-fn restart_of_both_watchers_with_a_stale_service_takes_the_peers_revision() {
+fn both_restarted_watchers_prefer_peers_revision_to_stale_platform() {
     let mut fleet = running_fleet();
     fleet.publish(&catalogue(6));
     assert!(reach(&mut fleet, 6, secs(3)));
@@ -91,12 +90,11 @@
     }
 }
 
-// Symptom: the catalogue in force goes back to an earlier revision.
-// Sequence: the service is restored from a copy with revision 5 under a new
-// platform revision, and answers every watch with it.
-// Cause: the platform's own revision is trusted instead of the catalogue's.
+// Guards against a return to an earlier revision. The platform is restored from a copy with revision
+// 5 under a new platform revision and returns it for every watch. This fails if the platform's own
+// revision is trusted instead of the catalogue's.
 #[test]
-fn stale_service_does_not_revert_a_running_fleet() {
+fn stale_platform_does_not_revert_a_running_fleet() {
     let mut fleet = running_fleet();
     fleet.publish(&catalogue(6));
     assert!(reach(&mut fleet, 6, secs(3)));
@@ -114,12 +112,11 @@
     assert!((0..12).map(stale).sum::<usize>() > 0);
 }
 
-// Symptom: after a restore of the service, no change ever arrives.
-// Sequence: the service counted to 90 and is restored from a copy that counts
-// from 3; the watches wait for a revision above 90.
-// Cause: the service's revision is taken as one that never falls.
+// Guards against a fleet that receives no change after a restore of the platform. The platform has
+// reached its revision 90 and is restored from a copy at revision 3, while the watches wait for a
+// revision above 90. This fails if the platform's revision is assumed never to decrease.
 #[test]
-fn change_arrives_after_the_service_counts_anew() {
+fn change_arrives_after_platform_revision_decreases() {
     let mut fleet = running_fleet();
     fleet.restore_index(90, &catalogue(5).index);
     fleet.run_for(secs(1_300));
@@ -131,11 +128,10 @@
     assert!(reach(&mut fleet, 6, secs(1_300)));
 }
 
-// Symptom: a fleet that restarts at once has no catalogue.
-// Sequence: every instance dies in the same second, as in a power cut, and starts again.
-// Cause: instances only take the catalogue from peers that have it.
+// Guards against a fleet without a catalogue after a restart of all instances in the same second, as
+// after a power outage. This fails if instances accept the catalogue only from peers that have it.
 #[test]
-fn restart_of_all_comes_back() {
+fn fleet_recovers_from_restart_of_all_instances() {
     let mut fleet = running_fleet();
 
     fleet.start_all();
@@ -144,11 +140,10 @@
     assert!(reach(&mut fleet, 5, secs(10)));
 }
 
-// Symptom: serving stops while the platform is down.
-// Sequence: the platform is down for an hour; an instance restarts meanwhile.
-// Cause: a new instance waits for the platform.
+// Guards against an instance that cannot serve while the platform is down. The platform is down for
+// an hour, and an instance restarts meanwhile. This fails if a new instance waits for the platform.
 #[test]
-fn platform_down_for_an_hour_does_not_matter_to_a_new_instance() {
+fn new_instance_starts_while_platform_is_down() {
     let mut fleet = running_fleet();
     fleet.platform.up = false;
     fleet.run_for(secs(1_800));
@@ -163,14 +158,14 @@
     assert!(reach(&mut fleet, 6, secs(15)));
 }
 
-// Symptom: the two sides of a healed partition keep different revisions.
-// Sequence: data centre 2 is cut off from the platform and from the others;
-// revision 6 is published; the partition heals while the platform is down.
-// Cause: the announcement of 6 was lost and nobody repeats it.
+// Guards against different revisions on the two sides of a healed partition. Data centre 2 is
+// partitioned from the platform and the other data centres, revision 6 is published, and the
+// partition heals while the platform is down. This fails if the lost announcement of 6 is not sent
+// again.
 #[test]
 fn partition_heals_without_the_platform() {
     let mut fleet = running_fleet();
-    fleet.cut = Some(|node| node % 3 == 2);
+    fleet.partition = Some(|node| node % 3 == 2);
     fleet.publish(&catalogue(6));
     fleet.run_for(secs(120));
     let cut_off = [2, 5, 8, 11];
@@ -181,14 +176,14 @@
     fleet.heal();
     // Links come up between watchers only; the news crosses with the first
     // message between any two instances of the two sides.
-    fleet.hear_of(2, 0);
+    fleet.receive_revision_of(2, 0);
 
     assert!(reach(&mut fleet, 6, secs(5)));
 }
 
-// Symptom: some instances judge by a revision that others rejected.
-// Sequence: an index with a mistake is published.
-// Cause: the verdict depends on who looks, or a part comes into force early.
+// Guards against instances that use a revision that others rejected. An index with an error is
+// published. This fails if the result of the verification differs between instances, or if a part
+// comes into force before the verification ends.
 #[test]
 fn rejected_index_changes_nothing_and_is_reported_once() {
     let mut fleet = running_fleet();
@@ -214,11 +209,11 @@
     assert!(reach(&mut fleet, 7, secs(3)));
 }
 
-// Symptom: workspaces of one shard cannot be served after a change.
-// Sequence: an index is published whose shard 3 is not valid; nobody uses that shard.
-// Cause: the index comes into force as soon as it is verified itself.
+// Guards against workspaces of one shard that cannot be served after a change. An index is published
+// whose shard 3 is invalid, and no instance uses that shard. This fails if the index comes into
+// force as soon as the index itself is verified.
 #[test]
-fn invalid_shard_rejects_the_whole_revision() {
+fn invalid_shard_rejects_the_full_revision() {
     let mut fleet = running_fleet();
     let mut bad = catalogue(6);
     bad.shards[3] = b"[[workspace]]\nname = \"x\"\n".to_vec();
@@ -236,11 +231,11 @@
     assert!(reach(&mut fleet, 7, secs(3)));
 }
 
-// Symptom: a good revision is rejected, or comes into force with an old shard.
-// Sequence: the publisher writes the index first and the shard 40 s later.
-// Cause: a shard whose digest differs is taken for the new one, or for a mistake.
+// Guards against a valid revision that is rejected or comes into force with an old shard. The
+// publisher writes the index first and the shard 40 s later. This fails if a shard with another
+// digest is taken for the new one, or for an invalid one.
 #[test]
-fn index_before_its_shard_waits_for_it() {
+fn index_published_before_its_shard_waits_for_it() {
     let mut fleet = running_fleet();
     let next = catalogue(6);
 
@@ -261,30 +256,29 @@
     assert!(reach(&mut fleet, 6, secs(8)));
 }
 
-// Symptom: a revision that the rest of the fleet uses does not arrive.
-// Sequence: revision 6 is in force at the other data centres; this one was cut
-// off and first learns of 7 from the platform, whose shard is not written yet.
-// Cause: one candidate takes the other's place, and 7 waits for its shard.
+// Guards against an instance that does not receive the revision that the rest of the fleet uses.
+// Revision 6 is in force in the other data centres. This one was partitioned and first receives 7
+// from the platform, whose shard is not written yet. This fails if 7 replaces 6 as the candidate and
+// waits for its shard.
 #[test]
-fn proposal_that_waits_does_not_hold_back_an_adopted_revision() {
+fn waiting_proposal_does_not_delay_an_adopted_revision() {
     let mut fleet = running_fleet();
-    fleet.cut = Some(|node| node % 3 == 2);
+    fleet.partition = Some(|node| node % 3 == 2);
     fleet.publish(&catalogue(6));
     fleet.run_for(secs(30));
     fleet.publish_index(&catalogue(7).index);
     fleet.heal();
-    fleet.hear_of(2, 0);
+    fleet.receive_revision_of(2, 0);
 
     assert!(reach(&mut fleet, 6, secs(30)));
     fleet.publish(&catalogue(7));
     assert!(reach(&mut fleet, 7, secs(8)));
 }
 
-// Symptom: a change does not reach a data centre.
-// Sequence: both watchers of a data centre die; the list still calls them live.
-// Cause: everybody else relies on the watchers alone.
+// Guards against a change that does not reach a data centre. Both of its watchers crash, and the list
+// still shows them as live. This fails if the other instances rely only on the watchers.
 #[test]
-fn dead_watchers_that_the_list_still_names_are_covered() {
+fn change_arrives_despite_crashed_watchers_in_the_list() {
     let mut fleet = running_fleet();
     fleet.run_for(secs(300));
     fleet.list_lags = true;
@@ -297,11 +291,10 @@
     assert!(reach(&mut fleet, 6, secs(200)));
 }
 
-// Symptom: an instance takes the index over from its peers again and again.
-// Sequence: during an upgrade, newer instances have revision 6 in force, with a
-// key in it that this older one does not know; every message of theirs names 6.
-// Cause: a revision above the own one is asked for each time it is named, also
-// after the answer was rejected.
+// Guards against an instance that pulls the same index repeatedly. During an upgrade, newer
+// instances have revision 6 in force, with a key that this older one does not know, and each of
+// their messages names 6. This fails if a higher revision is pulled each time it is named, even
+// after it was rejected.
 #[test]
 fn revision_that_only_others_accept_is_not_pulled_in_a_loop() {
     let mut fleet = running_fleet();
@@ -313,7 +306,7 @@
     let start = fleet.index_requests(4);
 
     for _ in 0..200 {
-        fleet.hear_of_revision(4, 0, 6);
+        fleet.receive_revision(4, 0, 6);
         fleet.run_for(Duration::from_millis(300));
         fleet.with(4, |sync, now, out| {
             let piece = Piece {
@@ -385,7 +378,7 @@
 }
 
 #[test]
-fn shards_in_use_are_there_when_a_change_comes_into_force() {
+fn shards_in_use_are_fetched_before_a_change_comes_into_force() {
     let mut fleet = running_fleet();
     is_found(&mut fleet, 4, 0);
     fleet.run_for(secs(1));
@@ -396,12 +389,11 @@
     assert!(is_found(&mut fleet, 4, 0));
 }
 
-// Symptom: callers turn an outage into a storm of reads.
-// Sequence: the platform is down and nobody keeps the shard; a caller repeats
-// its request a hundred times a second.
-// Cause: each request fetches the shard anew.
+// Guards against a storm of reads during an outage. The platform is down, no instance keeps the
+// shard, and a caller retries its request a hundred times per second. This fails if each request
+// starts a new fetch of the shard.
 #[test]
-fn shard_that_cannot_be_had_is_refused_for_a_while() {
+fn unavailable_shard_is_not_fetched_again_for_a_while() {
     let mut fleet = fresh_without_shards();
     let start = fleet.now;
 
@@ -417,7 +409,7 @@
     assert!(fleet.calls_since(start) < 60);
 }
 
-/// One instance of two that has the index from its peer and can reach no shard.
+/// Returns a fleet of two in which one instance has the index from its peer and can reach no shard.
 fn fresh_without_shards() -> Fleet {
     let mut fleet = Fleet::new(2, 1);
     fleet.publish(&catalogue(5));
@@ -425,7 +417,7 @@
     assert!(reach(&mut fleet, 5, secs(30)));
     fleet.platform.up = false;
     fleet.start(0);
-    fleet.tell_roles();
+    fleet.send_roles();
     assert!(reach(&mut fleet, 5, secs(30)));
     fleet.kill(1);
     fleet
--- a/crates/core/tests/support/catalogue_fleet.rs
+++ b/crates/core/tests/support/catalogue_fleet.rs
@@ -1,9 +1,9 @@
-//! A small fleet of sync machines in virtual time, with one platform.
+//! Simulates a small fleet of [`CatalogueSync`] instances and one platform in virtual time.
 //!
-//! Messages take [`LATENCY`] and may be cut by a partition; the platform counts
-//! every call and may be down or stale. There is no engine and no request here.
+//! Messages take [`LATENCY`] and may be dropped by a partition. The platform records every call and
+//! may be down or stale. The simulation contains no endpoints and no requests.
 
-// Each file of tests uses another part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use core::time::Duration;
@@ -18,13 +18,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// One way between any two processes.
+/// One-way latency between any two processes.
 pub const LATENCY: Duration = Duration::from_micros(1_500);
-/// How long the platform holds a watch.
+/// Time after which the platform ends a watch without a change.
 const WATCH_HOLD: Duration = Duration::from_secs(25);
-/// How long after its start an instance knows the list.
+/// Time from an instance's start until it receives the list of instances.
 const LIST_DELAY: Duration = Duration::from_millis(300);
-/// Watchers of a data centre.
+/// Number of watchers per data centre.
 const WATCHERS: usize = 2;
 
 /// A published catalogue: index and shards.
@@ -34,13 +34,13 @@
     pub shards: Vec<Vec<u8>>,
 }
 
-/// The bearer key of workspace `number`.
+/// Returns the digest of the bearer key of workspace `number`.
 pub fn key_digest(number: usize) -> [u8; 32] {
     Digest::of(format!("key {number}").as_bytes()).0
 }
 
-/// Builds a catalogue with workspaces over shards; `salt` changes the shard of
-/// workspace 0 only.
+/// Builds a catalogue with workspaces distributed over shards. `salt` changes only the shard of
+/// workspace 0.
 pub fn publication(revision: u64, shards: u32, workspaces: usize, salt: u64) -> Publication {
     let mut texts = vec![String::from("# a shard\n"); shards as usize];
     for number in 0..workspaces {
@@ -71,20 +71,20 @@
     text
 }
 
-/// The platform's service.
+/// The simulated platform.
 #[derive(Default)]
 pub struct Platform {
     pub up: bool,
     index: (u64, Arc<[u8]>),
     shards: BTreeMap<u32, Arc<[u8]>>,
-    /// Watches that wait: node, the node's life, revision, and until when.
+    /// Open watches: node, the node's incarnation, revision, and deadline.
     waiting: Vec<(usize, u64, u64, Time)>,
-    /// When each call was made.
+    /// The time of each call.
     pub calls: Vec<Time>,
 }
 
 #[derive(Clone, Debug)]
-enum What {
+enum Event {
     Start,
     Roles,
     Message(usize, u64, CatalogueMessage),
@@ -98,16 +98,16 @@
     key: InstanceKey,
     data_centre: usize,
     sync: CatalogueSync,
-    /// Counts restarts; events for an earlier life are dropped.
-    life: u64,
+    /// Counts restarts. Events for an earlier incarnation are dropped.
+    incarnation: u64,
     alive: bool,
     started: bool,
     notes: Vec<Note>,
     changes: Vec<SyncChange>,
     index_requests: usize,
-    /// Every revision that came into force here, in any life.
+    /// All revisions that came into force at this instance, in any incarnation.
     in_force: BTreeSet<u64>,
-    /// The revision that came into force last, in this life.
+    /// The last revision that came into force in this incarnation.
     last: u64,
 }
 
@@ -116,20 +116,20 @@
     pub platform: Platform,
     instances: Vec<Instance>,
     data_centres: usize,
-    queue: BTreeMap<(Time, u64), (usize, u64, What)>,
+    queue: BTreeMap<(Time, u64), (usize, u64, Event)>,
     wakes: BTreeSet<(Time, usize)>,
     wake_of: Vec<Time>,
     sequence: u64,
-    /// Pairs of groups that are cut off; the platform is in group 0.
-    pub cut: Option<fn(usize) -> bool>,
+    /// The side of each node in a partition, if there is one. The platform is on the `false` side.
+    pub partition: Option<fn(usize) -> bool>,
     /// Bytes of messages sent by each instance.
     pub sent_bytes: Vec<u64>,
-    /// Instances that the list still names although they are dead.
+    /// Whether the list still contains crashed instances.
     pub list_lags: bool,
 }
 
 impl Fleet {
-    /// Creates a fleet of which nothing runs yet.
+    /// Creates a fleet without running instances.
     pub fn new(size: usize, data_centres: usize) -> Self {
         let mut fleet = Fleet {
             now: Time::from_secs(1),
@@ -143,7 +143,7 @@
             wakes: BTreeSet::new(),
             wake_of: vec![Time::NEVER; size],
             sequence: 0,
-            cut: None,
+            partition: None,
             sent_bytes: vec![0; size],
             list_lags: false,
         };
@@ -152,7 +152,7 @@
                 key: InstanceKey::of(&format!("instance-{number}")),
                 data_centre: number % data_centres,
                 sync: CatalogueSync::new(SyncConfig::new(number as u64)),
-                life: 0,
+                incarnation: 0,
                 alive: false,
                 started: false,
                 notes: Vec::new(),
@@ -183,32 +183,34 @@
     pub fn publish_index(&mut self, bytes: &[u8]) {
         self.platform.index = (self.platform.index.0 + 1, bytes.into());
         let waiting = core::mem::take(&mut self.platform.waiting);
-        for (node, life, above, until) in waiting {
+        for (node, incarnation, above, until) in waiting {
             if self.platform.index.0 > above {
-                self.answer(node, life, self.value(&ValueName::CatalogueIndex));
+                self.respond(node, incarnation, self.value(&ValueName::CatalogueIndex));
             } else {
-                self.platform.waiting.push((node, life, above, until));
+                self.platform
+                    .waiting
+                    .push((node, incarnation, above, until));
             }
         }
     }
 
-    /// Sets the platform's own revision, as a service restored from a copy does.
+    /// Sets the index and the platform's own revision, as a restore from a backup does.
     pub fn restore_index(&mut self, platform_revision: u64, bytes: &[u8]) {
         self.platform.index = (platform_revision, bytes.into());
     }
 
-    /// Starts (or restarts) an instance as a new life that knows nothing.
+    /// Starts (or restarts) an instance as a new incarnation without a catalogue.
     pub fn start(&mut self, node: usize) {
         let instance = &mut self.instances[node];
-        instance.life += 1;
-        let seed = instance.life * 1_000_003 + node as u64;
+        instance.incarnation += 1;
+        let seed = instance.incarnation * 1_000_003 + node as u64;
         instance.sync = CatalogueSync::new(SyncConfig::new(seed));
         instance.alive = true;
         instance.started = false;
         instance.last = 0;
-        let life = instance.life;
-        self.push(self.now, node, life, What::Start);
-        self.push(self.now + LIST_DELAY, node, life, What::Roles);
+        let incarnation = instance.incarnation;
+        self.push(self.now, node, incarnation, Event::Start);
+        self.push(self.now + LIST_DELAY, node, incarnation, Event::Roles);
     }
 
     pub fn start_all(&mut self) {
@@ -220,23 +222,23 @@
     pub fn kill(&mut self, node: usize) {
         self.instances[node].alive = false;
         if !self.list_lags {
-            self.tell_roles();
+            self.send_roles();
         }
     }
 
-    /// Tells every instance the list anew.
-    pub fn tell_roles(&mut self) {
+    /// Sends the current list to every instance.
+    pub fn send_roles(&mut self) {
         for node in 0..self.size() {
-            let life = self.instances[node].life;
+            let incarnation = self.instances[node].incarnation;
             if self.instances[node].alive {
-                self.push(self.now + LIST_DELAY, node, life, What::Roles);
+                self.push(self.now + LIST_DELAY, node, incarnation, Event::Roles);
             }
         }
     }
 
-    /// Reports every link as up again, as after a partition.
+    /// Ends the partition and reports every link as up.
     pub fn heal(&mut self) {
-        self.cut = None;
+        self.partition = None;
         for node in 0..self.size() {
             let peers = self.roles(node).watchers;
             for peer in peers {
@@ -249,19 +251,19 @@
         }
     }
 
-    /// Lets a node hear the revision of another, as with any message between them.
-    pub fn hear_of(&mut self, node: usize, other: usize) {
-        self.hear_of_revision(node, other, self.revision(other));
+    /// Passes a node the revision of another one, as any message between them does.
+    pub fn receive_revision_of(&mut self, node: usize, other: usize) {
+        self.receive_revision(node, other, self.revision(other));
     }
 
-    /// Lets a node hear a revision from another.
-    pub fn hear_of_revision(&mut self, node: usize, other: usize, revision: u64) {
+    /// Passes a node a revision that another one states.
+    pub fn receive_revision(&mut self, node: usize, other: usize, revision: u64) {
         self.with(node, |sync, now, _| {
             sync.peer_revision(now, peer_id(other), revision);
         });
     }
 
-    /// Returns how often a node asked a peer for the index.
+    /// Returns how many requests for the index a node has sent to peers.
     pub fn index_requests(&self, node: usize) -> usize {
         self.instances[node].index_requests
     }
@@ -299,9 +301,10 @@
         instances.position(|it| it.key == key).unwrap()
     }
 
-    fn push(&mut self, at: Time, node: usize, life: u64, what: What) {
+    fn push(&mut self, at: Time, node: usize, incarnation: u64, event: Event) {
         self.sequence += 1;
-        self.queue.insert((at, self.sequence), (node, life, what));
+        self.queue
+            .insert((at, self.sequence), (node, incarnation, event));
     }
 
     pub fn run_for(&mut self, duration: Duration) {
@@ -309,7 +312,7 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done`, or to `end`; returns whether `done` came first.
+    /// Runs until `done` returns `true` or until `end`. Returns whether `done` came first.
     pub fn run_until(&mut self, end: Time, done: impl Fn(&Fleet) -> bool) -> bool {
         loop {
             if done(self) {
@@ -326,8 +329,8 @@
             }
             self.now = self.now.max(next);
             if event.is_some_and(|at| at <= next) {
-                let (_, (node, life, what)) = self.queue.pop_first().unwrap();
-                self.deliver(node, life, what);
+                let (_, (node, incarnation, event)) = self.queue.pop_first().unwrap();
+                self.deliver(node, incarnation, event);
             } else {
                 let (_, node) = self.wakes.pop_first().unwrap();
                 self.wake_of[node] = Time::NEVER;
@@ -336,46 +339,46 @@
         }
     }
 
-    fn deliver(&mut self, node: usize, life: u64, what: What) {
-        if let What::Call(name, above) = what {
-            return self.call(node, life, name, above);
+    fn deliver(&mut self, node: usize, incarnation: u64, event: Event) {
+        if let Event::Call(name, above) = event {
+            return self.call(node, incarnation, name, above);
         }
         let instance = &self.instances[node];
-        if !instance.alive || instance.life != life {
+        if !instance.alive || instance.incarnation != incarnation {
             return;
         }
-        match what {
-            What::Start => {
+        match event {
+            Event::Start => {
                 self.instances[node].started = true;
                 self.with(node, |sync, now, _| sync.start(now));
             }
-            What::Roles => {
+            Event::Roles => {
                 let roles = self.roles(node);
                 self.with(node, |sync, now, out| sync.set_roles(now, roles, out));
             }
-            What::Message(from, revision, message) => {
+            Event::Message(from, revision, message) => {
                 let from = peer_id(from);
                 self.with(node, |sync, now, out| {
                     sync.peer_revision(now, from, revision);
                     sync.message(now, from, message, out);
                 });
             }
-            What::Value(name, revision, bytes) => {
+            Event::Value(name, revision, bytes) => {
                 self.with(node, |sync, now, out| {
                     sync.value(now, &name, revision, &bytes, out);
                 });
             }
-            What::Unchanged => self.with(node, |sync, now, _| {
+            Event::Unchanged => self.with(node, |sync, now, _| {
                 sync.unchanged(now, &ValueName::CatalogueIndex);
             }),
-            What::Failed(name) => {
+            Event::Failed(name) => {
                 self.with(node, |sync, now, out| sync.failed(now, &name, out));
             }
-            What::Call(..) => unreachable!("handled above"),
+            Event::Call(..) => unreachable!("handled above"),
         }
     }
 
-    /// Calls a node and carries out what it asks for.
+    /// Calls a node and runs the actions that it returns.
     pub fn with(
         &mut self,
         node: usize,
@@ -386,9 +389,9 @@
         }
         let mut out = Vec::new();
         call(&mut self.instances[node].sync, self.now, &mut out);
-        let life = self.instances[node].life;
+        let incarnation = self.instances[node].incarnation;
         for action in out {
-            self.carry_out(node, life, action);
+            self.run_action(node, incarnation, action);
         }
         let wake = self.instances[node].sync.next_wake();
         self.wakes.remove(&(self.wake_of[node], node));
@@ -399,14 +402,19 @@
         }
     }
 
-    fn carry_out(&mut self, node: usize, life: u64, action: SyncAction) {
+    fn run_action(&mut self, node: usize, incarnation: u64, action: SyncAction) {
         match action {
             SyncAction::Read(name) => {
-                self.push(self.now + LATENCY, node, life, What::Call(name, None));
+                self.push(
+                    self.now + LATENCY,
+                    node,
+                    incarnation,
+                    Event::Call(name, None),
+                );
             }
             SyncAction::WatchIndex { above } => {
-                let call = What::Call(ValueName::CatalogueIndex, Some(above));
-                self.push(self.now + LATENCY, node, life, call);
+                let call = Event::Call(ValueName::CatalogueIndex, Some(above));
+                self.push(self.now + LATENCY, node, incarnation, call);
             }
             SyncAction::Send { to, message } => self.send(node, to, message),
             SyncAction::Note(note) => self.instances[node].notes.push(note),
@@ -429,45 +437,47 @@
         let encoded = bincode::serde::encode_to_vec(&message, bincode::config::standard());
         self.sent_bytes[from] += encoded.unwrap().len() as u64;
         let to = self.node_of(to);
-        let is_cut = self.cut.is_some_and(|side| side(from) != side(to));
-        if is_cut || !self.instances[to].started {
+        let is_dropped = self.partition.is_some_and(|side| side(from) != side(to));
+        if is_dropped || !self.instances[to].started {
             return;
         }
-        let life = self.instances[to].life;
+        let incarnation = self.instances[to].incarnation;
         let revision = self.instances[from].sync.revision();
-        let what = What::Message(from, revision, message);
-        self.push(self.now + LATENCY, to, life, what);
+        let event = Event::Message(from, revision, message);
+        self.push(self.now + LATENCY, to, incarnation, event);
     }
 
-    fn call(&mut self, node: usize, life: u64, name: ValueName, above: Option<u64>) {
+    fn call(&mut self, node: usize, incarnation: u64, name: ValueName, above: Option<u64>) {
         self.platform.calls.push(self.now);
-        let reachable = self.cut.is_none_or(|side| !side(node));
+        let reachable = self.partition.is_none_or(|side| !side(node));
         if !self.platform.up || !reachable {
-            return self.answer(node, life, What::Failed(name));
+            return self.respond(node, incarnation, Event::Failed(name));
         }
         match above {
             Some(above) if self.platform.index.0 <= above => {
                 let until = self.now + WATCH_HOLD;
-                self.platform.waiting.push((node, life, above, until));
-                self.push(until, node, life, What::Unchanged);
+                self.platform
+                    .waiting
+                    .push((node, incarnation, above, until));
+                self.push(until, node, incarnation, Event::Unchanged);
             }
-            _ => self.answer(node, life, self.value(&name)),
+            _ => self.respond(node, incarnation, self.value(&name)),
         }
     }
 
-    fn value(&self, name: &ValueName) -> What {
+    fn value(&self, name: &ValueName) -> Event {
         let (revision, bytes) = match name {
             ValueName::CatalogueShard(number) => (1, self.platform.shards.get(number).cloned()),
             _ => (self.platform.index.0, Some(self.platform.index.1.clone())),
         };
         match bytes {
-            Some(bytes) => What::Value(name.clone(), revision, bytes),
-            None => What::Failed(name.clone()),
+            Some(bytes) => Event::Value(name.clone(), revision, bytes),
+            None => Event::Failed(name.clone()),
         }
     }
 
-    fn answer(&mut self, node: usize, life: u64, what: What) {
-        self.push(self.now + LATENCY, node, life, what);
+    fn respond(&mut self, node: usize, incarnation: u64, event: Event) {
+        self.push(self.now + LATENCY, node, incarnation, event);
     }
 
     pub fn sync(&self, node: usize) -> &CatalogueSync {
@@ -484,7 +494,7 @@
         live.all(|it| it.sync.revision() == revision)
     }
 
-    /// Returns whether this revision was ever in force anywhere.
+    /// Returns whether this revision was ever in force at any instance.
     pub fn was_in_force(&self, revision: u64) -> bool {
         let mut instances = self.instances.iter();
         instances.any(|it| it.in_force.contains(&revision))
@@ -502,7 +512,7 @@
         &self.instances[node].changes
     }
 
-    /// Returns the most calls of the platform in any second since `start`.
+    /// Returns the maximum number of calls to the platform in any second since `start`.
     pub fn peak_calls(&self, start: Time) -> usize {
         let calls = &self.platform.calls;
         let calls = &calls[calls.partition_point(|at| *at < start)..];
