--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -1,22 +1,20 @@
-//! The catalogue: what callers may ask for, under whose name and within which limits.
+//! The catalogue: the entries that callers may request, their owners and their limits.
 //!
-//! Operators publish the catalogue as one *index* and a number of *shards*.
-//! The index holds classes, models, services and entries, and the SHA-256
-//! digest of every shard. The shards hold the workspaces, spread by the digest
-//! of their bearer keys, because tens of thousands of workspaces fit neither
-//! one published value nor the memory of one instance.
+//! Operators publish the catalogue as one *index* and a number of *shards*. The index contains the
+//! classes, models, services and entries, and the SHA-256 digest of every shard. The shards contain
+//! the workspaces, distributed by the digests of their bearer keys, because tens of thousands of
+//! workspaces fit neither into one published value nor into the memory of one instance.
 //!
-//! Reading goes through three steps, each in its own module and each a pure
-//! function of the bytes, so that every instance gives the same verdict:
+//! A catalogue is read in three steps. Each is in its own module and is a pure function of the
+//! bytes, so that every instance accepts or rejects the same bytes:
 //!
-//! 1. [`parse`] turns bytes into [`source`] tables, with a place for each field;
-//! 2. [`verify`] checks the source tables and collects every finding;
-//! 3. [`resolve`] turns verified tables into the dense [`Catalogue`] or [`Shard`];
+//! 1. [`parse`] turns the bytes into [`source`] tables with the place of each field;
+//! 2. [`verify`] checks the source tables and collects all findings;
+//! 3. [`resolve`] turns verified tables into the dense [`Catalogue`] or [`Shard`].
 //!
-//! [`check`] does it over files, for `oriolemux check`.
+//! [`check`] checks files for `oriolemux check`.
 //!
-//! `docs/CATALOGUE.md` is the operators' reference, `docs/design/catalogue.md`
-//! says why it is so.
+//! `docs/CATALOGUE.md` is the operators' reference; `docs/design/catalogue.md` explains the design.
 
 pub mod check;
 pub mod digest;
@@ -40,15 +38,15 @@
 use crate::findings::Findings;
 use crate::value::ValueName;
 
-/// The most bytes of one published value. The platform holds no larger value,
-/// so a larger one is damaged or hostile.
+/// Maximum size of a published value. The platform stores no larger value, so a larger one is
+/// corrupt or hostile.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// The most shards of one catalogue. At 4,096 the digests alone take a quarter
-/// of the index value.
+/// Maximum number of shards of a catalogue. The digests of 4,096 shards take a quarter of the
+/// maximum size of the index.
 pub const MAX_SHARDS: usize = 4_096;
 
-/// Reads and verifies an index, or returns every finding.
+/// Parses and verifies an index.
 ///
 /// # Errors
 ///
@@ -63,8 +61,8 @@
     Ok(resolve::index(&source, Digest::of(bytes)))
 }
 
-/// Returns the revision that an index states, whatever else is wrong with it, or 0 if none
-/// can be read. Operators know a rejected index by it.
+/// Returns the revision that an index states, even if the index is invalid, or 0 if none can be
+/// read. Operators identify a rejected index by it.
 pub fn stated_revision(bytes: &[u8]) -> u64 {
     let mut ignored = Findings::new(ValueName::CatalogueIndex.to_string());
     let source = parse::index(bytes, &mut ignored);
@@ -72,13 +70,11 @@
     u64::try_from(revision).unwrap_or(0)
 }
 
-/// Reads and verifies shard `number` of a catalogue with `count` shards, or
-/// returns every finding.
+/// Parses and verifies shard `number` of a catalogue with `count` shards.
 ///
-/// Whether the entries that its workspaces name exist is not asked here,
-/// because that depends on the index: the verdict on a shard stays true for
-/// every index that lists its digest, and a shard that did not change is not
-/// read again. `oriolemux check` asks it.
+/// It does not check whether the entries that workspaces name exist, because that depends on the
+/// index. So the result holds for every index that lists the shard's digest, and an unchanged shard
+/// need not be verified again. `oriolemux check` checks the entries.
 ///
 /// # Errors
 ///
--- a/crates/core/src/catalogue/check.rs
+++ b/crates/core/src/catalogue/check.rs
@@ -1,9 +1,8 @@
-//! The whole check of files before they are published, for `oriolemux check`.
+//! The full check of catalogue files before they are published, for `oriolemux check`.
 //!
-//! Besides what every instance verifies by itself, it asks what can only be
-//! asked of index and shards together: whether the digests match, whether the
-//! entries that workspaces name exist, and whether a workspace has the same
-//! rights in each of its shards.
+//! In addition to the verification at every instance, it checks the index and the shards against
+//! each other: whether the digests match, whether the entries that workspaces name exist, and
+//! whether a workspace has the same rights in each of its shards.
 
 use super::digest::Digest;
 use super::source::{IndexSource, ShardSource, WorkspaceSource};
@@ -13,16 +12,16 @@
 use crate::findings::{Findings, Place, Problem};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A file as it was read.
+/// A file to check.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckFile<'a> {
-    /// Its name, as findings show it.
+    /// The file name, as findings show it.
     pub name: &'a str,
-    /// What it holds.
+    /// The content.
     pub bytes: &'a [u8],
 }
 
-/// What part of a catalogue a file holds.
+/// The part of a catalogue that a file contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
     /// The index.
@@ -32,9 +31,9 @@
 }
 
 impl FileKind {
-    /// Returns what the file holds, or `None` if it is no part of a catalogue.
+    /// Returns the kind of the file, or `None` if it is not part of a catalogue.
     ///
-    /// The content decides; where it is broken, the file's name does.
+    /// The content decides. If it is not valid TOML or has no known key, the file name decides.
     pub fn of(file: CheckFile<'_>) -> Option<Self> {
         let text = core::str::from_utf8(file.bytes).ok();
         let document = text.and_then(|text| toml_edit::Document::parse(text).ok());
@@ -59,7 +58,7 @@
     name.contains("catalogue-index").then_some(FileKind::Index)
 }
 
-/// What a workspace may use and take, without the places where it says so.
+/// The entries and limits of a workspace, without their places in the file.
 #[derive(Debug, PartialEq, Eq)]
 struct Rights {
     entries: BTreeSet<String>,
@@ -81,9 +80,9 @@
 
 /// The workspaces of the shards checked so far, with the file of each.
 ///
-/// A workspace whose keys belong to several shards stands in each of them. If
-/// the records differ, its rights depend on the key that a caller happens to
-/// use, and its limits on the shard that its home has read.
+/// A workspace whose keys belong to several shards is defined in each of them. If the definitions
+/// differ, its rights depend on the key that a caller uses, and its limits on the shard that its
+/// home (the instance that decides for the workspace) has read.
 #[derive(Debug, Default)]
 struct KnownWorkspaces(BTreeMap<String, (String, Rights)>);
 
@@ -99,7 +98,7 @@
                 self.0.insert(name.value.clone(), record);
                 continue;
             };
-            // Twice in one file is the verifier's finding.
+            // The verifier reports a workspace that is defined twice in one file.
             if *known != rights && first != file {
                 let problem = CatalogueProblem::WorkspaceDiffers {
                     workspace: quoted(&name.value),
@@ -111,18 +110,18 @@
     }
 }
 
-/// An index that was read, for the checks that need it.
+/// A parsed index, for the checks that need it.
 struct CheckedIndex {
     source: IndexSource,
     digests: Vec<Option<Digest>>,
 }
 
-/// Checks the files of one catalogue together, and returns those with findings
-/// in the order given.
+/// Checks the files of one catalogue together, and returns the findings of each file that has any,
+/// in the order of the files.
 ///
-/// Shards are checked against the first index among the files; without one,
-/// only what a shard says by itself is checked. Files that are no part of a
-/// catalogue are checked as an index: ask [`FileKind::of`] first.
+/// Shards are checked against the first index among the files. Without an index, each shard is
+/// checked only by itself. A file that is not part of a catalogue is checked as an index, so
+/// callers should call [`FileKind::of`] first.
 pub fn check_files(files: &[CheckFile<'_>]) -> Vec<Findings> {
     let kinds: Vec<FileKind> = files
         .iter()
@@ -175,8 +174,8 @@
     findings.into_result(())
 }
 
-/// Returns which shard the file is, by its name or else by its digest, and
-/// reports a digest that the index does not list.
+/// Returns the position of a shard, from its file name or else from its digest, and reports a
+/// digest that the index does not list.
 fn position(
     file: CheckFile<'_>,
     index: &CheckedIndex,
--- a/crates/core/src/catalogue/digest.rs
+++ b/crates/core/src/catalogue/digest.rs
@@ -1,10 +1,10 @@
-//! SHA-256 digests: of published values and of bearer keys.
+//! SHA-256 digests of published values and of bearer keys.
 
 use core::fmt;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Characters of a digest written in hexadecimal.
+/// Number of characters of a hexadecimal digest.
 const HEX_CHARS: usize = 64;
 
 /// A SHA-256 digest.
@@ -18,7 +18,7 @@
         Digest(Sha256::digest(bytes).into())
     }
 
-    /// Reads 64 hexadecimal digits of either case, or returns `None`.
+    /// Parses 64 hexadecimal digits of either case. Returns `None` for other text.
     pub fn from_hex(text: &str) -> Option<Self> {
         if text.len() != HEX_CHARS {
             return None;
@@ -49,9 +49,9 @@
 
 /// Returns the number of the shard that holds the workspace with this key digest.
 ///
-/// The first eight bytes of the digest, read as a big-endian integer, modulo
-/// `count`: SHA-256 spreads evenly by itself, and publishers can compute it
-/// with any tool. `count` of zero gives shard zero.
+/// The number is the first eight bytes of the digest as a big-endian integer, modulo `count`.
+/// SHA-256 is uniformly distributed without further hashing, and publishers can compute the number
+/// with any tool. A `count` of zero yields shard zero.
 pub fn shard_of(key_digest: &[u8; 32], count: u32) -> u32 {
     let [a, b, c, d, e, f, g, h, ..] = *key_digest;
     let head = u64::from_be_bytes([a, b, c, d, e, f, g, h]);
--- a/crates/core/src/catalogue/document.rs
+++ b/crates/core/src/catalogue/document.rs
@@ -1,4 +1,4 @@
-//! Typed reading of a TOML document, with a place for every value.
+//! Typed access to a TOML document, with the place of every value.
 
 use super::MAX_VALUE_BYTES;
 use super::source::{Field, Given};
@@ -7,11 +7,11 @@
 use core::ops::Range;
 use toml_edit::{Array, Document, Item, TableLike, Value};
 
-/// Turns byte offsets into places.
+/// Converts byte offsets into places.
 #[derive(Debug)]
 pub struct LineMap<'a> {
     text: &'a str,
-    /// Offset of the first byte of each line; starts with 0 and only grows.
+    /// Offset of the first byte of each line, in ascending order, starting with 0.
     starts: Vec<usize>,
 }
 
@@ -25,7 +25,8 @@
         LineMap { text, starts }
     }
 
-    /// Returns the place of the byte at `offset`, or of the end if it lies beyond.
+    /// Returns the place of the byte at `offset`, or of the end of the text if `offset` is beyond
+    /// it.
     pub fn place(&self, offset: usize) -> Place {
         let offset = offset.min(self.text.len());
         let line = self.starts.partition_point(|start| *start <= offset);
@@ -43,12 +44,12 @@
     }
 }
 
-/// Returns whether `byte` continues a UTF-8 character that began before it.
+/// Returns whether `byte` is a UTF-8 continuation byte.
 fn is_continuation(byte: u8) -> bool {
     byte & 0b1100_0000 == 0b1000_0000
 }
 
-/// Reads the document's text, or reports why there is none.
+/// Returns the text of the document, or reports why the bytes are not text.
 pub fn text<'a>(bytes: &'a [u8], findings: &mut Findings) -> Option<&'a str> {
     if bytes.len() > MAX_VALUE_BYTES {
         let problem = CatalogueProblem::TooLarge {
@@ -69,10 +70,9 @@
     }
 }
 
-/// Parses `text` as TOML, or reports the first error of syntax.
+/// Parses `text` as TOML, or reports the first syntax error.
 ///
-/// Only one error of syntax is reported: what follows it cannot be told from
-/// what was meant.
+/// Only one syntax error is reported, because the meaning of the text after it is unclear.
 pub fn parse<'a>(
     text: &'a str,
     lines: &LineMap<'_>,
@@ -96,20 +96,20 @@
 pub struct TableRef<'t> {
     /// The table.
     pub table: &'t dyn TableLike,
-    /// What findings call it; empty for the root.
+    /// Its name in findings; empty for the root.
     pub name: &'static str,
     /// Where it starts.
     pub place: Place,
 }
 
 impl TableRef<'_> {
-    /// Returns `key` as findings name it, after the name of its table.
+    /// Returns the full name of `key` in findings, with the name of its table.
     fn full_key(&self, key: &str) -> String {
         full_key(self.name, key)
     }
 }
 
-/// Returns `key` as findings name it, after the name of its table.
+/// Returns the full name of `key` in findings, with the name of its table.
 pub fn full_key(table: &str, key: &str) -> String {
     if table.is_empty() {
         return key.to_owned();
@@ -117,7 +117,7 @@
     format!("{table}.{key}")
 }
 
-/// Reads typed fields and reports those of the wrong type.
+/// Reads typed fields, and reports fields of the wrong type.
 #[derive(Debug)]
 pub struct Reader<'a> {
     lines: &'a LineMap<'a>,
@@ -155,8 +155,8 @@
         })
     }
 
-    /// Reads an array of strings. One item of another type is reported at its
-    /// own place and makes the whole field unreadable.
+    /// Reads an array of strings. An item of another type is reported at its own place and makes
+    /// the entire field unreadable.
     pub fn strings(&mut self, table: TableRef<'_>, key: &'static str) -> Field<Vec<Given<String>>> {
         let Some(item) = table.table.get(key) else {
             return Field::Absent;
@@ -199,7 +199,7 @@
         (items.len() == array.len()).then_some(items)
     }
 
-    /// Reads a table inside `table`, in either of TOML's two spellings.
+    /// Reads a table inside `table`, written as a standard or an inline table.
     pub fn table<'t>(
         &mut self,
         table: TableRef<'t>,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Reads an array of tables; an absent one is empty.
+    /// Reads an array of tables. Returns an empty list if the key is absent.
     pub fn tables<'t>(&mut self, table: TableRef<'t>, name: &'static str) -> Vec<TableRef<'t>> {
         let Some(item) = table.table.get(name) else {
             return Vec::new();
--- a/crates/core/src/catalogue/model.rs
+++ b/crates/core/src/catalogue/model.rs
@@ -1,4 +1,4 @@
-//! The verified catalogue as dense entities.
+//! The verified catalogue, as densely indexed entities.
 
 use super::digest::Digest;
 use crate::ids::{ClassKey, EntryKey, ModelKey};
@@ -27,16 +27,14 @@
 pub struct ServiceId(u32);
 entity_impl!(ServiceId, "service");
 
-/// The chance of a preemption that a class accepts for each generation if it
-/// says nothing.
+/// Default probability of a preemption per generation that a class accepts.
 pub const DEFAULT_PREEMPTION_RISK: f64 = 0.01;
 
 /// One verified revision of the catalogue, without its workspaces.
 ///
-/// Invariants, which [`super::verify`] establishes: every id in it is valid in
-/// its maps, every name is unique in its map (models: name and version), and
-/// `wait_target <= longest_wait` in every class. A request keeps the catalogue
-/// that it was judged by, so that it is judged by one revision throughout.
+/// Invariants, established by [`super::verify`]: every id is valid in its map, every name is unique
+/// in its map (for models, the name and version), and `wait_target <= longest_wait` in every class.
+/// A request keeps the catalogue from its admission, so that one revision applies throughout.
 #[derive(Clone, Debug)]
 pub struct Catalogue {
     pub(super) revision: u64,
@@ -49,25 +47,24 @@
     pub(super) entry_names: BTreeMap<String, EntryId>,
 }
 
-/// How urgent and how repeatable work is.
+/// The urgency of requests, their waits, and whether they may be retried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// The published name.
     pub name: String,
     /// The key of that name.
     pub key: ClassKey,
-    /// The engine's priority; 0 is the most urgent.
+    /// The priority at the engine; 0 is the most urgent.
     pub urgency: u8,
     /// Whether the work may run more than once.
     pub idempotent: bool,
-    /// How long a request should wait at most before it starts.
+    /// Target for the maximum wait of a request before it starts.
     pub wait_target: Duration,
-    /// How long a request may wait before it is refused.
+    /// The wait after which a request is refused.
     pub longest_wait: Duration,
-    /// How the answer reaches the caller.
+    /// How a response is delivered to the caller.
     pub delivery: DeliveryMode,
-    /// The chance of a preemption that is accepted for each generation,
-    /// between 0 and 1.
+    /// The accepted probability of a preemption per generation, between 0 and 1.
     pub preemption_risk: f64,
 }
 
@@ -78,12 +75,12 @@
     pub name: String,
     /// The key of that name.
     pub key: ModelKey,
-    /// The version that engines are to hold.
+    /// The version that engines should load.
     pub version: String,
-    /// The adapters that engines are to hold with it.
+    /// The adapters that engines should load with it.
     pub adapters: Vec<String>,
-    /// How many endpoints of each data centre should hold the model; `None`
-    /// leaves it as it is.
+    /// Target number of endpoints per data centre that load the model. `None` leaves the number
+    /// unchanged.
     pub replicas: Option<u32>,
 }
 
@@ -94,24 +91,24 @@
     pub name: String,
 }
 
-/// Something that callers may ask for by name.
+/// A model or service that callers may request by name, with its class and limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The published name.
     pub name: String,
     /// The key of that name.
     pub key: EntryKey,
-    /// Who answers for the entry.
+    /// Who is responsible for the entry.
     pub owner: String,
-    /// How urgent and how repeatable its work is.
+    /// The class of its requests.
     pub class: ClassId,
-    /// What serves it.
+    /// The model or service that serves it.
     pub target: Target,
-    /// What it may take in all.
+    /// Its limits over all instances.
     pub limits: EntryLimits,
 }
 
-/// What serves an entry.
+/// The model or service that serves an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A model, with an adapter if the entry names one.
@@ -125,23 +122,23 @@
     Service(ServiceId),
 }
 
-/// What an entry may take from shared endpoints, over all instances.
+/// The limits of an entry at shared endpoints, over all instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EntryLimits {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub concurrent: u32,
-    /// Tokens of prompt and output in a minute. Limits of tokens have no meaning
-    /// for a service, whose entry may leave them out; they are 0 then.
+    /// Maximum number of prompt and output tokens per minute. Token limits have no meaning for a
+    /// service, whose entry may omit them; they are 0 then.
     pub tokens_per_minute: u64,
-    /// Requests that wait at once.
+    /// Maximum number of queued requests.
     pub queue: u32,
-    /// Tokens of one prompt.
+    /// Maximum number of tokens of a prompt.
     pub prompt_tokens: u32,
-    /// Tokens of one output.
+    /// Maximum number of generated tokens of a request.
     pub output_tokens: u32,
 }
 
-/// An entry with what it refers to.
+/// An entry with its class and target.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryView<'a> {
     /// The entry's id in its catalogue.
@@ -150,11 +147,11 @@
     pub entry: &'a Entry,
     /// Its class.
     pub class: &'a Class,
-    /// What serves it.
+    /// The model or service that serves it.
     pub target: TargetView<'a>,
 }
 
-/// What serves an entry, resolved.
+/// The model or service that serves an entry, by reference.
 #[derive(Clone, Copy, Debug)]
 pub enum TargetView<'a> {
     /// A model, with an adapter if the entry names one.
@@ -199,7 +196,7 @@
         &self.shards
     }
 
-    /// Returns how many shards there are.
+    /// Returns the number of shards.
     pub fn shard_count(&self) -> u32 {
         self.shards.len() as u32
     }
--- a/crates/core/src/catalogue/parse.rs
+++ b/crates/core/src/catalogue/parse.rs
@@ -1,4 +1,4 @@
-//! From bytes to source tables.
+//! Parses bytes into source tables.
 
 use super::document::{LineMap, Reader, TableRef, parse, text};
 use super::source::{
@@ -36,12 +36,12 @@
 const WORKSPACE_KEYS: &[&str] = &["name", "key_sha256", "entries", "limits"];
 const WORKSPACE_LIMIT_KEYS: &[&str] = &["concurrent", "tokens_per_minute"];
 
-/// Parses an index. Returns `None` if the bytes are no TOML document at all.
+/// Parses an index. Returns `None` if the bytes are not a TOML document.
 pub fn index(bytes: &[u8], findings: &mut Findings) -> Option<IndexSource> {
     document(bytes, findings, index_source)
 }
 
-/// Parses a shard. Returns `None` if the bytes are no TOML document at all.
+/// Parses a shard. Returns `None` if the bytes are not a TOML document.
 pub fn shard(bytes: &[u8], findings: &mut Findings) -> Option<ShardSource> {
     document(bytes, findings, shard_source)
 }
--- a/crates/core/src/catalogue/resolve.rs
+++ b/crates/core/src/catalogue/resolve.rs
@@ -1,8 +1,7 @@
-//! From verified source tables to dense entities.
+//! Converts verified source tables into dense entities.
 //!
-//! Nothing is checked here: the verifier has accepted the tables. A field that
-//! could not be read takes its type's default, which only code that skips the
-//! verifier would ever see.
+//! Nothing is checked here, because the verifier has accepted the tables. An unreadable field gets
+//! the default of its type, which is visible only to code that skips the verifier.
 
 use super::digest::Digest;
 use super::model::{
@@ -20,9 +19,9 @@
 use cranelift_entity::PrimaryMap;
 use std::collections::BTreeMap;
 
-/// The spelling of [`DeliveryMode::Stream`].
+/// The name of [`DeliveryMode::Stream`] in the catalogue.
 pub(super) const DELIVERY_STREAM: &str = "stream";
-/// The spelling of [`DeliveryMode::Whole`].
+/// The name of [`DeliveryMode::Whole`] in the catalogue.
 pub(super) const DELIVERY_WHOLE: &str = "whole";
 
 /// Resolves a verified index whose bytes have this digest.
@@ -103,11 +102,11 @@
 
 fn push_entry(catalogue: &mut Catalogue, source: &EntrySource) {
     let Some(class) = class_named(catalogue, &source.class.value_or_default()) else {
-        debug_assert!(false, "the verifier lets no entry of an unknown class pass");
+        debug_assert!(false, "the verifier rejects entries of unknown classes");
         return;
     };
     let Some(target) = target(catalogue, source) else {
-        debug_assert!(false, "the verifier lets no entry without a target pass");
+        debug_assert!(false, "the verifier rejects entries without a target");
         return;
     };
     let name = source.name.value_or_default();
--- a/crates/core/src/catalogue/shard.rs
+++ b/crates/core/src/catalogue/shard.rs
@@ -1,4 +1,4 @@
-//! A verified shard: workspaces, found by the digest of a bearer key.
+//! A verified shard: a map from digests of bearer keys to workspaces.
 
 use crate::ids::{EntryKey, WorkspaceKey, stable_hash};
 use cranelift_entity::{PrimaryMap, entity_impl};
@@ -18,7 +18,7 @@
     pub key: WorkspaceKey,
     /// The entries that it may use, sorted.
     pub entries: Vec<EntryKey>,
-    /// What it may take in all.
+    /// Its limits over all instances.
     pub limits: WorkspaceLimits,
 }
 
@@ -29,19 +29,19 @@
     }
 }
 
-/// What a workspace may take from shared endpoints, over all instances.
+/// The limits of a workspace at shared endpoints, over all instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkspaceLimits {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub concurrent: u32,
-    /// Tokens of prompt and output in a minute.
+    /// Maximum number of prompt and output tokens per minute.
     pub tokens_per_minute: u64,
 }
 
-/// One key digest and the workspace that holds it.
+/// A key digest and the workspace that holds the key.
 #[derive(Clone, Debug)]
 struct KeySlot {
-    /// Stable hash of the digest, by which the slots are sorted.
+    /// Stable hash of the digest. The slots are sorted by it.
     hash: u64,
     digest: [u8; 32],
     workspace: WorkspaceId,
@@ -49,8 +49,8 @@
 
 /// One verified shard of a catalogue.
 ///
-/// Invariants: `slots` is sorted by hash, no digest stands in it twice, and
-/// every workspace id in it is valid.
+/// Invariants: `slots` is sorted by hash, each digest occurs at most once, and every workspace id
+/// is valid.
 #[derive(Clone, Debug)]
 pub struct Shard {
     number: u32,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Adds a workspace with its key digests. Call [`Shard::seal`] after the last.
+    /// Adds a workspace with its key digests. [`Shard::seal`] must be called after the last one.
     pub(super) fn insert(
         &mut self,
         workspace: Workspace,
@@ -83,7 +83,7 @@
         self.slots.extend(slots);
     }
 
-    /// Sorts the slots, which lookups rely on.
+    /// Sorts the slots for lookups.
     pub(super) fn seal(&mut self) {
         self.slots.sort_by_key(|slot| slot.hash);
         self.slots.shrink_to_fit();
@@ -101,13 +101,12 @@
 
     /// Returns the workspace that holds the bearer key with this digest.
     ///
-    /// A comparison that stops at the first different byte tells a caller who
-    /// measures it how much of a stored digest a guess has met, and by and by
-    /// the digest. So the digest is compared in constant time, with each slot
-    /// of equal hash, even after a match. Which slots those are is found by a
-    /// hash of the digest: its timing depends on where the guess's own hash
-    /// falls, which a caller learns nothing from, since it cannot steer SHA-256
-    /// towards the neighbourhood of an unknown digest.
+    /// The lookup resists timing attacks. A comparison that stops at the first different byte would
+    /// reveal how long a prefix of a stored digest a guess matches, and eventually the digest. So
+    /// the digest is compared in constant time with each slot of equal hash, even after a match.
+    /// The search for these slots uses a hash of the digest. Its timing depends only on the
+    /// position of the guess's own hash and reveals nothing, because a caller cannot choose a key
+    /// whose SHA-256 digest is close to an unknown one.
     pub fn workspace_by_digest(&self, digest: &[u8; 32]) -> Option<&Workspace> {
         let hash = slot_hash(digest);
         let start = self.slots.partition_point(|slot| slot.hash < hash);
@@ -124,7 +123,7 @@
         bool::from(found).then(|| &self.workspaces[WorkspaceId::from_u32(index)])
     }
 
-    /// Returns about how many bytes the shard takes in memory.
+    /// Returns the approximate memory use of the shard in bytes.
     pub fn memory_bytes(&self) -> usize {
         let slots = self.slots.len() * size_of::<KeySlot>();
         let workspaces = self.workspaces.values().map(|workspace| {
--- a/crates/core/src/catalogue/source.rs
+++ b/crates/core/src/catalogue/source.rs
@@ -1,20 +1,20 @@
-//! Source tables: a catalogue as written, with a place for every field.
+//! Source tables: a catalogue as written, with the place of every field.
 //!
-//! They stand between the parser and the verifier. The parser says what was
-//! written, and only the verifier says whether it may stand so.
+//! The parser produces them and the verifier checks them. The parser accepts any value of the right
+//! type; only the verifier decides whether the value is valid.
 
 use crate::findings::Place;
 
-/// One field of a table as the parser found it.
+/// A field of a table, as parsed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Field<T> {
-    /// The key is not there.
+    /// The key is absent.
     #[default]
     Absent,
-    /// The key is there with a value of the wrong type. The parser has reported
-    /// it, so the verifier stays silent: one mistake gives one finding.
+    /// The value has the wrong type. The parser has reported it, so the verifier ignores it: one
+    /// error yields one finding.
     Unreadable,
-    /// The key is there and readable.
+    /// The value is readable.
     Given(Given<T>),
 }
 
@@ -23,7 +23,7 @@
 pub struct Given<T> {
     /// The value.
     pub value: T,
-    /// Where it stands.
+    /// The place of the value.
     pub place: Place,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the value, or `T`'s default where none is readable.
+    /// Returns the value, or the default of `T` if none is readable.
     pub fn value_or_default(&self) -> T
     where
         T: Clone + Default,
@@ -67,7 +67,7 @@
 /// A `[[class]]` as written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSource {
-    /// Where the table starts.
+    /// The start of the table.
     pub place: Place,
     /// `name`.
     pub name: Field<String>,
@@ -88,7 +88,7 @@
 /// A `[[model]]` as written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSource {
-    /// Where the table starts.
+    /// The start of the table.
     pub place: Place,
     /// `name`.
     pub name: Field<String>,
@@ -103,7 +103,7 @@
 /// A `[[service]]` as written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSource {
-    /// Where the table starts.
+    /// The start of the table.
     pub place: Place,
     /// `name`.
     pub name: Field<String>,
@@ -112,7 +112,7 @@
 /// An `[[entry]]` as written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntrySource {
-    /// Where the table starts.
+    /// The start of the table.
     pub place: Place,
     /// `name`.
     pub name: Field<String>,
@@ -157,7 +157,7 @@
 /// A `[[workspace]]` as written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkspaceSource {
-    /// Where the table starts.
+    /// The start of the table.
     pub place: Place,
     /// `name`.
     pub name: Field<String>,
--- a/crates/core/src/catalogue/sync/candidate.rs
+++ b/crates/core/src/catalogue/sync/candidate.rs
@@ -1,9 +1,10 @@
 //! Candidate revisions and the conditions under which they come into force.
 //!
-//! There are at most two candidates. One is *proposed* by the platform and requires the verification
-//! of all its shards at this instance. The other is *adopted* from a peer where it is in force, and
-//! requires only the shards in use here. They are independent: a proposal whose shards are not
-//! published yet must not delay the revision that the rest of the fleet already uses.
+//! There are at most two candidates. One is *proposed* by the platform and requires the
+//! verification of all its shards at this instance. The other is *adopted* from a peer where it is
+//! in force, and requires only the shards in use here. They are independent: a proposal whose
+//! shards are not published yet must not delay the revision that the rest of the fleet already
+//! uses.
 
 use super::message::{CatalogueMessage, ShardId};
 use super::status::{Rejection, RejectionCause};
@@ -32,8 +33,8 @@
 pub(super) enum Origin {
     /// The platform; possibly no instance has verified the revision yet.
     Platform,
-    /// A peer that has the revision in force, so that the peer or an instance before it has verified
-    /// it.
+    /// A peer that has the revision in force, so that the peer or an instance before it has
+    /// verified it.
     Peer,
 }
 
@@ -180,8 +181,8 @@
             return;
         }
         if revision == self.revision() {
-            // Two indexes have the same revision. The first one stays, or the catalogue would change
-            // without a change of its revision.
+            // Two indexes have the same revision. The first one stays, or the catalogue would
+            // change without a change of its revision.
             let rejection = Rejection {
                 revision,
                 digest: catalogue.digest(),
--- a/crates/core/src/catalogue/sync/delta.rs
+++ b/crates/core/src/catalogue/sync/delta.rs
@@ -1,7 +1,7 @@
 //! Line-based deltas between two indexes.
 //!
-//! Every instance receives hundreds of changes per day. Most change two lines of an index of tens of
-//! kilobytes: the revision and one digest. Sending the full index each time would cost a watcher
+//! Every instance receives hundreds of changes per day. Most change two lines of an index of tens
+//! of kilobytes: the revision and one digest. Sending the full index each time would cost a watcher
 //! more than a kilobyte per second (`docs/design/catalogue.md`).
 
 use super::message::{Edit, PIECE_BYTES};
--- a/crates/core/src/catalogue/sync/fetch.rs
+++ b/crates/core/src/catalogue/sync/fetch.rs
@@ -118,8 +118,9 @@
 impl CatalogueSync {
     /// Fetches a shard of the catalogue in force that a request needs.
     ///
-    /// [`SyncChange::ShardReady`] or [`SyncChange::ShardFailed`] follows, or [`SyncChange::InForce`],
-    /// after which a caller that still needs the shard must call this method again.
+    /// [`SyncChange::ShardReady`] or [`SyncChange::ShardFailed`] follows, or
+    /// [`SyncChange::InForce`], after which a caller that still needs the shard must call this
+    /// method again.
     pub fn want_shard(&mut self, now: Time, number: u32, out: &mut Vec<SyncAction>) {
         let catalogue = match self.catalogue() {
             Some(catalogue) if number < catalogue.shard_count() => catalogue,
@@ -313,8 +314,8 @@
                 self.counters.shards_from_platform += 1;
                 self.fetched(now, id, bytes.to_vec(), out);
             } else if self.is_reading(id) {
-                // The publisher has written the index but not yet the shard, or the reverse. The other
-                // write will follow, so nothing is rejected.
+                // The publisher has written the index but not yet the shard, or the reverse. The
+                // other write will follow, so nothing is rejected.
                 self.counters.digest_mismatches += 1;
                 self.source_failed(now, id);
             }
--- a/crates/core/src/catalogue/sync/pull.rs
+++ b/crates/core/src/catalogue/sync/pull.rs
@@ -28,9 +28,9 @@
 /// Approximate time between the pulls of an instance without a catalogue from its watchers.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time for which a revision that was pulled and did not come into force is not pulled again. During
-/// an upgrade, newer instances may have an index in force that this one rejects, and each of their
-/// messages names its revision.
+/// Time for which a revision that was pulled and did not come into force is not pulled again.
+/// During an upgrade, newer instances may have an index in force that this one rejects, and each of
+/// their messages names its revision.
 const REJECTED_PAUSE: Duration = Duration::from_secs(60);
 
 /// Time for which a revision that a peer announced and did not send is not pulled again, even if
@@ -184,10 +184,10 @@
         }
     }
 
-    /// Starts the initial pulls. A new instance requests the index in force from the watchers before
-    /// it accepts one from the platform, which may be stale or may have been down since before the
-    /// process started. It also asks a watcher of each other data centre, because the watchers of
-    /// its own may have restarted at the same time.
+    /// Starts the initial pulls. A new instance requests the index in force from the watchers
+    /// before it accepts one from the platform, which may be stale or may have been down since
+    /// before the process started. It also asks a watcher of each other data centre, because the
+    /// watchers of its own may have restarted at the same time.
     pub(super) fn start_initial_pulls(&mut self, now: Time, out: &mut Vec<SyncAction>) {
         let me = self.roles.me;
         let mut first = self.roles.far.clone();
--- a/crates/core/src/catalogue/sync/serve.rs
+++ b/crates/core/src/catalogue/sync/serve.rs
@@ -110,8 +110,8 @@
         }
         match self.fetches.open.get(&id) {
             Some(fetch) => {
-                // Two instances that regard each other as the reader would wait for each other until
-                // both time out.
+                // Two instances that regard each other as the reader would wait for each other
+                // until both time out.
                 !fetch.is_requested_from(peer) && fetch.waiting_peers.len() < MAX_WAITING_PEERS
             }
             None => {
--- a/crates/core/src/catalogue/sync/status.rs
+++ b/crates/core/src/catalogue/sync/status.rs
@@ -23,8 +23,8 @@
     pub shards_from_peers: u64,
     /// Shards read from the platform.
     pub shards_from_platform: u64,
-    /// Shards whose digest differed from the one in the index, because the publisher was between two
-    /// writes or the platform returned a stale value.
+    /// Shards whose digest differed from the one in the index, because the publisher was between
+    /// two writes or the platform returned a stale value.
     pub digest_mismatches: u64,
     /// Indexes with a lower revision than the one in force.
     pub stale: u64,
--- a/crates/core/src/catalogue/verify.rs
+++ b/crates/core/src/catalogue/verify.rs
@@ -1,8 +1,8 @@
-//! The verifier: whether source tables may stand as they are written.
+//! Verifies source tables.
 //!
-//! It is apart from the parser so that each can be read, and wrong, alone. It
-//! never stops at the first finding, and it is a pure function of the tables:
-//! every instance gives the same verdict on the same bytes.
+//! The verifier is separate from the parser, so that each can be read and fixed by itself. It
+//! reports all findings instead of stopping at the first, and it is a pure function of the tables,
+//! so that every instance accepts or rejects the same bytes.
 
 mod fields;
 mod references;
@@ -20,21 +20,21 @@
 use references::Names;
 use std::collections::BTreeMap;
 
-/// The longest wait that a class may ask for: a day, in milliseconds.
+/// Maximum wait of a class: one day, in milliseconds.
 const MAX_WAIT_MS: i64 = 24 * 60 * 60 * 1_000;
-/// The most requests that a limit may allow at once.
+/// Maximum value of a limit of concurrent or queued requests.
 const MAX_CONCURRENT: i64 = 1_000_000;
-/// The most tokens a minute that a limit may allow.
+/// Maximum value of a limit of tokens per minute.
 const MAX_TOKENS_PER_MINUTE: i64 = 1_000_000_000_000;
-/// The most tokens of one prompt or one output.
+/// Maximum value of a limit of prompt or output tokens.
 const MAX_TOKENS: i64 = 16_777_216;
-/// The most replicas of one model in one data centre.
+/// Maximum number of replicas of a model per data centre.
 const MAX_REPLICAS: i64 = 100_000;
-/// The most bearer keys of one workspace: one in use, one to change to, some spare.
+/// Maximum number of bearer keys of a workspace: one in use, one for rotation, and some spare.
 const MAX_KEYS: usize = 16;
-/// The most entries that one workspace may name.
+/// Maximum number of entries that a workspace may name.
 const MAX_ENTRIES: usize = 4_096;
-/// The most adapters of one model.
+/// Maximum number of adapters of a model.
 const MAX_ADAPTERS: usize = 4_096;
 
 /// Verifies an index.
@@ -57,17 +57,16 @@
     }
 }
 
-/// Which shard of how many.
+/// The position of a shard in its catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardPosition {
     /// The shard's number, from 0.
     pub number: u32,
-    /// Shards in all.
+    /// The number of shards.
     pub count: u32,
 }
 
-/// Verifies a shard. Without its position, it is not checked whether the keys
-/// stand in the right shard.
+/// Verifies a shard. Without a position, it does not check whether the keys belong to this shard.
 pub fn shard(source: &ShardSource, position: Option<ShardPosition>, findings: &mut Findings) {
     let mut names = BTreeMap::new();
     let mut holders = BTreeMap::new();
@@ -211,7 +210,7 @@
     fields.integer(key, &source.tokens_per_minute, 1, MAX_TOKENS_PER_MINUTE);
 }
 
-/// A key digest's first holder: the workspace's name and the digest's place.
+/// The first holder of each key digest: the workspace's name and the digest's place.
 type Holders = BTreeMap<Digest, (String, Place)>;
 
 fn verify_keys(workspace: &WorkspaceSource, holders: &mut Holders, findings: &mut Findings) {
@@ -238,7 +237,7 @@
     }
 }
 
-/// Reports keys that stand in the wrong shard, where no lookup would find them.
+/// Reports keys in the wrong shard, where no lookup finds them.
 fn verify_position(workspace: &WorkspaceSource, position: ShardPosition, findings: &mut Findings) {
     let ShardPosition {
         number: here,
--- a/crates/core/src/catalogue/verify/fields.rs
+++ b/crates/core/src/catalogue/verify/fields.rs
@@ -1,4 +1,4 @@
-//! Checks of single fields.
+//! Checks of individual fields.
 
 use crate::catalogue::digest::Digest;
 use crate::catalogue::document::full_key;
@@ -6,9 +6,9 @@
 use crate::findings::catalogue::Problem as CatalogueProblem;
 use crate::findings::{Findings, Place, Problem};
 
-/// The most characters of a name.
+/// Maximum number of characters of a name.
 const MAX_NAME_CHARS: usize = 64;
-/// The most characters of an owner.
+/// Maximum number of characters of an owner.
 const MAX_LABEL_CHARS: usize = 128;
 
 /// Checks the fields of one table.
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Requires the field to be there.
+    /// Requires the field to be present.
     pub fn present<T>(&mut self, key: &'static str, field: &Field<T>) {
         if matches!(field, Field::Absent) {
             let key = self.key(key);
@@ -43,7 +43,7 @@
         self.optional_integer(key, field, low, high);
     }
 
-    /// Requires an integer from `low` to `high`, if the field is there.
+    /// Requires an integer from `low` to `high`, if the field is present.
     pub fn optional_integer(&mut self, key: &'static str, field: &Field<i64>, low: i64, high: i64) {
         let Some(given) = field.given() else {
             return;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Requires a number strictly between 0 and 1, if the field is there.
+    /// Requires a number strictly between 0 and 1, if the field is present.
     pub fn optional_probability(&mut self, key: &'static str, field: &Field<f64>) {
         let Some(given) = field.given() else {
             return;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Requires one of the `allowed` words.
+    /// Requires one of the `allowed` values.
     pub fn one_of(&mut self, key: &'static str, field: &Field<String>, allowed: &[&'static str]) {
         self.present(key, field);
         let Some(given) = field.given() else {
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Requires a name that may stand in a URL and in a metric's label.
+    /// Requires a name that is valid in a URL and in a metric label.
     pub fn name(&mut self, key: &'static str, field: &Field<String>) {
         self.present(key, field);
         let allowed = "ASCII letters, digits, `.`, `_` and `-`";
         self.chars(key, field, MAX_NAME_CHARS, allowed, is_name_char);
     }
 
-    /// Requires a name that may hold slashes, as names of models do.
+    /// Requires a name that may contain slashes, as the names of models do.
     pub fn path(&mut self, key: &'static str, field: &Field<String>) {
         self.present(key, field);
         if let Some(given) = field.given() {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Requires `given` to be a name that may hold slashes.
+    /// Requires `given` to be a name that may contain slashes.
     pub fn path_text(&mut self, key: &'static str, given: &Given<String>) {
         let allowed = "ASCII letters, digits, `.`, `_`, `-`, `:` and `/`";
         self.given_chars(key, given, MAX_NAME_CHARS, allowed, |c| {
@@ -124,7 +124,7 @@
         self.optional_list(key, field, limit);
     }
 
-    /// Requires a list of at most `limit` items, if the field is there.
+    /// Requires a list of at most `limit` items, if the field is present.
     pub fn optional_list<T>(&mut self, key: &'static str, field: &Field<Vec<T>>, limit: usize) {
         let Some(given) = field.given() else {
             return;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Requires a digest in hexadecimal.
+    /// Requires a hexadecimal digest.
     pub fn digest(&mut self, key: &'static str, given: &Given<String>) {
         if Digest::from_hex(&given.value).is_none() {
             let key = self.key(key);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Requires the field to be away, in an entry that names a service.
+    /// Requires the field to be absent in an entry that names a service.
     pub fn model_only<T>(&mut self, key: &'static str, field: &Field<T>) {
         if let Some(given) = field.given() {
             let key = self.key(key);
--- a/crates/core/src/catalogue/verify/references.rs
+++ b/crates/core/src/catalogue/verify/references.rs
@@ -1,4 +1,4 @@
-//! Checks of names: unique where they are defined, defined where they are used.
+//! Checks that names are unique and that references point to defined names.
 
 use super::fields::Fields;
 use crate::catalogue::source::{EntrySource, Field, Given, IndexSource, ModelSource};
@@ -6,19 +6,19 @@
 use crate::findings::{Findings, Place, Problem};
 use std::collections::BTreeMap;
 
-/// Where each name was defined first.
+/// The place of the first definition of each name.
 pub type Places<'s> = BTreeMap<&'s str, Place>;
 
-/// What entries may refer to.
+/// The names that entries may refer to.
 #[derive(Debug, Default)]
 pub struct Names<'s> {
     classes: Places<'s>,
     services: Places<'s>,
-    /// The versions of each model, with the table that defines each.
+    /// The versions of each model, with the table that defines each version.
     models: BTreeMap<&'s str, BTreeMap<&'s str, &'s ModelSource>>,
 }
 
-/// Collects the names that an index defines, and reports those defined twice.
+/// Collects the names that an index defines, and reports duplicate definitions.
 pub fn collect<'s>(source: &'s IndexSource, findings: &mut Findings) -> Names<'s> {
     let mut names = Names::default();
     for class in &source.classes {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reports `name` if it was defined before, else remembers it.
+/// Reports `name` if it was defined before, and otherwise records its place.
 pub fn unique<'s>(
     what: &'static str,
     name: &'s Field<String>,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Reports `name` if it was defined before, else remembers it.
+/// Reports `name` if it was defined before, and otherwise records its place.
 pub fn unique_text<'s>(
     what: &'static str,
     name: &'s Given<String>,
@@ -159,7 +159,7 @@
     model.copied()
 }
 
-/// Returns the adapters of a model, or `None` where they could not be read.
+/// Returns the adapters of a model, or `None` if they are unreadable.
 fn adapters_of(model: &ModelSource) -> Option<impl Iterator<Item = &str> + Clone> {
     let adapters = match &model.adapters {
         Field::Absent => &[],
--- a/crates/core/src/findings.rs
+++ b/crates/core/src/findings.rs
@@ -1,8 +1,7 @@
-//! Findings about the files that people write, collected with their place.
+//! Errors in files that people write, collected with their places.
 //!
-//! A reader of settings or of a catalogue does not stop at the first mistake:
-//! it pushes each one to [`Findings`] with the place where it stands and goes
-//! on, so that the author mends all of them in one round.
+//! A reader of settings or of a catalogue does not stop at the first error. It adds each one to
+//! [`Findings`] with its place and continues, so that the author can fix all of them at once.
 
 pub mod catalogue;
 
@@ -10,14 +9,14 @@
 use core::ops::Range;
 use serde::Serialize;
 
-/// The most findings listed for one file; the rest is only counted. A hostile
-/// file of a megabyte could otherwise hold hundreds of thousands.
+/// Maximum number of findings listed for a file; further ones are only counted. A hostile file of a
+/// megabyte could otherwise cause hundreds of thousands.
 pub const MAX_LISTED: usize = 256;
 
-/// Similarity below which a known name is not offered for an unknown one.
+/// Minimum similarity of a known name that is suggested for an unknown one.
 const NEAREST_MIN_SIMILARITY: f64 = 0.72;
 
-/// A place in a text, counted from 1; columns count characters, not bytes.
+/// A position in a text. Lines and columns count from 1; columns count characters, not bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Place {
     /// The line.
@@ -27,11 +26,11 @@
 }
 
 impl Place {
-    /// The first character of a file; used for what is missing from all of it.
+    /// The start of a file, for findings that concern the entire file.
     pub const START: Place = Place { line: 1, column: 1 };
 
-    /// Returns the place of the byte `offset` in `text`, or of its end if the
-    /// offset lies behind it.
+    /// Returns the place of the byte at `offset` in `text`, or of the end of the text if `offset`
+    /// is beyond it.
     pub fn of_offset(text: &str, offset: usize) -> Self {
         let mut end = offset.min(text.len());
         while !text.is_char_boundary(end) {
@@ -54,28 +53,28 @@
     }
 }
 
-/// What is wrong at a place.
+/// The error that a finding reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "problem", rename_all = "snake_case")]
 pub enum Problem {
     /// The file could not be read.
     Unreadable {
-        /// What the operating system said.
+        /// The message of the operating system.
         message: String,
     },
     /// The text is not valid TOML.
     Syntax {
-        /// What the parser said.
+        /// The message of the parser.
         message: String,
     },
-    /// No such key is known here.
+    /// The key is unknown in this table.
     UnknownKey {
         /// The key as written.
         key: String,
         /// The known key that resembles it most, if one does.
         nearest: Option<String>,
     },
-    /// A key that must be given is not.
+    /// A required key is missing.
     MissingKey {
         /// The key.
         key: String,
@@ -86,42 +85,42 @@
         key: String,
         /// What was expected, for example `an integer`.
         expected: &'static str,
-        /// What was found, in TOML's terms.
+        /// The TOML type that was found.
         found: &'static str,
     },
-    /// A number lies outside its range.
+    /// A number is out of range.
     OutOfRange {
         /// The key.
         key: String,
-        /// The least value allowed.
+        /// The minimum.
         min: i64,
-        /// The greatest value allowed.
+        /// The maximum.
         max: i64,
     },
-    /// A name is not among those that are defined.
+    /// A name is not defined.
     UnknownName {
-        /// What kind of thing is named, for example `class`.
+        /// The kind of item that is named, for example `class`.
         what: &'static str,
         /// The name as written.
         name: String,
-        /// The known name that resembles it most, if one does.
+        /// The most similar known name, if one is similar enough.
         nearest: Option<String>,
     },
     /// A name is defined twice.
     DuplicateName {
-        /// What kind of thing is named.
+        /// The kind of item that is named.
         what: &'static str,
         /// The name.
         name: String,
     },
-    /// A value is wrong for a reason of its own.
+    /// A value is invalid for another reason.
     Invalid {
         /// The key.
         key: String,
-        /// Why the value is wrong, as the end of a sentence that starts with the key.
+        /// The reason, as the end of a sentence that starts with the key.
         why: String,
     },
-    /// Something that only a catalogue can get wrong.
+    /// An error that only occurs in catalogues.
     #[serde(untagged)]
     Catalogue(catalogue::Problem),
 }
@@ -168,26 +167,26 @@
     }
 }
 
-/// One mistake and its place.
+/// An error and its place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// Where.
+    /// The place.
     #[serde(flatten)]
     pub place: Place,
-    /// What.
+    /// The error.
     #[serde(flatten)]
     pub problem: Problem,
 }
 
-/// All mistakes of one file.
+/// The findings of one file.
 ///
-/// It displays as one line a finding, `file:line:column: problem`, which
-/// editors and CI systems know how to follow.
+/// `Display` writes one line per finding, `file:line:column: problem`, a format that editors and CI
+/// systems recognise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Findings {
     file: String,
     findings: Vec<Finding>,
-    /// Findings beyond [`MAX_LISTED`].
+    /// Number of findings beyond [`MAX_LISTED`].
     unlisted: usize,
 }
 
@@ -206,7 +205,7 @@
         &self.file
     }
 
-    /// Adds a finding at a place, or only counts it once [`MAX_LISTED`] are listed.
+    /// Adds a finding, or only counts it if [`MAX_LISTED`] findings are listed.
     pub fn push(&mut self, place: Place, problem: Problem) {
         if self.is_full() {
             self.unlisted += 1;
@@ -215,14 +214,14 @@
         }
     }
 
-    /// Adds a finding at the start of a span of `text`, as `toml_edit` reports
-    /// spans; one without a span is placed at the start of the file.
+    /// Adds a finding at the start of a `toml_edit` span of `text`, or at the start of the file if
+    /// there is no span.
     pub fn push_span(&mut self, text: &str, span: Option<Range<usize>>, problem: Problem) {
         let place = span.map_or(Place::START, |span| Place::of_offset(text, span.start));
         self.push(place, problem);
     }
 
-    /// Moves all findings of `other`, which must be about the same file, to this collection.
+    /// Moves all findings of `other`, which must concern the same file, to this collection.
     pub fn append(&mut self, mut other: Findings) {
         debug_assert_eq!(self.file, other.file);
         for finding in other.findings.drain(..) {
@@ -231,12 +230,12 @@
         self.unlisted += other.unlisted;
     }
 
-    /// Returns how many findings there are, listed or only counted.
+    /// Returns the number of findings, including those that are only counted.
     pub fn len(&self) -> usize {
         self.findings.len() + self.unlisted
     }
 
-    /// Returns how many findings were counted but not listed.
+    /// Returns the number of findings that are counted but not listed.
     pub fn unlisted(&self) -> usize {
         self.unlisted
     }
@@ -246,7 +245,7 @@
         self.findings.len() >= MAX_LISTED
     }
 
-    /// Returns whether there are none.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
@@ -256,12 +255,12 @@
         self.findings.iter()
     }
 
-    /// Puts the findings in the order of their places.
+    /// Sorts the findings by place.
     pub fn sort(&mut self) {
         self.findings.sort_by_key(|finding| finding.place);
     }
 
-    /// Returns `value` if there are no findings, else the findings in the order of their places.
+    /// Returns `value` if there are no findings, and otherwise the findings sorted by place.
     pub fn into_result<T>(mut self, value: T) -> Result<T, Findings> {
         if self.is_empty() {
             return Ok(value);
@@ -288,8 +287,8 @@
 
 impl std::error::Error for Findings {}
 
-/// Returns the name among `known` that resembles `name` most, if one resembles it enough
-/// to be worth offering.
+/// Returns the name among `known` that is most similar to `name`, if the similarity is high enough
+/// for a suggestion.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let mut best: Option<(&str, f64)> = None;
     for candidate in known {
--- a/crates/core/src/findings/catalogue.rs
+++ b/crates/core/src/findings/catalogue.rs
@@ -1,19 +1,18 @@
-//! What only a catalogue can get wrong, and how findings repeat its text.
+//! Errors that only occur in catalogues, and how findings quote their text.
 
 use super::{Place, nearest};
 use core::fmt;
 use serde::Serialize;
 
-/// The most characters of the input that a finding repeats.
+/// Maximum number of characters of the input that a finding quotes.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// The most names among which the nearest is looked for. Without a bound, a
-/// value with thousands of names and thousands of slips would keep its reader
-/// busy for seconds.
+/// Maximum number of names that are compared to find the most similar one. Without a bound, a value
+/// with thousands of names and thousands of typing errors would take seconds to check.
 const MAX_COMPARED: usize = 512;
 
-/// Returns `text` as findings repeat it: cut to a bounded length, and with
-/// control characters escaped so that it cannot forge lines of a log.
+/// Returns `text` as findings quote it: truncated to a maximum length, and with control characters
+/// escaped so that it cannot forge log lines.
 pub fn quoted(text: &str) -> String {
     let mut shown: String = text
         .chars()
@@ -26,7 +25,7 @@
     shown
 }
 
-/// Returns the name among `known` that `text` was probably meant to be.
+/// Returns the name among `known` that `text` was probably intended to be.
 pub fn nearest_of<'a>(text: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     if text.len() > MAX_QUOTED_CHARS {
         return None;
@@ -34,71 +33,71 @@
     nearest(text, known.take(MAX_COMPARED)).map(quoted)
 }
 
-/// Something wrong with a catalogue that no other file can have.
+/// An error that only occurs in catalogues.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "problem", rename_all = "snake_case")]
 pub enum Problem {
-    /// The value is larger than the platform holds.
+    /// The value is larger than the platform stores.
     TooLarge {
-        /// Bytes of the value.
+        /// The size of the value in bytes.
         bytes: usize,
-        /// The most bytes allowed.
+        /// The maximum size in bytes.
         limit: usize,
     },
-    /// The value is not text.
+    /// The value is not valid UTF-8.
     NotUtf8,
-    /// A probability lies outside its range.
+    /// A probability is out of range.
     BadProbability {
         /// The key.
         key: String,
     },
-    /// A word is not among those allowed.
+    /// A value is not one of those allowed.
     NotOneOf {
         /// The key.
         key: String,
-        /// The words allowed.
+        /// The allowed values.
         allowed: String,
     },
-    /// A name has characters that it may not have, too many, or none.
+    /// A name is empty, too long, or contains characters that are not allowed.
     BadName {
         /// The key.
         key: String,
-        /// The most characters allowed.
+        /// The maximum number of characters.
         limit: usize,
-        /// The characters allowed.
+        /// The allowed characters.
         allowed: &'static str,
     },
-    /// A list holds nothing.
+    /// A list is empty.
     EmptyList {
         /// The key.
         key: String,
     },
-    /// A list holds too much.
+    /// A list has too many items.
     TooMany {
         /// The key.
         key: String,
-        /// Items written.
+        /// The number of items.
         found: usize,
-        /// The most items allowed.
+        /// The maximum number of items.
         limit: usize,
     },
     /// A name is defined twice.
     Duplicate {
-        /// What kind of thing is named.
+        /// The kind of item that is named.
         what: &'static str,
         /// The name.
         name: String,
-        /// Where it was defined first.
+        /// The place of the first definition.
         first: Place,
     },
-    /// An entry names a model of which there are several versions, and no version.
+    /// An entry names a model that has several versions, without a version.
     AmbiguousVersion {
         /// The model's name.
         name: String,
     },
     /// An entry names neither a model nor a service, or both.
     NoSingleTarget,
-    /// A key has no meaning for an entry that names a service.
+    /// A key is only valid for an entry that names a model.
     ModelOnly {
         /// The key.
         key: String,
@@ -110,46 +109,46 @@
         /// The longest wait in milliseconds.
         longest_ms: i64,
     },
-    /// Not a SHA-256 digest in hexadecimal.
+    /// A value is not a hexadecimal SHA-256 digest.
     BadDigest {
         /// The key.
         key: String,
     },
-    /// Two workspaces hold one key.
+    /// Two workspaces hold the same key.
     SharedDigest {
-        /// The workspace that holds it too.
+        /// The other workspace that holds the key.
         workspace: String,
-        /// Where it stands first.
+        /// The place of the first occurrence.
         first: Place,
     },
-    /// A key digest stands in a shard where no lookup would find it.
+    /// A key digest is in the wrong shard, where no lookup finds it.
     WrongShard {
-        /// The shard it stands in.
+        /// The shard that contains it.
         here: u32,
-        /// The shard it belongs to.
+        /// The shard to which it belongs.
         right: u32,
-        /// Shards in all.
+        /// The number of shards.
         count: u32,
     },
-    /// A workspace has other entries or limits in another shard.
+    /// A workspace has different entries or limits in another shard.
     WorkspaceDiffers {
         /// The workspace.
         workspace: String,
         /// The file of the other shard.
         other: String,
     },
-    /// A shard's bytes do not have the digest that the index lists.
+    /// The digest of a shard's bytes differs from the one in the index.
     DigestMismatch {
         /// The shard's number.
         shard: u32,
         /// The digest of its bytes.
         found: String,
     },
-    /// The index lists no shard of this number.
+    /// The index lists no shard with this number.
     NoSuchShard {
         /// The shard's number.
         shard: u32,
-        /// Shards in all.
+        /// The number of shards.
         count: u32,
     },
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,7 +1,7 @@
 //! The core's time type.
 //!
-//! The core never reads a clock. The shell passes in the time of a monotonic clock with an arbitrary
-//! origin, in microseconds; simulations pass in virtual time.
+//! The core never reads a clock. The shell passes in the time of a monotonic clock with an
+//! arbitrary origin, in microseconds; simulations pass in virtual time.
 
 use core::fmt;
 use core::ops::{Add, AddAssign, Sub};
--- a/crates/core/tests/catalogue_check.rs
+++ b/crates/core/tests/catalogue_check.rs
@@ -1,4 +1,5 @@
-//! Golden findings: each file of `tests/catalogue` beside what is expected of it.
+//! Golden tests: compares the findings of each file in `tests/catalogue` with its expected
+//! findings.
 
 use oriolemux_core::catalogue::check::{CheckFile, FileKind, check_files};
 use oriolemux_core::catalogue::{Digest, Problem as CatalogueProblem};
@@ -7,7 +8,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Set to write the expected files anew; the difference is then reviewed.
+/// Environment variable that rewrites the expected files; review the difference afterwards.
 const RENEW: &str = "ORIOLEMUX_RENEW";
 
 fn golden(name: &str) -> PathBuf {
@@ -97,14 +98,14 @@
 }
 
 #[test]
-fn index_and_shard_that_belong_together_pass() {
+fn matching_index_and_shard_have_no_findings() {
     let shard = shard_using("stock");
 
     assert_eq!(check_pair(&index_listing(shard.as_bytes()), &shard), []);
 }
 
 #[test]
-fn shard_that_the_index_does_not_list_is_found() {
+fn shard_missing_from_the_index_is_a_finding() {
     let shard = shard_using("stock");
 
     let found = check_pair(&index_listing(b"an older shard"), &shard);
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn entry_that_no_index_has_is_found_with_the_nearest() {
+fn unknown_entry_is_a_finding_with_a_suggestion() {
     let shard = shard_using("stok");
 
     let found = check_pair(&index_listing(shard.as_bytes()), &shard);
--- a/crates/core/tests/catalogue_faults.rs
+++ b/crates/core/tests/catalogue_faults.rs
@@ -1,5 +1,5 @@
-//! Random sequences of faults: no instance reverts to an earlier revision, no invalid revision comes
-//! into force, and after the faults end the latest revision is in force everywhere.
+//! Random sequences of faults: no instance reverts to an earlier revision, no invalid revision
+//! comes into force, and after the faults end the latest revision is in force everywhere.
 
 #[path = "support/catalogue_fleet.rs"]
 mod catalogue_fleet;
--- a/crates/core/tests/catalogue_read.rs
+++ b/crates/core/tests/catalogue_read.rs
@@ -1,4 +1,4 @@
-//! Reading a catalogue: what is accepted, and what lookups then find.
+//! Parsing of catalogues, and lookups in the result.
 
 use core::time::Duration;
 use oriolemux_core::catalogue::{
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn service_entry_needs_no_limits_of_tokens() {
+fn service_entry_needs_no_token_limits() {
     let catalogue = parse_index(INDEX.as_bytes()).unwrap();
 
     let view = catalogue.entry("sell-shirt").unwrap();
--- a/crates/core/tests/catalogue_sync.rs
+++ b/crates/core/tests/catalogue_sync.rs
@@ -47,10 +47,10 @@
     assert!(reach(&mut fleet, 6, secs(3)));
 }
 
-// Guards against a restarted instance with an older revision than its peers. Revision 6 is in force,
-// the platform falls back to a stale copy with revision 5, and one instance restarts and reads it.
-// This fails if a new instance asks only the platform, or if the platform's response comes into
-// force because it arrives first.
+// Guards against a restarted instance with an older revision than its peers. Revision 6 is in
+// force, the platform falls back to a stale copy with revision 5, and one instance restarts and
+// reads it. This fails if a new instance asks only the platform, or if the platform's response
+// comes into force because it arrives first.
 #[test]
 fn restarted_instance_prefers_peers_revision_to_stale_platform() {
     let mut fleet = running_fleet();
@@ -69,9 +69,9 @@
     assert!(fleet.all_at(6));
 }
 
-// Guards against two restarted instances with an older revision than their peers. As above, but both
-// watchers of a data centre restart at once. This fails if each of them asks only the other one,
-// which has no catalogue either.
+// Guards against two restarted instances with an older revision than their peers. As above, but
+// both watchers of a data centre restart at once. This fails if each of them asks only the other
+// one, which has no catalogue either.
 #[test]
 fn both_restarted_watchers_prefer_peers_revision_to_stale_platform() {
     let mut fleet = running_fleet();
@@ -90,9 +90,9 @@
     }
 }
 
-// Guards against a return to an earlier revision. The platform is restored from a copy with revision
-// 5 under a new platform revision and returns it for every watch. This fails if the platform's own
-// revision is trusted instead of the catalogue's.
+// Guards against a return to an earlier revision. The platform is restored from a copy with
+// revision 5 under a new platform revision and returns it for every watch. This fails if the
+// platform's own revision is trusted instead of the catalogue's.
 #[test]
 fn stale_platform_does_not_revert_a_running_fleet() {
     let mut fleet = running_fleet();
@@ -128,8 +128,9 @@
     assert!(reach(&mut fleet, 6, secs(1_300)));
 }
 
-// Guards against a fleet without a catalogue after a restart of all instances in the same second, as
-// after a power outage. This fails if instances accept the catalogue only from peers that have it.
+// Guards against a fleet without a catalogue after a restart of all instances in the same second,
+// as after a power outage. This fails if instances accept the catalogue only from peers that have
+// it.
 #[test]
 fn fleet_recovers_from_restart_of_all_instances() {
     let mut fleet = running_fleet();
@@ -209,9 +210,9 @@
     assert!(reach(&mut fleet, 7, secs(3)));
 }
 
-// Guards against workspaces of one shard that cannot be served after a change. An index is published
-// whose shard 3 is invalid, and no instance uses that shard. This fails if the index comes into
-// force as soon as the index itself is verified.
+// Guards against workspaces of one shard that cannot be served after a change. An index is
+// published whose shard 3 is invalid, and no instance uses that shard. This fails if the index
+// comes into force as soon as the index itself is verified.
 #[test]
 fn invalid_shard_rejects_the_full_revision() {
     let mut fleet = running_fleet();
@@ -258,8 +259,8 @@
 
 // Guards against an instance that does not receive the revision that the rest of the fleet uses.
 // Revision 6 is in force in the other data centres. This one was partitioned and first receives 7
-// from the platform, whose shard is not written yet. This fails if 7 replaces 6 as the candidate and
-// waits for its shard.
+// from the platform, whose shard is not written yet. This fails if 7 replaces 6 as the candidate
+// and waits for its shard.
 #[test]
 fn waiting_proposal_does_not_delay_an_adopted_revision() {
     let mut fleet = running_fleet();
@@ -275,8 +276,8 @@
     assert!(reach(&mut fleet, 7, secs(8)));
 }
 
-// Guards against a change that does not reach a data centre. Both of its watchers crash, and the list
-// still shows them as live. This fails if the other instances rely only on the watchers.
+// Guards against a change that does not reach a data centre. Both of its watchers crash, and the
+// list still shows them as live. This fails if the other instances rely only on the watchers.
 #[test]
 fn change_arrives_despite_crashed_watchers_in_the_list() {
     let mut fleet = running_fleet();
