--- a/crates/oriolemux/src/node_task.rs
+++ b/crates/oriolemux/src/node_task.rs
@@ -1,10 +1,9 @@
-//! The one task that owns the node.
+//! The single task that owns the [`Node`].
 //!
-//! Every decision of the process is taken here, one after the other, so that
-//! the core needs no lock. Nothing in this task waits for the network: actions
-//! are handed to [`Effects`], which answer with events later. Inputs that are
-//! already waiting are taken together, and the messages to one peer that
-//! follow from them leave as one frame.
+//! All decisions of the process are made here, one after the other, so the core needs no locks.
+//! The task never waits for the network: actions go to [`Effects`], and their results come back
+//! as events. Queued inputs are processed in batches, and all messages of a batch to one peer are
+//! sent as one frame.
 
 mod effects;
 mod view;
@@ -25,20 +24,20 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// The most inputs that are taken together before their effects are carried out.
-const BATCH: usize = 128;
+/// The most inputs that are processed before the messages to peers are sent.
+const MAX_BATCH: usize = 128;
 
-/// The ends of the queues that the node task serves.
-pub struct NodeEnds {
-    /// The clock that everybody in the process shares.
+/// The channels between the node task and the rest of the process.
+pub struct NodeChannels {
+    /// The clock that the whole process shares.
     pub clock: Clock,
-    /// What requests, endpoints, peers and the platform say.
+    /// Inputs from requests, endpoints, peers and the platform.
     pub inputs: mpsc::Receiver<NodeInput>,
-    /// What operators ask.
+    /// Queries of operators.
     pub queries: mpsc::Receiver<OperatorQuery>,
-    /// Where the node says whether it is ready.
+    /// Publishes whether the node is ready.
     pub readiness: watch::Sender<Readiness>,
-    /// Who asks the process to stop.
+    /// Cancelled when the process is to stop.
     pub stop: StopTokens,
 }
 
@@ -52,30 +51,31 @@
     readiness: watch::Sender<Readiness>,
     identity: Identity,
     stop: StopTokens,
-    /// Where the orders for each request go, by its sequence number.
+    /// The order queue of each request, by its sequence number.
     orders: BTreeMap<u64, mpsc::Sender<RequestOrder>>,
-    /// Who waits for which ticket, by its sequence number.
+    /// The reply channel of each pending ticket, by its sequence number.
     tickets: BTreeMap<u64, oneshot::Sender<Result<RequestId, Reason>>>,
-    /// Messages of this turn, by peer.
+    /// Messages of the current batch, by peer.
     outbox: BTreeMap<InstanceKey, Vec<PeerMessage>>,
-    /// Reused buffer.
+    /// Buffer that is reused between events.
     actions: Vec<Action>,
+    /// When the node wants its next [`Event::Wake`].
     wake: Time,
     stopped: bool,
 }
 
 impl<E: Effects> NodeTask<E> {
-    /// Puts a node behind its queues.
-    pub fn new(node: Node, effects: E, identity: Identity, ends: NodeEnds) -> Self {
+    /// Creates the task; [`NodeTask::run`] starts it.
+    pub fn new(node: Node, effects: E, identity: Identity, channels: NodeChannels) -> Self {
         NodeTask {
             node,
             effects,
             identity,
-            clock: ends.clock,
-            inputs: ends.inputs,
-            queries: ends.queries,
-            readiness: ends.readiness,
-            stop: ends.stop,
+            clock: channels.clock,
+            inputs: channels.inputs,
+            queries: channels.queries,
+            readiness: channels.readiness,
+            stop: channels.stop,
             orders: BTreeMap::new(),
             tickets: BTreeMap::new(),
             outbox: BTreeMap::new(),
@@ -85,46 +85,46 @@
         }
     }
 
-    /// Runs until a planned stop has finished the last request, or until
-    /// nobody can send inputs any more.
+    /// Runs until a planned stop has finished the last request, or until all senders of inputs
+    /// are dropped.
     pub async fn run(mut self) {
         self.node.start(self.clock.now(), &mut self.actions);
-        self.carry_out();
+        self.apply_actions();
         while !self.stopped {
             let wake = self.clock.instant(self.wake);
             tokio::select! {
                 input = self.inputs.recv() => match input {
-                    Some(input) => self.take_batch(input),
+                    Some(input) => self.handle_inputs(input),
                     None => return,
                 },
-                Some(query) = self.queries.recv() => self.answer(query),
+                Some(query) = self.queries.recv() => self.handle_query(query),
                 () = tokio::time::sleep_until(wake) => self.handle(Event::Wake),
                 () = self.stop.planned.cancelled(), if !self.node.is_stopping() => {
                     self.handle(Event::Stop);
                 }
             }
             self.flush();
-            self.tell_readiness();
+            self.publish_readiness();
         }
     }
 
-    fn take_batch(&mut self, first: NodeInput) {
-        self.take(first);
-        for _ in 1..BATCH {
+    fn handle_inputs(&mut self, first: NodeInput) {
+        self.handle_input(first);
+        for _ in 1..MAX_BATCH {
             match self.inputs.try_recv() {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&mut self, input: NodeInput) {
+    fn handle_input(&mut self, input: NodeInput) {
         match input {
             NodeInput::Event(event) => {
-                let over = request_over(&event);
-                self.tell_link(&event);
+                let ended = ended_request(&event);
+                self.log_link_change(&event);
                 self.handle(event);
-                if let Some(id) = over {
+                if let Some(id) = ended {
                     self.orders.remove(&id.seq);
                 }
             }
@@ -133,7 +133,7 @@
                 self.handle(Event::Request(arrival));
             }
             NodeInput::Entries { key_digest, reply } => {
-                // A caller that no longer waits for the answer is not a fault.
+                // The caller may have disconnected meanwhile, which is not a fault.
                 let _ = reply.send(self.node.entries(&key_digest));
             }
             NodeInput::Ticket {
@@ -148,9 +148,9 @@
         }
     }
 
-    /// Tells operators of links that come and break. An attempt that fails to make a link that
-    /// was not there is no news.
-    fn tell_link(&self, event: &Event) {
+    /// Logs links that come up or go down. A failed attempt to connect to a peer that was not
+    /// linked is not logged.
+    fn log_link_change(&self, event: &Event) {
         let (Event::PeerUp(peer) | Event::PeerDown(peer)) = event else {
             return;
         };
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Answers an operator. One who no longer waits for the answer is not a fault.
-    fn answer(&mut self, query: OperatorQuery) {
+    /// Answers an operator's query. A dropped receiver is not a fault.
+    fn handle_query(&mut self, query: OperatorQuery) {
         match query {
             OperatorQuery::Ping(reply) => {
                 let _ = reply.send(());
@@ -193,29 +193,29 @@
     fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         self.node.handle(now, event, &mut self.actions);
-        self.carry_out();
+        self.apply_actions();
     }
 
-    fn carry_out(&mut self) {
+    fn apply_actions(&mut self) {
         let mut gone = Vec::new();
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Dispatch(order) => {
                     let id = order.attempt.request;
-                    if !self.order(id, RequestOrder::Dispatch(order)) {
+                    if !self.send_order(id, RequestOrder::Dispatch(order)) {
                         gone.push(id);
                     }
                 }
                 Action::Cancel(id) => {
-                    self.order(id, RequestOrder::Cancel);
+                    self.send_order(id, RequestOrder::Cancel);
                 }
                 Action::Finish { request, verdict } => {
-                    self.order(request, RequestOrder::Finish(verdict));
+                    self.send_order(request, RequestOrder::Finish(verdict));
                     self.orders.remove(&request.seq);
                 }
                 Action::Ticket { ticket, result } => {
                     if let Some(reply) = self.tickets.remove(&ticket.seq) {
-                        // A caller that no longer waits is not a fault.
+                        // The caller may have disconnected meanwhile, which is not a fault.
                         let _ = reply.send(result.map(|()| ticket));
                     }
                 }
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Hands an order to a request's task; returns whether the task is there.
-    fn order(&mut self, id: RequestId, order: RequestOrder) -> bool {
+    /// Sends an order to a request's task; returns `false` if the task has ended.
+    fn send_order(&mut self, id: RequestId, order: RequestOrder) -> bool {
         let Some(orders) = self.orders.get(&id.seq) else {
             return false;
         };
@@ -250,16 +250,16 @@
             Ok(()) => true,
             Err(TrySendError::Closed(_)) => false,
             Err(TrySendError::Full(order)) => {
-                // The node gives one order at a time, so a full queue is a
-                // fault of the node. Dropping the order would leave the caller
-                // waiting for ever; saying that the task is gone ends it.
+                // The node gives one order at a time, so a full queue is a fault of the node.
+                // Dropping the order would leave the caller waiting for ever; reporting the task
+                // as ended closes the request instead.
                 debug_assert!(false, "orders overflow: {order:?}");
                 false
             }
         }
     }
 
-    fn tell_readiness(&self) {
+    fn publish_readiness(&self) {
         let readiness = view::readiness(&self.node);
         self.readiness.send_if_modified(|known| {
             let changed = *known != readiness;
@@ -276,8 +276,8 @@
     }
 }
 
-/// Returns the request that is over with this event, because no order follows it.
-fn request_over(event: &Event) -> Option<RequestId> {
+/// Returns the request that ends with this event, so that no order follows it.
+fn ended_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::CallerGone(id) => Some(*id),
         Event::Attempt {
--- a/crates/oriolemux/src/node_task/effects.rs
+++ b/crates/oriolemux/src/node_task/effects.rs
@@ -1,4 +1,4 @@
-//! What the node task asks of the outside.
+//! The I/O that the node task starts.
 
 use crate::callers::port::NodePort;
 use crate::endpoints::{HttpProtocol, Polls};
@@ -11,26 +11,25 @@
 use oriolemux_core::peer::PeerEnvelope;
 use oriolemux_core::{InstanceKey, Time};
 
-/// What the node task asks of the outside. Nothing here may wait; answers come
-/// back as events.
+/// The I/O that the node task starts. No method may block or wait; results come back as events.
 pub trait Effects: Send + 'static {
     /// Reads a value of the platform once.
     fn read(&self, name: ValueName);
     /// Watches a value of the platform for a revision above the one given.
     fn watch(&self, name: ValueName, above: u64);
-    /// Asks an endpoint for its load and cache events.
+    /// Polls an endpoint for its load and cache events.
     fn poll_load(&self, endpoint: EndpointTarget);
-    /// Gives an order to an endpoint.
+    /// Sends an order to an endpoint.
     fn order(&self, endpoint: EndpointTarget, fencing: u64, kind: OrderKind, send_before: Time);
     /// Keeps links to exactly these peers.
     fn links(&self, peers: Vec<PeerTarget>);
-    /// Sends a frame to a peer; lost if there is no link.
+    /// Sends a frame to a peer. The frame is dropped if there is no link.
     fn send(&self, to: InstanceKey, envelope: PeerEnvelope);
-    /// Counts and logs something, under the published names.
+    /// Counts and logs an event, under the published names.
     fn note(&self, note: &Note, names: &impl Names);
 }
 
-/// The effects of a running process.
+/// The [`Effects`] of a running process.
 pub struct LiveEffects {
     port: NodePort,
     polls: Polls<HttpProtocol>,
@@ -39,7 +38,7 @@
 }
 
 impl LiveEffects {
-    /// Puts the parts together.
+    /// Combines the clients of endpoints, platform and peers; results go to `port`.
     pub fn new(
         port: NodePort,
         polls: Polls<HttpProtocol>,
@@ -54,10 +53,10 @@
         }
     }
 
-    fn call(&self, name: ValueName, above: Option<u64>) {
+    fn request_value(&self, name: ValueName, above: Option<u64>) {
         let (platform, port) = (self.platform.clone(), self.port.clone());
         tokio::spawn(async move {
-            // An error means that the node task has ended; so does this one.
+            // An error means that the node task has ended, so there is no receiver.
             let _ = platform::call(&platform, name, above, &port).await;
         });
     }
@@ -65,17 +64,17 @@
 
 impl Effects for LiveEffects {
     fn read(&self, name: ValueName) {
-        self.call(name, None);
+        self.request_value(name, None);
     }
 
     fn watch(&self, name: ValueName, above: u64) {
-        self.call(name, Some(above));
+        self.request_value(name, Some(above));
     }
 
     fn poll_load(&self, endpoint: EndpointTarget) {
         let (polls, port) = (self.polls.clone(), self.port.clone());
         tokio::spawn(async move {
-            // An error means that the node task has ended; so does this one.
+            // An error means that the node task has ended, so there is no receiver.
             let _ = polls.poll(&endpoint, &port).await;
         });
     }
@@ -94,8 +93,8 @@
     }
 
     fn send(&self, to: InstanceKey, envelope: PeerEnvelope) {
-        // A frame that is not queued is lost like one on a broken link; the
-        // transport counts it and the node repeats what matters.
+        // A frame that is not queued is lost like one on a broken link. The transport counts it,
+        // and the node sends again what must arrive.
         let _ = self.peers.send(to, &envelope);
     }
 
--- a/crates/oriolemux/src/node_task/view.rs
+++ b/crates/oriolemux/src/node_task/view.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the node.
+//! Builds the status and readiness of the node that operators see.
 
 use crate::status::{
     CatalogueStatus, CellStatus, EndpointStatus, LinkStatus, ListStatus, NodeStatus, Readiness,
@@ -10,18 +10,18 @@
 use oriolemux_core::{CellKey, EndpointKey, Node};
 use std::time::{Duration, Instant};
 
-/// What a process knows of itself besides the node's state.
+/// Facts about the process that are not part of the node's state.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The published name.
+    /// The name under which the instance is published.
     pub instance: String,
-    /// The data centre.
+    /// The data centre in which it runs.
     pub data_centre: String,
     /// When the process started.
     pub started: Instant,
 }
 
-/// Returns whether the balancer may send requests here.
+/// Returns whether the load balancer may send requests here.
 pub(super) fn readiness(node: &Node) -> Readiness {
     if node.is_stopping() {
         Readiness::Stopping
@@ -68,7 +68,7 @@
     CatalogueStatus {
         revision: in_force,
         rejected: rejection
-            .filter(|it| is_news(it, in_force))
+            .filter(|it| is_shown(it, in_force))
             .map(|it| RejectedCatalogue {
                 revision: it.revision,
                 findings: findings(&it.cause),
@@ -76,9 +76,9 @@
     }
 }
 
-/// A rejection stays on show until a later revision is in force. One that could not be read
-/// has no revision, so it is always shown.
-fn is_news(rejection: &Rejection, in_force: u64) -> bool {
+/// A rejection is shown until a later revision is in force. A catalogue that could not be read
+/// has no revision (0), so its rejection is always shown.
+fn is_shown(rejection: &Rejection, in_force: u64) -> bool {
     rejection.revision == 0 || rejection.revision >= in_force
 }
 
--- a/crates/oriolemux/src/serve.rs
+++ b/crates/oriolemux/src/serve.rs
@@ -6,7 +6,7 @@
 use crate::endpoints::http::SetUpError;
 use crate::endpoints::{HttpProtocol, HttpSettings, Polls};
 use crate::events::{self, ShellNote};
-use crate::node_task::{Identity, LiveEffects, NodeEnds, NodeTask};
+use crate::node_task::{Identity, LiveEffects, NodeChannels, NodeTask};
 use crate::operators::{self, OperatorPort, OperatorServer};
 use crate::peers::{PeerEvent, Peers, PeersConfig, PeersHandle};
 use crate::platform::{self, PlatformClient, PlatformLimits};
@@ -149,14 +149,14 @@
     listeners.announce(peers.local_addr());
     let (readiness, ready) = watch::channel(Readiness::default());
     let (operators, queries) = OperatorPort::new(ready);
-    let ends = NodeEnds {
+    let channels = NodeChannels {
         clock,
         inputs,
         queries,
         readiness,
         stop: process.stop.clone(),
     };
-    let node = process.node_task(ends, peers.clone());
+    let node = process.node_task(channels, peers.clone());
     let doors = process.doors(listeners, operators, secrets.operators);
     let ended = process.run_to_the_end(node, doors).await;
     peers.shutdown().await;
@@ -184,7 +184,7 @@
         Ok(handle)
     }
 
-    fn node_task(&self, ends: NodeEnds, peers: PeersHandle) -> NodeTask<LiveEffects> {
+    fn node_task(&self, channels: NodeChannels, peers: PeersHandle) -> NodeTask<LiveEffects> {
         let effects = LiveEffects::new(
             self.port.clone(),
             Polls::new(self.protocol.clone()),
@@ -197,7 +197,7 @@
             started: std::time::Instant::now(),
         };
         let node = Node::new(node_config(&self.settings, self.incarnation));
-        NodeTask::new(node, effects, identity, ends)
+        NodeTask::new(node, effects, identity, channels)
     }
 
     /// Returns the supervisor of the listeners. Operators are the last to stop,
