--- a/crates/oriolemux/src/callers/accept.rs
+++ b/crates/oriolemux/src/callers/accept.rs
@@ -20,14 +20,14 @@
 
 /// How long to wait after a failed accept. The usual cause is that no file
 /// descriptor is left; trying again at once would keep a core busy with it.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How many connections above the limit are told so at a time; more are closed
 /// without a word.
 const MAX_REFUSALS: usize = 64;
 
 /// How long a refused connection is kept for its caller to read the refusal.
-const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a connection above the limit is told. It has no request id, because
 /// its request was never read; and no "not run", because it may carry the key
@@ -89,7 +89,7 @@
         match self.listener.accept().await {
             Ok(accepted) => Ok(accepted),
             Err(err) => {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 Err(err)
             }
         }
@@ -99,7 +99,7 @@
         Counter::ConnectionsRefused.add(1);
         if let Ok(permit) = Arc::clone(&self.refusals).try_acquire_owned() {
             tokio::spawn(async move {
-                let _ = timeout(REFUSAL_LIMIT, tell_full(stream)).await;
+                let _ = timeout(REFUSAL_TIMEOUT, send_refusal(stream)).await;
                 drop(permit);
             });
         }
@@ -108,7 +108,7 @@
 
 /// Reads what the caller sends before the connection is closed: the kernel
 /// drops an answer that was not read yet when unread bytes are thrown away.
-async fn tell_full(mut stream: TcpStream) -> io::Result<()> {
+async fn send_refusal(mut stream: TcpStream) -> io::Result<()> {
     stream.write_all(REFUSAL).await?;
     stream.shutdown().await?;
     let mut unread = [0; 4096];
--- a/crates/oriolemux/src/callers/connections.rs
+++ b/crates/oriolemux/src/callers/connections.rs
@@ -1,8 +1,8 @@
 //! The callers' connections that are open, and what their sockets tell.
 
-mod departure;
+mod disconnect;
 
-pub use departure::Departure;
+pub use disconnect::DisconnectSignal;
 
 use crate::metrics::Gauge;
 use core::task::Poll;
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct Requests {
     ended: bool,
-    open: Vec<Arc<Departure>>,
+    open: Vec<Arc<DisconnectSignal>>,
 }
 
 impl ConnectionState {
@@ -51,8 +51,8 @@
     pub fn on_end(&self) {
         let mut requests = self.requests();
         requests.ended = true;
-        for departure in &requests.open {
-            departure.signal();
+        for disconnect in &requests.open {
+            disconnect.signal();
         }
     }
 
@@ -62,17 +62,17 @@
     }
 
     /// Notes a request, until what is returned is dropped.
-    pub fn listen(self: &Arc<Self>) -> Listening {
-        let departure = Arc::new(Departure::default());
+    pub fn open_request(self: &Arc<Self>) -> OpenRequest {
+        let disconnect = Arc::new(DisconnectSignal::default());
         let mut requests = self.requests();
         if requests.ended {
-            departure.signal();
+            disconnect.signal();
         }
-        requests.open.push(Arc::clone(&departure));
+        requests.open.push(Arc::clone(&disconnect));
         drop(requests);
-        Listening {
+        OpenRequest {
             connection: Arc::clone(self),
-            departure,
+            disconnect,
         }
     }
 
@@ -106,31 +106,31 @@
 
 /// A request whose caller listens; held by whoever writes the answer.
 #[derive(Debug)]
-pub struct Listening {
+pub struct OpenRequest {
     connection: Arc<ConnectionState>,
-    departure: Arc<Departure>,
+    disconnect: Arc<DisconnectSignal>,
 }
 
-impl Listening {
+impl OpenRequest {
     /// Returns the connection.
     pub fn connection(&self) -> &Arc<ConnectionState> {
         &self.connection
     }
 
     /// Returns the signal that the caller left.
-    pub fn departure(&self) -> &Arc<Departure> {
-        &self.departure
+    pub fn disconnect(&self) -> &Arc<DisconnectSignal> {
+        &self.disconnect
     }
 }
 
-impl Drop for Listening {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         // The server gave the answer up, or has written it.
-        self.departure.signal();
+        self.disconnect.signal();
         let mut requests = self.connection.requests();
         requests
             .open
-            .retain(|open| !Arc::ptr_eq(open, &self.departure));
+            .retain(|open| !Arc::ptr_eq(open, &self.disconnect));
     }
 }
 
@@ -146,7 +146,7 @@
         let state = Arc::new(ConnectionState::default());
         let mut states = self.states();
         states.insert(remote, Arc::clone(&state));
-        show(states.len());
+        set_gauge(states.len());
         drop(states);
         OpenConnection {
             connections: self.clone(),
@@ -166,7 +166,7 @@
     fn remove(&self, remote: SocketAddr) {
         let mut states = self.states();
         states.remove(&remote);
-        show(states.len());
+        set_gauge(states.len());
     }
 
     fn states(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Arc<ConnectionState>>> {
@@ -174,7 +174,7 @@
     }
 }
 
-fn show(connections: usize) {
+fn set_gauge(connections: usize) {
     Gauge::Connections.set(connections as f64);
 }
 
--- a/crates/oriolemux/src/callers/connections/departure.rs
+++ b/crates/oriolemux/src/callers/connections/disconnect.rs
@@ -10,12 +10,12 @@
 /// registration, where a general notification would take a lock and a place in
 /// a list each time.
 #[derive(Debug, Default)]
-pub struct Departure {
+pub struct DisconnectSignal {
     left: AtomicBool,
     waker: AtomicWaker,
 }
 
-impl Departure {
+impl DisconnectSignal {
     /// Tells that the caller left.
     pub fn signal(&self) {
         self.left.store(true, Ordering::Release);
--- a/crates/oriolemux/src/callers/errors.rs
+++ b/crates/oriolemux/src/callers/errors.rs
@@ -15,7 +15,7 @@
 
 /// One error, ready to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ErrorAnswer {
+pub struct ErrorResponse {
     request: RequestId,
     reason: Reason,
     outcome: Outcome,
@@ -44,10 +44,10 @@
     delivered: Option<u32>,
 }
 
-impl ErrorAnswer {
+impl ErrorResponse {
     /// Says what the node decided.
-    pub fn of_verdict(request: RequestId, verdict: &Verdict) -> Self {
-        ErrorAnswer {
+    pub fn from_verdict(request: RequestId, verdict: &Verdict) -> Self {
+        ErrorResponse {
             request,
             reason: verdict.reason(),
             outcome: verdict.outcome(),
@@ -61,7 +61,7 @@
     /// the node cannot do.
     pub fn not_submitted(request: RequestId, reason: Reason) -> Self {
         events::emit(&Note::Refused { request, reason });
-        ErrorAnswer {
+        ErrorResponse {
             request,
             reason,
             outcome: Outcome::NotRun,
@@ -73,7 +73,7 @@
 
     /// Takes "not run" back: the request may be the repeat of one that ran.
     #[must_use]
-    pub fn of_unknown_outcome(mut self) -> Self {
+    pub fn with_unknown_outcome(mut self) -> Self {
         self.outcome = Outcome::Unknown;
         self
     }
--- a/crates/oriolemux/src/callers/port.rs
+++ b/crates/oriolemux/src/callers/port.rs
@@ -137,7 +137,7 @@
     }
 
     /// Draws the next id.
-    pub fn draw(&self) -> RequestId {
+    pub fn next_id(&self) -> RequestId {
         RequestId {
             instance: self.instance,
             incarnation: self.incarnation,
@@ -172,8 +172,8 @@
     }
 
     /// Draws an id for a new request.
-    pub fn draw_id(&self) -> RequestId {
-        self.ids.draw()
+    pub fn next_id(&self) -> RequestId {
+        self.ids.next_id()
     }
 
     /// Hands a request to the node and returns the queue of its orders.
@@ -216,7 +216,8 @@
     /// node task has ended.
     pub async fn entries(&self, key_digest: [u8; 32]) -> Result<Vec<String>, Reason> {
         let (reply, rx) = oneshot::channel();
-        self.ask(NodeInput::Entries { key_digest, reply }, rx).await
+        self.request(NodeInput::Entries { key_digest, reply }, rx)
+            .await
     }
 
     /// Asks for a ticket.
@@ -227,16 +228,16 @@
     /// node task has ended.
     pub async fn ticket(&self, key_digest: [u8; 32]) -> Result<RequestId, Reason> {
         let (reply, rx) = oneshot::channel();
-        let id = self.draw_id();
+        let id = self.next_id();
         let input = NodeInput::Ticket {
             key_digest,
             id,
             reply,
         };
-        self.ask(input, rx).await
+        self.request(input, rx).await
     }
 
-    async fn ask<T>(
+    async fn request<T>(
         &self,
         input: NodeInput,
         rx: oneshot::Receiver<Result<T, Reason>>,
--- a/crates/oriolemux/src/callers/routes.rs
+++ b/crates/oriolemux/src/callers/routes.rs
@@ -8,7 +8,7 @@
 
 use super::body::BodyLimits;
 use super::connections::Connections;
-use super::errors::ErrorAnswer;
+use super::errors::ErrorResponse;
 use super::port::NodePort;
 use crate::endpoints::EndpointProtocol;
 use core::time::Duration;
@@ -57,8 +57,8 @@
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
-        let id = self.0.port.draw_id();
-        let error = ErrorAnswer::not_submitted(id, Reason::BadRequest)
+        let id = self.0.port.next_id();
+        let error = ErrorResponse::not_submitted(id, Reason::BadRequest)
             .with_detail(format!("there is no path {}", req.uri().path()));
         let mut response = error.into_response();
         response.set_status(StatusCode::NOT_FOUND);
--- a/crates/oriolemux/src/callers/routes/completions.rs
+++ b/crates/oriolemux/src/callers/routes/completions.rs
@@ -1,25 +1,25 @@
 //! `POST /v1/completions`.
 
-use super::work::{Kind, Received};
+use super::work::{Received, WorkKind};
 use crate::callers::completion::CompletionCall;
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::errors::ErrorResponse;
 use crate::callers::submit::Submission;
 use crate::endpoints::WorkBody;
-use crate::relay::caller::AnswerForm;
+use crate::relay::caller::ResponseFormat;
 use oriolemux_core::{Reason, RequestId};
 use poem::Request;
 
 /// Completions.
 pub(super) struct Completions;
 
-impl Kind for Completions {
+impl WorkKind for Completions {
     type Path = ();
 
-    fn path(_id: RequestId, _req: &Request) -> Result<(), ErrorAnswer> {
+    fn path(_id: RequestId, _req: &Request) -> Result<(), ErrorResponse> {
         Ok(())
     }
 
-    fn submission(_path: (), received: Received) -> Result<Submission, ErrorAnswer> {
+    fn submission(_path: (), received: Received) -> Result<Submission, ErrorResponse> {
         let Received {
             id,
             headers,
@@ -28,12 +28,12 @@
             ..
         } = received;
         let call = CompletionCall::parse(&bytes).map_err(|err| {
-            ErrorAnswer::not_submitted(id, Reason::BadRequest).with_detail(err.to_string())
+            ErrorResponse::not_submitted(id, Reason::BadRequest).with_detail(err.to_string())
         })?;
-        let form = if call.stream {
-            AnswerForm::Events
+        let format = if call.stream {
+            ResponseFormat::Events
         } else {
-            AnswerForm::Json
+            ResponseFormat::Json
         };
         Ok(Submission {
             id,
@@ -42,7 +42,7 @@
             entry: call.entry,
             body_bytes: bytes,
             body: WorkBody::Completion(call.body),
-            form,
+            format,
             remote,
         })
     }
--- a/crates/oriolemux/src/callers/routes/models.rs
+++ b/crates/oriolemux/src/callers/routes/models.rs
@@ -2,7 +2,7 @@
 
 use super::CallerCx;
 use crate::callers::auth::key_digest;
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::errors::ErrorResponse;
 use crate::endpoints::EndpointProtocol;
 use oriolemux_core::Reason;
 use poem::{Endpoint, Request, Response};
@@ -35,7 +35,7 @@
         };
         Ok(match entries {
             Ok(entries) => list(entries),
-            Err(reason) => ErrorAnswer::not_submitted(port.draw_id(), reason).into_response(),
+            Err(reason) => ErrorResponse::not_submitted(port.next_id(), reason).into_response(),
         })
     }
 }
--- a/crates/oriolemux/src/callers/routes/services.rs
+++ b/crates/oriolemux/src/callers/routes/services.rs
@@ -1,10 +1,10 @@
 //! `POST /v1/services/ENTRY`.
 
-use super::work::{Kind, Received};
-use crate::callers::errors::ErrorAnswer;
+use super::work::{Received, WorkKind};
+use crate::callers::errors::ErrorResponse;
 use crate::callers::submit::Submission;
 use crate::endpoints::{CallBody, WorkBody};
-use crate::relay::caller::AnswerForm;
+use crate::relay::caller::ResponseFormat;
 use http::header::CONTENT_TYPE;
 use oriolemux_core::event::Work;
 use oriolemux_core::{Reason, RequestId};
@@ -13,17 +13,17 @@
 /// Calls of plain services.
 pub(super) struct Services;
 
-impl Kind for Services {
+impl WorkKind for Services {
     /// The entry's name.
     type Path = String;
 
-    fn path(id: RequestId, req: &Request) -> Result<String, ErrorAnswer> {
+    fn path(id: RequestId, req: &Request) -> Result<String, ErrorResponse> {
         req.path_params::<String>().map_err(|err| {
-            ErrorAnswer::not_submitted(id, Reason::BadRequest).with_detail(err.to_string())
+            ErrorResponse::not_submitted(id, Reason::BadRequest).with_detail(err.to_string())
         })
     }
 
-    fn submission(entry: String, received: Received) -> Result<Submission, ErrorAnswer> {
+    fn submission(entry: String, received: Received) -> Result<Submission, ErrorResponse> {
         let call = CallBody {
             content_type: received.raw_headers.get(CONTENT_TYPE).cloned(),
             bytes: received.bytes.clone().into(),
@@ -35,7 +35,7 @@
             entry,
             body_bytes: received.bytes,
             body: WorkBody::Call(call),
-            form: AnswerForm::Bytes,
+            format: ResponseFormat::Bytes,
             remote: received.remote,
         })
     }
--- a/crates/oriolemux/src/callers/routes/tickets.rs
+++ b/crates/oriolemux/src/callers/routes/tickets.rs
@@ -2,7 +2,7 @@
 
 use super::CallerCx;
 use crate::callers::auth::key_digest;
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::errors::ErrorResponse;
 use crate::endpoints::EndpointProtocol;
 use oriolemux_core::{Reason, RequestId};
 use poem::{Endpoint, Request, Response};
@@ -27,13 +27,13 @@
             None => Err(Reason::BadKey),
         };
         Ok(match ticket {
-            Ok(id) => answer(id),
-            Err(reason) => ErrorAnswer::not_submitted(port.draw_id(), reason).into_response(),
+            Ok(id) => ticket_response(id),
+            Err(reason) => ErrorResponse::not_submitted(port.next_id(), reason).into_response(),
         })
     }
 }
 
-fn answer(id: RequestId) -> Response {
+fn ticket_response(id: RequestId) -> Response {
     let ticket = TicketJson {
         ticket: id.to_string(),
     };
--- a/crates/oriolemux/src/callers/routes/work.rs
+++ b/crates/oriolemux/src/callers/routes/work.rs
@@ -2,7 +2,7 @@
 
 use super::CallerCx;
 use crate::callers::body;
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::errors::ErrorResponse;
 use crate::callers::submit::{Headers, Submission, submit};
 use crate::endpoints::EndpointProtocol;
 use core::marker::PhantomData;
@@ -23,15 +23,15 @@
 }
 
 /// One kind of work.
-pub(super) trait Kind: Send + Sync + 'static {
+pub(super) trait WorkKind: Send + Sync + 'static {
     /// What the path says.
     type Path: Send;
 
     /// Reads what the path says.
-    fn path(id: RequestId, req: &Request) -> Result<Self::Path, ErrorAnswer>;
+    fn path(id: RequestId, req: &Request) -> Result<Self::Path, ErrorResponse>;
 
     /// Makes the work of a request.
-    fn submission(path: Self::Path, received: Received) -> Result<Submission, ErrorAnswer>;
+    fn submission(path: Self::Path, received: Received) -> Result<Submission, ErrorResponse>;
 }
 
 /// Serves requests of one kind.
@@ -50,12 +50,12 @@
     }
 }
 
-impl<E: EndpointProtocol, K: Kind> Endpoint for Work<E, K> {
+impl<E: EndpointProtocol, K: WorkKind> Endpoint for Work<E, K> {
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
         let cx = &self.cx;
-        let id = cx.port.draw_id();
+        let id = cx.port.next_id();
         Ok(match read::<E, K>(cx, id, req).await {
             Ok(submission) => submit(cx, submission).await,
             Err(error) => error.into_response(),
@@ -63,11 +63,11 @@
     }
 }
 
-async fn read<E, K: Kind>(
+async fn read<E, K: WorkKind>(
     cx: &CallerCx<E>,
     id: RequestId,
     req: Request,
-) -> Result<Submission, ErrorAnswer> {
+) -> Result<Submission, ErrorResponse> {
     let headers = Headers::read(id, req.headers())?;
     let remote = req.remote_addr().as_socket_addr().copied();
     let path = K::path(id, &req)?;
@@ -75,8 +75,8 @@
     let bytes = body::read(body, &parts.headers, cx.body)
         .await
         .map_err(|err| {
-            let error = ErrorAnswer::not_submitted(id, err.reason());
-            headers.judge(error.with_detail(err.to_string()))
+            let error = ErrorResponse::not_submitted(id, err.reason());
+            headers.qualify_outcome(error.with_detail(err.to_string()))
         })?;
     let received = Received {
         id,
--- a/crates/oriolemux/src/callers/submit.rs
+++ b/crates/oriolemux/src/callers/submit.rs
@@ -1,13 +1,13 @@
 //! Hands a request to the node and answers with what its relay brings.
 
 use super::auth::key_digest;
-use super::connections::Listening;
-use super::errors::{ErrorAnswer, REQUEST_HEADER};
+use super::connections::OpenRequest;
+use super::errors::{ErrorResponse, REQUEST_HEADER};
 use super::port::NodeGone;
 use super::routes::CallerCx;
 use crate::endpoints::{EndpointProtocol, WorkBody};
 use crate::relay::Relay;
-use crate::relay::caller::{AnswerForm, Caller, Piece, Reply};
+use crate::relay::caller::{Caller, Piece, Reply, ResponseFormat};
 use crate::relay::chunk::ChunkWriter;
 use bytes::Bytes;
 use core::str::FromStr;
@@ -32,7 +32,7 @@
 /// Tokens of the prompt as the caller counted them.
 const PROMPT_TOKENS: &str = "oriolemux-prompt-tokens";
 /// How long the caller is willing to wait, in milliseconds.
-const PATIENCE_MS: &str = "oriolemux-patience-ms";
+const MAX_WAIT_MS: &str = "oriolemux-patience-ms";
 
 /// The longest idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY: usize = 256;
@@ -49,7 +49,7 @@
     /// Tokens of the prompt as the caller counted them, if it said so.
     pub prompt_tokens: Option<u32>,
     /// How long the caller is willing to wait, if it said so.
-    pub patience: Option<Duration>,
+    pub max_wait: Option<Duration>,
 }
 
 impl Headers {
@@ -59,16 +59,16 @@
     ///
     /// Fails with the answer for the caller if the bearer key is missing or a
     /// header has a wrong value.
-    pub fn read(id: RequestId, headers: &HeaderMap) -> Result<Self, ErrorAnswer> {
+    pub fn read(id: RequestId, headers: &HeaderMap) -> Result<Self, ErrorResponse> {
         let key_digest =
-            key_digest(headers).ok_or_else(|| ErrorAnswer::not_submitted(id, Reason::BadKey))?;
-        let patience = parse(id, headers, PATIENCE_MS, Reason::BadRequest)?;
+            key_digest(headers).ok_or_else(|| ErrorResponse::not_submitted(id, Reason::BadKey))?;
+        let max_wait = parse(id, headers, MAX_WAIT_MS, Reason::BadRequest)?;
         Ok(Headers {
             key_digest,
             idempotency_key: read_idempotency_key(id, headers)?,
             ticket: parse(id, headers, TICKET, Reason::BadTicket)?,
             prompt_tokens: parse(id, headers, PROMPT_TOKENS, Reason::BadRequest)?,
-            patience: patience.map(Duration::from_millis),
+            max_wait: max_wait.map(Duration::from_millis),
         })
     }
 
@@ -78,15 +78,18 @@
     /// What goes wrong otherwise: the request is the repeat of one that ran
     /// while its answer was lost. Told "not run", its caller believes that of
     /// both. Under a ticket or key the outcome is therefore unknown.
-    pub fn judge(&self, error: ErrorAnswer) -> ErrorAnswer {
+    pub fn qualify_outcome(&self, error: ErrorResponse) -> ErrorResponse {
         match self.ticket.is_some() || self.idempotency_key.is_some() {
-            true => error.of_unknown_outcome(),
+            true => error.with_unknown_outcome(),
             false => error,
         }
     }
 }
 
-fn read_idempotency_key(id: RequestId, headers: &HeaderMap) -> Result<Option<String>, ErrorAnswer> {
+fn read_idempotency_key(
+    id: RequestId,
+    headers: &HeaderMap,
+) -> Result<Option<String>, ErrorResponse> {
     let key: Option<String> = parse(id, headers, IDEMPOTENCY_KEY, Reason::BadRequest)?;
     match key {
         Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY => {
@@ -103,7 +106,7 @@
     headers: &HeaderMap,
     name: &'static str,
     reason: Reason,
-) -> Result<Option<T>, ErrorAnswer> {
+) -> Result<Option<T>, ErrorResponse> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -116,8 +119,9 @@
         .ok_or_else(|| wrong_header(id, name, reason))
 }
 
-fn wrong_header(id: RequestId, name: &str, reason: Reason) -> ErrorAnswer {
-    ErrorAnswer::not_submitted(id, reason).with_detail(format!("the header `{name}` is not valid"))
+fn wrong_header(id: RequestId, name: &str, reason: Reason) -> ErrorResponse {
+    ErrorResponse::not_submitted(id, reason)
+        .with_detail(format!("the header `{name}` is not valid"))
 }
 
 /// A request that was read and is ready for the node.
@@ -138,7 +142,7 @@
     /// What goes to the endpoint.
     pub body: WorkBody,
     /// The form of the answer.
-    pub form: AnswerForm,
+    pub format: ResponseFormat,
     /// Where the caller's connection comes from.
     pub remote: Option<SocketAddr>,
 }
@@ -173,7 +177,7 @@
             ticket: self.headers.ticket,
             body_hash: stable_hash(&[self.entry.as_bytes(), &self.body_bytes]),
             fingerprint: self.fingerprint(),
-            patience: self.headers.patience,
+            patience: self.headers.max_wait,
         }
     }
 }
@@ -187,40 +191,46 @@
     let orders = match cx.port.submit(arrival).await {
         Ok(orders) => orders,
         Err(NodeGone) => {
-            let error = ErrorAnswer::not_submitted(id, Reason::Stopping);
-            return submission.headers.judge(error).into_response();
+            let error = ErrorResponse::not_submitted(id, Reason::Stopping);
+            return submission.headers.qualify_outcome(error).into_response();
         }
     };
     let (head, reply) = oneshot::channel();
     let chunks = ChunkWriter::new(id, &submission.entry);
     let connection = cx.connections.state(submission.remote.as_ref());
-    let listening = connection.listen();
-    let caller = Caller::new(submission.form, chunks, head, &listening, cx.write_timeout);
+    let open_request = connection.open_request();
+    let caller = Caller::new(
+        submission.format,
+        chunks,
+        head,
+        &open_request,
+        cx.write_timeout,
+    );
     let port = cx.port.clone();
     let protocol = cx.protocol.clone();
     let relay = Relay::new(id, outcome, protocol, port, submission.body, orders, caller);
     tokio::spawn(relay.run());
     match reply.await {
-        Ok(reply) => into_response(id, reply, listening),
-        Err(_) => lost_relay(id),
+        Ok(reply) => into_response(id, reply, open_request),
+        Err(_) => relay_panicked(id),
     }
 }
 
 /// The relay ended without an answer, which only a panic does; whether the
 /// request ran is then not known here.
-fn lost_relay(id: RequestId) -> Response {
+fn relay_panicked(id: RequestId) -> Response {
     let verdict = oriolemux_core::Verdict::unknown(Reason::Internal);
-    ErrorAnswer::of_verdict(id, &verdict).into_response()
+    ErrorResponse::from_verdict(id, &verdict).into_response()
 }
 
-fn into_response(id: RequestId, reply: Reply, listening: Listening) -> Response {
+fn into_response(id: RequestId, reply: Reply, open_request: OpenRequest) -> Response {
     let builder = Response::builder().header(REQUEST_HEADER, id.to_string());
     match reply {
         Reply::Stream(pieces) => builder
             .header(CONTENT_TYPE, "text/event-stream")
             .header(CACHE_CONTROL, "no-cache")
-            .body(stream_body(pieces, listening)),
-        Reply::Whole { content_type, body } => {
+            .body(stream_body(pieces, open_request)),
+        Reply::Full { content_type, body } => {
             let octets = HeaderValue::from_static("application/octet-stream");
             builder
                 .header(CONTENT_TYPE, content_type.unwrap_or(octets))
@@ -233,11 +243,11 @@
 /// What goes wrong without the error at the end: a relay that panics would
 /// leave a stream that looks whole to a lenient client. With it the server
 /// breaks the connection instead of ending the body.
-fn stream_body(mut pieces: mpsc::Receiver<Piece>, listening: Listening) -> Body {
+fn stream_body(mut pieces: mpsc::Receiver<Piece>, open_request: OpenRequest) -> Body {
     let mut ended = false;
     Body::from_bytes_stream(stream::poll_fn(move |cx| {
         // Moved in, so that the relay learns when the server drops the body.
-        let _listening = &listening;
+        let _listening = &open_request;
         if ended {
             return core::task::Poll::Ready(None);
         }
--- a/crates/oriolemux/src/endpoints.rs
+++ b/crates/oriolemux/src/endpoints.rs
@@ -69,7 +69,7 @@
 
 /// An answer whose head has arrived.
 #[derive(Debug)]
-pub struct Answer<B> {
+pub struct EndpointResponse<B> {
     /// The body, still to be read.
     pub body: B,
     /// The attempt that the endpoint says it answers, if its head says so.
@@ -103,7 +103,7 @@
 /// The body of an answer, read piece by piece.
 ///
 /// Dropping it ends the exchange and closes the connection.
-pub trait AnswerBody: Send + 'static {
+pub trait ResponseBody: Send + 'static {
     /// Waits for the next piece; `None` is the end that the framing promised.
     ///
     /// # Errors
@@ -118,7 +118,7 @@
 /// How endpoints are spoken to.
 pub trait EndpointProtocol: Clone + Send + Sync + 'static {
     /// The body of an answer.
-    type Body: AnswerBody;
+    type Body: ResponseBody;
 
     /// Sends an attempt once and waits for the head of the answer.
     ///
@@ -132,7 +132,7 @@
         &self,
         dispatch: &Dispatch,
         work: &WorkBody,
-    ) -> impl Future<Output = Result<Answer<Self::Body>, EndpointFailure>> + Send;
+    ) -> impl Future<Output = Result<EndpointResponse<Self::Body>, EndpointFailure>> + Send;
 
     /// Asks for the rest of a generation whose stream broke.
     ///
@@ -143,8 +143,8 @@
         &self,
         endpoint: &EndpointTarget,
         point: ResumePoint,
-        patience: Duration,
-    ) -> impl Future<Output = Result<Answer<Self::Body>, EndpointFailure>> + Send;
+        limit: Duration,
+    ) -> impl Future<Output = Result<EndpointResponse<Self::Body>, EndpointFailure>> + Send;
 
     /// Ends a generation and frees its memory.
     ///
@@ -194,5 +194,5 @@
 
     /// An answer on some connection belonged to another attempt: no idle
     /// connection is used again.
-    fn distrust_idle_connections(&self);
+    fn discard_idle_connections(&self);
 }
--- a/crates/oriolemux/src/endpoints/http.rs
+++ b/crates/oriolemux/src/endpoints/http.rs
@@ -2,8 +2,8 @@
 
 use super::send_guard::SendGuard;
 use super::{
-    Answer, AnswerBody, CacheBatch, CallBody, EndpointFailure, EndpointProtocol, ResumePoint,
-    WorkBody, wire,
+    CacheBatch, CallBody, EndpointFailure, EndpointProtocol, EndpointResponse, ResponseBody,
+    ResumePoint, WorkBody, wire,
 };
 use crate::callers::port::Clock;
 use bytes::Bytes;
@@ -26,7 +26,7 @@
 pub const REQUEST_HEADER: &str = "x-request-id";
 
 /// The largest refusal, load report or batch of cache events that is read.
-const MAX_SMALL_ANSWER: usize = 1 << 20;
+const MAX_CONTROL_RESPONSE_BYTES: usize = 1 << 20;
 
 /// An idle connection is closed by us before most servers close theirs, so
 /// that a request seldom meets a connection that is just being closed.
@@ -68,7 +68,7 @@
     /// closed by the other side; the HTTP library then sends the request again
     /// on another one, out of our sight. A new connection for every request
     /// takes that case away; the library's own retries are off as well.
-    single: Client,
+    unpooled: Client,
 }
 
 /// The HTTP client could not be set up.
@@ -85,7 +85,7 @@
     pub fn new(clock: Clock, settings: HttpSettings) -> Result<Self, SetUpError> {
         let clients = Clients {
             pooled: RwLock::new(pooled_client(&settings)?),
-            single: client_builder(&settings)
+            unpooled: client_builder(&settings)
                 .pool_max_idle_per_host(0)
                 .build()?,
         };
@@ -105,7 +105,7 @@
         if dispatch.idempotent {
             self.pooled()
         } else {
-            self.clients.single.clone()
+            self.clients.unpooled.clone()
         }
     }
 
@@ -141,9 +141,9 @@
         request: RequestBuilder,
     ) -> Result<(StatusCode, Vec<u8>), EndpointFailure> {
         let exchange = async {
-            let response = request.send().await.map_err(|_| lost())?;
+            let response = request.send().await.map_err(|_| connection_lost())?;
             let status = response.status();
-            let body = read_small(response).await?;
+            let body = read_bounded(response).await?;
             Ok((status, body))
         };
         timeout(self.settings.control_timeout, exchange)
@@ -172,7 +172,7 @@
         &self,
         dispatch: &Dispatch,
         work: &WorkBody,
-    ) -> Result<Answer<HttpBody>, EndpointFailure> {
+    ) -> Result<EndpointResponse<HttpBody>, EndpointFailure> {
         let (request, bytes) = self.start_request(dispatch, work);
         let guard = SendGuard::new(self.clock, dispatch.send_before);
         let request = request.header(CONTENT_LENGTH, bytes.len());
@@ -185,7 +185,7 @@
             request.body(guard.body(bytes))
         };
         match timeout(dispatch.stall_limit, request.send()).await {
-            Ok(Ok(response)) => accept_answer(response, dispatch.stall_limit).await,
+            Ok(Ok(response)) => accept_response(response, dispatch.stall_limit).await,
             Ok(Err(err)) => Err(classify_send_error(&guard, &err)),
             Err(_) if guard.give_up() => Err(EndpointFailure::Broken(Reason::Stalled)),
             Err(_) => Err(EndpointFailure::NotConnected),
@@ -196,19 +196,19 @@
         &self,
         endpoint: &EndpointTarget,
         point: ResumePoint,
-        patience: Duration,
-    ) -> Result<Answer<HttpBody>, EndpointFailure> {
+        limit: Duration,
+    ) -> Result<EndpointResponse<HttpBody>, EndpointFailure> {
         // A GET changes nothing at the endpoint, but it is sent on a new
         // connection all the same: the stream broke, so idle connections to
         // this endpoint may be half open and would cost a whole stall limit.
         let path = format!("/v1/completions/{}", point.attempt);
-        let mut request = self.clients.single.get(url(endpoint, &path));
+        let mut request = self.clients.unpooled.get(url(endpoint, &path));
         if let Some(index) = point.last_index {
             request = request.header("last-event-id", format!("{}:{index}", point.attempt));
         }
-        let response = match timeout(patience, request.send()).await {
+        let response = match timeout(limit, request.send()).await {
             Ok(Ok(response)) => response,
-            Ok(Err(_)) => return Err(lost()),
+            Ok(Err(_)) => return Err(connection_lost()),
             Err(_) => return Err(EndpointFailure::Broken(Reason::Stalled)),
         };
         if response.status() == StatusCode::NOT_FOUND {
@@ -217,7 +217,7 @@
         if response.status() != StatusCode::OK {
             return Err(EndpointFailure::Broken(Reason::EndpointError));
         }
-        Ok(answer(response))
+        Ok(to_response(response))
     }
 
     async fn cancel(&self, endpoint: &EndpointTarget, attempt: AttemptId) -> bool {
@@ -225,7 +225,7 @@
         // Ending a generation twice is harmless, so a kept connection that
         // turns out to be closed costs a second try and not a generation that
         // runs on for nobody.
-        for client in [self.pooled(), self.clients.single.clone()] {
+        for client in [self.pooled(), self.clients.unpooled.clone()] {
             match self.control(client.delete(&url)).await {
                 Ok((status, _)) => return status.is_success(),
                 Err(_) => continue,
@@ -260,7 +260,7 @@
         let guard = SendGuard::new(self.clock, send_before);
         let request = self
             .clients
-            .single
+            .unpooled
             .post(url(endpoint, "/v1/orders"))
             .header(CONTENT_TYPE, "application/json")
             .header(CONTENT_LENGTH, bytes.len())
@@ -279,7 +279,7 @@
         probe(endpoint.address).await == ProbeResult::Refused
     }
 
-    fn distrust_idle_connections(&self) {
+    fn discard_idle_connections(&self) {
         let Ok(client) = pooled_client(&self.settings) else {
             return;
         };
@@ -294,9 +294,9 @@
     response: Response,
 }
 
-impl AnswerBody for HttpBody {
+impl ResponseBody for HttpBody {
     async fn chunk(&mut self) -> Result<Option<Bytes>, EndpointFailure> {
-        self.response.chunk().await.map_err(|_| lost())
+        self.response.chunk().await.map_err(|_| connection_lost())
     }
 
     fn ready_chunk(&mut self) -> Option<Result<Option<Bytes>, EndpointFailure>> {
@@ -325,7 +325,7 @@
     format!("http://{}{path}", endpoint.address)
 }
 
-fn lost() -> EndpointFailure {
+fn connection_lost() -> EndpointFailure {
     EndpointFailure::Broken(Reason::ConnectionLost)
 }
 
@@ -341,21 +341,21 @@
         // Only an empty body counts as handed over before its connection stands.
         return EndpointFailure::NotConnected;
     }
-    lost()
+    connection_lost()
 }
 
 /// Tells an answer from a refusal.
-async fn accept_answer(
+async fn accept_response(
     response: Response,
-    patience: Duration,
-) -> Result<Answer<HttpBody>, EndpointFailure> {
+    limit: Duration,
+) -> Result<EndpointResponse<HttpBody>, EndpointFailure> {
     if response.status() == StatusCode::OK {
-        return Ok(answer(response));
+        return Ok(to_response(response));
     }
     let status = response.status().as_u16();
     let retry_after = response.headers().get(RETRY_AFTER).cloned();
     let retry_after = retry_after.as_ref().and_then(text);
-    let body = timeout(patience, read_small(response)).await;
+    let body = timeout(limit, read_bounded(response)).await;
     let refusal = match body {
         Ok(Ok(body)) => Refusal::parse(status, retry_after, &body),
         _ => None,
@@ -366,14 +366,14 @@
     })
 }
 
-fn answer(response: Response) -> Answer<HttpBody> {
+fn to_response(response: Response) -> EndpointResponse<HttpBody> {
     let headers = response.headers();
     let attempt = headers
         .get(ATTEMPT_HEADER)
         .and_then(text)
         .map(str::to_owned);
     let content_type = headers.get(CONTENT_TYPE).cloned();
-    Answer {
+    EndpointResponse {
         body: HttpBody { response },
         attempt,
         content_type,
@@ -384,10 +384,10 @@
     value.to_str().ok()
 }
 
-async fn read_small(mut response: Response) -> Result<Vec<u8>, EndpointFailure> {
+async fn read_bounded(mut response: Response) -> Result<Vec<u8>, EndpointFailure> {
     let mut body = Vec::new();
-    while let Some(chunk) = response.chunk().await.map_err(|_| lost())? {
-        if body.len() + chunk.len() > MAX_SMALL_ANSWER {
+    while let Some(chunk) = response.chunk().await.map_err(|_| connection_lost())? {
+        if body.len() + chunk.len() > MAX_CONTROL_RESPONSE_BYTES {
             return Err(EndpointFailure::Broken(Reason::Garbage));
         }
         body.extend_from_slice(&chunk);
--- a/crates/oriolemux/src/endpoints/send_guard.rs
+++ b/crates/oriolemux/src/endpoints/send_guard.rs
@@ -65,7 +65,7 @@
     pub fn hand_over(&self) -> Result<(), Expired> {
         let in_time = self.clock.now() <= self.send_before;
         let next = if in_time { HANDED_OVER } else { EXPIRED };
-        match self.leave_waiting(next) {
+        match self.transition(next) {
             HANDED_OVER => Ok(()),
             _ => Err(Expired),
         }
@@ -77,11 +77,11 @@
     /// What goes wrong if the state is only read: a connection that stands a
     /// moment later asks for the body, which leaves although "not run" was said.
     pub fn give_up(&self) -> bool {
-        self.leave_waiting(GIVEN_UP) == HANDED_OVER
+        self.transition(GIVEN_UP) == HANDED_OVER
     }
 
     /// Moves on from waiting, once; returns the state that holds from then on.
-    fn leave_waiting(&self, next: u8) -> u8 {
+    fn transition(&self, next: u8) -> u8 {
         let (acquire, release) = (Ordering::Acquire, Ordering::AcqRel);
         let swapped = self.state.compare_exchange(WAITING, next, release, acquire);
         swapped.map_or_else(|current| current, |_| next)
--- a/crates/oriolemux/src/relay.rs
+++ b/crates/oriolemux/src/relay.rs
@@ -12,12 +12,12 @@
 mod attempt;
 mod interrupt;
 
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::errors::ErrorResponse;
 use crate::callers::port::{NodeGone, NodePort, RequestOrder};
 use crate::endpoints::{EndpointProtocol, WorkBody};
 use attempt::AttemptEnd;
 use caller::Caller;
-use interrupt::{Ends, Interrupt};
+use interrupt::{Interrupt, RequestChannels};
 use oriolemux_core::delivery::Delivery;
 use oriolemux_core::event::AttemptUpdate;
 use oriolemux_core::outcome::RequestOutcome;
@@ -32,7 +32,7 @@
     port: NodePort,
     work: WorkBody,
     delivery: Delivery,
-    ends: Ends,
+    channels: RequestChannels,
     /// What this task itself knows about whether the request ran.
     outcome: RequestOutcome,
 }
@@ -54,7 +54,7 @@
             port,
             work,
             delivery: Delivery::new(),
-            ends: Ends { orders, caller },
+            channels: RequestChannels { orders, caller },
             outcome,
         }
     }
@@ -70,17 +70,17 @@
         loop {
             let order = tokio::select! {
                 biased;
-                order = self.ends.orders.recv() => order,
-                _gone = self.ends.caller.gone() => return self.tell_caller_gone().await,
+                order = self.channels.orders.recv() => order,
+                _gone = self.channels.caller.gone() => return self.report_caller_gone().await,
             };
             match order {
                 Some(RequestOrder::Dispatch(dispatch)) => {
                     // The node orders nothing before the claim is granted.
                     self.outcome.on_claim_granted();
-                    self.ends.caller.meter().granted();
+                    self.channels.caller.meter().granted();
                     match self.run_attempt(&dispatch).await? {
-                        AttemptEnd::Over => {}
-                        AttemptEnd::Answered => return Ok(()),
+                        AttemptEnd::Reported => {}
+                        AttemptEnd::Delivered => return Ok(()),
                         AttemptEnd::Interrupted(interrupt) => {
                             if self.on_interrupt(interrupt).await? {
                                 return Ok(());
@@ -99,22 +99,22 @@
     async fn on_interrupt(&mut self, interrupt: Interrupt) -> Result<bool, NodeGone> {
         match interrupt {
             Interrupt::Cancelled => return Ok(false),
-            Interrupt::CallerGone => self.tell_caller_gone().await?,
+            Interrupt::CallerGone => self.report_caller_gone().await?,
             Interrupt::Finished(verdict) => self.finish(&verdict).await?,
             Interrupt::NodeGone => self.finish_without_node().await?,
         }
         Ok(true)
     }
 
-    async fn tell_caller_gone(&mut self) -> Result<(), NodeGone> {
+    async fn report_caller_gone(&mut self) -> Result<(), NodeGone> {
         self.port.event(Event::CallerGone(self.request)).await
     }
 
     async fn finish(&mut self, verdict: &Verdict) -> Result<(), NodeGone> {
-        let error = ErrorAnswer::of_verdict(self.request, verdict);
-        match self.ends.caller.fail(error).await {
+        let error = ErrorResponse::from_verdict(self.request, verdict);
+        match self.channels.caller.fail(error).await {
             Ok(()) => Ok(()),
-            Err(caller::CallerGone) => self.tell_caller_gone().await,
+            Err(caller::CallerGone) => self.report_caller_gone().await,
         }
     }
 
--- a/crates/oriolemux/src/relay/attempt.rs
+++ b/crates/oriolemux/src/relay/attempt.rs
@@ -20,9 +20,9 @@
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
     /// It was reported to the node, which decides what follows.
-    Over,
+    Reported,
     /// The caller has its whole answer.
-    Answered,
+    Delivered,
     /// It was ended from outside.
     Interrupted(Interrupt),
 }
@@ -50,24 +50,24 @@
         let step = self.delivery.start(dispatch, self.port.clock().now());
         if step.action != StreamAction::Send {
             self.report(dispatch.attempt, step.report).await?;
-            return Ok(AttemptEnd::Over);
+            return Ok(AttemptEnd::Reported);
         }
         self.outcome.on_dispatch(dispatch.attempt);
         let opened = self
-            .ends
+            .channels
             .watch(self.protocol.start(dispatch, &self.work))
             .await;
-        let answer = match opened {
+        let response = match opened {
             Err(interrupt) => return Ok(self.interrupted(dispatch, interrupt).await),
             Ok(Err(failure)) => {
                 let step = self.on_failure(&failure);
-                return self.follow(dispatch, step).await;
+                return self.apply_before_response(dispatch, step).await;
             }
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(response)) => response,
         };
         match &self.work {
-            WorkBody::Completion(_) => self.run_stream(dispatch, answer).await,
-            WorkBody::Call(_) => self.run_call(dispatch, answer).await,
+            WorkBody::Completion(_) => self.run_stream(dispatch, response).await,
+            WorkBody::Call(_) => self.run_call(dispatch, response).await,
         }
     }
 
@@ -92,9 +92,13 @@
 
     /// Follows a step that came before any answer: the generation may run, so
     /// it is resumed if the delivery says so.
-    async fn follow(&mut self, dispatch: &Dispatch, step: Step) -> Result<AttemptEnd, NodeGone> {
+    async fn apply_before_response(
+        &mut self,
+        dispatch: &Dispatch,
+        step: Step,
+    ) -> Result<AttemptEnd, NodeGone> {
         match self.apply(dispatch, step).await? {
-            Next::Read | Next::End => Ok(AttemptEnd::Over),
+            Next::Read | Next::End => Ok(AttemptEnd::Reported),
             Next::Resume { after, delay } => self.resume_stream(dispatch, after, delay).await,
         }
     }
@@ -116,7 +120,7 @@
                 reason,
             } => {
                 ReasonCounter::Resumes.add(reason);
-                self.distrust_after(reason);
+                self.discard_connections_after(reason);
                 Next::Resume { after, delay }
             }
             StreamAction::Close { cancel } => {
@@ -129,9 +133,11 @@
         };
         if let Some(AttemptUpdate::Failed { reason, ran, .. }) = &step.report {
             self.outcome.on_ended(dispatch.attempt, *ran);
-            self.distrust_after(*reason);
+            self.discard_connections_after(*reason);
         }
-        if is_lost(step.report.as_ref()) && self.protocol.has_ended(&dispatch.endpoint).await {
+        if endpoint_may_have_ended(step.report.as_ref())
+            && self.protocol.has_ended(&dispatch.endpoint).await
+        {
             let ended = Some(AttemptUpdate::EndpointEnded);
             self.report(dispatch.attempt, ended).await?;
         }
@@ -139,7 +145,7 @@
         Ok(next)
     }
 
-    /// Ends the attempt because of something outside of it.
+    /// RequestChannels the attempt because of something outside of it.
     async fn interrupted(&mut self, dispatch: &Dispatch, interrupt: Interrupt) -> AttemptEnd {
         let step = match interrupt {
             // The node learns of it by `Event::CallerGone`, not by a report.
@@ -166,16 +172,16 @@
 
     /// An endpoint that answers for another attempt has mixed up its
     /// connections; an idle one may hold the rest of somebody else's answer.
-    fn distrust_after(&self, reason: Reason) {
+    fn discard_connections_after(&self, reason: Reason) {
         if reason == Reason::WrongAttempt {
-            self.protocol.distrust_idle_connections();
+            self.protocol.discard_idle_connections();
         }
     }
 }
 
 /// Returns whether an attempt ended because its endpoint was not there any more, as far as its
 /// connections tell. Only then it is looked whether the endpoint's process ended.
-fn is_lost(report: Option<&AttemptUpdate>) -> bool {
+fn endpoint_may_have_ended(report: Option<&AttemptUpdate>) -> bool {
     let Some(AttemptUpdate::Failed { reason, ran, .. }) = report else {
         return false;
     };
--- a/crates/oriolemux/src/relay/attempt/call.rs
+++ b/crates/oriolemux/src/relay/attempt/call.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptEnd, Interrupt};
 use crate::callers::port::NodeGone;
-use crate::endpoints::{Answer, AnswerBody, EndpointFailure, EndpointProtocol};
+use crate::endpoints::{EndpointFailure, EndpointProtocol, EndpointResponse, ResponseBody};
 use crate::relay::Relay;
 use bytes::Bytes;
 use oriolemux_core::Reason;
@@ -12,53 +12,58 @@
 
 /// The largest answer of a plain service that is handed on. It is held in
 /// memory until it is whole, so that a caller never gets half an answer.
-const MAX_CALL_ANSWER: usize = 8 << 20;
+const MAX_CALL_RESPONSE_BYTES: usize = 8 << 20;
 
 impl<E: EndpointProtocol> Relay<E> {
     pub(super) async fn run_call(
         &mut self,
         dispatch: &Dispatch,
-        answer: Answer<E::Body>,
+        response: EndpointResponse<E::Body>,
     ) -> Result<AttemptEnd, NodeGone> {
         self.delivery.on_response_started();
-        let read = read_whole::<E>(answer.body, dispatch);
-        let step = match self.ends.watch(read).await {
+        let read = read_full_body::<E>(response.body, dispatch);
+        let step = match self.channels.watch(read).await {
             Err(interrupt) => return Ok(self.interrupted(dispatch, interrupt).await),
             Ok(Err(failure)) => {
                 let step = self.on_failure(&failure);
-                return self.follow(dispatch, step).await;
+                return self.apply_before_response(dispatch, step).await;
             }
             Ok(Ok(body)) => {
-                let attempt = answer.attempt.as_deref().unwrap_or_default();
+                let attempt = response.attempt.as_deref().unwrap_or_default();
                 let step = self.delivery.on_call_response(attempt);
                 if step.action != StreamAction::Complete {
-                    return self.follow(dispatch, step).await;
+                    return self.apply_before_response(dispatch, step).await;
                 }
-                if self.ends.caller.answer(answer.content_type, body).is_err() {
+                if self
+                    .channels
+                    .caller
+                    .send_response(response.content_type, body)
+                    .is_err()
+                {
                     return Ok(AttemptEnd::Interrupted(Interrupt::CallerGone));
                 }
                 step
             }
         };
         self.report(dispatch.attempt, step.report).await?;
-        Ok(AttemptEnd::Answered)
+        Ok(AttemptEnd::Delivered)
     }
 }
 
-async fn read_whole<E: EndpointProtocol>(
+async fn read_full_body<E: EndpointProtocol>(
     mut body: E::Body,
     dispatch: &Dispatch,
 ) -> Result<Bytes, EndpointFailure> {
-    let mut whole = Vec::new();
+    let mut full = Vec::new();
     loop {
         let chunk = timeout(dispatch.stall_limit, body.chunk()).await;
         let chunk = chunk.unwrap_or(Err(EndpointFailure::Broken(Reason::Stalled)))?;
         let Some(chunk) = chunk else {
-            return Ok(whole.into());
+            return Ok(full.into());
         };
-        if whole.len() + chunk.len() > MAX_CALL_ANSWER {
+        if full.len() + chunk.len() > MAX_CALL_RESPONSE_BYTES {
             return Err(EndpointFailure::Broken(Reason::Garbage));
         }
-        whole.extend_from_slice(&chunk);
+        full.extend_from_slice(&chunk);
     }
 }
--- a/crates/oriolemux/src/relay/attempt/stream.rs
+++ b/crates/oriolemux/src/relay/attempt/stream.rs
@@ -1,9 +1,9 @@
 //! A generation: its stream, and its resumption when the stream breaks.
 
-use super::chunks::{StallTimer, chunk_at_hand, drain, next_chunk};
+use super::chunks::{StallTimer, drain, next_chunk, next_ready_chunk};
 use super::{AttemptEnd, Interrupt, Next, count_discarded};
 use crate::callers::port::NodeGone;
-use crate::endpoints::{Answer, EndpointFailure, EndpointProtocol, ResumePoint};
+use crate::endpoints::{EndpointFailure, EndpointProtocol, EndpointResponse, ResumePoint};
 use crate::relay::Relay;
 use crate::relay::events::{EngineEvent, EventReader, FinishReason, Garbage, Usage};
 use bytes::Bytes;
@@ -50,29 +50,29 @@
     pub(super) async fn run_stream(
         &mut self,
         dispatch: &Dispatch,
-        answer: Answer<E::Body>,
+        response: EndpointResponse<E::Body>,
     ) -> Result<AttemptEnd, NodeGone> {
         self.delivery.on_response_started();
         let mut reader = EventReader::new(&dispatch.attempt.to_string());
-        let mut answer = answer;
+        let mut response = response;
         loop {
-            let stop = self.read_stream(dispatch, &mut answer, &mut reader).await;
+            let stop = self.read_stream(dispatch, &mut response, &mut reader).await;
             let step = match stop {
                 Stop::Step(step) => step,
                 Stop::Complete(step, ending) => {
-                    return self.complete(dispatch, step, ending, answer.body).await;
+                    return self.complete(dispatch, step, ending, response.body).await;
                 }
                 Stop::Interrupt(interrupt) => {
                     return Ok(self.interrupted(dispatch, interrupt).await);
                 }
                 Stop::NodeGone => return Err(NodeGone),
             };
-            drop(answer);
+            drop(response);
             reader.clear();
-            answer = match self.apply(dispatch, step).await? {
-                Next::Read | Next::End => return Ok(AttemptEnd::Over),
+            response = match self.apply(dispatch, step).await? {
+                Next::Read | Next::End => return Ok(AttemptEnd::Reported),
                 Next::Resume { after, delay } => match self.reopen(dispatch, after, delay).await? {
-                    Ok(answer) => answer,
+                    Ok(response) => response,
                     Err(end) => return Ok(end),
                 },
             };
@@ -87,7 +87,7 @@
         delay: Duration,
     ) -> Result<AttemptEnd, NodeGone> {
         match self.reopen(dispatch, after, delay).await? {
-            Ok(answer) => self.run_stream(dispatch, answer).await,
+            Ok(response) => self.run_stream(dispatch, response).await,
             Err(end) => Ok(end),
         }
     }
@@ -98,7 +98,7 @@
         dispatch: &Dispatch,
         after: Option<u32>,
         delay: Duration,
-    ) -> Result<Result<Answer<E::Body>, AttemptEnd>, NodeGone> {
+    ) -> Result<Result<EndpointResponse<E::Body>, AttemptEnd>, NodeGone> {
         let (mut after, mut delay) = (after, delay);
         loop {
             let point = ResumePoint {
@@ -110,11 +110,11 @@
                 let limit = dispatch.stall_limit;
                 self.protocol.resume(&dispatch.endpoint, point, limit).await
             };
-            let step = match self.ends.watch(ask).await {
+            let step = match self.channels.watch(ask).await {
                 Err(interrupt) => return Ok(Err(self.interrupted(dispatch, interrupt).await)),
-                Ok(Ok(answer)) => {
+                Ok(Ok(response)) => {
                     self.delivery.on_resume_response(ResumeResponse::Ok);
-                    return Ok(Ok(answer));
+                    return Ok(Ok(response));
                 }
                 Ok(Err(EndpointFailure::Broken(Reason::GenerationLost))) => {
                     self.delivery.on_resume_response(ResumeResponse::Lost)
@@ -122,7 +122,7 @@
                 Ok(Err(failure)) => self.on_failure(&failure),
             };
             match self.apply(dispatch, step).await? {
-                Next::Read | Next::End => return Ok(Err(AttemptEnd::Over)),
+                Next::Read | Next::End => return Ok(Err(AttemptEnd::Reported)),
                 Next::Resume { after: a, delay: d } => (after, delay) = (a, d),
             }
         }
@@ -132,26 +132,26 @@
     async fn read_stream(
         &mut self,
         dispatch: &Dispatch,
-        answer: &mut Answer<E::Body>,
+        response: &mut EndpointResponse<E::Body>,
         reader: &mut EventReader,
     ) -> Stop {
-        if !is_event_stream(answer) {
+        if !is_event_stream(response) {
             return Stop::Step(self.delivery.on_garbage());
         }
         let mut stall = StallTimer::new(dispatch.stall_limit);
         loop {
-            let next = next_chunk(&mut answer.body, &mut stall);
-            let chunk = match self.ends.watch(next).await {
+            let next = next_chunk(&mut response.body, &mut stall);
+            let chunk = match self.channels.watch(next).await {
                 Err(interrupt) => return interrupt.into(),
                 Ok(chunk) => chunk,
             };
             if let Err(stop) = self
-                .take_chunks(dispatch, chunk, &mut answer.body, reader)
+                .process_chunks(dispatch, chunk, &mut response.body, reader)
                 .await
             {
                 return self.flush_before(stop).await;
             }
-            if let Err(interrupt) = self.ends.flush().await {
+            if let Err(interrupt) = self.channels.flush().await {
                 return interrupt.into();
             }
         }
@@ -163,14 +163,14 @@
         if let Stop::Complete(..) = stop {
             return stop;
         }
-        match self.ends.flush().await {
+        match self.channels.flush().await {
             Ok(()) => stop,
             Err(interrupt) => interrupt.into(),
         }
     }
 
     /// Takes a chunk and all that is at hand after it, so that they leave in one write.
-    async fn take_chunks(
+    async fn process_chunks(
         &mut self,
         dispatch: &Dispatch,
         first: Result<Option<Bytes>, EndpointFailure>,
@@ -184,18 +184,18 @@
                 Ok(None) => return Err(Stop::Step(self.delivery.on_closed())),
                 Err(failure) => return Err(Stop::Step(self.on_failure(&failure))),
             }
-            self.take_events(dispatch, reader).await?;
-            if self.ends.caller.waiting() >= FLUSH_BYTES {
+            self.process_events(dispatch, reader).await?;
+            if self.channels.caller.pending_bytes() >= FLUSH_BYTES {
                 return Ok(());
             }
-            match chunk_at_hand(body).await {
+            match next_ready_chunk(body).await {
                 Some(next) => chunk = next,
                 None => return Ok(()),
             }
         }
     }
 
-    async fn take_events(
+    async fn process_events(
         &mut self,
         dispatch: &Dispatch,
         reader: &mut EventReader,
@@ -214,7 +214,7 @@
                 } => {
                     let step = self.delivery.on_token(&attempt, index, &text);
                     if step.action == StreamAction::Deliver {
-                        self.ends.caller.token(index, &text);
+                        self.channels.caller.token(index, &text);
                     }
                     step
                 }
@@ -232,7 +232,7 @@
                     step
                 }
                 EngineEvent::Failed => self.delivery.on_endpoint_error(),
-                EngineEvent::Nothing => continue,
+                EngineEvent::Ignored => continue,
             };
             match step.action {
                 StreamAction::Deliver | StreamAction::Hold => {}
@@ -255,11 +255,11 @@
     ) -> Result<AttemptEnd, NodeGone> {
         let first = self.delivery.delivered();
         for (index, text) in (first..).zip(self.delivery.held()) {
-            self.ends.caller.token(index, text);
+            self.channels.caller.token(index, text);
         }
         self.delivery.on_held_delivered();
         if self
-            .ends
+            .channels
             .caller
             .end(ending.finish, ending.usage)
             .await
@@ -271,7 +271,7 @@
         }
         self.report(dispatch.attempt, step.report).await?;
         drain(body).await;
-        Ok(AttemptEnd::Answered)
+        Ok(AttemptEnd::Delivered)
     }
 }
 
@@ -283,9 +283,9 @@
     }
 }
 
-fn is_event_stream<B>(answer: &Answer<B>) -> bool {
+fn is_event_stream<B>(response: &EndpointResponse<B>) -> bool {
     const EVENT_STREAM: &str = "text/event-stream";
-    let content_type = answer.content_type.as_ref();
+    let content_type = response.content_type.as_ref();
     let content_type = content_type.and_then(|value| value.to_str().ok());
     content_type.is_some_and(|text| text.trim_start().starts_with(EVENT_STREAM))
 }
--- a/crates/oriolemux/src/relay/caller.rs
+++ b/crates/oriolemux/src/relay/caller.rs
@@ -2,8 +2,8 @@
 
 use super::chunk::ChunkWriter;
 use super::events::{FinishReason, Usage};
-use crate::callers::connections::{ConnectionState, Departure, Listening};
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::connections::{ConnectionState, DisconnectSignal, OpenRequest};
+use crate::callers::errors::ErrorResponse;
 use crate::metrics::RequestMeter;
 use bytes::Bytes;
 use core::time::Duration;
@@ -17,7 +17,7 @@
 ///
 /// One piece is written by the server while the next is filled; more would
 /// only be memory. When both are full, nothing is read from the endpoint.
-const PIECES: usize = 1;
+const PIECE_QUEUE: usize = 1;
 
 /// A piece of a streamed answer.
 #[derive(Debug)]
@@ -35,19 +35,19 @@
     /// A stream of events.
     Stream(mpsc::Receiver<Piece>),
     /// A whole answer.
-    Whole {
+    Full {
         /// Its content type, if it has one.
         content_type: Option<HeaderValue>,
         /// Its bytes.
         body: Bytes,
     },
     /// A refusal or failure.
-    Error(ErrorAnswer),
+    Error(ErrorResponse),
 }
 
 /// The form in which a caller takes its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerForm {
+pub enum ResponseFormat {
     /// Events as the tokens come.
     Events,
     /// One JSON object.
@@ -66,13 +66,13 @@
 /// set if, and only if, the answer is a stream.
 #[derive(Debug)]
 pub struct Caller {
-    form: AnswerForm,
+    format: ResponseFormat,
     chunks: ChunkWriter,
     head: Option<oneshot::Sender<Reply>>,
     pieces: Option<mpsc::Sender<Piece>>,
     out: Vec<u8>,
     connection: Arc<ConnectionState>,
-    departure: Arc<Departure>,
+    disconnect: Arc<DisconnectSignal>,
     write_timeout: Duration,
     meter: RequestMeter,
 }
@@ -82,20 +82,20 @@
     ///
     /// A caller that takes no byte for `write_timeout` counts as gone.
     pub fn new(
-        form: AnswerForm,
+        format: ResponseFormat,
         chunks: ChunkWriter,
         head: oneshot::Sender<Reply>,
-        listening: &Listening,
+        open_request: &OpenRequest,
         write_timeout: Duration,
     ) -> Self {
         Caller {
-            form,
+            format,
             chunks,
             head: Some(head),
             pieces: None,
             out: Vec::new(),
-            connection: Arc::clone(listening.connection()),
-            departure: Arc::clone(listening.departure()),
+            connection: Arc::clone(open_request.connection()),
+            disconnect: Arc::clone(open_request.disconnect()),
             write_timeout,
             meter: RequestMeter::start(),
         }
@@ -108,7 +108,7 @@
 
     /// Waits until nobody listens any more.
     pub async fn gone(&self) -> CallerGone {
-        self.departure.wait().await;
+        self.disconnect.wait().await;
         CallerGone
     }
 
@@ -116,17 +116,17 @@
     #[inline]
     pub fn token(&mut self, index: u32, text: &[u8]) {
         self.meter.token();
-        match self.form {
-            AnswerForm::Events => self.chunks.token(&mut self.out, index, text),
-            AnswerForm::Json | AnswerForm::Bytes => self.out.extend_from_slice(text),
+        match self.format {
+            ResponseFormat::Events => self.chunks.token(&mut self.out, index, text),
+            ResponseFormat::Json | ResponseFormat::Bytes => self.out.extend_from_slice(text),
         }
     }
 
     /// Returns how many bytes wait to be flushed.
-    pub fn waiting(&self) -> usize {
-        match self.form {
-            AnswerForm::Events => self.out.len(),
-            AnswerForm::Json | AnswerForm::Bytes => 0,
+    pub fn pending_bytes(&self) -> usize {
+        match self.format {
+            ResponseFormat::Events => self.out.len(),
+            ResponseFormat::Json | ResponseFormat::Bytes => 0,
         }
     }
 
@@ -136,7 +136,7 @@
     ///
     /// Fails if the caller left or took nothing for the write timeout.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
-        if self.waiting() == 0 {
+        if self.pending_bytes() == 0 {
             return Ok(());
         }
         self.begin_stream()?;
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// Ends a whole answer.
+    /// RequestChannels a whole answer.
     ///
     /// # Errors
     ///
@@ -165,15 +165,15 @@
     }
 
     async fn write_end(&mut self, finish: FinishReason, usage: Usage) -> Result<(), CallerGone> {
-        if self.form == AnswerForm::Events {
+        if self.format == ResponseFormat::Events {
             self.chunks.end(&mut self.out, finish, usage);
             let last = Bytes::from(core::mem::take(&mut self.out));
             return self.send(Piece::Last(last)).await;
         }
         let text = core::mem::take(&mut self.out);
         let mut body = Vec::new();
-        self.chunks.answer(&mut body, &text, finish, usage);
-        self.reply(Reply::Whole {
+        self.chunks.full_response(&mut body, &text, finish, usage);
+        self.reply(Reply::Full {
             content_type: Some(HeaderValue::from_static("application/json")),
             body: body.into(),
         })
@@ -184,12 +184,12 @@
     /// # Errors
     ///
     /// Fails if the caller left.
-    pub fn answer(
+    pub fn send_response(
         &mut self,
         content_type: Option<HeaderValue>,
         body: Bytes,
     ) -> Result<(), CallerGone> {
-        self.reply(Reply::Whole { content_type, body })?;
+        self.reply(Reply::Full { content_type, body })?;
         self.meter.completed();
         Ok(())
     }
@@ -200,7 +200,7 @@
     /// # Errors
     ///
     /// Fails if the caller left or took nothing for the write timeout.
-    pub async fn fail(&mut self, error: ErrorAnswer) -> Result<(), CallerGone> {
+    pub async fn fail(&mut self, error: ErrorResponse) -> Result<(), CallerGone> {
         if self.head.is_some() {
             return self.reply(Reply::Error(error));
         }
@@ -236,7 +236,7 @@
         if self.pieces.is_some() {
             return Ok(());
         }
-        let (pieces, rx) = mpsc::channel(PIECES);
+        let (pieces, rx) = mpsc::channel(PIECE_QUEUE);
         self.reply(Reply::Stream(rx))?;
         self.pieces = Some(pieces);
         Ok(())
--- a/crates/oriolemux/src/relay/chunk.rs
+++ b/crates/oriolemux/src/relay/chunk.rs
@@ -43,14 +43,20 @@
     /// Appends the last event of a whole answer, and the end of the stream.
     pub fn end(&self, out: &mut Vec<u8>, finish: FinishReason, usage: Usage) {
         out.extend_from_slice(b"data: ");
-        self.answer(out, b"", finish, usage);
+        self.full_response(out, b"", finish, usage);
         out.extend_from_slice(b"\n\n");
         out.extend_from_slice(DONE);
     }
 
     /// Appends a whole answer as one JSON object; `text` is the inside of a
     /// JSON string.
-    pub fn answer(&self, out: &mut Vec<u8>, text: &[u8], finish: FinishReason, usage: Usage) {
+    pub fn full_response(
+        &self,
+        out: &mut Vec<u8>,
+        text: &[u8],
+        finish: FinishReason,
+        usage: Usage,
+    ) {
         out.extend_from_slice(&self.head);
         out.extend_from_slice(text);
         out.extend_from_slice(b"\",\"finish_reason\":\"");
--- a/crates/oriolemux/src/relay/events.rs
+++ b/crates/oriolemux/src/relay/events.rs
@@ -71,8 +71,8 @@
     },
     /// The engine says that it failed.
     Failed,
-    /// Nothing that matters: a keep-alive or the closing `[DONE]`.
-    Nothing,
+    /// Ignored that matters: a keep-alive or the closing `[DONE]`.
+    Ignored,
 }
 
 /// The bytes are not in the engine's protocol.
--- a/crates/oriolemux/src/relay/events/slow.rs
+++ b/crates/oriolemux/src/relay/events/slow.rs
@@ -34,8 +34,8 @@
     let text = std::str::from_utf8(&bytes[..len]).map_err(|_| Garbage)?;
     let fields = read_fields(text)?;
     let event = match &fields.data {
-        None => EngineEvent::Nothing,
-        Some(data) if data == "[DONE]" => EngineEvent::Nothing,
+        None => EngineEvent::Ignored,
+        Some(data) if data == "[DONE]" => EngineEvent::Ignored,
         Some(data) => read_data(data, fields.id)?,
     };
     Ok(Some((event, len)))
--- a/crates/oriolemux/src/relay/interrupt.rs
+++ b/crates/oriolemux/src/relay/interrupt.rs
@@ -21,14 +21,14 @@
 
 /// The two ends that every wait of a request watches besides the endpoint.
 #[derive(Debug)]
-pub struct Ends {
+pub struct RequestChannels {
     /// The node's orders.
     pub orders: mpsc::Receiver<RequestOrder>,
     /// The caller.
     pub caller: Caller,
 }
 
-impl Ends {
+impl RequestChannels {
     /// Waits for `work`, unless the caller leaves or the node ends the attempt
     /// first. Both are looked at before the work: an endpoint that always has
     /// more to read must not keep the node's orders waiting.
@@ -44,7 +44,7 @@
     /// Hands what waits to the caller, however slow it reads, unless the node
     /// ends the attempt first.
     pub async fn flush(&mut self) -> Result<(), Interrupt> {
-        if self.caller.waiting() == 0 {
+        if self.caller.pending_bytes() == 0 {
             return Ok(());
         }
         tokio::select! {
--- a/crates/oriolemux/tests/callers_errors.rs
+++ b/crates/oriolemux/tests/callers_errors.rs
@@ -16,18 +16,18 @@
 const KEY: &str = "authorization: Bearer wren\r\n";
 
 /// Returns status, reason and message of an error answer that says "not run".
-fn error_of(answer: &str) -> (u16, String, String) {
-    error_with_outcome(answer, "not_run")
+fn error_of(response: &str) -> (u16, String, String) {
+    error_with_outcome(response, "not_run")
 }
 
-fn error_with_outcome(answer: &str, outcome: &str) -> (u16, String, String) {
-    let status = answer[9..12].parse().expect("a status");
-    let json: Value = serde_json::from_str(body(answer)).expect("a JSON error");
+fn error_with_outcome(response: &str, outcome: &str) -> (u16, String, String) {
+    let status = response[9..12].parse().expect("a status");
+    let json: Value = serde_json::from_str(body(response)).expect("a JSON error");
     let error = &json["error"];
-    assert_eq!(error["outcome"], outcome, "{answer}");
+    assert_eq!(error["outcome"], outcome, "{response}");
     assert!(
-        answer.contains("content-type: application/json\r\n"),
-        "{answer}"
+        response.contains("content-type: application/json\r\n"),
+        "{response}"
     );
     let text = |name: &str| error[name].as_str().expect(name).to_owned();
     (status, text("reason"), text("message"))
@@ -71,7 +71,7 @@
     "bad_request",
     "temprature"
 )]
-#[case::two_answers(
+#[case::two_choices(
     r#"{"model":"plans","prompt":"a","n":2}"#,
     400,
     "bad_request",
@@ -84,7 +84,7 @@
     "one string"
 )]
 #[tokio::test]
-async fn refuses_bodies_that_are_wrong(
+async fn refuses_invalid_bodies(
     #[case] request: &str,
     #[case] status: u16,
     #[case] reason: &str,
@@ -93,9 +93,9 @@
     let node = FakeNode::start(vec![]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(request)).await;
+    let response = exchange(address, completion(request)).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (status, reason));
     assert!(error.2.contains(message), "{}", error.2);
 }
@@ -125,11 +125,7 @@
     "bad_request"
 )]
 #[tokio::test]
-async fn refuses_headers_that_are_wrong(
-    #[case] headers: &str,
-    #[case] status: u16,
-    #[case] reason: &str,
-) {
+async fn refuses_invalid_headers(#[case] headers: &str, #[case] status: u16, #[case] reason: &str) {
     let node = FakeNode::start(vec![]);
     let address = serve(&node).await;
 
@@ -138,23 +134,23 @@
         headers,
         r#"{"model":"plans","prompt":"a"}"#,
     );
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (status, reason));
 }
 
 #[tokio::test]
-async fn refuses_invalid_utf8_with_its_place() {
+async fn refuses_invalid_utf8_with_its_position() {
     let node = FakeNode::start(vec![]);
     let address = serve(&node).await;
 
     let mut request = completion("{\"model\":\"pl__s\"}").into_bytes();
     let at = request.len() - 5;
     request[at..at + 2].copy_from_slice(&[0xc3, 0x28]);
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (400, "bad_request"));
     assert!(error.2.contains("UTF-8 from byte 12"), "{}", error.2);
 }
@@ -168,9 +164,9 @@
         "POST /v1/completions HTTP/1.1\r\nhost: o\r\n{KEY}connection: close\r\n\
          content-length: 101\r\n\r\n"
     );
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (413, "body_too_large"));
     assert!(error.2.contains("100 bytes"), "{}", error.2);
 }
@@ -185,9 +181,9 @@
         "POST /v1/completions HTTP/1.1\r\nhost: o\r\n{KEY}connection: close\r\n\
          transfer-encoding: chunked\r\n\r\n{piece}{piece}{piece}0\r\n\r\n"
     );
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (413, "body_too_large"));
 }
 
@@ -195,7 +191,7 @@
 /// Sequence: callers sent a head and a part of the body, then nothing.
 /// Cause: the body was waited for without a limit.
 #[tokio::test]
-async fn gives_up_on_a_body_that_does_not_arrive() {
+async fn body_that_does_not_arrive_times_out() {
     let node = FakeNode::start(vec![]);
     let limit = Duration::from_millis(50);
     let address = serve_with(&node, |server| server.body_timeout(limit)).await;
@@ -204,9 +200,9 @@
         "POST /v1/completions HTTP/1.1\r\nhost: o\r\n{KEY}connection: close\r\n\
          content-length: 50\r\n\r\n{{\"model\":"
     );
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (400, "bad_request"));
     assert!(error.2.contains("50ms"), "{}", error.2);
 }
@@ -227,7 +223,7 @@
         .unwrap();
     let mut rest = Vec::new();
     let read = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut rest);
-    let closed = tokio::time::timeout(caller::PATIENCE, read).await;
+    let closed = tokio::time::timeout(caller::TEST_TIMEOUT, read).await;
 
     assert!(closed.is_ok(), "the server closes the connection");
 }
@@ -237,18 +233,21 @@
 /// many connections as it may. Cause: the refusal is written before anything
 /// was read, the key included, and said "not run" all the same.
 #[tokio::test]
-async fn tells_a_connection_above_the_limit() {
+async fn refuses_a_connection_above_the_limit() {
     let node = FakeNode::start(vec![]);
     let address = serve_with(&node, |server| server.max_connections(1)).await;
     let mut held = TcpStream::connect(address).await.unwrap();
-    let first_answer = keep_alive_exchange(&mut held).await;
-    assert!(first_answer.starts_with("HTTP/1.1 200"), "{first_answer}");
+    let first_response = keep_alive_exchange(&mut held).await;
+    assert!(
+        first_response.starts_with("HTTP/1.1 200"),
+        "{first_response}"
+    );
 
-    let answer = exchange(address, completion(r#"{"model":"plans","prompt":"a"}"#)).await;
+    let response = exchange(address, completion(r#"{"model":"plans","prompt":"a"}"#)).await;
 
-    let error = error_with_outcome(&answer, "unknown");
+    let error = error_with_outcome(&response, "unknown");
     assert_eq!((error.0, error.1.as_str()), (503, "instance_full"));
-    assert!(answer.contains("retry-after: 1\r\n"), "{answer}");
+    assert!(response.contains("retry-after: 1\r\n"), "{response}");
     drop(held);
 }
 
@@ -264,17 +263,17 @@
 }
 
 #[tokio::test]
-async fn passes_on_the_nodes_refusal() {
+async fn returns_the_refusal_of_the_node() {
     let node = FakeNode::start(vec![]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(r#"{"model":"plans","prompt":"a"}"#)).await;
+    let response = exchange(address, completion(r#"{"model":"plans","prompt":"a"}"#)).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (503, "no_endpoint"));
-    assert!(answer.contains("retry-after: 2\r\n"), "{answer}");
-    assert!(answer.contains("\"retry_after_ms\":1500"), "{answer}");
-    assert!(answer.contains("oriolemux-request: r-0000000000000001-0000000000000002-1\r\n"));
+    assert!(response.contains("retry-after: 2\r\n"), "{response}");
+    assert!(response.contains("\"retry_after_ms\":1500"), "{response}");
+    assert!(response.contains("oriolemux-request: r-0000000000000001-0000000000000002-1\r\n"));
 }
 
 /// Symptom: a caller repeats its order under the same key, hears "not run" and
@@ -285,7 +284,7 @@
 #[case::key("idempotency-key: order-7\r\n")]
 #[case::ticket("oriolemux-ticket: r-0000000000000001-0000000000000002-1\r\n")]
 #[tokio::test]
-async fn says_unknown_of_a_repeat_that_was_not_read(#[case] name: &str) {
+async fn unread_duplicate_request_has_unknown_outcome(#[case] name: &str) {
     let node = FakeNode::start(vec![]);
     let limit = Duration::from_millis(50);
     let address = serve_with(&node, |server| {
@@ -298,39 +297,39 @@
             "POST /v1/services/sale HTTP/1.1\r\nhost: o\r\n{KEY}{name}connection: close\r\n\
              content-length: {length}\r\n\r\none shirt"
         );
-        let answer = exchange(address, request).await;
+        let response = exchange(address, request).await;
 
-        error_with_outcome(&answer, "unknown");
+        error_with_outcome(&response, "unknown");
     }
 }
 
 /// Symptom, sequence and cause as above, but the instance's node has ended.
 #[tokio::test]
-async fn says_unknown_of_a_repeat_that_the_node_never_saw() {
+async fn duplicate_request_unseen_by_the_node_has_unknown_outcome() {
     let node = FakeNode::ended();
     let address = serve(&node).await;
 
     let headers = format!("{KEY}idempotency-key: order-7\r\n");
-    let answer = exchange(address, post("/v1/services/sale", &headers, "one shirt")).await;
-    let error = error_with_outcome(&answer, "unknown");
+    let response = exchange(address, post("/v1/services/sale", &headers, "one shirt")).await;
+    let error = error_with_outcome(&response, "unknown");
     assert_eq!(error.1, "stopping");
 
-    let answer = exchange(address, post("/v1/services/sale", KEY, "one shirt")).await;
-    assert_eq!(error_of(&answer).1, "stopping");
+    let response = exchange(address, post("/v1/services/sale", KEY, "one shirt")).await;
+    assert_eq!(error_of(&response).1, "stopping");
 }
 
 /// Symptom: a sale is answered with the outcome of a refund. Sequence: a
 /// caller uses one key for calls of two services with equal bodies. Cause: the
 /// hash that tells a repeat from a reuse covered the body alone.
 #[tokio::test]
-async fn one_body_for_two_entries_is_no_repeat() {
+async fn same_body_for_two_entries_is_no_duplicate() {
     let mut node = FakeNode::start(vec![]);
     let address = serve(&node).await;
 
     let mut hashes = Vec::new();
     for path in ["/v1/services/sale", "/v1/services/refund"] {
         exchange(address, post(path, KEY, "one shirt")).await;
-        let node::Told::Arrival(arrival) = node.told().await else {
+        let node::Received::Arrival(arrival) = node.received().await else {
             panic!("the node sees the request");
         };
         hashes.push(arrival.body_hash);
@@ -340,12 +339,12 @@
 }
 
 #[tokio::test]
-async fn says_that_a_path_does_not_exist() {
+async fn unknown_path_is_not_found() {
     let node = FakeNode::start(vec![]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, post("/v1/chat", KEY, "{}")).await;
+    let response = exchange(address, post("/v1/chat", KEY, "{}")).await;
 
-    let error = error_of(&answer);
+    let error = error_of(&response);
     assert_eq!((error.0, error.1.as_str()), (404, "bad_request"));
 }
--- a/crates/oriolemux/tests/callers_leaving.rs
+++ b/crates/oriolemux/tests/callers_leaving.rs
@@ -7,9 +7,9 @@
 #[path = "relay_support/node.rs"]
 mod node;
 
-use caller::{PATIENCE, completion, serve, serve_with};
-use endpoint::{Answer, FakeEndpoint, Then, stream_head, token, whole};
-use node::{Decision, FakeNode, Told, attempt_id, plan};
+use caller::{TEST_TIMEOUT, completion, serve, serve_with};
+use endpoint::{FakeEndpoint, ScriptedResponse, Then, full_response, stream_head, token};
+use node::{Decision, FakeNode, Received, attempt_id, plan};
 use rstest::rstest;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -17,10 +17,10 @@
 use tokio::time::timeout;
 
 const STREAM: &str = r#"{"model":"plans","prompt":"Draft a plan","stream":true}"#;
-const WHOLE: &str = r#"{"model":"plans","prompt":"Draft a plan"}"#;
+const FULL: &str = r#"{"model":"plans","prompt":"Draft a plan"}"#;
 
 async fn wait_for_caller_gone(node: &mut FakeNode) {
-    while !matches!(node.told().await, Told::CallerGone) {}
+    while !matches!(node.received().await, Received::CallerGone) {}
 }
 
 /// Symptom: engines were full of generations that nobody read.
@@ -28,14 +28,14 @@
 /// Cause: a caller that leaves is seen only when the next write fails.
 #[rstest]
 #[case::streamed(STREAM)]
-#[case::as_one_object(WHOLE)]
+#[case::as_one_object(FULL)]
 #[tokio::test]
-async fn cancels_the_generation_of_a_caller_that_leaves(#[case] request: &str) {
-    let one_token = Answer {
+async fn cancels_the_generation_when_the_caller_disconnects(#[case] request: &str) {
+    let one_token = ScriptedResponse {
         bytes: (stream_head() + &token(&attempt_id(1), 0, "one")).into_bytes(),
         then: Then::Hang,
     };
-    let gone = whole("204 No Content", "", "");
+    let gone = full_response("204 No Content", "", "");
     let mut endpoint = FakeEndpoint::start(vec![one_token, gone]).await;
     let mut node = FakeNode::start(vec![Decision::Dispatch(plan(endpoint.address))]);
     let address = serve(&node).await;
@@ -48,10 +48,10 @@
     endpoint.request().await;
     drop(caller);
 
-    let cancel = timeout(PATIENCE, endpoint.request()).await.unwrap();
+    let cancel = timeout(TEST_TIMEOUT, endpoint.request()).await.unwrap();
     let expected = format!("DELETE /v1/completions/{} HTTP/1.1\r\n", attempt_id(1));
     assert!(cancel.starts_with(&expected), "{cancel}");
-    timeout(PATIENCE, wait_for_caller_gone(&mut node))
+    timeout(TEST_TIMEOUT, wait_for_caller_gone(&mut node))
         .await
         .unwrap();
 }
@@ -61,16 +61,16 @@
 /// was sent.
 /// Cause: a cancellation that was lost with its connection was not sent again.
 #[tokio::test]
-async fn cancels_again_if_the_connection_was_closed() {
-    let one_token = Answer {
+async fn retries_the_cancellation_if_the_connection_was_closed() {
+    let one_token = ScriptedResponse {
         bytes: (stream_head() + &token(&attempt_id(1), 0, "one")).into_bytes(),
         then: Then::Hang,
     };
-    let closed = Answer {
+    let closed = ScriptedResponse {
         bytes: Vec::new(),
         then: Then::Close,
     };
-    let gone = whole("204 No Content", "", "");
+    let gone = full_response("204 No Content", "", "");
     let mut endpoint = FakeEndpoint::start(vec![one_token, closed, gone]).await;
     let node = FakeNode::start(vec![Decision::Dispatch(plan(endpoint.address))]);
     let address = serve(&node).await;
@@ -82,7 +82,7 @@
     drop(caller);
 
     for _ in 0..2 {
-        let cancel = timeout(PATIENCE, endpoint.request()).await.unwrap();
+        let cancel = timeout(TEST_TIMEOUT, endpoint.request()).await.unwrap();
         assert!(cancel.starts_with("DELETE "), "{cancel}");
     }
 }
@@ -98,18 +98,18 @@
 
     let mut caller = TcpStream::connect(address).await.unwrap();
     caller.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = Vec::new();
-    let end = timeout(PATIENCE, caller.read_to_end(&mut answer)).await;
+    let mut response = Vec::new();
+    let end = timeout(TEST_TIMEOUT, caller.read_to_end(&mut response)).await;
 
     assert!(end.is_ok(), "the connection is closed");
-    assert_eq!(answer.starts_with(b"HTTP/1.1 200"), !request.is_empty());
+    assert_eq!(response.starts_with(b"HTTP/1.1 200"), !request.is_empty());
 }
 
 /// Symptom: callers of long queues lost their place.
 /// Sequence: a request waited longer than a connection may be idle.
 /// Cause: a connection without bytes was taken for one without a request.
 #[tokio::test]
-async fn keeps_a_silent_connection_whose_request_waits() {
+async fn keeps_an_idle_connection_with_a_pending_request() {
     let mut node = FakeNode::start(vec![Decision::Wait]);
     let limit = Duration::from_millis(20);
     let address = serve_with(&node, |server| server.idle_timeout(limit)).await;
@@ -117,7 +117,7 @@
     let mut caller = TcpStream::connect(address).await.unwrap();
     let request = completion(STREAM);
     caller.write_all(request.as_bytes()).await.unwrap();
-    assert!(matches!(node.told().await, Told::Arrival(_)));
+    assert!(matches!(node.received().await, Received::Arrival(_)));
     let mut byte = [0; 1];
     let read = timeout(limit * 10, caller.read(&mut byte)).await;
 
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn tells_the_node_of_a_caller_that_leaves_the_queue() {
+async fn reports_a_queued_caller_that_disconnects() {
     let mut node = FakeNode::start(vec![Decision::Wait]);
     let address = serve(&node).await;
 
@@ -134,10 +134,10 @@
         .write_all(completion(STREAM).as_bytes())
         .await
         .unwrap();
-    assert!(matches!(node.told().await, Told::Arrival(_)));
+    assert!(matches!(node.received().await, Received::Arrival(_)));
     drop(caller);
 
-    timeout(PATIENCE, wait_for_caller_gone(&mut node))
+    timeout(TEST_TIMEOUT, wait_for_caller_gone(&mut node))
         .await
         .unwrap();
 }
@@ -162,11 +162,11 @@
 /// Sequence: callers stopped reading; their engines went on generating.
 /// Cause: tokens were taken from the endpoint faster than the caller took them.
 #[tokio::test]
-async fn holds_the_endpoint_back_when_the_caller_does_not_read() {
+async fn applies_backpressure_when_the_caller_does_not_read() {
     const MOST: usize = 64 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut plan = plan(listener.local_addr().unwrap());
-    plan.stall_limit = PATIENCE;
+    plan.stall_limit = TEST_TIMEOUT;
     let node = FakeNode::start(vec![Decision::Dispatch(plan)]);
     let address = serve(&node).await;
 
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn gives_up_on_a_caller_that_reads_nothing() {
+async fn disconnects_a_caller_that_reads_nothing() {
     const MOST: usize = 64 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut node = FakeNode::start(vec![Decision::Dispatch(plan(
@@ -202,15 +202,15 @@
         (endpoint, sent)
     });
 
-    timeout(PATIENCE, wait_for_caller_gone(&mut node))
+    timeout(TEST_TIMEOUT, wait_for_caller_gone(&mut node))
         .await
         .unwrap();
     sending.abort();
     let mut rest = Vec::new();
-    let end = timeout(PATIENCE, caller.read_to_end(&mut rest)).await;
+    let end = timeout(TEST_TIMEOUT, caller.read_to_end(&mut rest)).await;
     assert!(end.is_ok(), "the connection is closed");
     assert!(
         !rest.ends_with(b"0\r\n\r\n"),
-        "a cut answer does not look whole"
+        "a cut response does not look whole"
     );
 }
--- a/crates/oriolemux/tests/callers_lists.rs
+++ b/crates/oriolemux/tests/callers_lists.rs
@@ -16,10 +16,10 @@
     let address = serve(&node).await;
 
     let request = format!("GET /v1/models HTTP/1.1\r\nhost: o\r\n{KEY}connection: close\r\n\r\n");
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
     assert_eq!(
-        body(&answer),
+        body(&response),
         r#"{"object":"list","data":[{"id":"plans","object":"model"},{"id":"verdicts","object":"model"}]}"#
     );
 }
@@ -30,9 +30,9 @@
     let address = serve(&node).await;
 
     let request = "GET /v1/models HTTP/1.1\r\nhost: o\r\nconnection: close\r\n\r\n";
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 401"), "{response}");
 }
 
 #[tokio::test]
@@ -40,10 +40,10 @@
     let node = FakeNode::start(vec![]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, post("/v1/tickets", KEY, "")).await;
+    let response = exchange(address, post("/v1/tickets", KEY, "")).await;
 
     assert_eq!(
-        body(&answer),
+        body(&response),
         r#"{"ticket":"r-0000000000000001-0000000000000002-1"}"#
     );
 }
--- a/crates/oriolemux/tests/callers_once.rs
+++ b/crates/oriolemux/tests/callers_once.rs
@@ -9,8 +9,8 @@
 mod node;
 
 use caller::{exchange, post, serve};
-use endpoint::{Answer, FakeEndpoint, Then, whole};
-use node::{Decision, FakeNode, Plan, Told, plan};
+use endpoint::{FakeEndpoint, ScriptedResponse, Then, full_response};
+use node::{Decision, FakeNode, Plan, Received, plan};
 use oriolemux_core::event::{AttemptUpdate, DeliveryMode};
 use oriolemux_core::outcome::Ran;
 use oriolemux_core::{Reason, Verdict};
@@ -29,8 +29,8 @@
 }
 
 /// What an endpoint does that read a request and closes without an answer.
-fn closed() -> Answer {
-    Answer {
+fn closed() -> ScriptedResponse {
+    ScriptedResponse {
         bytes: Vec::new(),
         then: Then::Close,
     }
@@ -57,7 +57,7 @@
     #[values(false, true)] kept_alive: bool,
 ) {
     let refusal = r#"{"error":{"reason":"busy","outcome":"not_run"}}"#;
-    let refused = whole("429 Too Many Requests", "", refusal);
+    let refused = full_response("429 Too Many Requests", "", refusal);
     let mut script = vec![closed(); 8];
     if kept_alive {
         script.insert(0, refused);
@@ -75,9 +75,9 @@
     let mut node = FakeNode::start(decisions);
     let address = serve(&node).await;
 
-    let answer = exchange(address, post(path, KEY, body)).await;
+    let response = exchange(address, post(path, KEY, body)).await;
 
-    assert!(answer.contains("\"outcome\":\"unknown\""), "{answer}");
+    assert!(response.contains("\"outcome\":\"unknown\""), "{response}");
     let mut update = node.last_update().await;
     if kept_alive {
         assert!(
@@ -120,7 +120,7 @@
 
     exchange(address, post("/v1/services/sale", KEY, "one shirt")).await;
 
-    assert!(matches!(node.told().await, Told::Arrival(_)));
+    assert!(matches!(node.received().await, Received::Arrival(_)));
     node.last_update().await;
     let second = node.last_update().await;
     assert!(
--- a/crates/oriolemux/tests/callers_services.rs
+++ b/crates/oriolemux/tests/callers_services.rs
@@ -8,8 +8,8 @@
 mod node;
 
 use caller::{body, exchange, post, serve};
-use endpoint::{Answer, FakeEndpoint, Then, whole};
-use node::{Decision, FakeNode, Plan, Told, attempt_id, plan};
+use endpoint::{FakeEndpoint, ScriptedResponse, Then, full_response};
+use node::{Decision, FakeNode, Plan, Received, attempt_id, plan};
 use oriolemux_core::event::{AttemptUpdate, DeliveryMode, Work};
 use oriolemux_core::outcome::Ran;
 use oriolemux_core::{Reason, Verdict};
@@ -27,29 +27,32 @@
     }
 }
 
-fn answer_of(attempt: &str) -> Answer {
+fn response_of(attempt: &str) -> ScriptedResponse {
     let headers = format!("content-type: text/csv\r\nx-attempt-id: {attempt}\r\n");
-    whole("200 OK", &headers, "lot,7\n")
+    full_response("200 OK", &headers, "lot,7\n")
 }
 
 #[tokio::test]
-async fn hands_on_a_service_answer() {
-    let mut endpoint = FakeEndpoint::start(vec![answer_of(&attempt_id(1))]).await;
+async fn forwards_a_service_response() {
+    let mut endpoint = FakeEndpoint::start(vec![response_of(&attempt_id(1))]).await;
     let mut node = FakeNode::start(vec![Decision::Dispatch(call_plan(&endpoint))]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, post("/v1/services/stock", HEADERS, "lot 7")).await;
+    let response = exchange(address, post("/v1/services/stock", HEADERS, "lot 7")).await;
 
-    assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
-    assert!(answer.contains("content-type: text/csv\r\n"), "{answer}");
-    assert_eq!(body(&answer), "lot,7\n");
+    assert!(response.starts_with("HTTP/1.1 200 OK\r\n"), "{response}");
+    assert!(
+        response.contains("content-type: text/csv\r\n"),
+        "{response}"
+    );
+    assert_eq!(body(&response), "lot,7\n");
     let call = endpoint.request().await;
     assert!(call.starts_with("POST /v1/call HTTP/1.1\r\n"), "{call}");
     assert!(call.contains("x-request-id: r-0000000000000001-0000000000000002-1\r\n"));
     assert!(call.contains(&format!("x-attempt-id: {}\r\n", attempt_id(1))));
     assert!(call.contains("content-type: text/plain\r\n"));
     assert!(call.ends_with("\r\n\r\nlot 7"), "{call}");
-    let Told::Arrival(arrival) = node.told().await else {
+    let Received::Arrival(arrival) = node.received().await else {
         panic!("an arrival");
     };
     assert_eq!(arrival.entry, "stock");
@@ -61,10 +64,10 @@
 /// Sequence: a service mixed up two answers.
 /// Cause: an answer was believed because of the connection it came on.
 #[rstest]
-#[case::another(answer_of("r-1-2-9.1"))]
-#[case::none(whole("200 OK", "", "lot,9\n"))]
+#[case::another(response_of("r-1-2-9.1"))]
+#[case::none(full_response("200 OK", "", "lot,9\n"))]
 #[tokio::test]
-async fn does_not_hand_on_an_answer_to_another_call(#[case] crossed: Answer) {
+async fn does_not_forward_a_response_to_another_call(#[case] crossed: ScriptedResponse) {
     let endpoint = FakeEndpoint::start(vec![crossed]).await;
     let script = vec![
         Decision::Dispatch(call_plan(&endpoint)),
@@ -73,14 +76,14 @@
     let mut node = FakeNode::start(script);
     let address = serve(&node).await;
 
-    let answer = exchange(address, post("/v1/services/stock", HEADERS, "lot 7")).await;
+    let response = exchange(address, post("/v1/services/stock", HEADERS, "lot 7")).await;
 
-    assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 502"), "{response}");
     assert!(
-        body(&answer).contains("\"outcome\":\"unknown\""),
-        "{answer}"
+        body(&response).contains("\"outcome\":\"unknown\""),
+        "{response}"
     );
-    assert!(!body(&answer).contains("lot"), "{answer}");
+    assert!(!body(&response).contains("lot"), "{response}");
     let failed = AttemptUpdate::Failed {
         reason: Reason::WrongAttempt,
         ran: Ran::Maybe,
@@ -91,9 +94,9 @@
 }
 
 #[tokio::test]
-async fn does_not_hand_on_half_an_answer() {
+async fn does_not_forward_a_truncated_response() {
     let attempt = attempt_id(1);
-    let half = Answer {
+    let half = ScriptedResponse {
         bytes: format!(
             "HTTP/1.1 200 OK\r\nx-attempt-id: {attempt}\r\ncontent-length: 9\r\n\r\nlot"
         )
@@ -108,11 +111,11 @@
     let mut node = FakeNode::start(script);
     let address = serve(&node).await;
 
-    let answer = exchange(address, post("/v1/services/stock", HEADERS, "lot 7")).await;
+    let response = exchange(address, post("/v1/services/stock", HEADERS, "lot 7")).await;
 
     assert!(
-        body(&answer).contains("\"outcome\":\"unknown\""),
-        "{answer}"
+        body(&response).contains("\"outcome\":\"unknown\""),
+        "{response}"
     );
     let failed = AttemptUpdate::Failed {
         reason: Reason::ConnectionLost,
@@ -124,12 +127,12 @@
 }
 
 #[tokio::test]
-async fn takes_a_call_without_a_body() {
-    let endpoint = FakeEndpoint::start(vec![answer_of(&attempt_id(1))]).await;
+async fn accepts_a_call_without_a_body() {
+    let endpoint = FakeEndpoint::start(vec![response_of(&attempt_id(1))]).await;
     let node = FakeNode::start(vec![Decision::Dispatch(call_plan(&endpoint))]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, post("/v1/services/stock", HEADERS, "")).await;
+    let response = exchange(address, post("/v1/services/stock", HEADERS, "")).await;
 
-    assert_eq!(body(&answer), "lot,7\n");
+    assert_eq!(body(&response), "lot,7\n");
 }
--- a/crates/oriolemux/tests/callers_thin.rs
+++ b/crates/oriolemux/tests/callers_thin.rs
@@ -23,9 +23,9 @@
     let address = serve(&node).await;
 
     let request = completion(r#"{"model":"plans","prompt":"Draft a plan","stream":true}"#);
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 200 OK\r\n"), "{response}");
     let request = "r-0000000000000001-0000000000000002-1";
     let chunk = |text: &str, index: u32| {
         format!(
@@ -41,7 +41,7 @@
          data: [DONE]\n\n"
     );
     let expected = chunk("It", 0) + &chunk(" é \\\"is\\\"", 1) + &end;
-    assert_eq!(body(&answer), expected);
+    assert_eq!(body(&response), expected);
     let sent = endpoint.request().await;
     assert!(
         sent.starts_with("POST /v1/completions HTTP/1.1\r\n"),
@@ -55,18 +55,18 @@
 }
 
 #[tokio::test]
-async fn answers_a_generation_as_one_object() {
+async fn returns_a_generation_as_one_object() {
     let endpoint =
         FakeEndpoint::start(vec![stream(&generation(&attempt_id(1), &["It", " is"]))]).await;
     let node = FakeNode::start(vec![Decision::Dispatch(plan(endpoint.address))]);
     let address = serve(&node).await;
 
     let request = completion(r#"{"model":"plans","prompt":"Draft a plan"}"#);
-    let answer = exchange(address, request).await;
+    let response = exchange(address, request).await;
 
-    assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 200 OK\r\n"), "{response}");
     assert_eq!(
-        body(&answer),
+        body(&response),
         "{\"id\":\"r-0000000000000001-0000000000000002-1\",\"object\":\"text_completion\",\
          \"model\":\"plans\",\"choices\":[{\"index\":0,\"text\":\"It is\",\"finish_reason\":\"stop\"}],\
          \"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2,\"total_tokens\":5}}"
--- a/crates/oriolemux/tests/endpoints_guard.rs
+++ b/crates/oriolemux/tests/endpoints_guard.rs
@@ -4,12 +4,12 @@
 use oriolemux::endpoints::send_guard::{Expired, SendGuard};
 use oriolemux_core::Time;
 
-/// Symptom: a request is told "not run" and runs. Sequence: the wait for an
+/// Symptom: a request is received "not run" and runs. Sequence: the wait for an
 /// endpoint's connection ends; at that moment the connection stands and asks
 /// for the body. Cause: the guard was read and not closed, so that the body
 /// left after "not run" was said.
 #[test]
-fn a_send_that_was_given_up_never_leaves() {
+fn cancelled_body_is_never_sent() {
     let guard = SendGuard::new(Clock::start(), Time::NEVER);
 
     let left = guard.give_up();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_body_that_was_handed_over_stays_so() {
+fn handed_over_body_stays_handed_over() {
     let guard = SendGuard::new(Clock::start(), Time::NEVER);
 
     guard.hand_over().expect("in time");
--- a/crates/oriolemux/tests/endpoints_polls.rs
+++ b/crates/oriolemux/tests/endpoints_polls.rs
@@ -3,7 +3,7 @@
 #[path = "relay_support/endpoint.rs"]
 mod endpoint;
 
-use endpoint::{Answer, FakeEndpoint, Then, whole};
+use endpoint::{FakeEndpoint, ScriptedResponse, Then, full_response};
 use oriolemux::callers::port::{Clock, NodeInput, NodePort, RequestIds};
 use oriolemux::endpoints::polls::POLLS_PER_CACHE;
 use oriolemux::endpoints::{HttpProtocol, HttpSettings, Polls};
@@ -27,10 +27,10 @@
 }
 
 fn fixture() -> Fixture {
-    patient_fixture(Duration::from_millis(300))
+    fixture_with_timeout(Duration::from_millis(300))
 }
 
-fn patient_fixture(control_timeout: Duration) -> Fixture {
+fn fixture_with_timeout(control_timeout: Duration) -> Fixture {
     let clock = Clock::start();
     let settings = HttpSettings {
         control_timeout,
@@ -72,18 +72,18 @@
     }
 }
 
-fn json(body: &str) -> Answer {
-    whole("200 OK", "content-type: application/json\r\n", body)
+fn json(body: &str) -> ScriptedResponse {
+    full_response("200 OK", "content-type: application/json\r\n", body)
 }
 
-fn cache(next: u64, gap: bool, stored: &str) -> Answer {
+fn cache(next: u64, gap: bool, stored: &str) -> ScriptedResponse {
     json(&format!(
         r#"{{"next":{next},"gap":{gap},"stored":[{stored}],"evicted":[]}}"#
     ))
 }
 
 /// Returns what an endpoint answers from one ask for cache events to the next.
-fn two_cache_answers(first: Answer, second: Answer) -> Vec<Answer> {
+fn two_cache_responses(first: ScriptedResponse, second: ScriptedResponse) -> Vec<ScriptedResponse> {
     let mut script = vec![json(LOAD), first];
     script.extend((0..POLLS_PER_CACHE).map(|_| json(LOAD)));
     script.push(second);
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn tells_load_and_cache_events() {
+async fn reports_load_and_cache_events() {
     let endpoint = FakeEndpoint::start(vec![json(LOAD), cache(7, false, "1,2")]).await;
 
     let events = fixture().poll(&endpoint).await;
@@ -105,8 +105,8 @@
 }
 
 #[tokio::test]
-async fn asks_for_cache_events_after_the_last_ones() {
-    let script = two_cache_answers(cache(7, false, "1"), cache(7, false, ""));
+async fn requests_cache_events_after_the_last_batch() {
+    let script = two_cache_responses(cache(7, false, "1"), cache(7, false, ""));
     let mut endpoint = FakeEndpoint::start(script).await;
     let mut fixture = fixture();
 
@@ -137,8 +137,8 @@
 /// Sequence: the endpoint restarted with an empty cache and counted from 0.
 /// Cause: a number that fell back was not taken for a gap.
 #[tokio::test]
-async fn takes_a_number_that_fell_back_for_a_gap() {
-    let script = two_cache_answers(cache(70, false, "1"), cache(2, false, "5"));
+async fn lower_sequence_number_is_a_gap() {
+    let script = two_cache_responses(cache(70, false, "1"), cache(2, false, "5"));
     let endpoint = FakeEndpoint::start(script).await;
     let mut fixture = fixture();
 
@@ -155,13 +155,13 @@
 
 #[rstest]
 #[case::garbage(json("busy"))]
-#[case::status(whole("500 Internal Server Error", "", LOAD))]
-#[case::closed(Answer { bytes: Vec::new(), then: Then::Close })]
-#[case::silent(Answer { bytes: Vec::new(), then: Then::Hang })]
-#[case::endless(Answer { bytes: [&b"HTTP/1.1 200 OK\r\n\r\n"[..], &[b' '; 2 << 20]].concat(), then: Then::Hang })]
+#[case::status(full_response("500 Internal Server Error", "", LOAD))]
+#[case::closed(ScriptedResponse { bytes: Vec::new(), then: Then::Close })]
+#[case::silent(ScriptedResponse { bytes: Vec::new(), then: Then::Hang })]
+#[case::endless(ScriptedResponse { bytes: [&b"HTTP/1.1 200 OK\r\n\r\n"[..], &[b' '; 2 << 20]].concat(), then: Then::Hang })]
 #[tokio::test]
-async fn tells_that_the_load_could_not_be_read(#[case] answer: Answer) {
-    let endpoint = FakeEndpoint::start(vec![answer]).await;
+async fn reports_that_the_load_is_unreadable(#[case] response: ScriptedResponse) {
+    let endpoint = FakeEndpoint::start(vec![response]).await;
 
     let events = fixture().poll(&endpoint).await;
 
@@ -172,14 +172,17 @@
 }
 
 #[rstest]
-#[case::accepted(whole("202 Accepted", "", ""), OrderResult::Accepted)]
-#[case::fenced(whole("409 Conflict", "", r#"{"highest":12}"#), OrderResult::Fenced { highest: 12 })]
-#[case::conflict_without_number(whole("409 Conflict", "", ""), OrderResult::Failed)]
-#[case::failed(whole("500 Internal Server Error", "", ""), OrderResult::Failed)]
-#[case::lost(Answer { bytes: Vec::new(), then: Then::Close }, OrderResult::Failed)]
+#[case::accepted(full_response("202 Accepted", "", ""), OrderResult::Accepted)]
+#[case::fenced(full_response("409 Conflict", "", r#"{"highest":12}"#), OrderResult::Fenced { highest: 12 })]
+#[case::conflict_without_number(full_response("409 Conflict", "", ""), OrderResult::Failed)]
+#[case::failed(
+    full_response("500 Internal Server Error", "", ""),
+    OrderResult::Failed
+)]
+#[case::lost(ScriptedResponse { bytes: Vec::new(), then: Then::Close }, OrderResult::Failed)]
 #[tokio::test]
-async fn gives_an_order(#[case] answer: Answer, #[case] expected: OrderResult) {
-    let mut endpoint = FakeEndpoint::start(vec![answer]).await;
+async fn sends_an_order(#[case] response: ScriptedResponse, #[case] expected: OrderResult) {
+    let mut endpoint = FakeEndpoint::start(vec![response]).await;
     let mut fixture = fixture();
     let kind = OrderKind::Load {
         model: "wren-7b".to_owned(),
@@ -214,7 +217,7 @@
 /// Sequence: the old home decided, was paused, lost its lease, woke and sent.
 /// Cause: the lease was not checked again right before the send.
 #[tokio::test]
-async fn gives_no_order_after_its_time() {
+async fn sends_no_order_after_its_deadline() {
     let mut endpoint = FakeEndpoint::start(vec![]).await;
     let mut fixture = fixture();
     let kind = OrderKind::Role {
@@ -241,7 +244,7 @@
 /// Cause: the time was checked before the connection was made, not when the
 /// order left.
 #[tokio::test]
-async fn gives_no_order_on_a_connection_that_stood_too_late() {
+async fn sends_no_order_on_a_connection_established_too_late() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap();
@@ -250,7 +253,7 @@
         .map(|_| tokio::spawn(TcpStream::connect(address)))
         .collect();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let mut fixture = patient_fixture(Duration::from_secs(10));
+    let mut fixture = fixture_with_timeout(Duration::from_secs(10));
     let at = EndpointTarget {
         key: EndpointKey::of("full"),
         name: "full".to_owned(),
@@ -266,23 +269,23 @@
 
     let accepting = async {
         tokio::time::sleep(Duration::from_millis(600)).await;
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         while let Ok(Ok((mut stream, _))) =
             tokio::time::timeout(Duration::from_secs(3), listener.accept()).await
         {
             let mut buf = [0; 4096];
             let read = tokio::time::timeout(Duration::from_millis(500), stream.read(&mut buf));
             if let Ok(Ok(n)) = read.await {
-                heard.extend_from_slice(&buf[..n]);
+                received.extend_from_slice(&buf[..n]);
             }
         }
-        String::from_utf8_lossy(&heard).into_owned()
+        String::from_utf8_lossy(&received).into_owned()
     };
-    let (given, heard) = tokio::join!(given, accepting);
+    let (given, received) = tokio::join!(given, accepting);
 
     given.unwrap();
     drop(fillers);
-    assert!(!heard.contains("fencing"), "{heard}");
+    assert!(!received.contains("fencing"), "{received}");
     let events = fixture.events();
     let [Event::OrderDone { result, .. }] = &events[..] else {
         panic!("the end of the order, not {events:?}");
--- a/crates/oriolemux/tests/endpoints_send.rs
+++ b/crates/oriolemux/tests/endpoints_send.rs
@@ -5,12 +5,12 @@
 #[path = "relay_support/node.rs"]
 mod node;
 
-use endpoint::{Answer, FakeEndpoint, Then, stream, whole};
+use endpoint::{FakeEndpoint, ScriptedResponse, Then, full_response, stream};
 use node::{dispatch, plan};
 use oriolemux::callers::port::Clock;
 use oriolemux::endpoints::{
-    AnswerBody, CallBody, CompletionBody, EndpointFailure, EndpointProtocol, HttpProtocol,
-    HttpSettings, WorkBody,
+    CallBody, CompletionBody, EndpointFailure, EndpointProtocol, HttpProtocol, HttpSettings,
+    ResponseBody, WorkBody,
 };
 use oriolemux_core::event::Dispatch;
 use oriolemux_core::{AttemptId, Incarnation, InstanceKey, Reason, RequestId, Time};
@@ -45,19 +45,19 @@
     })
 }
 
-fn unrepeatable(address: SocketAddr, seq: u64) -> Dispatch {
+fn non_idempotent(address: SocketAddr, seq: u64) -> Dispatch {
     let mut dispatch = dispatch(attempt(seq), plan(address));
     dispatch.idempotent = false;
     dispatch
 }
 
 async fn failure(protocol: &HttpProtocol, dispatch: &Dispatch, work: &WorkBody) -> EndpointFailure {
-    let answer = protocol.start(dispatch, work).await;
-    answer.map(|_| ()).expect_err("no answer")
+    let response = protocol.start(dispatch, work).await;
+    response.map(|_| ()).expect_err("no response")
 }
 
 /// Reads an answer to its end, so that its connection may be kept.
-async fn read_all<B: AnswerBody>(mut body: B) {
+async fn read_all<B: ResponseBody>(mut body: B) {
     while let Ok(Some(_)) = body.chunk().await {}
 }
 
@@ -67,19 +67,19 @@
 /// Cause: HTTP clients send a request again by themselves when a reused
 /// connection turns out to be closed.
 #[tokio::test]
-async fn never_sends_unrepeatable_work_again_by_itself() {
-    let kept = whole("200 OK", "x-attempt-id: a\r\n", "1 shirt");
-    let closed = Answer {
+async fn never_resends_non_idempotent_work() {
+    let kept = full_response("200 OK", "x-attempt-id: a\r\n", "1 shirt");
+    let closed = ScriptedResponse {
         bytes: Vec::new(),
         then: Then::Close,
     };
     let mut endpoint = FakeEndpoint::start(vec![kept, closed.clone(), closed]).await;
     let protocol = protocol();
 
-    let first = unrepeatable(endpoint.address, 1);
-    let answer = protocol.start(&first, &call(b"lot 7")).await.unwrap();
-    read_all(answer.body).await;
-    let second = unrepeatable(endpoint.address, 2);
+    let first = non_idempotent(endpoint.address, 1);
+    let response = protocol.start(&first, &call(b"lot 7")).await.unwrap();
+    read_all(response.body).await;
+    let second = non_idempotent(endpoint.address, 2);
     let failure = failure(&protocol, &second, &call(b"lot 8")).await;
 
     assert_eq!(failure, EndpointFailure::Broken(Reason::ConnectionLost));
@@ -92,9 +92,9 @@
 /// The same for work that may be repeated: a second send is a retry, and
 /// retries are counted, budgeted and decided by the node.
 #[tokio::test]
-async fn never_sends_repeatable_work_again_once_it_was_read() {
-    let kept = whole("200 OK", "content-type: text/event-stream\r\n", "");
-    let closed = Answer {
+async fn never_resends_idempotent_work_that_was_read() {
+    let kept = full_response("200 OK", "content-type: text/event-stream\r\n", "");
+    let closed = ScriptedResponse {
         bytes: Vec::new(),
         then: Then::Close,
     };
@@ -102,8 +102,8 @@
     let protocol = protocol();
 
     let first = dispatch(attempt(1), plan(endpoint.address));
-    let answer = protocol.start(&first, &completion()).await.unwrap();
-    read_all(answer.body).await;
+    let response = protocol.start(&first, &completion()).await.unwrap();
+    read_all(response.body).await;
     let second = dispatch(attempt(2), plan(endpoint.address));
     let failure = failure(&protocol, &second, &completion()).await;
 
@@ -118,10 +118,10 @@
 /// Cause: HTTP clients send a request again to where a redirect points.
 #[tokio::test]
 async fn does_not_follow_redirects() {
-    let moved = whole("307 Temporary Redirect", "location: /v1/other\r\n", "");
+    let moved = full_response("307 Temporary Redirect", "location: /v1/other\r\n", "");
     let mut endpoint = FakeEndpoint::start(vec![moved]).await;
 
-    let dispatch = unrepeatable(endpoint.address, 1);
+    let dispatch = non_idempotent(endpoint.address, 1);
     let failure = failure(&protocol(), &dispatch, &call(b"lot 7")).await;
 
     assert_eq!(failure, EndpointFailure::Broken(Reason::EndpointError));
@@ -136,10 +136,10 @@
 #[case::a_body(&b"lot 7"[..])]
 #[case::an_empty_body(&b""[..])]
 #[tokio::test]
-async fn sends_nothing_after_its_time(#[case] body: &'static [u8]) {
+async fn sends_nothing_after_the_deadline(#[case] body: &'static [u8]) {
     let mut endpoint = FakeEndpoint::start(vec![]).await;
 
-    let mut dispatch = unrepeatable(endpoint.address, 1);
+    let mut dispatch = non_idempotent(endpoint.address, 1);
     dispatch.send_before = Time::ZERO;
     let failure = failure(&protocol(), &dispatch, &call(body)).await;
 
@@ -148,25 +148,25 @@
 }
 
 #[tokio::test]
-async fn says_that_no_connection_stood() {
+async fn reports_a_failed_connection() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
 
-    let failure = failure(&protocol(), &unrepeatable(address, 1), &call(b"lot 7")).await;
+    let failure = failure(&protocol(), &non_idempotent(address, 1), &call(b"lot 7")).await;
 
     assert_eq!(failure, EndpointFailure::NotConnected);
 }
 
 #[tokio::test]
-async fn says_nothing_about_a_request_that_is_not_answered() {
-    let hang = Answer {
+async fn missing_response_has_unknown_outcome() {
+    let hang = ScriptedResponse {
         bytes: Vec::new(),
         then: Then::Hang,
     };
     let endpoint = FakeEndpoint::start(vec![hang]).await;
 
-    let mut dispatch = unrepeatable(endpoint.address, 1);
+    let mut dispatch = non_idempotent(endpoint.address, 1);
     dispatch.stall_limit = Duration::from_millis(100);
     let failure = failure(&protocol(), &dispatch, &call(b"lot 7")).await;
 
@@ -195,14 +195,15 @@
     Reason::EndpointNotLoaded
 )]
 #[tokio::test]
-async fn believes_a_definite_refusal(
+async fn accepts_a_definite_refusal(
     #[case] status: &str,
     #[case] body: &str,
     #[case] reason: Reason,
 ) {
-    let endpoint = FakeEndpoint::start(vec![whole(status, "retry-after: 3\r\n", body)]).await;
+    let endpoint =
+        FakeEndpoint::start(vec![full_response(status, "retry-after: 3\r\n", body)]).await;
 
-    let dispatch = unrepeatable(endpoint.address, 1);
+    let dispatch = non_idempotent(endpoint.address, 1);
     let EndpointFailure::Refused(refusal) = failure(&protocol(), &dispatch, &completion()).await
     else {
         panic!("a refusal");
@@ -212,7 +213,7 @@
     assert_eq!(refusal.retry_after(), Some(Duration::from_secs(3)));
 }
 
-/// Symptom: a caller was told "not run" about work that had run.
+/// Symptom: a caller was received "not run" about work that had run.
 /// Sequence: the engine crashed after it had run the work; what stood before it
 /// answered 503 in its place.
 /// Cause: the status alone was taken for a refusal.
@@ -228,17 +229,17 @@
     r#"{"error":{"reason":"busy","outcome":"not_run"}}"#
 )]
 #[tokio::test]
-async fn does_not_believe_a_status_alone(#[case] status: &str, #[case] body: &str) {
-    let endpoint = FakeEndpoint::start(vec![whole(status, "", body)]).await;
+async fn does_not_trust_a_status_alone(#[case] status: &str, #[case] body: &str) {
+    let endpoint = FakeEndpoint::start(vec![full_response(status, "", body)]).await;
 
-    let dispatch = unrepeatable(endpoint.address, 1);
+    let dispatch = non_idempotent(endpoint.address, 1);
     let failure = failure(&protocol(), &dispatch, &completion()).await;
 
     assert_eq!(failure, EndpointFailure::Broken(Reason::EndpointError));
 }
 
 #[tokio::test]
-async fn sends_what_the_engine_needs() {
+async fn sends_the_fields_of_a_completion() {
     let mut endpoint = FakeEndpoint::start(vec![stream("")]).await;
     let mut dispatch = dispatch(attempt(1), plan(endpoint.address));
     dispatch.adapter = Some("islands".to_owned());
@@ -259,7 +260,7 @@
 /// Symptom: a request that ends its endpoint is sent to the next one. Sequence: the connection ends
 /// with the process. Cause: that looked like an answer that was lost.
 #[tokio::test]
-async fn tells_an_endpoint_that_ended_from_one_that_lives() {
+async fn distinguishes_an_ended_endpoint_from_a_running_one() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let endpoint = dispatch(attempt(1), plan(address)).endpoint;
--- a/crates/oriolemux/tests/relay_bad_input.rs
+++ b/crates/oriolemux/tests/relay_bad_input.rs
@@ -9,7 +9,10 @@
 mod node;
 
 use caller::{body, completion, exchange, serve};
-use endpoint::{Answer, FakeEndpoint, Then, end, generation, stream, stream_head, token, whole};
+use endpoint::{
+    FakeEndpoint, ScriptedResponse, Then, end, full_response, generation, stream, stream_head,
+    token,
+};
 use node::{Decision, FakeNode, attempt_id, plan};
 use oriolemux_core::event::AttemptUpdate;
 use oriolemux_core::outcome::Ran;
@@ -20,8 +23,8 @@
 const REQUEST: &str = r#"{"model":"plans","prompt":"Draft a plan","stream":true}"#;
 
 /// An engine that no longer knows the generation.
-fn lost() -> Answer {
-    whole("404 Not Found", "", "")
+fn lost() -> ScriptedResponse {
+    full_response("404 Not Found", "", "")
 }
 
 fn attempt() -> String {
@@ -30,7 +33,7 @@
 
 /// Runs a request against an endpoint that answers by `script`, and returns
 /// the caller's answer and the last report on the attempt.
-async fn run(script: Vec<Answer>) -> (String, AttemptUpdate) {
+async fn run(script: Vec<ScriptedResponse>) -> (String, AttemptUpdate) {
     let endpoint = FakeEndpoint::start(script).await;
     let failed = Verdict::partial(Reason::GenerationLost, 1);
     let script = vec![
@@ -39,13 +42,13 @@
     ];
     let mut node = FakeNode::start(script);
     let address = serve(&node).await;
-    let answer = exchange(address, completion(REQUEST)).await;
-    (answer, node.last_update().await)
+    let response = exchange(address, completion(REQUEST)).await;
+    (response, node.last_update().await)
 }
 
 /// Returns the texts of the tokens that a caller received.
-fn texts(answer: &str) -> Vec<String> {
-    let data = body(answer)
+fn texts(response: &str) -> Vec<String> {
+    let data = body(response)
         .lines()
         .filter_map(|line| line.strip_prefix("data: "));
     let json = data.filter_map(|data| serde_json::from_str::<Value>(data).ok());
@@ -62,7 +65,7 @@
 #[case::both_token_and_end(format!(
     "data: {{\"id\":\"{}\",\"index\":1,\"text\":\"x\",\"finish_reason\":\"stop\"}}\n\n", attempt()
 ))]
-#[case::index_in_two_minds(format!(
+#[case::index_differs_from_id(format!(
     "id: {0}:2\ndata: {{\"id\":\"{0}\",\"index\":1,\"text\":\"x\"}}\n\n", attempt()
 ))]
 #[case::lone_surrogate(token(&attempt(), 1, "\\ud83d"))]
@@ -84,10 +87,10 @@
     let first = token(&attempt(), 0, "one");
     let rest = token(&attempt(), 1, "two") + &end(&attempt(), 2);
 
-    let (answer, update) = run(vec![stream(&(first + &bad)), stream(&rest)]).await;
+    let (response, update) = run(vec![stream(&(first + &bad)), stream(&rest)]).await;
 
-    assert_eq!(texts(&answer), ["one", "two"], "{answer}");
-    assert!(answer.ends_with("data: [DONE]\n\n"), "{answer}");
+    assert_eq!(texts(&response), ["one", "two"], "{response}");
+    assert!(response.ends_with("data: [DONE]\n\n"), "{response}");
     let complete = AttemptUpdate::Complete {
         tokens: 2,
         prompt_tokens: Some(3),
@@ -102,9 +105,9 @@
         .extend_from_slice(b"data: {\"text\":\"\xc3\x28\"}\n\n");
     let rest = token(&attempt(), 1, "two") + &end(&attempt(), 2);
 
-    let (answer, _) = run(vec![bad, stream(&rest)]).await;
+    let (response, _) = run(vec![bad, stream(&rest)]).await;
 
-    assert_eq!(texts(&answer), ["one", "two"], "{answer}");
+    assert_eq!(texts(&response), ["one", "two"], "{response}");
 }
 
 #[tokio::test]
@@ -115,21 +118,21 @@
         + &token(&attempt(), 0, "one")
         + &end(&attempt(), 2);
 
-    let (answer, _) = run(vec![stream(&events)]).await;
+    let (response, _) = run(vec![stream(&events)]).await;
 
-    assert_eq!(texts(&answer), ["one", "two"], "{answer}");
+    assert_eq!(texts(&response), ["one", "two"], "{response}");
 }
 
 #[rstest]
 #[case::json("content-type: application/json\r\n")]
 #[case::none("")]
 #[tokio::test]
-async fn takes_no_token_from_another_content_type(#[case] headers: &str) {
+async fn ignores_a_response_of_another_content_type(#[case] headers: &str) {
     let body = generation(&attempt(), &["one"]);
 
-    let (answer, update) = run(vec![whole("200 OK", headers, &body), lost()]).await;
+    let (response, update) = run(vec![full_response("200 OK", headers, &body), lost()]).await;
 
-    assert_eq!(texts(&answer), Vec::<String>::new(), "{answer}");
+    assert_eq!(texts(&response), Vec::<String>::new(), "{response}");
     let failed = AttemptUpdate::Failed {
         reason: Reason::GenerationLost,
         ran: Ran::Maybe,
@@ -140,18 +143,18 @@
 }
 
 #[tokio::test]
-async fn ends_with_an_error_event_that_says_what_stands() {
-    let (answer, update) = run(vec![stream(&token(&attempt(), 0, "one")), lost()]).await;
+async fn ends_with_an_error_event_that_counts_delivered_tokens() {
+    let (response, update) = run(vec![stream(&token(&attempt(), 0, "one")), lost()]).await;
 
-    assert_eq!(texts(&answer), ["one"]);
-    let (_, event) = body(&answer)
+    assert_eq!(texts(&response), ["one"]);
+    let (_, event) = body(&response)
         .split_once("event: error\ndata: ")
         .expect("an error event");
     let error: Value = serde_json::from_str(event.trim_end()).unwrap();
     assert_eq!(error["error"]["outcome"], "partial");
     assert_eq!(error["error"]["reason"], "generation_lost");
     assert_eq!(error["error"]["delivered"], 1);
-    assert!(!answer.contains("[DONE]"), "{answer}");
+    assert!(!response.contains("[DONE]"), "{response}");
     let failed = AttemptUpdate::Failed {
         reason: Reason::GenerationLost,
         ran: Ran::Maybe,
@@ -162,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn reports_an_engine_that_says_it_failed() {
+async fn reports_an_error_event_of_the_engine() {
     let events =
         token(&attempt(), 0, "one") + "data: {\"error\":{\"message\":\"out of memory\"}}\n\n";
 
@@ -181,7 +184,7 @@
 /// Sequence: the link to the endpoint stalled in the middle of a stream.
 /// Cause: a read without a limit; a stalled link looks like a slow engine.
 #[tokio::test]
-async fn resumes_when_the_endpoint_falls_silent() {
+async fn resumes_when_the_endpoint_stalls() {
     let mut silent = stream(&token(&attempt(), 0, "one"));
     silent.then = Then::Hang;
     let rest = token(&attempt(), 1, "two") + &end(&attempt(), 2);
@@ -191,15 +194,15 @@
     let node = FakeNode::start(vec![Decision::Dispatch(plan)]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(REQUEST)).await;
+    let response = exchange(address, completion(REQUEST)).await;
 
-    assert_eq!(texts(&answer), ["one", "two"], "{answer}");
+    assert_eq!(texts(&response), ["one", "two"], "{response}");
 }
 
 #[tokio::test]
-async fn asks_for_the_rest_by_the_last_index() {
+async fn resumes_after_the_last_index() {
     let head = stream_head() + &token(&attempt(), 0, "one");
-    let cut = Answer {
+    let cut = ScriptedResponse {
         bytes: head.into_bytes(),
         then: Then::Close,
     };
--- a/crates/oriolemux/tests/relay_caller.rs
+++ b/crates/oriolemux/tests/relay_caller.rs
@@ -1,15 +1,15 @@
 //! What the caller's end of a relay keeps when a wait is given up.
 
 use futures_util::FutureExt;
-use oriolemux::callers::connections::{ConnectionState, Listening};
-use oriolemux::relay::caller::{AnswerForm, Caller, Piece, Reply};
+use oriolemux::callers::connections::{ConnectionState, OpenRequest};
+use oriolemux::relay::caller::{Caller, Piece, Reply, ResponseFormat};
 use oriolemux::relay::chunk::ChunkWriter;
 use oriolemux_core::{Incarnation, InstanceKey, RequestId};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-fn caller(listening: &Listening) -> (Caller, oneshot::Receiver<Reply>) {
+fn caller(open_request: &OpenRequest) -> (Caller, oneshot::Receiver<Reply>) {
     let request = RequestId {
         instance: InstanceKey(1),
         incarnation: Incarnation(2),
@@ -18,7 +18,7 @@
     let (head, reply) = oneshot::channel();
     let chunks = ChunkWriter::new(request, "plans");
     let limit = Duration::from_secs(30);
-    let caller = Caller::new(AnswerForm::Events, chunks, head, listening, limit);
+    let caller = Caller::new(ResponseFormat::Events, chunks, head, open_request, limit);
     (caller, reply)
 }
 
@@ -30,15 +30,15 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// Symptom: a caller was told that 60 tokens stand, and held 40.
+/// Symptom: a caller was received that 60 tokens stand, and held 40.
 /// Sequence: the caller read slowly, so that tokens waited to be handed over;
 /// the node ended the request meanwhile; the error followed, the tokens did not.
 /// Cause: giving up the wait dropped the piece that waited, although its
 /// tokens counted as delivered.
 #[tokio::test]
-async fn keeps_a_piece_whose_hand_over_is_given_up() {
-    let listening = Arc::new(ConnectionState::default()).listen();
-    let (mut caller, reply) = caller(&listening);
+async fn keeps_tokens_of_a_cancelled_flush() {
+    let open_request = Arc::new(ConnectionState::default()).open_request();
+    let (mut caller, reply) = caller(&open_request);
     caller.token(0, b"one");
     caller.flush().await.unwrap();
     let Ok(Reply::Stream(mut pieces)) = reply.await else {
--- a/crates/oriolemux/tests/relay_events.rs
+++ b/crates/oriolemux/tests/relay_events.rs
@@ -52,7 +52,7 @@
             usage,
         },
         EngineEvent::Failed => EngineEvent::Failed,
-        EngineEvent::Nothing => EngineEvent::Nothing,
+        EngineEvent::Ignored => EngineEvent::Ignored,
     }
 }
 
@@ -76,7 +76,7 @@
 
 proptest! {
     #[test]
-    fn both_ways_give_the_same_in_any_pieces(
+    fn fast_and_slow_parsers_agree_for_any_chunking(
         texts in proptest::collection::vec(any_text(), 0..8),
         cuts in proptest::collection::vec(0usize..4_096, 0..12),
     ) {
@@ -103,7 +103,7 @@
     /// One byte changed anywhere: the quick way accepts nothing that the
     /// standard way refuses, and reads nothing differently.
     #[test]
-    fn both_ways_agree_about_damaged_bytes(
+    fn fast_and_slow_parsers_agree_on_corrupted_bytes(
         text in any_text(),
         at in 0usize..4_096,
         byte in any::<u8>(),
@@ -120,7 +120,7 @@
     }
 
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
         let [mut quick, mut standard] = readers();
 
         let _ = read(&mut quick, &bytes, &[]);
@@ -129,9 +129,9 @@
 }
 
 #[rstest]
-#[case::keep_alive(": still here\n\n", EngineEvent::Nothing)]
-#[case::done("data: [DONE]\n\n", EngineEvent::Nothing)]
-#[case::carriage_returns("data: [DONE]\r\n\r\n", EngineEvent::Nothing)]
+#[case::keep_alive(": still here\n\n", EngineEvent::Ignored)]
+#[case::done("data: [DONE]\n\n", EngineEvent::Ignored)]
+#[case::carriage_returns("data: [DONE]\r\n\r\n", EngineEvent::Ignored)]
 #[case::failed("data: {\"error\":{}}\n\n", EngineEvent::Failed)]
 #[case::spaced("data:{ \"id\": \"a\", \"index\": 1, \"text\": \"x\\u0041\" }\n\n", EngineEvent::Token {
     attempt: Cow::Borrowed("a"), index: 1, text: Cow::Borrowed(b"xA"),
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn forgets_half_an_event_when_the_stream_goes_on_elsewhere() {
+fn clear_drops_a_partial_event() {
     let [mut reader, _] = readers();
     let event = token_event(0, "one");
 
--- a/crates/oriolemux/tests/relay_replay.rs
+++ b/crates/oriolemux/tests/relay_replay.rs
@@ -8,13 +8,13 @@
 mod node;
 
 use caller::{body, completion, exchange, serve};
-use endpoint::{Answer, FakeEndpoint, generation, stream, token, whole};
+use endpoint::{FakeEndpoint, ScriptedResponse, full_response, generation, stream, token};
 use node::{Decision, FakeNode, Plan, attempt_id, plan};
 use oriolemux_core::event::{AttemptMode, DeliveryMode};
 use oriolemux_core::{Reason, Verdict};
 
 const STREAM: &str = r#"{"model":"plans","prompt":"Draft a plan","stream":true}"#;
-const WHOLE: &str = r#"{"model":"plans","prompt":"Draft a plan"}"#;
+const FULL: &str = r#"{"model":"plans","prompt":"Draft a plan"}"#;
 
 /// A first endpoint that sends one token, breaks off and forgets.
 async fn broken() -> FakeEndpoint {
@@ -22,8 +22,8 @@
     FakeEndpoint::start(script).await
 }
 
-fn lost() -> Answer {
-    whole("404 Not Found", "", "")
+fn lost() -> ScriptedResponse {
+    full_response("404 Not Found", "", "")
 }
 
 async fn second(texts: &[&str]) -> FakeEndpoint {
@@ -37,14 +37,14 @@
     }
 }
 
-fn count(answer: &str, text: &str) -> usize {
-    body(answer)
+fn count(response: &str, text: &str) -> usize {
+    body(response)
         .matches(&format!("\"text\":\"{text}\""))
         .count()
 }
 
 #[tokio::test]
-async fn goes_on_elsewhere_if_the_replay_is_equal() {
+async fn continues_on_another_endpoint_if_the_replay_matches() {
     let (first, second) = (broken().await, second(&["one", "two"]).await);
     let script = vec![
         Decision::Dispatch(plan(first.address)),
@@ -53,14 +53,14 @@
     let node = FakeNode::start(script);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(STREAM)).await;
+    let response = exchange(address, completion(STREAM)).await;
 
     assert_eq!(
-        (count(&answer, "one"), count(&answer, "two")),
+        (count(&response, "one"), count(&response, "two")),
         (1, 1),
-        "{answer}"
+        "{response}"
     );
-    assert!(answer.ends_with("data: [DONE]\n\n"), "{answer}");
+    assert!(response.ends_with("data: [DONE]\n\n"), "{response}");
 }
 
 /// Symptom: a caller's plan began as one text and went on as another.
@@ -68,7 +68,7 @@
 /// elsewhere and generated something else.
 /// Cause: the second generation was appended to the first without comparing.
 #[tokio::test]
-async fn stops_if_the_replay_differs() {
+async fn stops_if_the_replay_diverges() {
     let (first, mut second) = (broken().await, second(&["other", "two"]).await);
     let script = vec![
         Decision::Dispatch(plan(first.address)),
@@ -78,16 +78,16 @@
     let node = FakeNode::start(script);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(STREAM)).await;
+    let response = exchange(address, completion(STREAM)).await;
 
     assert_eq!(
-        (count(&answer, "one"), count(&answer, "two")),
+        (count(&response, "one"), count(&response, "two")),
         (1, 0),
-        "{answer}"
+        "{response}"
     );
     assert!(
-        answer.contains("\"reason\":\"replay_diverged\""),
-        "{answer}"
+        response.contains("\"reason\":\"replay_diverged\""),
+        "{response}"
     );
     second.request().await;
     let cancel = second.request().await;
@@ -98,64 +98,67 @@
 }
 
 #[tokio::test]
-async fn starts_afresh_if_nothing_was_delivered() {
+async fn restarts_if_nothing_was_delivered() {
     let (first, second) = (broken().await, second(&["uno", "due"]).await);
-    let whole = |endpoint: &FakeEndpoint| Plan {
+    let buffered = |endpoint: &FakeEndpoint| Plan {
         delivery: DeliveryMode::Whole,
         ..plan(endpoint.address)
     };
     let script = vec![
-        Decision::Dispatch(whole(&first)),
-        Decision::Dispatch(whole(&second)),
+        Decision::Dispatch(buffered(&first)),
+        Decision::Dispatch(buffered(&second)),
     ];
     let node = FakeNode::start(script);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(WHOLE)).await;
+    let response = exchange(address, completion(FULL)).await;
 
-    assert!(body(&answer).contains("\"text\":\"unodue\""), "{answer}");
+    assert!(
+        body(&response).contains("\"text\":\"unodue\""),
+        "{response}"
+    );
 }
 
 #[tokio::test]
-async fn streams_a_whole_delivery_only_when_it_is_complete() {
+async fn streams_a_buffered_delivery_only_when_complete() {
     let (first, second) = (broken().await, second(&["uno", "due"]).await);
-    let whole = |endpoint: &FakeEndpoint| Plan {
+    let buffered = |endpoint: &FakeEndpoint| Plan {
         delivery: DeliveryMode::Whole,
         ..plan(endpoint.address)
     };
     let script = vec![
-        Decision::Dispatch(whole(&first)),
-        Decision::Dispatch(whole(&second)),
+        Decision::Dispatch(buffered(&first)),
+        Decision::Dispatch(buffered(&second)),
     ];
     let node = FakeNode::start(script);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(STREAM)).await;
+    let response = exchange(address, completion(STREAM)).await;
 
-    assert_eq!(count(&answer, "one"), 0, "{answer}");
+    assert_eq!(count(&response, "one"), 0, "{response}");
     assert_eq!(
-        (count(&answer, "uno"), count(&answer, "due")),
+        (count(&response, "uno"), count(&response, "due")),
         (1, 1),
-        "{answer}"
+        "{response}"
     );
 }
 
 /// A generation whose head never came may run all the same, so it is asked
 /// for before anything is sent again.
 #[tokio::test]
-async fn resumes_a_generation_whose_answer_never_began() {
-    let no_answer = Answer {
+async fn resumes_a_generation_whose_response_never_started() {
+    let no_response = ScriptedResponse {
         bytes: Vec::new(),
         then: endpoint::Then::Close,
     };
-    let whole = stream(&generation(&attempt_id(1), &["one"]));
-    let mut endpoint = FakeEndpoint::start(vec![no_answer, whole]).await;
+    let complete = stream(&generation(&attempt_id(1), &["one"]));
+    let mut endpoint = FakeEndpoint::start(vec![no_response, complete]).await;
     let node = FakeNode::start(vec![Decision::Dispatch(plan(endpoint.address))]);
     let address = serve(&node).await;
 
-    let answer = exchange(address, completion(STREAM)).await;
+    let response = exchange(address, completion(STREAM)).await;
 
-    assert_eq!(count(&answer, "one"), 1, "{answer}");
+    assert_eq!(count(&response, "one"), 1, "{response}");
     endpoint.request().await;
     let resume = endpoint.request().await;
     assert!(resume.starts_with("GET /v1/completions/"), "{resume}");
--- a/crates/oriolemux/tests/relay_support/caller.rs
+++ b/crates/oriolemux/tests/relay_support/caller.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 /// Longer than any test waits when all is well.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Starts a server in front of `node` and returns its address.
 pub async fn serve(node: &FakeNode) -> SocketAddr {
@@ -58,19 +58,19 @@
 /// Reads until the server closes; chunked framing is removed.
 pub async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    timeout(PATIENCE, stream.read_to_end(&mut bytes))
+    timeout(TEST_TIMEOUT, stream.read_to_end(&mut bytes))
         .await
-        .expect("the server ends the answer")
-        .expect("the server ends the answer cleanly");
+        .expect("the server ends the response")
+        .expect("the server ends the response cleanly");
     without_framing(&String::from_utf8(bytes).unwrap())
 }
 
 /// Joins the chunks of a chunked body, so that a test does not depend on how
 /// tokens were gathered into writes.
-pub fn without_framing(answer: &str) -> String {
-    let (head, body) = answer.split_once("\r\n\r\n").expect("an HTTP answer");
+pub fn without_framing(response: &str) -> String {
+    let (head, body) = response.split_once("\r\n\r\n").expect("an HTTP response");
     if !head.contains("transfer-encoding: chunked") {
-        return answer.to_owned();
+        return response.to_owned();
     }
     let mut out = format!("{head}\r\n\r\n");
     let mut rest = body;
@@ -86,6 +86,6 @@
 }
 
 /// Returns the body of an answer.
-pub fn body(answer: &str) -> &str {
-    answer.split_once("\r\n\r\n").expect("an HTTP answer").1
+pub fn body(response: &str) -> &str {
+    response.split_once("\r\n\r\n").expect("an HTTP response").1
 }
--- a/crates/oriolemux/tests/relay_support/endpoint.rs
+++ b/crates/oriolemux/tests/relay_support/endpoint.rs
@@ -20,7 +20,7 @@
 
 /// One answer of the script.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ScriptedResponse {
     pub bytes: Vec<u8>,
     pub then: Then,
 }
@@ -34,7 +34,7 @@
 impl FakeEndpoint {
     /// Answers the first request with the first answer and so on, whatever
     /// connections they come on.
-    pub async fn start(script: Vec<Answer>) -> Self {
+    pub async fn start(script: Vec<ScriptedResponse>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (tx, requests) = mpsc::unbounded_channel();
@@ -53,7 +53,11 @@
     }
 }
 
-async fn serve(listener: TcpListener, script: Vec<Answer>, tx: mpsc::UnboundedSender<String>) {
+async fn serve(
+    listener: TcpListener,
+    script: Vec<ScriptedResponse>,
+    tx: mpsc::UnboundedSender<String>,
+) {
     let script = std::sync::Arc::new(std::sync::Mutex::new(script.into_iter()));
     loop {
         let (stream, _) = listener.accept().await.unwrap();
@@ -65,18 +69,18 @@
 
 async fn serve_connection(
     mut stream: TcpStream,
-    script: &std::sync::Mutex<std::vec::IntoIter<Answer>>,
+    script: &std::sync::Mutex<std::vec::IntoIter<ScriptedResponse>>,
     tx: &mpsc::UnboundedSender<String>,
 ) {
     while let Some(request) = read_request(&mut stream).await {
         let _ = tx.send(request);
-        let Some(answer) = script.lock().unwrap().next() else {
+        let Some(response) = script.lock().unwrap().next() else {
             return;
         };
-        if stream.write_all(&answer.bytes).await.is_err() {
+        if stream.write_all(&response.bytes).await.is_err() {
             return;
         }
-        match answer.then {
+        match response.then {
             Then::KeepOpen => {}
             Then::Close => return,
             Then::Hang => {
@@ -145,18 +149,18 @@
 
 /// Returns an answer that is a stream of these events, after which the
 /// connection is closed.
-pub fn stream(events: &str) -> Answer {
-    Answer {
+pub fn stream(events: &str) -> ScriptedResponse {
+    ScriptedResponse {
         bytes: (stream_head() + events).into_bytes(),
         then: Then::Close,
     }
 }
 
 /// Returns a whole answer with a body, after which the connection stays open.
-pub fn whole(status: &str, headers: &str, body: &str) -> Answer {
+pub fn full_response(status: &str, headers: &str, body: &str) -> ScriptedResponse {
     let len = body.len();
     let bytes = format!("HTTP/1.1 {status}\r\n{headers}content-length: {len}\r\n\r\n{body}");
-    Answer {
+    ScriptedResponse {
         bytes: bytes.into_bytes(),
         then: Then::KeepOpen,
     }
--- a/crates/oriolemux/tests/relay_support/node.rs
+++ b/crates/oriolemux/tests/relay_support/node.rs
@@ -1,4 +1,4 @@
-//! A node that decides by script, and keeps what it was told.
+//! A node that decides by script, and keeps what it was received.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -49,9 +49,9 @@
     }
 }
 
-/// What the node was told.
+/// What the node was received.
 #[derive(Debug)]
-pub enum Told {
+pub enum Received {
     Arrival(Box<RequestArrival>),
     Update(AttemptUpdate),
     CallerGone,
@@ -60,35 +60,35 @@
 /// A running node.
 pub struct FakeNode {
     pub port: NodePort,
-    told: mpsc::UnboundedReceiver<Told>,
+    received: mpsc::UnboundedReceiver<Received>,
 }
 
 impl FakeNode {
     pub fn start(script: Vec<Decision>) -> Self {
         let ids = RequestIds::new(InstanceKey(1), Incarnation(2));
         let (port, inputs) = NodePort::new(ids, Clock::start());
-        let (tx, told) = mpsc::unbounded_channel();
+        let (tx, received) = mpsc::unbounded_channel();
         tokio::spawn(run(inputs, script, tx));
-        FakeNode { port, told }
+        FakeNode { port, received }
     }
 
     /// A node whose task has ended.
     pub fn ended() -> Self {
         let ids = RequestIds::new(InstanceKey(1), Incarnation(2));
         let (port, _) = NodePort::new(ids, Clock::start());
-        let (_, told) = mpsc::unbounded_channel();
-        FakeNode { port, told }
+        let (_, received) = mpsc::unbounded_channel();
+        FakeNode { port, received }
     }
 
-    /// Waits for what the node is told next.
-    pub async fn told(&mut self) -> Told {
-        self.told.recv().await.expect("the node runs")
+    /// Waits for what the node is received next.
+    pub async fn received(&mut self) -> Received {
+        self.received.recv().await.expect("the node runs")
     }
 
     /// Waits for the report on the end of an attempt.
     pub async fn last_update(&mut self) -> AttemptUpdate {
         loop {
-            if let Told::Update(update) = self.told().await
+            if let Received::Update(update) = self.received().await
                 && let AttemptUpdate::Complete { .. } | AttemptUpdate::Failed { .. } = update
             {
                 return update;
@@ -110,7 +110,7 @@
 async fn run(
     mut inputs: mpsc::Receiver<NodeInput>,
     script: Vec<Decision>,
-    told: mpsc::UnboundedSender<Told>,
+    received: mpsc::UnboundedSender<Received>,
 ) {
     let mut script = script.into_iter();
     let mut orders = HashMap::new();
@@ -123,13 +123,13 @@
             } => {
                 let id = arrival.id;
                 orders.insert(id, tx);
-                let _ = told.send(Told::Arrival(arrival));
+                let _ = received.send(Received::Arrival(arrival));
                 let number = numbers.entry(id).or_insert(0);
                 decide(script.next(), id, number, &orders[&id]).await;
             }
             NodeInput::Event(Event::Attempt { attempt, update }) => {
                 let failed = matches!(update, AttemptUpdate::Failed { .. });
-                let _ = told.send(Told::Update(update));
+                let _ = received.send(Received::Update(update));
                 if failed {
                     let id = attempt.request;
                     let number = numbers.get_mut(&id).unwrap();
@@ -138,7 +138,7 @@
             }
             NodeInput::Event(Event::CallerGone(id)) => {
                 orders.remove(&id);
-                let _ = told.send(Told::CallerGone);
+                let _ = received.send(Received::CallerGone);
             }
             NodeInput::Event(_) => {}
             NodeInput::Entries { reply, .. } => {
