--- a/crates/oriolemux/src/callers.rs
+++ b/crates/oriolemux/src/callers.rs
@@ -1,11 +1,10 @@
-//! The callers' side: an OpenAI-style server.
+//! The server for callers, with an OpenAI-style API.
 //!
-//! A [`CallerServer`] bounds what callers may send, names each request, hands
-//! it to the node through a [`port::NodePort`] and starts its
-//! [`crate::relay::Relay`]. It decides nothing: whether a key is good, an entry
-//! exists or there is room is the node's answer.
+//! A [`CallerServer`] limits what callers may send, assigns an id to each request, submits it to
+//! the node through a [`port::NodePort`] and starts its [`crate::relay::Relay`]. All decisions are
+//! made by the node: whether a key is valid, an entry exists or there is capacity.
 //!
-//! `docs/API.md` says what callers see.
+//! `docs/API.md` describes the API.
 
 pub mod accept;
 pub mod auth;
--- a/crates/oriolemux/src/callers/accept.rs
+++ b/crates/oriolemux/src/callers/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections, bounded in number and in the time for a head.
+//! Accepts connections of callers, with limits on their number and on the time for a request head.
 
 mod stream;
 
@@ -18,20 +18,20 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// How long to wait after a failed accept. The usual cause is that no file
-/// descriptor is left; trying again at once would keep a core busy with it.
+/// How long to wait after a failed accept. The usual cause is that no file descriptor is left;
+/// without the delay the retries would keep a core busy.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How many connections above the limit are told so at a time; more are closed
-/// without a word.
+/// How many connections above the limit receive a refusal at the same time; more are closed
+/// without a response.
 const MAX_REFUSALS: usize = 64;
 
-/// How long a refused connection is kept for its caller to read the refusal.
+/// How long a refused connection is kept open for its caller to read the refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a connection above the limit is told. It has no request id, because
-/// its request was never read; and no "not run", because it may carry the key
-/// of a request that ran.
+/// The response to a connection above the limit. It has no request id, because its request was
+/// never read, and its outcome is not "not run", because the request may carry the idempotency key
+/// of one that ran.
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
     content-type: application/json\r\nretry-after: 1\r\nconnection: close\r\n\
     content-length: 166\r\n\r\n\
@@ -39,20 +39,20 @@
     \"type\":\"overloaded_error\",\"reason\":\"instance_full\",\
     \"outcome\":\"unknown\",\"retry_after_ms\":1000}}";
 
-/// Bounds of the listener.
+/// Limits of the listener.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptLimits {
-    /// The most connections at a time.
+    /// The most concurrent connections.
     pub connections: usize,
-    /// The longest time from the first byte of a head to its last.
+    /// The longest time from the first byte of a request head to its last.
     pub head: Duration,
-    /// The longest time in which the socket takes no byte.
+    /// The longest time in which the socket accepts no byte.
     pub write: Duration,
     /// The longest time between two requests.
     pub idle: Duration,
 }
 
-/// Accepts at most so many connections at a time, and tells the rest.
+/// Accepts connections up to a limit, and refuses the rest.
 #[derive(Debug)]
 pub struct BoundedAcceptor {
     listener: TcpListener,
@@ -64,7 +64,7 @@
 }
 
 impl BoundedAcceptor {
-    /// Accepts from `listener` and notes open connections in `connections`.
+    /// Accepts from `listener` and registers open connections in `connections`.
     ///
     /// # Errors
     ///
@@ -106,8 +106,8 @@
     }
 }
 
-/// Reads what the caller sends before the connection is closed: the kernel
-/// drops an answer that was not read yet when unread bytes are thrown away.
+/// Sends the refusal and reads what the caller sends before the connection is closed: closing a
+/// socket with unread bytes makes the kernel discard a response that was not read yet.
 async fn send_refusal(mut stream: TcpStream) -> io::Result<()> {
     stream.write_all(REFUSAL).await?;
     stream.shutdown().await?;
@@ -130,8 +130,8 @@
                 self.refuse(stream);
                 continue;
             };
-            // Without this a token waits in the kernel for the acknowledgement
-            // of the one before it.
+            // Without this a token would wait in the kernel for the acknowledgement of the
+            // previous one.
             stream.set_nodelay(true)?;
             let open = self.connections.add(remote);
             let stream = BoundedStream::new(stream, open, permit, self.limits);
--- a/crates/oriolemux/src/callers/accept/stream.rs
+++ b/crates/oriolemux/src/callers/accept/stream.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, with its place in the limit and the time for a head.
+//! A caller's connection, with its permit and its timers.
 
 use super::AcceptLimits;
 use crate::callers::connections::OpenConnection;
@@ -14,26 +14,25 @@
 /// The end of a head.
 const HEAD_END: [u8; 4] = *b"\r\n\r\n";
 
-/// How an HTTP/2 connection begins. Its frames have no heads that end in an
-/// empty line, so they are left to the HTTP library's own limits.
+/// How an HTTP/2 connection begins. Its frames have no heads that end in an empty line, so they
+/// are subject only to the HTTP library's own limits.
 const HTTP2_PREFACE: &[u8] = b"PRI ";
 
-/// Where in an exchange the connection is, as far as its bytes tell.
+/// The phase of the connection, as far as its bytes show it.
 #[derive(Debug)]
 enum Phase {
-    /// Nothing was read since the last write.
+    /// Nothing has been read since the last write.
     Idle,
-    /// A head has begun and must end before the timer does.
+    /// A request head has begun and must end before the timer fires.
     ///
-    /// What goes wrong without the timer: a caller that sends one byte of a
-    /// head a minute holds its place in the limit for good, and a few hundred
-    /// of them shut everybody else out.
+    /// Without the timer, a caller that sends one byte of a head per minute would hold its
+    /// connection permit for ever, and a few hundred such callers would lock out all others.
     Head {
         /// The last bytes read.
         tail: [u8; 4],
         timer: Pin<Box<Sleep>>,
     },
-    /// A head was read; its request is somebody else's to bound.
+    /// A head was read; the time for the rest of the request is limited elsewhere.
     Request,
     /// The connection speaks HTTP/2.
     Http2,
@@ -45,14 +44,14 @@
     stream: TcpStream,
     open: OpenConnection,
     phase: Phase,
-    /// Runs while the socket refuses bytes. Without it a caller that asked for
-    /// a large answer and never reads it keeps that answer in memory for good.
+    /// Runs while the socket accepts no bytes. Without it, a caller that requests a large response
+    /// and never reads it would keep that response in memory for ever.
     write_timer: Option<Pin<Box<Sleep>>>,
-    /// Runs while nothing is read. The server library has such a timer too, but
-    /// starts it anew, through a task of its own, with every token written.
+    /// Runs while nothing is read. The server library has such a timer too, but restarts it,
+    /// through a task of its own, with every token written.
     idle_timer: Option<Pin<Box<Sleep>>>,
     limits: AcceptLimits,
-    /// Dropped last, so that the place is free only when the connection is.
+    /// Dropped last, so that the permit is released only after the connection is closed.
     _permit: OwnedSemaphorePermit,
 }
 
@@ -112,7 +111,7 @@
             .get_or_insert_with(|| Box::pin(tokio::time::sleep(limit)));
         while timer.as_mut().poll(cx).is_ready() {
             if self.open.state().is_idle() {
-                // Read as the end of the caller's bytes, on which the server closes.
+                // The server reads this as the end of the stream and closes the connection.
                 return Poll::Ready(Ok(()));
             }
             timer.as_mut().reset(Instant::now() + limit);
@@ -130,7 +129,7 @@
     }
 }
 
-/// Moves `tail` over `bytes` and returns whether a head ended in them.
+/// Advances `tail` over `bytes` and returns whether a head ended in them.
 fn ends_head(tail: &mut [u8; 4], bytes: &[u8]) -> bool {
     for &byte in bytes {
         tail.rotate_left(1);
--- a/crates/oriolemux/src/callers/auth.rs
+++ b/crates/oriolemux/src/callers/auth.rs
@@ -6,8 +6,8 @@
 
 /// Returns the SHA-256 of the bearer key, or `None` if there is none.
 ///
-/// Only the digest goes on from here: the catalogue holds digests, and a key
-/// that is nowhere in memory is in no log and no dump.
+/// Only the digest is passed on: the catalogue holds digests, and a key that is not kept in memory
+/// cannot appear in a log or a dump.
 pub fn key_digest(headers: &HeaderMap) -> Option<[u8; 32]> {
     const SCHEME: &str = "bearer";
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
--- a/crates/oriolemux/src/callers/body.rs
+++ b/crates/oriolemux/src/callers/body.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's body, bounded in size and time.
+//! Reads the body of a caller's request, with limits on size and time.
 
 use core::time::Duration;
 use http::HeaderMap;
@@ -9,7 +9,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::time::timeout;
 
-/// Why a body was not taken.
+/// Why a body was rejected.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum BodyError {
     /// it has more than {limit} bytes
@@ -27,7 +27,7 @@
 }
 
 impl BodyError {
-    /// Returns the reason that the caller is told.
+    /// Returns the reason for the error response.
     pub fn reason(&self) -> Reason {
         match self {
             BodyError::TooLarge { .. } => Reason::BodyTooLarge,
@@ -36,20 +36,20 @@
     }
 }
 
-/// How large and how slow a body may be.
+/// Limits on the size and duration of a body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyLimits {
     /// The most bytes.
     pub bytes: usize,
-    /// The longest time from the head to the last byte.
+    /// The longest time from the end of the head to the last byte of the body.
     pub time: Duration,
 }
 
-/// Reads a whole body.
+/// Reads a full body.
 ///
 /// # Errors
 ///
-/// Fails if the body breaks a limit; at most the limit is ever held.
+/// Fails if the body exceeds a limit. No more bytes than the limit are held in memory.
 pub async fn read(
     body: Body,
     headers: &HeaderMap,
--- a/crates/oriolemux/src/callers/completion.rs
+++ b/crates/oriolemux/src/callers/completion.rs
@@ -1,4 +1,4 @@
-//! The body of a completion request.
+//! Parses the body of a completion request.
 
 use super::prefix::prefix_hashes;
 use crate::endpoints::CompletionBody;
@@ -7,8 +7,8 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// Bytes of prompt that are counted as one token when the caller does not say
-/// how many tokens the prompt has. The engine's own count corrects it later.
+/// Bytes of prompt that are counted as one token when the caller does not declare the number of
+/// tokens. The engine's own count corrects the estimate later.
 pub const BYTES_PER_TOKEN: usize = 4;
 
 /// Sampling parameters that are passed on to the engine as they are.
@@ -23,24 +23,24 @@
     "user",
 ];
 
-/// Fields that would change the shape of the answer, with the one value that
-/// is accepted for compatibility.
+/// Fields that would change the shape of the response, with the one value that is accepted for
+/// compatibility.
 const SHAPE: &[(&str, u64)] = &[("n", 1), ("best_of", 1)];
 
-/// A completion request that was understood.
+/// A parsed completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionCall {
     /// The entry.
     pub entry: String,
-    /// Whether the caller wants tokens as they come.
+    /// Whether the caller wants a stream of tokens.
     pub stream: bool,
-    /// The most tokens that the caller wants, if it said so.
+    /// The most tokens that the caller wants, if it set a limit.
     pub max_tokens: Option<u32>,
-    /// What goes to the engine as it is.
+    /// What is passed on to the engine unchanged.
     pub body: CompletionBody,
 }
 
-/// Why a completion request was not understood.
+/// Why a completion request could not be parsed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CompletionError {
     /// the body is not valid UTF-8 from byte {at} on
@@ -88,12 +88,11 @@
 }
 
 impl CompletionCall {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// Fails if the body is not UTF-8, not JSON, or asks for something that
-    /// could not be given as asked.
+    /// Fails if the body is not UTF-8, not JSON, or requests something that is not supported.
     pub fn parse(body: &[u8]) -> Result<Self, CompletionError> {
         let text = std::str::from_utf8(body).map_err(|err| CompletionError::NotUtf8 {
             at: err.valid_up_to(),
@@ -114,7 +113,7 @@
         })
     }
 
-    /// Returns the work as the node sees it.
+    /// Returns what the node needs to know about the work.
     pub fn work(&self, declared_prompt_tokens: Option<u32>) -> Work {
         let prompt = &self.body.prompt;
         Work::Completion {
@@ -126,7 +125,7 @@
     }
 }
 
-/// Takes a field out of `fields`; one that is null counts as absent.
+/// Removes a field from `fields`; a null value counts as absent.
 fn take<T: DeserializeOwned>(
     fields: &mut Map<String, Value>,
     name: &'static str,
@@ -152,8 +151,8 @@
     }
 }
 
-/// Keeps the sampling parameters. A field that is neither known nor harmless
-/// is refused: dropping it silently would answer a different question.
+/// Returns the sampling parameters. A field that is neither known nor harmless is rejected:
+/// ignoring it would silently run another request than the caller wanted.
 fn read_sampling(fields: Map<String, Value>) -> Result<Map<String, Value>, CompletionError> {
     const HARMLESS: &str = "stream_options";
     let mut sampling = Map::new();
--- a/crates/oriolemux/src/callers/connections.rs
+++ b/crates/oriolemux/src/callers/connections.rs
@@ -1,4 +1,4 @@
-//! The callers' connections that are open, and what their sockets tell.
+//! The open connections of callers, and the state of their sockets.
 
 mod disconnect;
 
@@ -12,17 +12,16 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// What a connection's socket tells about its caller.
+/// Whether a caller's socket is blocked or has ended.
 ///
-/// What goes wrong without it, first: the HTTP server takes pieces of a stream
-/// into a buffer of some hundred kilobytes before it stops asking for more.
-/// Seen from a relay, a caller that reads nothing looks fast until then, and a
-/// thousand of them cost memory that should belong to others. Here a caller
-/// counts as slow as soon as the socket itself refuses a byte.
+/// It makes up for two gaps of the HTTP server:
 ///
-/// Second: the HTTP server (`poem` 3.1) notices that a caller closed, and then
-/// goes on waiting for the answer that nobody will read, so that the
-/// generation runs on. Here the end of the caller's bytes reaches the relay.
+/// - The server buffers some hundred kilobytes of a stream before it stops polling for more. Until
+///   then a caller that reads nothing looks fast to its relay, and a thousand such callers use
+///   memory that others need. Here a caller counts as slow as soon as the socket accepts no byte.
+/// - The server (`poem` 3.1) notices that a caller closed its connection, but continues to wait
+///   for the response, so that the generation continues although nobody reads it. Here the end of
+///   the caller's bytes is signalled to the relay.
 #[derive(Debug, Default)]
 pub struct ConnectionState {
     blocked: AtomicBool,
@@ -30,8 +29,7 @@
     requests: Mutex<Requests>,
 }
 
-/// The requests of one connection that are not answered; more than one only
-/// over HTTP/2.
+/// The open requests of one connection; more than one only over HTTP/2.
 #[derive(Debug, Default)]
 struct Requests {
     ended: bool,
@@ -39,7 +37,7 @@
 }
 
 impl ConnectionState {
-    /// Notes how a write to the socket went.
+    /// Records the result of a write to the socket.
     pub fn on_write<T>(&self, written: &Poll<T>) {
         match written {
             Poll::Pending => self.blocked.store(true, Ordering::Release),
@@ -47,7 +45,7 @@
         }
     }
 
-    /// Notes that the caller closed, or that the connection broke.
+    /// Records that the caller closed the connection, or that it broke.
     pub fn on_end(&self) {
         let mut requests = self.requests();
         requests.ended = true;
@@ -56,12 +54,12 @@
         }
     }
 
-    /// Returns whether no request waits for its answer.
+    /// Returns whether no request waits for its response.
     pub fn is_idle(&self) -> bool {
         self.requests().open.is_empty()
     }
 
-    /// Notes a request, until what is returned is dropped.
+    /// Registers a request until the returned guard is dropped.
     pub fn open_request(self: &Arc<Self>) -> OpenRequest {
         let disconnect = Arc::new(DisconnectSignal::default());
         let mut requests = self.requests();
@@ -83,12 +81,12 @@
         }
     }
 
-    /// Returns whether the socket refuses bytes at the moment.
+    /// Returns whether the socket currently accepts no bytes.
     pub fn is_blocked(&self) -> bool {
         self.blocked.load(Ordering::Acquire)
     }
 
-    /// Waits until the socket takes bytes again.
+    /// Waits until the socket accepts bytes again.
     pub async fn wait_writable(&self) {
         loop {
             let writable = self.writable.notified();
@@ -104,7 +102,7 @@
     }
 }
 
-/// A request whose caller listens; held by whoever writes the answer.
+/// A request whose caller waits for the response; held until the response is written or dropped.
 #[derive(Debug)]
 pub struct OpenRequest {
     connection: Arc<ConnectionState>,
@@ -117,7 +115,7 @@
         &self.connection
     }
 
-    /// Returns the signal that the caller left.
+    /// Returns the signal that the caller disconnected.
     pub fn disconnect(&self) -> &Arc<DisconnectSignal> {
         &self.disconnect
     }
@@ -125,7 +123,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        // The server gave the answer up, or has written it.
+        // The server has dropped the response, or has written it.
         self.disconnect.signal();
         let mut requests = self.connection.requests();
         requests
@@ -134,14 +132,14 @@
     }
 }
 
-/// Finds the state of the connection that a request came on.
+/// All open connections, by the address of the caller.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
     states: Arc<Mutex<BTreeMap<SocketAddr, Arc<ConnectionState>>>>,
 }
 
 impl Connections {
-    /// Notes a new connection. It is forgotten when what is returned is dropped.
+    /// Registers a new connection until the returned guard is dropped.
     pub fn add(&self, remote: SocketAddr) -> OpenConnection {
         let state = Arc::new(ConnectionState::default());
         let mut states = self.states();
@@ -155,8 +153,8 @@
         }
     }
 
-    /// Returns the state of the connection from `remote`; one of a
-    /// fast caller that never leaves if there is no such connection.
+    /// Returns the state of the connection from `remote`. If there is none, returns the state of a
+    /// connection that never blocks or ends.
     pub fn state(&self, remote: Option<&SocketAddr>) -> Arc<ConnectionState> {
         let states = self.states();
         let state = remote.and_then(|remote| states.get(remote));
@@ -178,7 +176,7 @@
     Gauge::Connections.set(connections as f64);
 }
 
-/// A connection that is open.
+/// Registration of an open connection, removed on drop.
 #[derive(Debug)]
 pub struct OpenConnection {
     connections: Connections,
@@ -195,7 +193,7 @@
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        // Whoever waits would wait for good.
+        // Tasks that wait for this connection would otherwise wait for ever.
         self.state.on_end();
         self.state.unblock();
         self.connections.remove(self.remote);
--- a/crates/oriolemux/src/callers/errors.rs
+++ b/crates/oriolemux/src/callers/errors.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them.
+//! Error responses to callers.
 
 use crate::events;
 use core::time::Duration;
@@ -10,10 +10,10 @@
 use poem::Response;
 use serde::Serialize;
 
-/// The header that names the request, on every answer.
+/// The header of every response that holds the request id.
 pub const REQUEST_HEADER: &str = "oriolemux-request";
 
-/// One error, ready to be sent.
+/// An error that is sent to a caller, as a response or as the last event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
     request: RequestId,
@@ -21,7 +21,7 @@
     outcome: Outcome,
     retry_after: Option<Duration>,
     delivered: u32,
-    /// What exactly is wrong with the caller's input, if the input is at fault.
+    /// What is wrong with the caller's input, if the input is at fault.
     detail: Option<String>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl ErrorResponse {
-    /// Says what the node decided.
+    /// Creates the error for a verdict of the node.
     pub fn from_verdict(request: RequestId, verdict: &Verdict) -> Self {
         ErrorResponse {
             request,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Refuses a request that was never handed to the node, and counts the refusal, which
-    /// the node cannot do.
+    /// Refuses a request that was never submitted to the node, and counts the refusal, because the
+    /// node cannot count it.
     pub fn not_submitted(request: RequestId, reason: Reason) -> Self {
         events::emit(&Note::Refused { request, reason });
         ErrorResponse {
@@ -71,21 +71,22 @@
         }
     }
 
-    /// Takes "not run" back: the request may be the repeat of one that ran.
+    /// Changes the outcome from "not run" to "unknown", for a request that may be the duplicate of
+    /// one that ran.
     #[must_use]
     pub fn with_unknown_outcome(mut self) -> Self {
         self.outcome = Outcome::Unknown;
         self
     }
 
-    /// Adds what exactly is wrong with the input.
+    /// Adds what is wrong with the input.
     #[must_use]
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Returns the error as a whole answer.
+    /// Returns the error as a full response.
     pub fn into_response(self) -> Response {
         let status = StatusCode::from_u16(self.reason.http_status());
         let mut builder = Response::builder()
@@ -125,7 +126,7 @@
     }
 }
 
-/// Rounds up, so that a caller that obeys never comes back too early.
+/// Rounds up, so that a caller that obeys never retries too early.
 fn whole_seconds(d: Duration) -> u64 {
     d.as_secs() + u64::from(d.subsec_nanos() > 0)
 }
@@ -134,7 +135,7 @@
     u64::try_from(d.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns the error type by which OpenAI clients choose what to raise.
+/// Returns the error type from which OpenAI clients choose the exception that they raise.
 fn kind(reason: Reason) -> &'static str {
     match (reason.group(), reason.http_status()) {
         (_, 401) => "authentication_error",
@@ -146,7 +147,7 @@
     }
 }
 
-/// Returns one sentence for a person, without its full stop.
+/// Returns a sentence that describes the reason, without its full stop.
 fn message(reason: Reason) -> String {
     let doc = reason.doc().concat();
     doc.trim().trim_end_matches('.').to_owned()
--- a/crates/oriolemux/src/callers/port.rs
+++ b/crates/oriolemux/src/callers/port.rs
@@ -1,9 +1,9 @@
-//! The door between the sockets and the one task that owns the node.
+//! The interface between the I/O tasks and the single task that owns the node.
 //!
-//! Every request has a task of its own, which holds the caller's connection and
-//! the endpoint's. It asks the node task for orders through a [`NodePort`] and
-//! reports what became of them. Both directions are bounded queues: a node task
-//! that falls behind slows the requests down and costs no memory.
+//! Every request has a task of its own, which holds the connections to the caller and to the
+//! endpoint. Through a [`NodePort`] it submits the request, receives the node's orders and reports
+//! their results. Both directions are bounded queues: a node task that falls behind applies
+//! backpressure to the requests and uses no more memory.
 
 use core::time::Duration;
 use oriolemux_core::event::RequestArrival;
@@ -16,68 +16,66 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
-/// How many inputs wait for the node task before the senders wait too.
+/// How many inputs are queued for the node task before senders have to wait.
 pub const NODE_QUEUE: usize = 4_096;
 
-/// How many orders wait for one request's task.
+/// How many orders are queued for one request's task.
 ///
-/// The node gives the next order only after the report on the last one, so two
-/// places suffice (an order and the cancellation that overtakes it); the rest
-/// is room for a node that is changed.
+/// The node gives the next order only after the report on the last one, so two places suffice (an
+/// order and the cancellation that overtakes it). The rest is reserve for changes of the node.
 pub const ORDER_QUEUE: usize = 8;
 
-/// What the node task takes in.
+/// An input of the node task.
 #[derive(Debug)]
 pub enum NodeInput {
-    /// An event for the node as it is.
+    /// An event that is passed to the node unchanged.
     Event(Event),
-    /// A request, and where its orders go.
+    /// A new request.
     Submit {
         /// The request.
         arrival: Box<RequestArrival>,
-        /// Where the node's orders for it go. The node task keeps this until it
-        /// has sent [`RequestOrder::Finish`] or the request is over.
+        /// Receives the node's orders for the request. The node task keeps this until it has sent
+        /// [`RequestOrder::Finish`] or the request has ended.
         orders: mpsc::Sender<RequestOrder>,
     },
-    /// Which entries may the workspace use that holds this key?
+    /// Query for the entries that the workspace of a key may use.
     Entries {
         /// SHA-256 of the caller's bearer key.
         key_digest: [u8; 32],
-        /// Where the answer goes.
+        /// Receives the result.
         reply: oneshot::Sender<Result<Vec<String>, Reason>>,
     },
-    /// Issue a ticket that binds one later request to this process.
+    /// Request for a ticket that binds one later request to this process.
     Ticket {
         /// SHA-256 of the caller's bearer key.
         key_digest: [u8; 32],
-        /// The id drawn for the ticket.
+        /// The id of the ticket.
         id: RequestId,
-        /// Where the answer goes.
+        /// Receives the result.
         reply: oneshot::Sender<Result<RequestId, Reason>>,
     },
 }
 
-/// What the node asks of one request's task.
+/// An order of the node to the task of one request.
 #[derive(Debug)]
 pub enum RequestOrder {
     /// Run an attempt.
     Dispatch(Box<Dispatch>),
-    /// End the attempt at its endpoint; tell the caller nothing yet.
+    /// Cancel the attempt at its endpoint; send nothing to the caller yet.
     Cancel,
-    /// Give the caller its final answer; the request is over.
+    /// Send the caller the final outcome and end the request.
     Finish(Verdict),
 }
 
-/// The node task has ended, so nothing more is decided in this process.
+/// The node task has ended, so this process makes no more decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 /// the node task has ended
 pub struct NodeGone;
 
-/// The monotonic clock that the shell and the node task share.
+/// The monotonic clock that the I/O tasks and the node task share.
 ///
-/// Clones have the same origin, so that a point set by the node
-/// ([`Dispatch::send_before`]) can be compared with a reading taken right
-/// before a send.
+/// Copies have the same origin, so a deadline set by the node ([`Dispatch::send_before`]) can be
+/// compared with a reading taken right before a send.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -96,12 +94,12 @@
         Time::ZERO + self.origin.elapsed()
     }
 
-    /// Returns how long it is until `point`, or zero if it has passed.
+    /// Returns the time until `point`, or zero if it has passed.
     pub fn until(&self, point: Time) -> Duration {
         point.since(self.now())
     }
 
-    /// Returns the point `point` on tokio's clock.
+    /// Converts `point` to tokio's clock.
     pub fn instant(&self, point: Time) -> tokio::time::Instant {
         let since_origin = point.since(Time::ZERO);
         let point = self.origin.checked_add(since_origin);
@@ -109,16 +107,16 @@
     }
 }
 
-/// Returns a point so late that no process lives to see it.
+/// Returns a point that no process reaches.
 fn far_future() -> Instant {
     const A_YEAR: Duration = Duration::from_secs(365 * 24 * 3_600);
     Instant::now() + A_YEAR
 }
 
-/// Draws the ids of the requests of one life of this process.
+/// Assigns the ids of the requests of one incarnation.
 ///
-/// Invariant: no id is drawn twice, because the incarnation is new for every
-/// process and the sequence never goes back within it.
+/// Invariant: no id is assigned twice, because every process has a new incarnation and the
+/// sequence never decreases within it.
 #[derive(Debug)]
 pub struct RequestIds {
     instance: InstanceKey,
@@ -127,7 +125,7 @@
 }
 
 impl RequestIds {
-    /// Starts the sequence of one life of an instance.
+    /// Starts the sequence of one incarnation of an instance.
     pub fn new(instance: InstanceKey, incarnation: Incarnation) -> Self {
         RequestIds {
             instance,
@@ -136,7 +134,7 @@
         }
     }
 
-    /// Draws the next id.
+    /// Returns the next id.
     pub fn next_id(&self) -> RequestId {
         RequestId {
             instance: self.instance,
@@ -146,7 +144,7 @@
     }
 }
 
-/// The sending end of the node task's queue, with what every sender needs.
+/// The sending end of the node task's queue, with the clock and the request ids.
 #[derive(Clone, Debug)]
 pub struct NodePort {
     inputs: mpsc::Sender<NodeInput>,
@@ -155,7 +153,7 @@
 }
 
 impl NodePort {
-    /// Makes a port and the receiver that the node task reads.
+    /// Creates a port and the receiver for the node task.
     pub fn new(ids: RequestIds, clock: Clock) -> (Self, mpsc::Receiver<NodeInput>) {
         let (inputs, rx) = mpsc::channel(NODE_QUEUE);
         let port = NodePort {
@@ -166,21 +164,21 @@
         (port, rx)
     }
 
-    /// Returns the clock that the node task reads too.
+    /// Returns the clock that the node task uses too.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Draws an id for a new request.
+    /// Returns the id for a new request.
     pub fn next_id(&self) -> RequestId {
         self.ids.next_id()
     }
 
-    /// Hands a request to the node and returns the queue of its orders.
+    /// Submits a request to the node and returns the queue of its orders.
     ///
     /// # Errors
     ///
-    /// Fails if the node task has ended; then the request ran nowhere.
+    /// Fails if the node task has ended. The request did not run then.
     pub async fn submit(
         &self,
         arrival: Box<RequestArrival>,
@@ -190,7 +188,7 @@
         Ok(rx)
     }
 
-    /// Tells the node something.
+    /// Sends an event to the node.
     ///
     /// # Errors
     ///
@@ -199,7 +197,7 @@
         self.send(NodeInput::Event(event)).await
     }
 
-    /// Tells the node what became of an attempt.
+    /// Reports the progress or the end of an attempt to the node.
     ///
     /// # Errors
     ///
@@ -208,7 +206,7 @@
         self.event(Event::Attempt { attempt, update }).await
     }
 
-    /// Asks which entries the holder of a key may use.
+    /// Returns the entries that the holder of a key may use.
     ///
     /// # Errors
     ///
@@ -220,7 +218,7 @@
             .await
     }
 
-    /// Asks for a ticket.
+    /// Requests a ticket.
     ///
     /// # Errors
     ///
--- a/crates/oriolemux/src/callers/prefix.rs
+++ b/crates/oriolemux/src/callers/prefix.rs
@@ -1,19 +1,19 @@
-//! Names a prompt's leading blocks.
+//! Hashes the leading blocks of a prompt.
 //!
-//! Prompts that begin alike have the same leading hashes, so the router can
-//! send them to the endpoint that still holds the prefix in its cache.
+//! Prompts with a common prefix have the same leading hashes, so the router can send them to the
+//! endpoint that holds the prefix in its KV cache.
 
 use oriolemux_core::ids::stable_hash;
 
 /// Bytes of prompt in one block.
 pub const BLOCK_BYTES: usize = 256;
 
-/// The most blocks that are named. Affinity hardly gains from longer prefixes,
-/// and a message between instances should not grow with the prompt.
+/// The most blocks that are hashed. Cache affinity gains little from longer prefixes, and messages
+/// between instances should not grow with the prompt.
 pub const MAX_BLOCKS: usize = 32;
 
-/// Returns the hashes of the whole blocks at the start of `prompt`, longest
-/// prefix last. Each hash covers its block and all blocks before it.
+/// Returns the hashes of the full blocks at the start of `prompt`, longest prefix last. Each hash
+/// covers its block and all blocks before it.
 pub fn prefix_hashes(prompt: &[u8]) -> Vec<u64> {
     let mut hash = 0;
     prompt
--- a/crates/oriolemux/src/callers/routes.rs
+++ b/crates/oriolemux/src/callers/routes.rs
@@ -1,4 +1,4 @@
-//! What callers can ask for, by path.
+//! The routes of the caller API.
 
 mod completions;
 mod models;
@@ -18,22 +18,22 @@
 use std::sync::Arc;
 use work::Work;
 
-/// What serving a request takes.
+/// What the handlers of requests need.
 #[derive(Clone, Debug)]
 pub struct CallerCx<E> {
-    /// The way to the node.
+    /// The port to the node.
     pub port: NodePort,
-    /// How endpoints are spoken to.
+    /// The protocol for requests to endpoints.
     pub protocol: E,
-    /// How large and slow a body may be.
+    /// Limits on the size and duration of a body.
     pub body: BodyLimits,
-    /// The connections that requests come on.
+    /// The open connections of callers.
     pub connections: Connections,
-    /// How long a caller may take nothing of a stream.
+    /// How long a caller may read nothing of a stream.
     pub write_timeout: Duration,
 }
 
-/// Returns the endpoint of all callers' paths.
+/// Returns the HTTP handler of all paths.
 pub fn routes<E: EndpointProtocol>(cx: CallerCx<E>) -> impl Endpoint<Output = Response> {
     let cx = Arc::new(cx);
     Route::new()
@@ -50,7 +50,7 @@
         .at("/*path", NoSuchPath(cx))
 }
 
-/// Answers paths that do not exist.
+/// Responds to paths that do not exist.
 struct NoSuchPath<E>(Arc<CallerCx<E>>);
 
 impl<E: EndpointProtocol> Endpoint for NoSuchPath<E> {
--- a/crates/oriolemux/src/callers/routes/work.rs
+++ b/crates/oriolemux/src/callers/routes/work.rs
@@ -1,4 +1,4 @@
-//! Requests for work, whatever their kind: read, submitted, answered.
+//! The handler of requests for work of all kinds: reads and submits them.
 
 use super::CallerCx;
 use crate::callers::body;
@@ -11,12 +11,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A request whose head and body were read within their bounds.
+/// A request whose head and body were read within their limits.
 pub(super) struct Received {
     pub(super) id: RequestId,
-    /// What its headers ask for.
+    /// The parsed headers.
     pub(super) headers: Headers,
-    /// The headers as they came.
+    /// The unparsed headers.
     pub(super) raw_headers: http::HeaderMap,
     pub(super) bytes: Vec<u8>,
     pub(super) remote: Option<SocketAddr>,
@@ -24,13 +24,13 @@
 
 /// One kind of work.
 pub(super) trait WorkKind: Send + Sync + 'static {
-    /// What the path says.
+    /// The parameters in the path.
     type Path: Send;
 
-    /// Reads what the path says.
+    /// Parses the parameters in the path.
     fn path(id: RequestId, req: &Request) -> Result<Self::Path, ErrorResponse>;
 
-    /// Makes the work of a request.
+    /// Builds the submission of a request.
     fn submission(path: Self::Path, received: Received) -> Result<Submission, ErrorResponse>;
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl<E, K> Work<E, K> {
-    /// Returns the endpoint of a path.
+    /// Returns the HTTP handler of a path.
     pub(super) fn new(cx: &Arc<CallerCx<E>>) -> Self {
         Work {
             cx: Arc::clone(cx),
--- a/crates/oriolemux/src/callers/server.rs
+++ b/crates/oriolemux/src/callers/server.rs
@@ -12,10 +12,10 @@
 use std::io;
 use tokio::net::TcpListener;
 
-/// The most requests at a time on one HTTP/2 connection.
+/// The most concurrent requests on one HTTP/2 connection.
 const MAX_HTTP2_STREAMS: u32 = 128;
 
-/// Settings of the callers' side, with safe defaults.
+/// Settings of the server for callers, with safe defaults.
 #[derive(Clone, Debug)]
 pub struct CallerServerBuilder<E> {
     port: NodePort,
@@ -39,22 +39,22 @@
         self
     }
 
-    /// Sets the most connections at a time; 4,096 unless set.
+    /// Sets the most concurrent connections; 4,096 unless set.
     #[must_use]
     pub fn max_connections(mut self, connections: usize) -> Self {
         self.accept.connections = connections;
         self
     }
 
-    /// Sets the longest time from the first byte of a head to its last; 30 s unless set.
+    /// Sets the longest time from the first byte of a request head to its last; 30 s unless set.
     #[must_use]
     pub fn head_timeout(mut self, timeout: Duration) -> Self {
         self.accept.head = timeout;
         self
     }
 
-    /// Sets how long a caller may take nothing of its answer before it counts
-    /// as gone; 60 s unless set.
+    /// Sets how long a caller may read nothing of its response before it counts as gone; 60 s
+    /// unless set.
     #[must_use]
     pub fn write_timeout(mut self, timeout: Duration) -> Self {
         self.accept.write = timeout;
@@ -81,7 +81,8 @@
 }
 
 impl<E: EndpointProtocol> CallerServer<E> {
-    /// Begins a server that hands requests to `port` and reaches endpoints by `protocol`.
+    /// Returns the builder of a server that submits requests to `port` and reaches endpoints by
+    /// `protocol`.
     pub fn builder(port: NodePort, protocol: E) -> CallerServerBuilder<E> {
         CallerServerBuilder {
             port,
--- a/crates/oriolemux/src/callers/submit.rs
+++ b/crates/oriolemux/src/callers/submit.rs
@@ -1,4 +1,4 @@
-//! Hands a request to the node and answers with what its relay brings.
+//! Submits a request to the node and returns the response of its relay.
 
 use super::auth::key_digest;
 use super::connections::OpenRequest;
@@ -27,38 +27,38 @@
 
 /// The caller's key for a request that must not run twice.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The ticket that the caller drew for this request.
+/// The ticket that the caller obtained for this request.
 const TICKET: &str = "oriolemux-ticket";
-/// Tokens of the prompt as the caller counted them.
+/// Number of prompt tokens, counted by the caller.
 const PROMPT_TOKENS: &str = "oriolemux-prompt-tokens";
-/// How long the caller is willing to wait, in milliseconds.
+/// The longest time that the caller is willing to wait, in milliseconds.
 const MAX_WAIT_MS: &str = "oriolemux-patience-ms";
 
 /// The longest idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY: usize = 256;
 
-/// What a request's headers say.
+/// The parsed headers of a request.
 #[derive(Clone, Debug)]
 pub struct Headers {
     /// SHA-256 of the caller's bearer key.
     pub key_digest: [u8; 32],
     /// The caller's idempotency key, if it sent one.
     pub idempotency_key: Option<String>,
-    /// The ticket that the caller drew earlier, if it sent one.
+    /// The ticket that the caller obtained earlier, if it sent one.
     pub ticket: Option<RequestId>,
-    /// Tokens of the prompt as the caller counted them, if it said so.
+    /// Number of prompt tokens, if the caller declared it.
     pub prompt_tokens: Option<u32>,
-    /// How long the caller is willing to wait, if it said so.
+    /// The longest time that the caller is willing to wait, if it set one.
     pub max_wait: Option<Duration>,
 }
 
 impl Headers {
-    /// Reads the headers of the request `id`.
+    /// Parses the headers of the request `id`.
     ///
     /// # Errors
     ///
-    /// Fails with the answer for the caller if the bearer key is missing or a
-    /// header has a wrong value.
+    /// Fails with the response for the caller if the bearer key is missing or a header has an
+    /// invalid value.
     pub fn read(id: RequestId, headers: &HeaderMap) -> Result<Self, ErrorResponse> {
         let key_digest =
             key_digest(headers).ok_or_else(|| ErrorResponse::not_submitted(id, Reason::BadKey))?;
@@ -72,12 +72,12 @@
         })
     }
 
-    /// Weakens the refusal of a request that was not read whole, or not taken
-    /// for a reason of this process's own.
+    /// Sets the outcome of a refusal to "unknown" if the request has a ticket or an idempotency
+    /// key. Used for requests that were not fully read, or not accepted because of the state of
+    /// this process.
     ///
-    /// What goes wrong otherwise: the request is the repeat of one that ran
-    /// while its answer was lost. Told "not run", its caller believes that of
-    /// both. Under a ticket or key the outcome is therefore unknown.
+    /// The request may be a duplicate of one that ran and whose response was lost. On "not run"
+    /// the caller would conclude that neither of them ran.
     pub fn qualify_outcome(&self, error: ErrorResponse) -> ErrorResponse {
         match self.ticket.is_some() || self.idempotency_key.is_some() {
             true => error.with_unknown_outcome(),
@@ -99,8 +99,8 @@
     }
 }
 
-/// Parses a header. A value that is there but wrong is an error: a caller that
-/// sent a key or a ticket relies on it.
+/// Parses a header. An invalid value is an error and not ignored, because a caller that sent a key
+/// or a ticket relies on it.
 fn parse<T: FromStr>(
     id: RequestId,
     headers: &HeaderMap,
@@ -124,32 +124,32 @@
         .with_detail(format!("the header `{name}` is not valid"))
 }
 
-/// A request that was read and is ready for the node.
+/// A parsed request that is ready for the node.
 #[derive(Debug)]
 pub struct Submission {
     /// The request.
     pub id: RequestId,
-    /// What its headers say.
+    /// Its parsed headers.
     pub headers: Headers,
     /// The entry's name, as the caller wrote it.
     pub entry: String,
-    /// What the node needs to know of the work.
+    /// What the node needs to know about the work.
     pub work: Work,
-    /// The body as it came. With the entry it tells a repeat from a reuse of a
-    /// key: without the entry, a call of one service would be answered with the
-    /// outcome of a call of another.
+    /// The unparsed body. Together with the entry it distinguishes a duplicate request from a
+    /// reused key: without the entry, a call of one service could receive the outcome of a call of
+    /// another.
     pub body_bytes: Vec<u8>,
-    /// What goes to the endpoint.
+    /// What is sent to the endpoint.
     pub body: WorkBody,
-    /// The form of the answer.
+    /// The format of the response.
     pub format: ResponseFormat,
-    /// Where the caller's connection comes from.
+    /// The remote address of the caller's connection.
     pub remote: Option<SocketAddr>,
 }
 
 impl Submission {
-    /// Returns what makes it the same request as another one. The caller is known by the digest
-    /// of its key here, before its workspace is.
+    /// Returns the fingerprint by which duplicates are recognised. The caller is identified by the
+    /// digest of its key, because its workspace is not known yet.
     fn fingerprint(&self) -> Fingerprint {
         let key: String = self
             .headers
@@ -182,8 +182,7 @@
     }
 }
 
-/// Runs a request and returns its answer, of which a stream goes on after this
-/// returns.
+/// Runs a request and returns its response. The body of a stream continues after this returns.
 pub async fn submit<E: EndpointProtocol>(cx: &CallerCx<E>, submission: Submission) -> Response {
     let id = submission.id;
     let arrival = Box::new(submission.arrival());
@@ -216,8 +215,8 @@
     }
 }
 
-/// The relay ended without an answer, which only a panic does; whether the
-/// request ran is then not known here.
+/// Returns the response for a relay that ended without one, which only happens if it panics.
+/// Whether the request ran is not known then.
 fn relay_panicked(id: RequestId) -> Response {
     let verdict = oriolemux_core::Verdict::unknown(Reason::Internal);
     ErrorResponse::from_verdict(id, &verdict).into_response()
@@ -240,13 +239,14 @@
     }
 }
 
-/// What goes wrong without the error at the end: a relay that panics would
-/// leave a stream that looks whole to a lenient client. With it the server
-/// breaks the connection instead of ending the body.
+/// Streams `pieces` as the body of a response.
+///
+/// If the relay panics, the body ends with an error, so that the server breaks the connection.
+/// Without the error the stream would look complete to a lenient client.
 fn stream_body(mut pieces: mpsc::Receiver<Piece>, open_request: OpenRequest) -> Body {
     let mut ended = false;
     Body::from_bytes_stream(stream::poll_fn(move |cx| {
-        // Moved in, so that the relay learns when the server drops the body.
+        // Moved in, so that the relay is notified when the server drops the body.
         let _listening = &open_request;
         if ended {
             return core::task::Poll::Ready(None);
--- a/crates/oriolemux/src/endpoints.rs
+++ b/crates/oriolemux/src/endpoints.rs
@@ -1,12 +1,11 @@
-//! The endpoints' side: what is assumed about model engines and plain services.
+//! The protocol towards endpoints: model engines and plain services.
 //!
-//! Everything that oriolemux assumes about an endpoint stands behind one small
-//! trait, [`EndpointProtocol`], and is listed in `docs/INTERFACES.md`, so that
-//! a different answer is a small change. [`HttpProtocol`] is the one that ships.
+//! Everything that oriolemux assumes about an endpoint is behind one small trait,
+//! [`EndpointProtocol`], and listed in `docs/INTERFACES.md`, so that another protocol is a small
+//! change. [`HttpProtocol`] is the implementation in use.
 //!
-//! The protocol never decides anything. In particular it never tries twice: a
-//! second send is a retry, and retries belong to the node, which knows whether
-//! the work may run again (`docs/design/delivery.md`).
+//! The protocol makes no decisions. In particular it never sends a request twice: a second send is
+//! a retry, and only the node knows whether the work may run again (`docs/design/delivery.md`).
 
 pub mod http;
 pub mod polls;
@@ -24,7 +23,7 @@
 use oriolemux_core::outcome::Refusal;
 use oriolemux_core::{AttemptId, Reason, Time};
 
-/// A caller's work, kept until the request is over because a retry sends it again.
+/// A caller's work, kept until the request ends because a retry sends it again.
 #[derive(Clone, Debug)]
 pub enum WorkBody {
     /// A generation.
@@ -33,7 +32,7 @@
     Call(CallBody),
 }
 
-/// What of a completion request goes to the engine as it is.
+/// The parts of a completion request that are passed on to the engine unchanged.
 #[derive(Clone, Debug)]
 pub struct CompletionBody {
     /// The prompt.
@@ -42,7 +41,7 @@
     pub sampling: serde_json::Map<String, serde_json::Value>,
 }
 
-/// What a plain service is called with.
+/// The content type and body of a call of a plain service.
 #[derive(Clone, Debug)]
 pub struct CallBody {
     /// The caller's content type, if it sent one.
@@ -51,10 +50,10 @@
     pub bytes: Bytes,
 }
 
-/// Why an exchange with an endpoint did not begin or did not go on.
+/// Why an exchange with an endpoint failed.
 ///
-/// The variants tell apart what [`oriolemux_core::delivery::Delivery`] needs to
-/// know to say whether the work may have run.
+/// The variants distinguish what [`oriolemux_core::delivery::Delivery`] needs to know to decide
+/// whether the work may have run.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display, thiserror::Error)]
 pub enum EndpointFailure {
     /// no connection stood, so that not one byte of the body left
@@ -67,18 +66,18 @@
     Broken(Reason),
 }
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub struct EndpointResponse<B> {
     /// The body, still to be read.
     pub body: B,
-    /// The attempt that the endpoint says it answers, if its head says so.
+    /// The attempt that the head of the response names, if it names one.
     pub attempt: Option<String>,
-    /// The answer's content type, if it has one.
+    /// The content type, if there is one.
     pub content_type: Option<HeaderValue>,
 }
 
-/// Where a broken stream goes on.
+/// Where a broken stream is to be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResumePoint {
     /// The generation.
@@ -90,7 +89,7 @@
 /// A batch of an engine's cache events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 pub struct CacheBatch {
-    /// The number to ask after next time.
+    /// The sequence number for the next request.
     pub next: u64,
     /// Whether events were lost since the last batch.
     pub gap: bool,
@@ -100,30 +99,29 @@
     pub evicted: Vec<u64>,
 }
 
-/// The body of an answer, read piece by piece.
+/// The body of a response, read in chunks.
 ///
 /// Dropping it ends the exchange and closes the connection.
 pub trait ResponseBody: Send + 'static {
-    /// Waits for the next piece; `None` is the end that the framing promised.
+    /// Waits for the next chunk; `None` is the end of the body by its framing.
     ///
     /// # Errors
     ///
     /// Fails with [`Reason::ConnectionLost`] if the connection broke.
     fn chunk(&mut self) -> impl Future<Output = Result<Option<Bytes>, EndpointFailure>> + Send;
 
-    /// Returns the next piece if it is already here; `None` if it is not.
+    /// Returns the next chunk if it has already arrived, and `None` otherwise.
     fn ready_chunk(&mut self) -> Option<Result<Option<Bytes>, EndpointFailure>>;
 }
 
-/// How endpoints are spoken to.
+/// The protocol for requests to endpoints.
 pub trait EndpointProtocol: Clone + Send + Sync + 'static {
-    /// The body of an answer.
+    /// The body of a response.
     type Body: ResponseBody;
 
-    /// Sends an attempt once and waits for the head of the answer.
+    /// Sends an attempt once and waits for the head of the response.
     ///
-    /// The clock is read right before the send; after
-    /// [`Dispatch::send_before`] nothing is sent.
+    /// The clock is read right before the send; after [`Dispatch::send_before`] nothing is sent.
     ///
     /// # Errors
     ///
@@ -134,7 +132,7 @@
         work: &WorkBody,
     ) -> impl Future<Output = Result<EndpointResponse<Self::Body>, EndpointFailure>> + Send;
 
-    /// Asks for the rest of a generation whose stream broke.
+    /// Requests the rest of a generation whose stream broke.
     ///
     /// # Errors
     ///
@@ -146,41 +144,40 @@
         limit: Duration,
     ) -> impl Future<Output = Result<EndpointResponse<Self::Body>, EndpointFailure>> + Send;
 
-    /// Ends a generation and frees its memory.
+    /// Cancels a generation, which frees its memory.
     ///
-    /// Returns whether the endpoint confirmed it; an unconfirmed one ends by
-    /// the endpoint's own grace for broken connections.
+    /// Returns whether the endpoint confirmed it. Without confirmation the generation ends after
+    /// the endpoint's own grace period for broken connections.
     fn cancel(
         &self,
         endpoint: &EndpointTarget,
         attempt: AttemptId,
     ) -> impl Future<Output = bool> + Send;
 
-    /// Asks for the load.
+    /// Requests the load report.
     ///
     /// # Errors
     ///
-    /// Fails if no valid report came in time.
+    /// Fails if no valid report arrived in time.
     fn load(
         &self,
         endpoint: &EndpointTarget,
     ) -> impl Future<Output = Result<LoadReport, EndpointFailure>> + Send;
 
-    /// Asks for the cache events after the number `after`.
+    /// Requests the cache events after the sequence number `after`.
     ///
     /// # Errors
     ///
-    /// Fails if no valid batch came in time.
+    /// Fails if no valid batch arrived in time.
     fn cache_events(
         &self,
         endpoint: &EndpointTarget,
         after: u64,
     ) -> impl Future<Output = Result<CacheBatch, EndpointFailure>> + Send;
 
-    /// Gives an order.
+    /// Sends an order.
     ///
-    /// The clock is read when the connection stands; after `send_before`
-    /// nothing is sent.
+    /// The clock is read when the connection is established; after `send_before` nothing is sent.
     fn order(
         &self,
         endpoint: &EndpointTarget,
@@ -189,10 +186,11 @@
         send_before: Time,
     ) -> impl Future<Output = OrderResult> + Send;
 
-    /// Returns whether the endpoint's process is known to have ended: nobody is at its address.
+    /// Returns whether the endpoint's process is known to have ended: nothing listens at its
+    /// address.
     fn has_ended(&self, endpoint: &EndpointTarget) -> impl Future<Output = bool> + Send;
 
-    /// An answer on some connection belonged to another attempt: no idle
-    /// connection is used again.
+    /// Discards all idle connections. Called when the response on some connection belonged to
+    /// another attempt.
     fn discard_idle_connections(&self);
 }
--- a/crates/oriolemux/src/endpoints/http.rs
+++ b/crates/oriolemux/src/endpoints/http.rs
@@ -20,7 +20,7 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use tokio::time::timeout;
 
-/// The header by which a plain service says which attempt it answers.
+/// The header by which a plain service names the attempt that it responds to.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
 /// The header that names the request to a plain service.
 pub const REQUEST_HEADER: &str = "x-request-id";
@@ -28,8 +28,8 @@
 /// The largest refusal, load report or batch of cache events that is read.
 const MAX_CONTROL_RESPONSE_BYTES: usize = 1 << 20;
 
-/// An idle connection is closed by us before most servers close theirs, so
-/// that a request seldom meets a connection that is just being closed.
+/// Idle connections are closed earlier than most servers close them, so that a request is seldom
+/// sent on a connection that the server is just closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Timeouts towards endpoints.
@@ -50,7 +50,7 @@
     }
 }
 
-/// Speaks to endpoints over HTTP/1.1.
+/// The [`EndpointProtocol`] over HTTP/1.1.
 #[derive(Clone, Debug)]
 pub struct HttpProtocol {
     clients: Arc<Clients>,
@@ -61,13 +61,12 @@
 /// One client that keeps idle connections and one that never does.
 #[derive(Debug)]
 struct Clients {
-    /// For work that may run twice and for control. Replaced as a whole when
-    /// its idle connections are no longer trusted.
+    /// For work that may run twice and for control requests. Replaced when its idle connections
+    /// are no longer trusted.
     pooled: RwLock<Client>,
-    /// For work that must not run twice. A reused connection may have been
-    /// closed by the other side; the HTTP library then sends the request again
-    /// on another one, out of our sight. A new connection for every request
-    /// takes that case away; the library's own retries are off as well.
+    /// For work that must not run twice. The server may have closed a reused connection; the HTTP
+    /// library then resends the request on another one without reporting it. A new connection for
+    /// every request avoids this case; the library's own retries are off as well.
     unpooled: Client,
 }
 
@@ -77,11 +76,11 @@
 pub struct SetUpError(#[from] reqwest::Error);
 
 impl HttpProtocol {
-    /// Sets up the clients.
+    /// Creates the HTTP clients.
     ///
     /// # Errors
     ///
-    /// Fails if the HTTP library cannot start.
+    /// Fails if the HTTP library cannot be initialised.
     pub fn new(clock: Clock, settings: HttpSettings) -> Result<Self, SetUpError> {
         let clients = Clients {
             pooled: RwLock::new(pooled_client(&settings)?),
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Sends a control request and reads its whole, small answer.
+    /// Sends a control request and reads its full response.
     async fn control(
         &self,
         request: RequestBuilder,
@@ -177,8 +176,8 @@
         let guard = SendGuard::new(self.clock, dispatch.send_before);
         let request = request.header(CONTENT_LENGTH, bytes.len());
         let request = if bytes.is_empty() {
-            // Nothing of an empty body passes the guard, so it counts as sent
-            // from here on.
+            // The HTTP client never polls an empty body, so the guard would not see it. It counts
+            // as sent from here on.
             guard.hand_over().map_err(|_| EndpointFailure::TooLate)?;
             request
         } else {
@@ -198,9 +197,9 @@
         point: ResumePoint,
         limit: Duration,
     ) -> Result<EndpointResponse<HttpBody>, EndpointFailure> {
-        // A GET changes nothing at the endpoint, but it is sent on a new
-        // connection all the same: the stream broke, so idle connections to
-        // this endpoint may be half open and would cost a whole stall limit.
+        // A GET changes nothing at the endpoint, but it is sent on a new connection nevertheless:
+        // the stream broke, so idle connections to this endpoint may be half open, and a request
+        // on one of them would wait for the full stall limit.
         let path = format!("/v1/completions/{}", point.attempt);
         let mut request = self.clients.unpooled.get(url(endpoint, &path));
         if let Some(index) = point.last_index {
@@ -222,9 +221,8 @@
 
     async fn cancel(&self, endpoint: &EndpointTarget, attempt: AttemptId) -> bool {
         let url = url(endpoint, &format!("/v1/completions/{attempt}"));
-        // Ending a generation twice is harmless, so a kept connection that
-        // turns out to be closed costs a second try and not a generation that
-        // runs on for nobody.
+        // Cancelling twice is harmless, so the cancellation is sent again on a new connection if a
+        // kept one turns out to be closed. Otherwise the generation would run on unread.
         for client in [self.pooled(), self.clients.unpooled.clone()] {
             match self.control(client.delete(&url)).await {
                 Ok((status, _)) => return status.is_success(),
@@ -254,8 +252,8 @@
         kind: &OrderKind,
         send_before: Time,
     ) -> OrderResult {
-        // An order is fenced or guarded by a lease, but never worth a hidden
-        // second send, so it takes a connection of its own.
+        // Orders are fenced or protected by a lease, but must not be resent by the HTTP library
+        // either, so each one gets a new connection.
         let bytes = Bytes::from(wire::order_request(fencing, kind));
         let guard = SendGuard::new(self.clock, send_before);
         let request = self
@@ -288,7 +286,7 @@
     }
 }
 
-/// The body of an endpoint's answer.
+/// The body of an endpoint's response.
 #[derive(Debug)]
 pub struct HttpBody {
     response: Response,
@@ -329,7 +327,7 @@
     EndpointFailure::Broken(Reason::ConnectionLost)
 }
 
-/// Says what a failed send means, by whether the body was handed over.
+/// Classifies a failed send by whether the body was handed over to the HTTP client.
 fn classify_send_error(guard: &SendGuard, err: &reqwest::Error) -> EndpointFailure {
     if guard.expired() {
         return EndpointFailure::TooLate;
@@ -338,13 +336,13 @@
         return EndpointFailure::NotConnected;
     }
     if err.is_connect() {
-        // Only an empty body counts as handed over before its connection stands.
+        // Only an empty body counts as handed over before its connection is established.
         return EndpointFailure::NotConnected;
     }
     connection_lost()
 }
 
-/// Tells an answer from a refusal.
+/// Distinguishes a response from a refusal.
 async fn accept_response(
     response: Response,
     limit: Duration,
--- a/crates/oriolemux/src/endpoints/polls.rs
+++ b/crates/oriolemux/src/endpoints/polls.rs
@@ -1,4 +1,4 @@
-//! Polls of load and cache events, and orders, for the node task.
+//! Polls endpoints for load and cache events, and sends orders, for the node task.
 
 use super::EndpointProtocol;
 use crate::callers::port::{NodeGone, NodePort};
@@ -7,24 +7,23 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Cache events are asked for with every so many polls of load. They come late
-/// and with gaps in any case, and each ask costs as many bytes as a report.
+/// Cache events are requested with one in this many load polls. They arrive late and with gaps in any
+/// case, and each request costs as many bytes as a load report.
 pub const POLLS_PER_CACHE: u32 = 4;
 
-/// How far an endpoint's cache events were read.
+/// The read position in an endpoint's cache events.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cursor {
-    /// The number to ask for events after.
+    /// The sequence number after which events are requested.
     after: u64,
-    /// Polls of load since the last ask; 0 asks with the next poll.
+    /// Load polls since the last request for cache events; at 0 the next poll requests them.
     polls: u32,
 }
 
-/// Carries out [`oriolemux_core::Action::PollLoad`] and
-/// [`oriolemux_core::Action::Order`].
+/// Executes [`oriolemux_core::Action::PollLoad`] and [`oriolemux_core::Action::Order`].
 ///
-/// It remembers how far each endpoint's cache events were read. Plain services
-/// answer 404 to cache events, which counts as no news.
+/// It keeps the read position in each endpoint's cache events. Plain services respond to requests
+/// for cache events with 404, which counts as no events.
 #[derive(Clone, Debug)]
 pub struct Polls<E> {
     protocol: E,
@@ -40,8 +39,8 @@
         }
     }
 
-    /// Asks an endpoint for its load, and now and then for its cache events, and
-    /// tells the node.
+    /// Requests an endpoint's load, and with one in [`POLLS_PER_CACHE`] polls its cache events,
+    /// and passes them to the node.
     ///
     /// # Errors
     ///
@@ -61,7 +60,7 @@
         }
     }
 
-    /// Counts a poll; returns whether cache events are asked for with it.
+    /// Counts a poll; returns whether cache events are requested with it.
     fn is_cache_due(&self, key: EndpointKey) -> bool {
         let mut cursors = self.cursors();
         let cursor = cursors.entry(key).or_default();
@@ -76,9 +75,8 @@
         let Ok(batch) = self.protocol.cache_events(endpoint, after).await else {
             return Ok(());
         };
-        // A number that fell back means that the endpoint restarted with an
-        // empty cache. Without this check its old blocks would be believed
-        // in until it had counted up to the old number.
+        // A lower sequence number means that the endpoint restarted with an empty cache. Without
+        // this check its old blocks would count as cached until it had reached the old number.
         let restarted = batch.next < after;
         self.cursors().entry(key).or_default().after = batch.next;
         let gap = batch.gap || restarted;
@@ -94,7 +92,7 @@
         port.event(event).await
     }
 
-    /// Gives an order, unless it is too late, and tells the node what became of it.
+    /// Sends an order, unless `send_before` has passed, and reports the result to the node.
     ///
     /// # Errors
     ///
--- a/crates/oriolemux/src/endpoints/send_guard.rs
+++ b/crates/oriolemux/src/endpoints/send_guard.rs
@@ -1,14 +1,17 @@
-//! Watches over the one moment in which a request leaves this process.
+//! Guards the moment in which the body of a request is handed to the HTTP client.
 //!
-//! What goes wrong without it: a process decides to send, is paused, wakes when
-//! the home has long given the work to another process, and sends all the same;
-//! an unrepeatable call then runs twice. And the other way: an HTTP client
-//! fails, and nobody can say whether it had begun to send, so that either a
-//! false "not run" is told or a needless "unknown". The body is therefore a
-//! stream of one piece. The HTTP client asks for that piece only once a
-//! connection stands, and at that moment the guard reads the clock and marks
-//! the body as handed over. An unmarked body never left this process, and a
-//! request without its body is not run by any endpoint (`docs/INTERFACES.md`).
+//! It prevents two faults:
+//!
+//! - A process decides to send and is paused. It continues after the home (the instance that
+//!   decides for the request, chosen by rendezvous hashing) has given the work to another process,
+//!   and sends it nevertheless. A call that is not idempotent would run twice.
+//! - The HTTP client fails, and it is not known whether it had begun to send. The caller would
+//!   receive a false "not run" or a needless "unknown".
+//!
+//! The body is therefore a stream of one chunk. The HTTP client polls it only once a connection is
+//! established. At that moment the guard reads the clock and marks the body as handed over. A body
+//! without the mark was never sent, and no endpoint runs a request without its body
+//! (`docs/INTERFACES.md`).
 
 use crate::callers::port::Clock;
 use bytes::Bytes;
@@ -27,7 +30,7 @@
 /// the time in which this may be sent has passed
 pub struct Expired;
 
-/// Knows whether a body was handed to a connection.
+/// Records whether a body was handed over to a connection.
 #[derive(Clone, Debug)]
 pub struct SendGuard {
     state: Arc<AtomicU8>,
@@ -36,7 +39,7 @@
 }
 
 impl SendGuard {
-    /// Watches over a body that must not be sent after `send_before`.
+    /// Creates the guard of a body that must not be sent after `send_before`.
     pub fn new(clock: Clock, send_before: Time) -> Self {
         SendGuard {
             state: Arc::new(AtomicU8::new(WAITING)),
@@ -45,8 +48,8 @@
         }
     }
 
-    /// Wraps `bytes`, which must not be empty: an HTTP client never asks for
-    /// an empty body, so the guard would not see it leave.
+    /// Wraps `bytes`, which must not be empty: an HTTP client never polls an empty body, so the
+    /// guard would not see it being sent.
     pub fn body(&self, bytes: Bytes) -> reqwest::Body {
         debug_assert!(!bytes.is_empty());
         let guard = self.clone();
@@ -60,8 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if it is too late or the send was given up; the body then never
-    /// leaves.
+    /// Fails if the deadline has passed or the send was given up. The body is never sent then.
     pub fn hand_over(&self) -> Result<(), Expired> {
         let in_time = self.clock.now() <= self.send_before;
         let next = if in_time { HANDED_OVER } else { EXPIRED };
@@ -71,23 +73,22 @@
         }
     }
 
-    /// Gives the send up, unless the body was handed over; returns whether it
-    /// may have left this process.
+    /// Gives up the send, unless the body was handed over; returns whether it may have been sent.
     ///
-    /// What goes wrong if the state is only read: a connection that stands a
-    /// moment later asks for the body, which leaves although "not run" was said.
+    /// Reading the state alone would not suffice: a connection that is established a moment later
+    /// would poll the body, and it would be sent although "not run" was reported.
     pub fn give_up(&self) -> bool {
         self.transition(GIVEN_UP) == HANDED_OVER
     }
 
-    /// Moves on from waiting, once; returns the state that holds from then on.
+    /// Changes the state from `WAITING` to `next`, at most once; returns the resulting state.
     fn transition(&self, next: u8) -> u8 {
         let (acquire, release) = (Ordering::Acquire, Ordering::AcqRel);
         let swapped = self.state.compare_exchange(WAITING, next, release, acquire);
         swapped.map_or_else(|current| current, |_| next)
     }
 
-    /// Returns whether it was too late when the connection stood.
+    /// Returns whether the deadline had passed when the connection was established.
     pub fn expired(&self) -> bool {
         self.state.load(Ordering::Acquire) == EXPIRED
     }
--- a/crates/oriolemux/src/endpoints/wire.rs
+++ b/crates/oriolemux/src/endpoints/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON that endpoints are sent and answer with.
+//! The JSON of requests to endpoints and of their responses.
 
 use super::CompletionBody;
 use oriolemux_core::event::{Dispatch, OrderKind};
@@ -89,7 +89,7 @@
     serde_json::to_vec(&request).expect("strings and numbers serialise")
 }
 
-/// The answer to an order with a fencing number that is too low.
+/// The response to an order with a fencing number that is too low.
 #[derive(Debug, Deserialize)]
 pub struct Fenced {
     /// The highest number that the endpoint has seen.
--- a/crates/oriolemux/src/relay.rs
+++ b/crates/oriolemux/src/relay.rs
@@ -1,9 +1,9 @@
-//! Runs one request: from the node's orders to the caller's last byte.
+//! Runs one request, from the node's orders to the last byte for the caller.
 //!
-//! Each request has a task of its own, the [`Relay`]. It holds both
-//! connections, so tokens never pass through the node task. What may be handed
-//! to the caller is decided by [`Delivery`], a pure machine of the core; the
-//! relay only moves bytes and reports. See `docs/design/relay.md`.
+//! Each request has a task of its own, the [`Relay`]. It holds the connections to the caller and
+//! to the endpoint, so tokens never pass through the node task. [`Delivery`], a pure state machine
+//! of the core, decides what is sent to the caller; the relay only moves bytes and reports to the
+//! node. See `docs/design/relay.md`.
 
 pub mod caller;
 pub mod chunk;
@@ -33,12 +33,12 @@
     work: WorkBody,
     delivery: Delivery,
     channels: RequestChannels,
-    /// What this task itself knows about whether the request ran.
+    /// What this task knows about whether the request ran.
     outcome: RequestOutcome,
 }
 
 impl<E: EndpointProtocol> Relay<E> {
-    /// Prepares to run `request`, of which `outcome` is known so far.
+    /// Creates the relay of `request`; `outcome` is what is known about it so far.
     pub fn new(
         request: RequestId,
         outcome: RequestOutcome,
@@ -61,8 +61,8 @@
 
     /// Runs the request to its end.
     pub async fn run(mut self) {
-        // The node task ends only with the process; whatever could still be
-        // told to it is lost then, and the caller has been answered.
+        // The node task ends only with the process. Reports to it are lost then, but the caller
+        // has received its response.
         let _ = self.run_orders().await;
     }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns whether the request is over.
+    /// Handles an interrupted attempt; returns whether the request has ended.
     async fn on_interrupt(&mut self, interrupt: Interrupt) -> Result<bool, NodeGone> {
         match interrupt {
             Interrupt::Cancelled => return Ok(false),
@@ -118,8 +118,8 @@
         }
     }
 
-    /// The node task has ended without a verdict. What is said here leans only
-    /// on what this task itself sent, which is all that was sent.
+    /// Finishes a request after the node task ended without a verdict. The outcome follows from
+    /// what this task sent, because nothing else sends for this request.
     async fn finish_without_node(&mut self) -> Result<(), NodeGone> {
         let delivered = self.delivery.delivered();
         let verdict = self.outcome.finish(Reason::Internal, None, delivered);
--- a/crates/oriolemux/src/relay/attempt.rs
+++ b/crates/oriolemux/src/relay/attempt.rs
@@ -19,20 +19,20 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
-    /// It was reported to the node, which decides what follows.
+    /// It was reported to the node, which decides what to do next.
     Reported,
-    /// The caller has its whole answer.
+    /// The caller has the complete response.
     Delivered,
-    /// It was ended from outside.
+    /// It was ended by the caller or the node.
     Interrupted(Interrupt),
 }
 
-/// What follows a step of the delivery.
+/// What to do after a step of the delivery.
 #[derive(Debug)]
 enum Next {
-    /// Go on reading.
+    /// Continue reading.
     Read,
-    /// Ask the endpoint for the rest on a new connection.
+    /// Request the rest from the endpoint on a new connection.
     Resume {
         after: Option<u32>,
         delay: core::time::Duration,
@@ -42,7 +42,7 @@
 }
 
 impl<E: EndpointProtocol> Relay<E> {
-    /// Runs an attempt and reports what becomes of it.
+    /// Runs an attempt and reports how it ended.
     pub(super) async fn run_attempt(
         &mut self,
         dispatch: &Dispatch,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Tells the delivery that the exchange did not begin or broke off.
+    /// Passes a failed exchange to the delivery.
     fn on_failure(&mut self, failure: &EndpointFailure) -> Step {
         match failure {
             EndpointFailure::NotConnected => self.delivery.on_connect_failed(),
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Follows a step that came before any answer: the generation may run, so
-    /// it is resumed if the delivery says so.
+    /// Applies a step that came before any response. The generation may be running, so it is
+    /// resumed if the delivery decides so.
     async fn apply_before_response(
         &mut self,
         dispatch: &Dispatch,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Carries out an act that is not about a single token, and reports.
+    /// Executes an action that is not about a single token, and reports to the node.
     async fn apply(&mut self, dispatch: &Dispatch, step: Step) -> Result<Next, NodeGone> {
         let next = match step.action {
             StreamAction::Idle
@@ -145,10 +145,10 @@
         Ok(next)
     }
 
-    /// RequestChannels the attempt because of something outside of it.
+    /// Ends the attempt because of an interrupt.
     async fn interrupted(&mut self, dispatch: &Dispatch, interrupt: Interrupt) -> AttemptEnd {
         let step = match interrupt {
-            // The node learns of it by `Event::CallerGone`, not by a report.
+            // The node is informed by `Event::CallerGone`, not by a report.
             Interrupt::CallerGone => self.delivery.on_caller_gone(),
             _ => self.delivery.cancel(),
         };
@@ -158,8 +158,8 @@
         AttemptEnd::Interrupted(interrupt)
     }
 
-    /// Frees the generation's memory at the endpoint, without making the
-    /// request wait for it.
+    /// Frees the generation's memory at the endpoint, in the background, so that the request does
+    /// not wait for it.
     fn cancel_at_endpoint(&self, dispatch: &Dispatch) {
         if let WorkBody::Call(_) = self.work {
             return;
@@ -170,8 +170,8 @@
         tokio::spawn(async move { protocol.cancel(&endpoint, attempt).await });
     }
 
-    /// An endpoint that answers for another attempt has mixed up its
-    /// connections; an idle one may hold the rest of somebody else's answer.
+    /// An endpoint that responds for another attempt has mixed up its connections. An idle
+    /// connection may then hold the rest of another request's response.
     fn discard_connections_after(&self, reason: Reason) {
         if reason == Reason::WrongAttempt {
             self.protocol.discard_idle_connections();
@@ -179,8 +179,8 @@
     }
 }
 
-/// Returns whether an attempt ended because its endpoint was not there any more, as far as its
-/// connections tell. Only then it is looked whether the endpoint's process ended.
+/// Returns whether an attempt failed in a way that suggests that the endpoint's process has
+/// ended. Only then is the endpoint probed.
 fn endpoint_may_have_ended(report: Option<&AttemptUpdate>) -> bool {
     let Some(AttemptUpdate::Failed { reason, ran, .. }) = report else {
         return false;
--- a/crates/oriolemux/src/relay/attempt/call.rs
+++ b/crates/oriolemux/src/relay/attempt/call.rs
@@ -10,8 +10,8 @@
 use oriolemux_core::event::Dispatch;
 use tokio::time::timeout;
 
-/// The largest answer of a plain service that is handed on. It is held in
-/// memory until it is whole, so that a caller never gets half an answer.
+/// The largest response of a plain service that is forwarded. It is buffered in memory until it
+/// is complete, so that a caller never receives a truncated response.
 const MAX_CALL_RESPONSE_BYTES: usize = 8 << 20;
 
 impl<E: EndpointProtocol> Relay<E> {
--- a/crates/oriolemux/src/relay/attempt/chunks.rs
+++ b/crates/oriolemux/src/relay/attempt/chunks.rs
@@ -1,4 +1,4 @@
-//! The pieces in which an answer arrives.
+//! Reads the chunks of a response body.
 
 use crate::endpoints::{EndpointFailure, ResponseBody};
 use bytes::Bytes;
@@ -8,14 +8,13 @@
 use oriolemux_core::Reason;
 use tokio::time::{Instant, Sleep, timeout};
 
-/// How long the few bytes after the end mark are waited for, so that the
-/// connection can be used again.
+/// How long to wait for the few bytes after the end mark, so that the connection can be reused.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Finds out when an endpoint has been silent for too long.
+/// Detects an endpoint that has sent nothing for too long.
 ///
-/// The timer is moved only when it fires, because moving it at every token
-/// costs more than reading the clock.
+/// The timer is reset only when it fires, because resetting it at every token costs more than
+/// reading the clock.
 pub(super) struct StallTimer {
     limit: Duration,
     last_activity: Instant,
@@ -48,7 +47,7 @@
     }
 }
 
-/// Waits for the next piece of an answer, up to the stall limit.
+/// Waits for the next chunk of a response, up to the stall limit.
 pub(super) async fn next_chunk<B: ResponseBody>(
     body: &mut B,
     stall: &mut StallTimer,
@@ -62,12 +61,12 @@
     chunk
 }
 
-/// Returns the next piece of an answer if it has arrived.
+/// Returns the next chunk of a response if it has arrived.
 ///
-/// The HTTP client hands on one piece, however small, and reads the next one
-/// only when it is asked for it. So it is asked, and its task gets one turn.
-/// Without that turn a burst of a hundred tokens would leave in a hundred
-/// writes, and a write costs more than all the rest.
+/// The HTTP client returns one chunk, however small, and reads the next one only when polled. So
+/// it is polled, and this task yields once to let the client's task run. Without the yield, a
+/// burst of a hundred tokens would be sent in a hundred writes, and a write costs more than all
+/// the rest.
 pub(super) async fn next_ready_chunk<B: ResponseBody>(
     body: &mut B,
 ) -> Option<Result<Option<Bytes>, EndpointFailure>> {
@@ -79,7 +78,7 @@
         if core::mem::replace(&mut has_yielded, true) {
             return Poll::Ready(());
         }
-        // Not tokio's own yield, which looks at all sockets first.
+        // Not tokio's own yield, which polls all sockets first.
         cx.waker().wake_by_ref();
         Poll::Pending
     })
@@ -87,8 +86,8 @@
     body.ready_chunk()
 }
 
-/// Reads what follows the end mark. An unread rest would make the client close
-/// the connection instead of keeping it for the next request.
+/// Reads what follows the end mark. With unread bytes the client would close the connection
+/// instead of keeping it for the next request.
 pub(super) async fn drain<B: ResponseBody>(mut body: B) {
     let rest = async { while let Ok(Some(_)) = body.chunk().await {} };
     let _ = timeout(DRAIN_TIMEOUT, rest).await;
--- a/crates/oriolemux/src/relay/attempt/stream.rs
+++ b/crates/oriolemux/src/relay/attempt/stream.rs
@@ -1,4 +1,4 @@
-//! A generation: its stream, and its resumption when the stream breaks.
+//! Reads the stream of a generation, and resumes it when the connection breaks.
 
 use super::chunks::{StallTimer, drain, next_chunk, next_ready_chunk};
 use super::{AttemptEnd, Interrupt, Next, count_discarded};
@@ -12,11 +12,11 @@
 use oriolemux_core::delivery::{EndMark, ResumeResponse, Step, StreamAction};
 use oriolemux_core::event::Dispatch;
 
-/// How much may wait for the caller before it is flushed, although more tokens
-/// are at hand.
+/// How many bytes are buffered for the caller before they are flushed, even if more tokens have
+/// arrived.
 const FLUSH_BYTES: usize = 64 * 1024;
 
-/// The end mark that completed the answer.
+/// The end mark that completed the response.
 #[derive(Clone, Copy, Debug)]
 struct Ending {
     finish: FinishReason,
@@ -25,9 +25,9 @@
 
 /// Why reading stopped.
 enum Stop {
-    /// The delivery wants something other than more bytes.
+    /// The delivery requires an action other than reading more bytes.
     Step(Step),
-    /// The answer is complete.
+    /// The response is complete.
     Complete(Step, Ending),
     Interrupt(Interrupt),
     NodeGone,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Asks the same endpoint for the rest until it answers or the delivery gives up.
+    /// Requests the rest from the same endpoint until it responds or the delivery gives up.
     async fn reopen(
         &mut self,
         dispatch: &Dispatch,
@@ -105,12 +105,12 @@
                 attempt: dispatch.attempt,
                 last_index: after,
             };
-            let ask = async {
+            let request = async {
                 tokio::time::sleep(delay).await;
                 let limit = dispatch.stall_limit;
                 self.protocol.resume(&dispatch.endpoint, point, limit).await
             };
-            let step = match self.channels.watch(ask).await {
+            let step = match self.channels.watch(request).await {
                 Err(interrupt) => return Ok(Err(self.interrupted(dispatch, interrupt).await)),
                 Ok(Ok(response)) => {
                     self.delivery.on_resume_response(ResumeResponse::Ok);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Reads until the delivery wants something other than more bytes.
+    /// Reads until the delivery requires another action.
     async fn read_stream(
         &mut self,
         dispatch: &Dispatch,
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Flushes what was delivered before a stop: the delivery counts it as
-    /// held by the caller. The end of the answer brings it along by itself.
+    /// Flushes the buffered tokens before a stop, because the delivery counts them as delivered.
+    /// At the end of a complete response they are sent together with the end mark.
     async fn flush_before(&mut self, stop: Stop) -> Stop {
         if let Stop::Complete(..) = stop {
             return stop;
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Takes a chunk and all that is at hand after it, so that they leave in one write.
+    /// Processes a chunk and all chunks that have already arrived after it, so that they are sent
+    /// in one write.
     async fn process_chunks(
         &mut self,
         dispatch: &Dispatch,
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Hands on the end of the answer and reports it.
+    /// Sends the end of the response to the caller and reports it.
     async fn complete(
         &mut self,
         dispatch: &Dispatch,
@@ -265,8 +266,8 @@
             .await
             .is_err()
         {
-            // Not reported as complete: a repeat under the same name would be
-            // told that the answer was handed over, and it was not.
+            // Not reported as complete: a duplicate request under the same ticket or key would be
+            // told that the response was delivered, which it was not.
             return Ok(AttemptEnd::Interrupted(Interrupt::CallerGone));
         }
         self.report(dispatch.attempt, step.report).await?;
--- a/crates/oriolemux/src/relay/caller.rs
+++ b/crates/oriolemux/src/relay/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's end of a request: what was answered, and whether anyone listens.
+//! The caller's side of a request: writes the response and detects that the caller disconnected.
 
 use super::chunk::ChunkWriter;
 use super::events::{FinishReason, Usage};
@@ -13,57 +13,57 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// How many written pieces wait for a caller that reads slowly.
+/// How many pieces are queued for a caller that reads slowly.
 ///
-/// One piece is written by the server while the next is filled; more would
-/// only be memory. When both are full, nothing is read from the endpoint.
+/// The server writes one piece while the next is filled; a longer queue would only cost memory.
+/// When both are full, nothing is read from the endpoint.
 const PIECE_QUEUE: usize = 1;
 
-/// A piece of a streamed answer.
+/// A piece of a streamed response.
 #[derive(Debug)]
 pub enum Piece {
     /// More follows.
     Part(Bytes),
-    /// The answer ends with this. Without it the server breaks the connection,
-    /// so that a caller never takes a cut answer for a whole one.
+    /// The last piece. A stream that ends without it makes the server break the connection, so
+    /// that a caller never takes a truncated response for a complete one.
     Last(Bytes),
 }
 
-/// How the answer begins, and for all but a stream the whole answer.
+/// The start of a response; for all but a stream, the full response.
 #[derive(Debug)]
 pub enum Reply {
     /// A stream of events.
     Stream(mpsc::Receiver<Piece>),
-    /// A whole answer.
+    /// A full response.
     Full {
-        /// Its content type, if it has one.
+        /// The content type, if there is one.
         content_type: Option<HeaderValue>,
-        /// Its bytes.
+        /// The body.
         body: Bytes,
     },
     /// A refusal or failure.
     Error(ErrorResponse),
 }
 
-/// The form in which a caller takes its answer.
+/// The format of a caller's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFormat {
-    /// Events as the tokens come.
+    /// Server-sent events, one per token.
     Events,
     /// One JSON object.
     Json,
-    /// A service's bytes as they are.
+    /// The unchanged bytes of a service.
     Bytes,
 }
 
-/// Nobody listens any more.
+/// The caller disconnected or stopped reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Writes one request's answer.
+/// Writes the response of one request.
 ///
-/// Invariant: `head` is taken when the answer begins; after that `pieces` is
-/// set if, and only if, the answer is a stream.
+/// Invariant: `head` is taken when the response begins; after that, `pieces` is set if and only
+/// if the response is a stream.
 #[derive(Debug)]
 pub struct Caller {
     format: ResponseFormat,
@@ -78,9 +78,9 @@
 }
 
 impl Caller {
-    /// Answers through `head` in the form `form`.
+    /// Creates the writer of a response that is sent through `head`.
     ///
-    /// A caller that takes no byte for `write_timeout` counts as gone.
+    /// A caller that reads no byte for `write_timeout` counts as gone.
     pub fn new(
         format: ResponseFormat,
         chunks: ChunkWriter,
@@ -101,18 +101,18 @@
         }
     }
 
-    /// Returns what measures the request.
+    /// Returns the metrics of the request.
     pub fn meter(&mut self) -> &mut RequestMeter {
         &mut self.meter
     }
 
-    /// Waits until nobody listens any more.
+    /// Waits until the caller disconnects.
     pub async fn gone(&self) -> CallerGone {
         self.disconnect.wait().await;
         CallerGone
     }
 
-    /// Adds a token; it leaves with the next [`Caller::flush`].
+    /// Buffers a token until the next [`Caller::flush`].
     #[inline]
     pub fn token(&mut self, index: u32, text: &[u8]) {
         self.meter.token();
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns how many bytes wait to be flushed.
+    /// Returns how many bytes are buffered for the next flush.
     pub fn pending_bytes(&self) -> usize {
         match self.format {
             ResponseFormat::Events => self.out.len(),
@@ -130,19 +130,19 @@
         }
     }
 
-    /// Hands what waits to the server; waits as long as the caller is slow.
+    /// Passes the buffered bytes to the server; waits while the caller is slow.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left or took nothing for the write timeout.
+    /// Fails if the caller disconnected or read nothing for the write timeout.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
         if self.pending_bytes() == 0 {
             return Ok(());
         }
         self.begin_stream()?;
         let pieces = self.pieces.as_ref().ok_or(CallerGone)?;
-        // The tokens are taken only once there is room: they count as
-        // delivered, and a wait that is given up must not lose them.
+        // The buffer is taken only once there is room: its tokens count as delivered, and a
+        // cancelled wait must not lose them.
         let wait = async {
             self.connection.wait_writable().await;
             pieces.reserve().await
@@ -153,11 +153,11 @@
         Ok(())
     }
 
-    /// RequestChannels a whole answer.
+    /// Ends a complete response.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left or took nothing for the write timeout.
+    /// Fails if the caller disconnected or read nothing for the write timeout.
     pub async fn end(&mut self, finish: FinishReason, usage: Usage) -> Result<(), CallerGone> {
         self.write_end(finish, usage).await?;
         self.meter.completed();
@@ -179,11 +179,11 @@
         })
     }
 
-    /// Gives a service's answer as it is.
+    /// Sends the response of a service, unchanged.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left.
+    /// Fails if the caller disconnected.
     pub fn send_response(
         &mut self,
         content_type: Option<HeaderValue>,
@@ -194,12 +194,12 @@
         Ok(())
     }
 
-    /// Gives the final answer of a request that did not end well: as the whole
-    /// answer, or as the last event of a stream that has begun.
+    /// Ends a failed or refused request: with an error response, or with an error as the last
+    /// event if a stream has begun.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left or took nothing for the write timeout.
+    /// Fails if the caller disconnected or read nothing for the write timeout.
     pub async fn fail(&mut self, error: ErrorResponse) -> Result<(), CallerGone> {
         if self.head.is_some() {
             return self.reply(Reply::Error(error));
--- a/crates/oriolemux/src/relay/chunk.rs
+++ b/crates/oriolemux/src/relay/chunk.rs
@@ -1,7 +1,7 @@
-//! Writes what callers of completions receive.
+//! Writes the responses of completions.
 //!
-//! Chunks are written byte by byte into one buffer, because building a JSON
-//! value for every token would cost more than all the rest of the relay.
+//! Chunks are appended to one buffer as bytes, because building a JSON value for every token would
+//! cost more than all the rest of the relay.
 
 use super::events::{FinishReason, Usage};
 use oriolemux_core::RequestId;
@@ -12,12 +12,12 @@
 /// Writes the chunks of one request.
 #[derive(Debug)]
 pub struct ChunkWriter {
-    /// Up to the text.
+    /// The JSON of a chunk up to the text.
     head: Vec<u8>,
 }
 
 impl ChunkWriter {
-    /// Writes for `request`, which asked for `entry`.
+    /// Creates the writer of `request`, which named `entry` as its model.
     pub fn new(request: RequestId, entry: &str) -> Self {
         let entry = serde_json::to_string(entry).expect("a string serialises");
         let head = format!(
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Appends the event of a token; `text` is the inside of a JSON string.
+    /// Appends the event of a token; `text` is the content of a JSON string, already escaped.
     #[inline]
     pub fn token(&self, out: &mut Vec<u8>, index: u32, text: &[u8]) {
         out.extend_from_slice(b"data: ");
@@ -40,7 +40,7 @@
         out.extend_from_slice(b"}\n\n");
     }
 
-    /// Appends the last event of a whole answer, and the end of the stream.
+    /// Appends the last event of a complete response, and the end of the stream.
     pub fn end(&self, out: &mut Vec<u8>, finish: FinishReason, usage: Usage) {
         out.extend_from_slice(b"data: ");
         self.full_response(out, b"", finish, usage);
@@ -48,8 +48,8 @@
         out.extend_from_slice(DONE);
     }
 
-    /// Appends a whole answer as one JSON object; `text` is the inside of a
-    /// JSON string.
+    /// Appends a full response as one JSON object; `text` is the content of a JSON string, already
+    /// escaped.
     pub fn full_response(
         &self,
         out: &mut Vec<u8>,
--- a/crates/oriolemux/src/relay/events.rs
+++ b/crates/oriolemux/src/relay/events.rs
@@ -1,33 +1,32 @@
-//! Reads an engine's event stream.
+//! Parses an engine's event stream.
 //!
-//! A token event has one customary shape, byte for byte, and at the peak an
-//! instance reads hundreds of thousands of them a second. [`EventReader`]
-//! therefore compares with that shape first and copies nothing; whatever
-//! deviates from it in the least goes the long way through `slow`, which
-//! reads server-sent events and JSON as their standards say. Both ways give
-//! the same event for the same bytes; a property test holds them equal.
+//! Engines usually write token events in one exact byte format, and at peak an instance reads
+//! hundreds of thousands of them per second. [`EventReader`] therefore first compares with that
+//! format, without copying. All other events go to the parser in `slow`, which reads server-sent
+//! events and JSON by their standards. Both parsers return the same event for the same bytes; a
+//! property test checks this.
 
 mod fast;
 mod slow;
 
 use std::borrow::Cow;
 
-/// The longest event that is accepted. An endpoint that never ends an event
-/// would otherwise grow the buffer without bound.
+/// The longest event that is accepted. Without the limit, an endpoint that never ends an event
+/// would grow the buffer without bound.
 pub const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// Why a generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended its answer.
+    /// The model ended its output.
     Stop,
-    /// The bound on tokens was reached.
+    /// The token limit was reached.
     Length,
 }
 
 impl FinishReason {
-    /// Returns the name used on the wire, at both sides.
+    /// Returns the name on the wire, towards engines and callers.
     pub const fn as_str(self) -> &'static str {
         match self {
             FinishReason::Stop => "stop",
@@ -36,12 +35,12 @@
     }
 }
 
-/// What an engine says that it used.
+/// The token counts that an engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Tokens of the output.
     pub completion_tokens: u32,
 }
 
@@ -50,39 +49,39 @@
 pub enum EngineEvent<'a> {
     /// A token.
     Token {
-        /// The attempt that the engine says it belongs to.
+        /// The attempt that the event names.
         attempt: Cow<'a, str>,
         /// Its index.
         index: u32,
-        /// Its text as the inside of a JSON string, escaped as `serde_json`
-        /// escapes, so that equal text means equal bytes.
+        /// Its text as the content of a JSON string, escaped as `serde_json` escapes, so that
+        /// equal texts have equal bytes.
         text: Cow<'a, [u8]>,
     },
     /// The end mark.
     End {
-        /// The attempt that the engine says it belongs to.
+        /// The attempt that the event names.
         attempt: Cow<'a, str>,
         /// The index after the last token.
         index: u32,
         /// Why the generation ended.
         finish: FinishReason,
-        /// What the engine says that it used, if it says so.
+        /// The token counts, if the engine reports them.
         usage: Option<Usage>,
     },
-    /// The engine says that it failed.
+    /// The engine reports that it failed.
     Failed,
-    /// Ignored that matters: a keep-alive or the closing `[DONE]`.
+    /// An event without content: a keep-alive or the closing `[DONE]`.
     Ignored,
 }
 
-/// The bytes are not in the engine's protocol.
+/// The bytes do not follow the engine's protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 /// the endpoint sent something that is not in its protocol
 pub struct Garbage;
 
 /// Splits the bytes of one attempt's stream into events.
 ///
-/// Invariant: `buf[read..]` has not been returned as events yet.
+/// Invariant: `buf[read..]` has not been returned as events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     shape: fast::TokenShape,
@@ -91,10 +90,10 @@
 }
 
 impl EventReader {
-    /// Reads the stream of the attempt whose id is `attempt`.
+    /// Creates a reader for the stream of `attempt`.
     ///
-    /// The id only says which shape is tried first: events of other attempts
-    /// are returned as well, for the caller to judge.
+    /// The id only selects the byte format that is tried first. Events of other attempts are
+    /// returned as well; the caller must check them.
     pub fn new(attempt: &str) -> Self {
         EventReader {
             shape: fast::TokenShape::new(attempt),
@@ -103,13 +102,13 @@
         }
     }
 
-    /// Forgets a half-read event, because the stream goes on elsewhere.
+    /// Drops a partial event, because the stream is resumed on another connection.
     pub fn clear(&mut self) {
         self.buf.clear();
         self.read = 0;
     }
 
-    /// Takes in bytes from the connection.
+    /// Appends bytes that were read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.read == self.buf.len() {
             self.clear();
@@ -120,12 +119,11 @@
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event, or `None` if more bytes are needed.
+    /// Returns the next complete event, or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are not in the engine's protocol; nothing after them
-    /// can be trusted.
+    /// Fails if the bytes do not follow the engine's protocol. Later bytes cannot be trusted then.
     #[inline]
     pub fn next_event(&mut self) -> Result<Option<EngineEvent<'_>>, Garbage> {
         let rest = &self.buf[self.read..];
--- a/crates/oriolemux/src/relay/events/fast.rs
+++ b/crates/oriolemux/src/relay/events/fast.rs
@@ -1,20 +1,20 @@
-//! The one customary shape of a token event.
+//! Parses token events in the exact byte format that engines usually write.
 
 /// A token that was read without copying.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FastToken<'a> {
     pub index: u32,
-    /// The inside of the JSON string; see [`super::EngineEvent::Token`].
+    /// The content of the JSON string; see [`super::EngineEvent::Token`].
     pub text: &'a [u8],
 }
 
-/// The bytes around index and text in the token events of one attempt.
+/// The constant bytes before and after index and text in the token events of one attempt.
 #[derive(Debug, Default)]
 pub(super) struct TokenShape {
     attempt: String,
     /// `id: ATTEMPT:`
     head: Vec<u8>,
-    /// `data: {"id":"ATTEMPT","index":` after a line end.
+    /// `data: {"id":"ATTEMPT","index":` after a newline.
     middle: Vec<u8>,
 }
 
@@ -34,8 +34,8 @@
         &self.attempt
     }
 
-    /// Reads a token event at the start of `bytes` and returns it with its
-    /// length; `None` if it is not whole or deviates from the shape.
+    /// Reads a token event at the start of `bytes` and returns it with its length; `None` if it is
+    /// incomplete or in another format.
     #[inline]
     pub fn read<'a>(&self, bytes: &'a [u8]) -> Option<(FastToken<'a>, usize)> {
         if self.head.is_empty() {
--- a/crates/oriolemux/src/relay/events/slow.rs
+++ b/crates/oriolemux/src/relay/events/slow.rs
@@ -1,11 +1,11 @@
-//! Server-sent events and JSON as their standards say.
+//! Parses server-sent events and JSON by their standards.
 
 use super::{EngineEvent, FinishReason, Garbage, Usage};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use std::borrow::Cow;
 
-/// The data of an event, when it is JSON.
+/// The data of an event that is JSON.
 #[derive(Deserialize)]
 struct EventData<'a> {
     #[serde(borrow, default)]
@@ -18,15 +18,15 @@
     error: Option<IgnoredAny>,
 }
 
-/// The fields of a server-sent event that matter here.
+/// The fields of a server-sent event that are used.
 #[derive(Default)]
 struct Fields<'a> {
     id: Option<&'a str>,
     data: Option<Cow<'a, str>>,
 }
 
-/// Reads the event at the start of `bytes` and returns it with its length;
-/// `None` if it is not whole.
+/// Reads the event at the start of `bytes` and returns it with its length; `None` if it is
+/// incomplete.
 pub(super) fn read(bytes: &[u8]) -> Result<Option<(EngineEvent<'static>, usize)>, Garbage> {
     let Some(len) = event_len(bytes) else {
         return Ok(None);
@@ -41,7 +41,7 @@
     Ok(Some((event, len)))
 }
 
-/// Returns the length of the first event, up to and with its empty line.
+/// Returns the length of the first event, including its empty line.
 fn event_len(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (at, byte) in bytes.iter().enumerate() {
@@ -69,9 +69,8 @@
             "id" => fields.id = Some(value),
             "data" => append_data(&mut fields.data, value),
             "event" | "retry" => {}
-            // The standard says to ignore other fields. An engine that sends
-            // them does not speak the protocol that we know, and guessing
-            // would lose tokens silently.
+            // The standard requires unknown fields to be ignored. But an engine that sends them
+            // uses another protocol, and guessing would lose tokens silently.
             _ => return Err(Garbage),
         }
     }
@@ -116,13 +115,13 @@
     }
 }
 
-/// Returns whether the event's id field is `ATTEMPT:INDEX` of its own data.
+/// Returns whether the event's id field is `ATTEMPT:INDEX`, as in its data.
 fn names_token(id: &str, attempt: &str, index: u32) -> bool {
     id.rsplit_once(':')
         .is_some_and(|(id, number)| id == attempt && number.parse() == Ok(index))
 }
 
-/// Returns `text` as the inside of a JSON string.
+/// Returns `text` as the content of a JSON string, escaped.
 fn escape(text: &str) -> Vec<u8> {
     let mut json = serde_json::to_vec(text).expect("a string serialises");
     json.pop();
--- a/crates/oriolemux/src/relay/interrupt.rs
+++ b/crates/oriolemux/src/relay/interrupt.rs
@@ -1,4 +1,4 @@
-//! What may end a wait from outside the exchange with the endpoint.
+//! Events of the caller or the node that end a wait for the endpoint.
 
 use super::caller::Caller;
 use crate::callers::port::RequestOrder;
@@ -6,20 +6,20 @@
 use oriolemux_core::Verdict;
 use tokio::sync::mpsc;
 
-/// Why a wait was given up.
+/// Why a wait was interrupted.
 #[derive(Debug)]
 pub enum Interrupt {
-    /// Nobody listens any more.
+    /// The caller disconnected or stopped reading.
     CallerGone,
-    /// The node ends the attempt.
+    /// The node cancelled the attempt.
     Cancelled,
-    /// The node gives the caller its final answer.
+    /// The node has ended the request with a verdict.
     Finished(Verdict),
     /// The node task has ended.
     NodeGone,
 }
 
-/// The two ends that every wait of a request watches besides the endpoint.
+/// The channels to the node and the caller, which every wait for the endpoint watches as well.
 #[derive(Debug)]
 pub struct RequestChannels {
     /// The node's orders.
@@ -29,9 +29,9 @@
 }
 
 impl RequestChannels {
-    /// Waits for `work`, unless the caller leaves or the node ends the attempt
-    /// first. Both are looked at before the work: an endpoint that always has
-    /// more to read must not keep the node's orders waiting.
+    /// Waits for `work`, unless the caller disconnects or the node ends the attempt first. Both
+    /// are polled before `work`: an endpoint that always has more to read must not delay the
+    /// node's orders.
     pub async fn watch<F: Future>(&mut self, work: F) -> Result<F::Output, Interrupt> {
         tokio::select! {
             biased;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Hands what waits to the caller, however slow it reads, unless the node
-    /// ends the attempt first.
+    /// Flushes the buffered bytes to the caller, however slowly it reads, unless the node ends the
+    /// attempt first.
     pub async fn flush(&mut self) -> Result<(), Interrupt> {
         if self.caller.pending_bytes() == 0 {
             return Ok(());
@@ -59,8 +59,8 @@
     match order {
         Some(RequestOrder::Cancel) => Interrupt::Cancelled,
         Some(RequestOrder::Finish(verdict)) => Interrupt::Finished(verdict),
-        // A second dispatch while an attempt runs breaks the node's own rules;
-        // ending this attempt keeps one generation per request.
+        // The node must not dispatch while an attempt runs. Ending this attempt keeps one
+        // generation per request.
         Some(RequestOrder::Dispatch(_)) => Interrupt::Cancelled,
         None => Interrupt::NodeGone,
     }
--- a/crates/oriolemux/tests/callers_errors.rs
+++ b/crates/oriolemux/tests/callers_errors.rs
@@ -1,4 +1,4 @@
-//! Bad input: each a clear error, and nothing sent to any endpoint.
+//! Invalid input gives a clear error, and nothing is sent to an endpoint.
 
 #[path = "relay_support/caller.rs"]
 mod caller;
@@ -15,7 +15,7 @@
 
 const KEY: &str = "authorization: Bearer wren\r\n";
 
-/// Returns status, reason and message of an error answer that says "not run".
+/// Returns status, reason and message of an error response with the outcome "not run".
 fn error_of(response: &str) -> (u16, String, String) {
     error_with_outcome(response, "not_run")
 }
@@ -187,9 +187,8 @@
     assert_eq!((error.0, error.1.as_str()), (413, "body_too_large"));
 }
 
-/// Symptom: instances ran out of connections while hardly any request came.
-/// Sequence: callers sent a head and a part of the body, then nothing.
-/// Cause: the body was waited for without a limit.
+/// Guards against running out of connections: callers send a head and a part of the body, then
+/// nothing. Without a timeout, each of them would hold its connection for ever.
 #[tokio::test]
 async fn body_that_does_not_arrive_times_out() {
     let node = FakeNode::start(vec![]);
@@ -207,9 +206,8 @@
     assert!(error.2.contains("50ms"), "{}", error.2);
 }
 
-/// Symptom: instances ran out of connections while no request came at all.
-/// Sequence: callers sent one line of a head, then nothing.
-/// Cause: the HTTP server waits for the end of a head without a limit.
+/// Guards against running out of connections: callers send one line of a head, then nothing, and
+/// the HTTP server waits for the end of a head without a timeout.
 #[tokio::test]
 async fn closes_a_connection_whose_head_does_not_end() {
     let node = FakeNode::start(vec![]);
@@ -228,10 +226,9 @@
     assert!(closed.is_ok(), "the server closes the connection");
 }
 
-/// Symptom: a caller repeats its order under the same key, hears "not run" and
-/// orders anew; both ran. Sequence: the repeat meets an instance that holds as
-/// many connections as it may. Cause: the refusal is written before anything
-/// was read, the key included, and said "not run" all the same.
+/// Guards against work that runs twice. A caller retries under the same key at an instance that
+/// has reached its connection limit. The refusal is written before anything is read, the key
+/// included. On "not run" the caller would send a new request although the first one ran.
 #[tokio::test]
 async fn refuses_a_connection_above_the_limit() {
     let node = FakeNode::start(vec![]);
@@ -251,7 +248,7 @@
     drop(held);
 }
 
-/// Sends one request on a connection that stays open and reads one read of its answer.
+/// Sends one request on a connection that stays open, and reads the response with one read.
 async fn keep_alive_exchange(stream: &mut TcpStream) -> String {
     let request = format!("GET /v1/models HTTP/1.1\r\nhost: o\r\n{KEY}\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
@@ -276,10 +273,9 @@
     assert!(response.contains("oriolemux-request: r-0000000000000001-0000000000000002-1\r\n"));
 }
 
-/// Symptom: a caller repeats its order under the same key, hears "not run" and
-/// orders anew; both ran. Sequence: the first order ran and its answer was
-/// lost; the repeat's body is cut off on the way, or its entry's limit is lower.
-/// Cause: "not run" was said of the repeat, whose caller believes it of both.
+/// Guards against work that runs twice. The first request ran and its response was lost; the body
+/// of the retry under the same key is truncated on the way, or above the limit. On "not run" for
+/// the retry, the caller would conclude that neither ran, and send a new request.
 #[rstest]
 #[case::key("idempotency-key: order-7\r\n")]
 #[case::ticket("oriolemux-ticket: r-0000000000000001-0000000000000002-1\r\n")]
@@ -303,7 +299,7 @@
     }
 }
 
-/// Symptom, sequence and cause as above, but the instance's node has ended.
+/// Guards against the same failure if the instance's node task has ended.
 #[tokio::test]
 async fn duplicate_request_unseen_by_the_node_has_unknown_outcome() {
     let node = FakeNode::ended();
@@ -318,9 +314,9 @@
     assert_eq!(error_of(&response).1, "stopping");
 }
 
-/// Symptom: a sale is answered with the outcome of a refund. Sequence: a
-/// caller uses one key for calls of two services with equal bodies. Cause: the
-/// hash that tells a repeat from a reuse covered the body alone.
+/// Guards against a call that receives the outcome of another one. A caller uses one key for calls
+/// of two services with equal bodies; a hash of the body alone would take the second call for a
+/// duplicate of the first.
 #[tokio::test]
 async fn same_body_for_two_entries_is_no_duplicate() {
     let mut node = FakeNode::start(vec![]);
--- a/crates/oriolemux/tests/callers_leaving.rs
+++ b/crates/oriolemux/tests/callers_leaving.rs
@@ -1,4 +1,4 @@
-//! Callers that leave or read slowly.
+//! Callers that disconnect or read slowly.
 
 #[path = "relay_support/caller.rs"]
 mod caller;
@@ -23,9 +23,9 @@
     while !matches!(node.received().await, Received::CallerGone) {}
 }
 
-/// Symptom: engines were full of generations that nobody read.
-/// Sequence: callers gave up and closed while their generation ran.
-/// Cause: a caller that leaves is seen only when the next write fails.
+/// Guards against engines that are full of generations that nobody reads: callers close their
+/// connection while the generation runs, and without a signal this is noticed only when the next
+/// write fails.
 #[rstest]
 #[case::streamed(STREAM)]
 #[case::as_one_object(FULL)]
@@ -56,10 +56,9 @@
         .unwrap();
 }
 
-/// Symptom: a generation ran on although its caller had left.
-/// Sequence: the endpoint closed the kept connection on which the cancellation
-/// was sent.
-/// Cause: a cancellation that was lost with its connection was not sent again.
+/// Guards against a generation that continues after its caller disconnected: the endpoint closes
+/// the kept connection on which the cancellation is sent, so the cancellation is lost and must be
+/// sent again.
 #[tokio::test]
 async fn retries_the_cancellation_if_the_connection_was_closed() {
     let one_token = ScriptedResponse {
@@ -105,9 +104,8 @@
     assert_eq!(response.starts_with(b"HTTP/1.1 200"), !request.is_empty());
 }
 
-/// Symptom: callers of long queues lost their place.
-/// Sequence: a request waited longer than a connection may be idle.
-/// Cause: a connection without bytes was taken for one without a request.
+/// Guards against requests that lose their place in a long queue: a request waits longer than the
+/// idle timeout, and a connection without traffic is taken for one without a request.
 #[tokio::test]
 async fn keeps_an_idle_connection_with_a_pending_request() {
     let mut node = FakeNode::start(vec![Decision::Wait]);
@@ -142,7 +140,7 @@
         .unwrap();
 }
 
-/// How much an endpoint could send before it was held back.
+/// Returns how many bytes an endpoint could send before its writes blocked.
 async fn sent_until_blocked(stream: &mut TcpStream, most: usize) -> usize {
     let mut sent = stream.write(stream_head().as_bytes()).await.unwrap();
     let mut index = 0;
@@ -158,9 +156,9 @@
     sent
 }
 
-/// Symptom: an instance's memory grew with the answers of a few callers.
-/// Sequence: callers stopped reading; their engines went on generating.
-/// Cause: tokens were taken from the endpoint faster than the caller took them.
+/// Guards against memory that grows with the responses of slow callers: callers stop reading while
+/// their engines continue to generate, and without backpressure tokens are read from the endpoint
+/// faster than the caller reads them.
 #[tokio::test]
 async fn applies_backpressure_when_the_caller_does_not_read() {
     const MOST: usize = 64 << 20;
@@ -178,7 +176,7 @@
     let (mut endpoint, _) = listener.accept().await.unwrap();
     let sent = sent_until_blocked(&mut endpoint, MOST).await;
 
-    assert!(sent < MOST, "the endpoint was never held back");
+    assert!(sent < MOST, "the endpoint's writes never blocked");
 }
 
 #[tokio::test]
@@ -211,6 +209,6 @@
     assert!(end.is_ok(), "the connection is closed");
     assert!(
         !rest.ends_with(b"0\r\n\r\n"),
-        "a cut response does not look whole"
+        "a truncated response does not look complete"
     );
 }
--- a/crates/oriolemux/tests/callers_once.rs
+++ b/crates/oriolemux/tests/callers_once.rs
@@ -1,5 +1,4 @@
-//! Work that must not run twice is sent once, from the caller's bytes to the
-//! endpoint's.
+//! Work that must not run twice is sent to an endpoint only once.
 
 #[path = "relay_support/caller.rs"]
 mod caller;
@@ -28,7 +27,7 @@
     }
 }
 
-/// What an endpoint does that read a request and closes without an answer.
+/// An endpoint reads the request and closes the connection without a response.
 fn closed() -> ScriptedResponse {
     ScriptedResponse {
         bytes: Vec::new(),
@@ -36,16 +35,15 @@
     }
 }
 
-/// Returns all requests that run something.
+/// Returns all requests that run work.
 fn posts(endpoint: &mut FakeEndpoint) -> Vec<String> {
     let requests = std::iter::from_fn(|| endpoint.try_request());
     requests.filter(|it| it.starts_with("POST")).collect()
 }
 
-/// Symptom: a shirt is sold twice though its caller sent one order. Sequence:
-/// the endpoint reads the order and closes the connection before any answer;
-/// `kept_alive`: the connection had served another request. Cause: the HTTP
-/// client, its pool or the relay sends the order again on a new connection.
+/// Guards against work that runs twice. The endpoint reads the request and closes the connection
+/// before any response (`kept_alive`: after the connection had served another request). The HTTP
+/// client, its pool or the relay must not send the request again on a new connection.
 #[rstest]
 #[case::call("/v1/services/sale", "one shirt", "")]
 #[case::completion("/v1/completions", COMPLETION, "wren-7b")]
@@ -106,9 +104,8 @@
     assert_eq!(posts.len(), 1 + usize::from(kept_alive), "{posts:?}");
 }
 
-/// Symptom: a shirt is sold twice. Sequence: the node's next decision after a
-/// lost answer is to send again, which it must not. Cause: only the node stood
-/// between the lost answer and a second send.
+/// Guards against work that runs twice if the node, against its rules, dispatches again after a
+/// lost response. The relay must refuse the second send by itself.
 #[tokio::test]
 async fn the_relay_refuses_a_second_send_whatever_the_node_decides() {
     let mut endpoint = FakeEndpoint::start(vec![closed(); 4]).await;
--- a/crates/oriolemux/tests/callers_services.rs
+++ b/crates/oriolemux/tests/callers_services.rs
@@ -60,9 +60,8 @@
     assert!(matches!(arrival.work, Work::Call));
 }
 
-/// Symptom: a desk got the answer to another desk's lookup.
-/// Sequence: a service mixed up two answers.
-/// Cause: an answer was believed because of the connection it came on.
+/// Guards against a caller that receives the response to another caller's request: a service mixes
+/// up two responses, so the connection alone does not identify the request.
 #[rstest]
 #[case::another(response_of("r-1-2-9.1"))]
 #[case::none(full_response("200 OK", "", "lot,9\n"))]
--- a/crates/oriolemux/tests/endpoints_guard.rs
+++ b/crates/oriolemux/tests/endpoints_guard.rs
@@ -1,13 +1,12 @@
-//! The one moment in which a request leaves the process.
+//! The guard of the moment in which a body is handed to the HTTP client.
 
 use oriolemux::callers::port::Clock;
 use oriolemux::endpoints::send_guard::{Expired, SendGuard};
 use oriolemux_core::Time;
 
-/// Symptom: a request is received "not run" and runs. Sequence: the wait for an
-/// endpoint's connection ends; at that moment the connection stands and asks
-/// for the body. Cause: the guard was read and not closed, so that the body
-/// left after "not run" was said.
+/// Guards against a request that is reported as "not run" and runs. The wait for an endpoint's
+/// connection times out, and at that moment the connection is established and polls the body. If
+/// the guard were only read and not closed, the body would be sent after the report.
 #[test]
 fn cancelled_body_is_never_sent() {
     let guard = SendGuard::new(Clock::start(), Time::NEVER);
--- a/crates/oriolemux/tests/endpoints_polls.rs
+++ b/crates/oriolemux/tests/endpoints_polls.rs
@@ -1,4 +1,4 @@
-//! Load, cache events and orders.
+//! Polls of load and cache events, and orders to endpoints.
 
 #[path = "relay_support/endpoint.rs"]
 mod endpoint;
@@ -82,7 +82,7 @@
     ))
 }
 
-/// Returns what an endpoint answers from one ask for cache events to the next.
+/// Returns the responses of an endpoint from one request for cache events to the next.
 fn two_cache_responses(first: ScriptedResponse, second: ScriptedResponse) -> Vec<ScriptedResponse> {
     let mut script = vec![json(LOAD), first];
     script.extend((0..POLLS_PER_CACHE).map(|_| json(LOAD)));
@@ -116,26 +116,26 @@
     let events = fixture.poll(&endpoint).await;
 
     assert!(matches!(events[..], [Event::Load { .. }]), "{events:?}");
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for _ in 0..POLLS_PER_CACHE + 3 {
         let request = endpoint.request().await;
-        asked.push(request.lines().next().unwrap().to_owned());
+        requested.push(request.lines().next().unwrap().to_owned());
     }
-    assert_eq!(asked[1], "GET /v1/cache-events?after=0 HTTP/1.1");
+    assert_eq!(requested[1], "GET /v1/cache-events?after=0 HTTP/1.1");
     assert!(
-        asked[2..asked.len() - 1]
+        requested[2..requested.len() - 1]
             .iter()
             .all(|it| it.starts_with("GET /v1/load "))
     );
     assert_eq!(
-        asked[asked.len() - 1],
+        requested[requested.len() - 1],
         "GET /v1/cache-events?after=7 HTTP/1.1"
     );
 }
 
-/// Symptom: requests followed a prefix to an endpoint that did not hold it.
-/// Sequence: the endpoint restarted with an empty cache and counted from 0.
-/// Cause: a number that fell back was not taken for a gap.
+/// Guards against requests that are routed to an endpoint for a prefix that it no longer holds:
+/// the endpoint restarts with an empty cache and numbers its events from 0 again, which must count
+/// as a gap.
 #[tokio::test]
 async fn lower_sequence_number_is_a_gap() {
     let script = two_cache_responses(cache(70, false, "1"), cache(2, false, "5"));
@@ -213,9 +213,9 @@
     assert!(request.ends_with(expected), "{request}");
 }
 
-/// Symptom: two homes gave orders to one endpoint.
-/// Sequence: the old home decided, was paused, lost its lease, woke and sent.
-/// Cause: the lease was not checked again right before the send.
+/// Guards against two homes that send orders to one endpoint: the old home decides, is paused,
+/// loses its lease and then continues with the send. The deadline must be checked right before the
+/// send.
 #[tokio::test]
 async fn sends_no_order_after_its_deadline() {
     let mut endpoint = FakeEndpoint::start(vec![]).await;
@@ -238,11 +238,9 @@
     assert_eq!(endpoint.try_request(), None);
 }
 
-/// Symptom: an engine obeyed an order of a giver that had been replaced.
-/// Sequence: the order was in time when it was let go; the connection then
-/// stood only after seconds, because the endpoint accepted none meanwhile.
-/// Cause: the time was checked before the connection was made, not when the
-/// order left.
+/// Guards against an engine that obeys a controller that has been replaced. The order is in time
+/// when the send begins, but the endpoint accepts the connection only seconds later. The deadline
+/// must be checked when the order is sent, not before the connection is established.
 #[tokio::test]
 async fn sends_no_order_on_a_connection_established_too_late() {
     let socket = TcpSocket::new_v4().unwrap();
--- a/crates/oriolemux/tests/endpoints_send.rs
+++ b/crates/oriolemux/tests/endpoints_send.rs
@@ -56,15 +56,13 @@
     response.map(|_| ()).expect_err("no response")
 }
 
-/// Reads an answer to its end, so that its connection may be kept.
+/// Reads a response to its end, so that its connection can be kept.
 async fn read_all<B: ResponseBody>(mut body: B) {
     while let Ok(Some(_)) = body.chunk().await {}
 }
 
-/// Symptom: a stock lookup that must not be repeated ran twice.
-/// Sequence: the endpoint closed a kept-alive connection just when the next
-/// request was written to it; the endpoint had read that request.
-/// Cause: HTTP clients send a request again by themselves when a reused
+/// Guards against work that runs twice. The endpoint closes a kept-alive connection just after it
+/// has read the next request on it; HTTP clients resend a request by themselves when a reused
 /// connection turns out to be closed.
 #[tokio::test]
 async fn never_resends_non_idempotent_work() {
@@ -85,12 +83,12 @@
     assert_eq!(failure, EndpointFailure::Broken(Reason::ConnectionLost));
     assert!(endpoint.request().await.contains("lot 7"));
     assert!(endpoint.request().await.contains("lot 8"));
-    // A client that tried again would have done so before it failed.
+    // A client that retries would have done so before it failed.
     assert_eq!(endpoint.try_request(), None);
 }
 
-/// The same for work that may be repeated: a second send is a retry, and
-/// retries are counted, budgeted and decided by the node.
+/// The same for idempotent work: a second send is a retry, and retries are counted, budgeted and
+/// decided by the node.
 #[tokio::test]
 async fn never_resends_idempotent_work_that_was_read() {
     let kept = full_response("200 OK", "content-type: text/event-stream\r\n", "");
@@ -113,9 +111,8 @@
     assert_eq!(endpoint.try_request(), None);
 }
 
-/// Symptom: an unrepeatable call ran at an endpoint whose redirect was followed.
-/// Sequence: the endpoint ran the call and answered 307.
-/// Cause: HTTP clients send a request again to where a redirect points.
+/// Guards against work that runs twice: the endpoint runs the call and responds with 307, and HTTP
+/// clients resend a request to the target of a redirect.
 #[tokio::test]
 async fn does_not_follow_redirects() {
     let moved = full_response("307 Temporary Redirect", "location: /v1/other\r\n", "");
@@ -129,9 +126,8 @@
     assert_eq!(endpoint.try_request(), None);
 }
 
-/// Symptom: work ran long after the caller had been refused and had gone elsewhere.
-/// Sequence: the process was paused between the node's decision and the send.
-/// Cause: the decision was not checked again right before the send.
+/// Guards against work that runs long after its caller was refused: the process is paused between
+/// the node's decision and the send, so the deadline must be checked right before the send.
 #[rstest]
 #[case::a_body(&b"lot 7"[..])]
 #[case::an_empty_body(&b""[..])]
@@ -213,10 +209,8 @@
     assert_eq!(refusal.retry_after(), Some(Duration::from_secs(3)));
 }
 
-/// Symptom: a caller was received "not run" about work that had run.
-/// Sequence: the engine crashed after it had run the work; what stood before it
-/// answered 503 in its place.
-/// Cause: the status alone was taken for a refusal.
+/// Guards against "not run" for work that ran: the engine crashes after it has run the work, and a
+/// proxy in front of it responds with 503. The status alone must not count as a refusal.
 #[rstest]
 #[case::no_body("503 Service Unavailable", "")]
 #[case::a_page("503 Service Unavailable", "<html>upstream gone</html>")]
@@ -257,8 +251,8 @@
     );
 }
 
-/// Symptom: a request that ends its endpoint is sent to the next one. Sequence: the connection ends
-/// with the process. Cause: that looked like an answer that was lost.
+/// Guards against a request that crashes one endpoint after the other: the connection ends with
+/// the endpoint's process, which otherwise looks like a lost response.
 #[tokio::test]
 async fn distinguishes_an_ended_endpoint_from_a_running_one() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/oriolemux/tests/relay_bad_input.rs
+++ b/crates/oriolemux/tests/relay_bad_input.rs
@@ -1,5 +1,5 @@
-//! Endpoints that answer what they must not: each a typed error, nothing
-//! wrong handed on, and nothing lost that was right.
+//! Endpoints that send invalid responses: each case gives a typed error, no invalid token reaches
+//! the caller, and no valid token is lost.
 
 #[path = "relay_support/caller.rs"]
 mod caller;
@@ -22,7 +22,7 @@
 
 const REQUEST: &str = r#"{"model":"plans","prompt":"Draft a plan","stream":true}"#;
 
-/// An engine that no longer knows the generation.
+/// The response of an engine that no longer has the generation.
 fn lost() -> ScriptedResponse {
     full_response("404 Not Found", "", "")
 }
@@ -31,8 +31,8 @@
     attempt_id(1)
 }
 
-/// Runs a request against an endpoint that answers by `script`, and returns
-/// the caller's answer and the last report on the attempt.
+/// Runs a request against an endpoint that responds by `script`, and returns the caller's
+/// response and the last report on the attempt.
 async fn run(script: Vec<ScriptedResponse>) -> (String, AttemptUpdate) {
     let endpoint = FakeEndpoint::start(script).await;
     let failed = Verdict::partial(Reason::GenerationLost, 1);
@@ -180,9 +180,9 @@
     assert_eq!(update, failed);
 }
 
-/// Symptom: a caller waited for an answer for as long as its own patience.
-/// Sequence: the link to the endpoint stalled in the middle of a stream.
-/// Cause: a read without a limit; a stalled link looks like a slow engine.
+/// Guards against a caller that waits until its own timeout. The connection to the endpoint
+/// stalls in the middle of a stream, which looks like a slow engine; a read without a timeout
+/// would wait on.
 #[tokio::test]
 async fn resumes_when_the_endpoint_stalls() {
     let mut silent = stream(&token(&attempt(), 0, "one"));
--- a/crates/oriolemux/tests/relay_caller.rs
+++ b/crates/oriolemux/tests/relay_caller.rs
@@ -1,4 +1,4 @@
-//! What the caller's end of a relay keeps when a wait is given up.
+//! A cancelled flush to the caller loses no tokens.
 
 use futures_util::FutureExt;
 use oriolemux::callers::connections::{ConnectionState, OpenRequest};
@@ -30,11 +30,9 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// Symptom: a caller was received that 60 tokens stand, and held 40.
-/// Sequence: the caller read slowly, so that tokens waited to be handed over;
-/// the node ended the request meanwhile; the error followed, the tokens did not.
-/// Cause: giving up the wait dropped the piece that waited, although its
-/// tokens counted as delivered.
+/// Guards against losing tokens that count as delivered. The caller reads slowly, so a flush
+/// waits; the node ends the request, which cancels the flush. If the flush had already taken the
+/// buffer, the error would report 60 delivered tokens to a caller that received 40.
 #[tokio::test]
 async fn keeps_tokens_of_a_cancelled_flush() {
     let open_request = Arc::new(ConnectionState::default()).open_request();
--- a/crates/oriolemux/tests/relay_events.rs
+++ b/crates/oriolemux/tests/relay_events.rs
@@ -1,5 +1,4 @@
-//! The reader of an engine's events: the quick way and the standard way give
-//! the same, whatever pieces the bytes come in.
+//! The fast and the slow parser of engine events agree, however the bytes are chunked.
 
 use oriolemux::relay::events::{EngineEvent, EventReader, FinishReason, Garbage, Usage};
 use proptest::prelude::*;
@@ -8,7 +7,7 @@
 
 const ATTEMPT: &str = "r-0000000000000001-0000000000000002-1.1";
 
-/// Reads `bytes` in pieces that end at `cuts`.
+/// Reads `bytes` in chunks that end at `cuts`.
 fn read(
     reader: &mut EventReader,
     bytes: &[u8],
@@ -56,8 +55,8 @@
     }
 }
 
-/// A reader for this attempt, which tries the quick way first, and one that
-/// never meets its attempt and goes the standard way.
+/// A reader for this attempt, which tries the fast parser first, and one for another attempt,
+/// which always uses the slow parser.
 fn readers() -> [EventReader; 2] {
     [EventReader::new(ATTEMPT), EventReader::new("another")]
 }
@@ -69,7 +68,7 @@
     )
 }
 
-/// Text with whatever a careless reader would break.
+/// Text with quotes, escapes, control characters and multi-byte characters.
 fn any_text() -> impl Strategy<Value = String> {
     proptest::string::string_regex("([a-z \"\\\\\n\r\t\u{1}/{}]|é|ش|🧵|\u{2028}){0,12}").unwrap()
 }
@@ -84,14 +83,14 @@
         for (index, text) in (0..).zip(&texts) {
             bytes += &token_event(index, text);
         }
-        let [mut quick, mut standard] = readers();
+        let [mut fast, mut slow] = readers();
 
-        let quick = read(&mut quick, bytes.as_bytes(), &cuts).unwrap();
-        let standard = read(&mut standard, bytes.as_bytes(), &[]).unwrap();
+        let fast = read(&mut fast, bytes.as_bytes(), &cuts).unwrap();
+        let slow = read(&mut slow, bytes.as_bytes(), &[]).unwrap();
 
-        prop_assert_eq!(&quick, &standard);
-        prop_assert_eq!(quick.len(), texts.len());
-        for (event, text) in quick.iter().zip(&texts) {
+        prop_assert_eq!(&fast, &slow);
+        prop_assert_eq!(fast.len(), texts.len());
+        for (event, text) in fast.iter().zip(&texts) {
             let EngineEvent::Token { text: raw, .. } = event else {
                 panic!("a token");
             };
@@ -100,8 +99,8 @@
         }
     }
 
-    /// One byte changed anywhere: the quick way accepts nothing that the
-    /// standard way refuses, and reads nothing differently.
+    /// With one byte changed anywhere, the fast parser accepts nothing that the slow parser
+    /// rejects, and reads nothing differently.
     #[test]
     fn fast_and_slow_parsers_agree_on_corrupted_bytes(
         text in any_text(),
@@ -111,20 +110,20 @@
         let mut bytes = token_event(3, &text).into_bytes();
         let at = at % bytes.len();
         bytes[at] = byte;
-        let [mut quick, mut standard] = readers();
+        let [mut fast, mut slow] = readers();
 
-        let quick = read(&mut quick, &bytes, &[]);
-        let standard = read(&mut standard, &bytes, &[]);
+        let fast = read(&mut fast, &bytes, &[]);
+        let slow = read(&mut slow, &bytes, &[]);
 
-        prop_assert_eq!(quick, standard);
+        prop_assert_eq!(fast, slow);
     }
 
     #[test]
     fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
-        let [mut quick, mut standard] = readers();
+        let [mut fast, mut slow] = readers();
 
-        let _ = read(&mut quick, &bytes, &[]);
-        let _ = read(&mut standard, &bytes, &[]);
+        let _ = read(&mut fast, &bytes, &[]);
+        let _ = read(&mut slow, &bytes, &[]);
     }
 }
 
--- a/crates/oriolemux/tests/relay_replay.rs
+++ b/crates/oriolemux/tests/relay_replay.rs
@@ -1,4 +1,4 @@
-//! Another attempt of the same request: replays, whole delivery, and fresh starts.
+//! A second attempt of the same request: replay, buffered delivery and restart.
 
 #[path = "relay_support/caller.rs"]
 mod caller;
@@ -16,7 +16,7 @@
 const STREAM: &str = r#"{"model":"plans","prompt":"Draft a plan","stream":true}"#;
 const FULL: &str = r#"{"model":"plans","prompt":"Draft a plan"}"#;
 
-/// A first endpoint that sends one token, breaks off and forgets.
+/// A first endpoint that sends one token, closes the connection and loses the generation.
 async fn broken() -> FakeEndpoint {
     let script = vec![stream(&token(&attempt_id(1), 0, "one")), lost()];
     FakeEndpoint::start(script).await
@@ -63,10 +63,9 @@
     assert!(response.ends_with("data: [DONE]\n\n"), "{response}");
 }
 
-/// Symptom: a caller's plan began as one text and went on as another.
-/// Sequence: the endpoint died after some tokens; the request ran again
-/// elsewhere and generated something else.
-/// Cause: the second generation was appended to the first without comparing.
+/// Guards against joining two different generations. The endpoint dies after some tokens, and the
+/// request runs again on another endpoint, which generates another text. Without a comparison,
+/// the second text would be appended to the first.
 #[tokio::test]
 async fn stops_if_the_replay_diverges() {
     let (first, mut second) = (broken().await, second(&["other", "two"]).await);
@@ -143,8 +142,8 @@
     );
 }
 
-/// A generation whose head never came may run all the same, so it is asked
-/// for before anything is sent again.
+/// A generation whose response head never arrived may be running, so the relay tries to resume it
+/// before anything is sent again.
 #[tokio::test]
 async fn resumes_a_generation_whose_response_never_started() {
     let no_response = ScriptedResponse {
--- a/crates/oriolemux/tests/relay_support/caller.rs
+++ b/crates/oriolemux/tests/relay_support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that writes and reads bytes.
+//! A caller that writes and reads raw bytes.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Longer than any test waits when all is well.
+/// Longer than any wait in a test that passes.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Starts a server in front of `node` and returns its address.
@@ -20,7 +20,7 @@
     serve_with(node, |builder| builder).await
 }
 
-/// Starts a server with settings of its own.
+/// Starts a server in front of `node` with the settings that `set` changes.
 pub async fn serve_with(
     node: &FakeNode,
     set: impl FnOnce(CallerServerBuilder<HttpProtocol>) -> CallerServerBuilder<HttpProtocol>,
@@ -65,8 +65,8 @@
     without_framing(&String::from_utf8(bytes).unwrap())
 }
 
-/// Joins the chunks of a chunked body, so that a test does not depend on how
-/// tokens were gathered into writes.
+/// Joins the chunks of a chunked body, so that a test does not depend on how tokens were batched
+/// into writes.
 pub fn without_framing(response: &str) -> String {
     let (head, body) = response.split_once("\r\n\r\n").expect("an HTTP response");
     if !head.contains("transfer-encoding: chunked") {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns the body of an answer.
+/// Returns the body of a response.
 pub fn body(response: &str) -> &str {
     response.split_once("\r\n\r\n").expect("an HTTP response").1
 }
--- a/crates/oriolemux/tests/relay_support/endpoint.rs
+++ b/crates/oriolemux/tests/relay_support/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers by script, and keeps what it was sent.
+//! An endpoint that responds by script and records the requests it receives.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -7,18 +7,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// What the endpoint does after the bytes of an answer.
+/// What the endpoint does after the bytes of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Then {
     /// Waits for the next request on the same connection.
     KeepOpen,
     /// Closes the connection.
     Close,
-    /// Keeps the connection open and says nothing more.
+    /// Keeps the connection open and sends nothing more.
     Hang,
 }
 
-/// One answer of the script.
+/// One response of the script.
 #[derive(Clone, Debug)]
 pub struct ScriptedResponse {
     pub bytes: Vec<u8>,
@@ -32,8 +32,8 @@
 }
 
 impl FakeEndpoint {
-    /// Answers the first request with the first answer and so on, whatever
-    /// connections they come on.
+    /// Responds to the first request with the first response and so on, on whichever connections
+    /// the requests arrive.
     pub async fn start(script: Vec<ScriptedResponse>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -138,7 +138,7 @@
     )
 }
 
-/// Returns the events of a whole generation.
+/// Returns the events of a complete generation.
 pub fn generation(attempt: &str, texts: &[&str]) -> String {
     let mut out = String::new();
     for (index, text) in (0..).zip(texts) {
@@ -147,8 +147,7 @@
     out + &end(attempt, texts.len() as u32)
 }
 
-/// Returns an answer that is a stream of these events, after which the
-/// connection is closed.
+/// Returns a response that is a stream of these events, after which the connection is closed.
 pub fn stream(events: &str) -> ScriptedResponse {
     ScriptedResponse {
         bytes: (stream_head() + events).into_bytes(),
@@ -156,7 +155,7 @@
     }
 }
 
-/// Returns a whole answer with a body, after which the connection stays open.
+/// Returns a full response with a body, after which the connection stays open.
 pub fn full_response(status: &str, headers: &str, body: &str) -> ScriptedResponse {
     let len = body.len();
     let bytes = format!("HTTP/1.1 {status}\r\n{headers}content-length: {len}\r\n\r\n{body}");
--- a/crates/oriolemux/tests/relay_support/node.rs
+++ b/crates/oriolemux/tests/relay_support/node.rs
@@ -1,4 +1,4 @@
-//! A node that decides by script, and keeps what it was received.
+//! A node that decides by script and records the inputs it receives.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// One decision of the script: the first is taken when a request arrives, the
-/// next one each time an attempt of it fails.
+/// One decision of the script: the first is used when a request arrives, the next one each time
+/// an attempt of it fails.
 #[derive(Clone, Debug)]
 pub enum Decision {
     Dispatch(Plan),
@@ -49,7 +49,7 @@
     }
 }
 
-/// What the node was received.
+/// An input that the node received.
 #[derive(Debug)]
 pub enum Received {
     Arrival(Box<RequestArrival>),
@@ -80,7 +80,7 @@
         FakeNode { port, received }
     }
 
-    /// Waits for what the node is received next.
+    /// Waits for the next input of the node.
     pub async fn received(&mut self) -> Received {
         self.received.recv().await.expect("the node runs")
     }
@@ -176,7 +176,7 @@
     let _ = orders.send(order).await;
 }
 
-/// Returns a dispatch as the plan says.
+/// Returns the dispatch of an attempt by `plan`.
 pub fn dispatch(attempt: AttemptId, plan: Plan) -> Dispatch {
     Dispatch {
         attempt,
