--- a/crates/oriolemux/src/callers/routes.rs
+++ b/crates/oriolemux/src/callers/routes.rs
@@ -1,4 +1,4 @@
-//! What callers can ask for, by path.
+//! The routes of the caller API.
 
 mod completions;
 mod models;
@@ -8,7 +8,7 @@
 
 use super::body::BodyLimits;
 use super::connections::Connections;
-use super::errors::ErrorAnswer;
+use super::errors::ErrorResponse;
 use super::port::NodePort;
 use crate::endpoints::EndpointProtocol;
 use core::time::Duration;
@@ -18,22 +18,22 @@
 use std::sync::Arc;
 use work::Work;
 
-/// What serving a request takes.
+/// What the handlers of requests need.
 #[derive(Clone, Debug)]
 pub struct CallerCx<E> {
-    /// The way to the node.
+    /// The port to the node.
     pub port: NodePort,
-    /// How endpoints are spoken to.
+    /// The protocol for requests to endpoints.
     pub protocol: E,
-    /// How large and slow a body may be.
+    /// Limits on the size and duration of a body.
     pub body: BodyLimits,
-    /// The connections that requests come on.
+    /// The open connections of callers.
     pub connections: Connections,
-    /// How long a caller may take nothing of a stream.
+    /// How long a caller may read nothing of a stream.
     pub write_timeout: Duration,
 }
 
-/// Returns the endpoint of all callers' paths.
+/// Returns the HTTP handler of all paths.
 pub fn routes<E: EndpointProtocol>(cx: CallerCx<E>) -> impl Endpoint<Output = Response> {
     let cx = Arc::new(cx);
     Route::new()
@@ -50,15 +50,15 @@
         .at("/*path", NoSuchPath(cx))
 }
 
-/// Answers paths that do not exist.
+/// Responds to paths that do not exist.
 struct NoSuchPath<E>(Arc<CallerCx<E>>);
 
 impl<E: EndpointProtocol> Endpoint for NoSuchPath<E> {
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
-        let id = self.0.port.draw_id();
-        let error = ErrorAnswer::not_submitted(id, Reason::BadRequest)
+        let id = self.0.port.next_id();
+        let error = ErrorResponse::not_submitted(id, Reason::BadRequest)
             .with_detail(format!("there is no path {}", req.uri().path()));
         let mut response = error.into_response();
         response.set_status(StatusCode::NOT_FOUND);
--- a/crates/oriolemux/src/callers/submit.rs
+++ b/crates/oriolemux/src/callers/submit.rs
@@ -1,13 +1,13 @@
-//! Hands a request to the node and answers with what its relay brings.
+//! Submits a request to the node and returns the response of its relay.
 
 use super::auth::key_digest;
-use super::connections::Listening;
-use super::errors::{ErrorAnswer, REQUEST_HEADER};
+use super::connections::OpenRequest;
+use super::errors::{ErrorResponse, REQUEST_HEADER};
 use super::port::NodeGone;
 use super::routes::CallerCx;
 use crate::endpoints::{EndpointProtocol, WorkBody};
 use crate::relay::Relay;
-use crate::relay::caller::{AnswerForm, Caller, Piece, Reply};
+use crate::relay::caller::{Caller, Piece, Reply, ResponseFormat};
 use crate::relay::chunk::ChunkWriter;
 use bytes::Bytes;
 use core::str::FromStr;
@@ -27,66 +27,69 @@
 
 /// The caller's key for a request that must not run twice.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The ticket that the caller drew for this request.
+/// The ticket that the caller obtained for this request.
 const TICKET: &str = "oriolemux-ticket";
-/// Tokens of the prompt as the caller counted them.
+/// Number of prompt tokens, counted by the caller.
 const PROMPT_TOKENS: &str = "oriolemux-prompt-tokens";
-/// How long the caller is willing to wait, in milliseconds.
-const PATIENCE_MS: &str = "oriolemux-patience-ms";
+/// The longest time that the caller is willing to wait, in milliseconds.
+const MAX_WAIT_MS: &str = "oriolemux-patience-ms";
 
 /// The longest idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY: usize = 256;
 
-/// What a request's headers say.
+/// The parsed headers of a request.
 #[derive(Clone, Debug)]
 pub struct Headers {
     /// SHA-256 of the caller's bearer key.
     pub key_digest: [u8; 32],
     /// The caller's idempotency key, if it sent one.
     pub idempotency_key: Option<String>,
-    /// The ticket that the caller drew earlier, if it sent one.
+    /// The ticket that the caller obtained earlier, if it sent one.
     pub ticket: Option<RequestId>,
-    /// Tokens of the prompt as the caller counted them, if it said so.
+    /// Number of prompt tokens, if the caller declared it.
     pub prompt_tokens: Option<u32>,
-    /// How long the caller is willing to wait, if it said so.
-    pub patience: Option<Duration>,
+    /// The longest time that the caller is willing to wait, if it set one.
+    pub max_wait: Option<Duration>,
 }
 
 impl Headers {
-    /// Reads the headers of the request `id`.
+    /// Parses the headers of the request `id`.
     ///
     /// # Errors
     ///
-    /// Fails with the answer for the caller if the bearer key is missing or a
-    /// header has a wrong value.
-    pub fn read(id: RequestId, headers: &HeaderMap) -> Result<Self, ErrorAnswer> {
+    /// Fails with the response for the caller if the bearer key is missing or a header has an
+    /// invalid value.
+    pub fn read(id: RequestId, headers: &HeaderMap) -> Result<Self, ErrorResponse> {
         let key_digest =
-            key_digest(headers).ok_or_else(|| ErrorAnswer::not_submitted(id, Reason::BadKey))?;
-        let patience = parse(id, headers, PATIENCE_MS, Reason::BadRequest)?;
+            key_digest(headers).ok_or_else(|| ErrorResponse::not_submitted(id, Reason::BadKey))?;
+        let max_wait = parse(id, headers, MAX_WAIT_MS, Reason::BadRequest)?;
         Ok(Headers {
             key_digest,
             idempotency_key: read_idempotency_key(id, headers)?,
             ticket: parse(id, headers, TICKET, Reason::BadTicket)?,
             prompt_tokens: parse(id, headers, PROMPT_TOKENS, Reason::BadRequest)?,
-            patience: patience.map(Duration::from_millis),
+            max_wait: max_wait.map(Duration::from_millis),
         })
     }
 
-    /// Weakens the refusal of a request that was not read whole, or not taken
-    /// for a reason of this process's own.
+    /// Sets the outcome of a refusal to "unknown" if the request has a ticket or an idempotency
+    /// key. Used for requests that were not fully read, or not accepted because of the state of
+    /// this process.
     ///
-    /// What goes wrong otherwise: the request is the repeat of one that ran
-    /// while its answer was lost. Told "not run", its caller believes that of
-    /// both. Under a ticket or key the outcome is therefore unknown.
-    pub fn judge(&self, error: ErrorAnswer) -> ErrorAnswer {
+    /// The request may be a duplicate of one that ran and whose response was lost. On "not run"
+    /// the caller would conclude that neither of them ran.
+    pub fn qualify_outcome(&self, error: ErrorResponse) -> ErrorResponse {
         match self.ticket.is_some() || self.idempotency_key.is_some() {
-            true => error.of_unknown_outcome(),
+            true => error.with_unknown_outcome(),
             false => error,
         }
     }
 }
 
-fn read_idempotency_key(id: RequestId, headers: &HeaderMap) -> Result<Option<String>, ErrorAnswer> {
+fn read_idempotency_key(
+    id: RequestId,
+    headers: &HeaderMap,
+) -> Result<Option<String>, ErrorResponse> {
     let key: Option<String> = parse(id, headers, IDEMPOTENCY_KEY, Reason::BadRequest)?;
     match key {
         Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY => {
@@ -96,14 +99,14 @@
     }
 }
 
-/// Parses a header. A value that is there but wrong is an error: a caller that
-/// sent a key or a ticket relies on it.
+/// Parses a header. An invalid value is an error and not ignored, because a caller that sent a key
+/// or a ticket relies on it.
 fn parse<T: FromStr>(
     id: RequestId,
     headers: &HeaderMap,
     name: &'static str,
     reason: Reason,
-) -> Result<Option<T>, ErrorAnswer> {
+) -> Result<Option<T>, ErrorResponse> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -116,36 +119,37 @@
         .ok_or_else(|| wrong_header(id, name, reason))
 }
 
-fn wrong_header(id: RequestId, name: &str, reason: Reason) -> ErrorAnswer {
-    ErrorAnswer::not_submitted(id, reason).with_detail(format!("the header `{name}` is not valid"))
+fn wrong_header(id: RequestId, name: &str, reason: Reason) -> ErrorResponse {
+    ErrorResponse::not_submitted(id, reason)
+        .with_detail(format!("the header `{name}` is not valid"))
 }
 
-/// A request that was read and is ready for the node.
+/// A parsed request that is ready for the node.
 #[derive(Debug)]
 pub struct Submission {
     /// The request.
     pub id: RequestId,
-    /// What its headers say.
+    /// Its parsed headers.
     pub headers: Headers,
     /// The entry's name, as the caller wrote it.
     pub entry: String,
-    /// What the node needs to know of the work.
+    /// What the node needs to know about the work.
     pub work: Work,
-    /// The body as it came. With the entry it tells a repeat from a reuse of a
-    /// key: without the entry, a call of one service would be answered with the
-    /// outcome of a call of another.
+    /// The unparsed body. Together with the entry it distinguishes a duplicate request from a
+    /// reused key: without the entry, a call of one service could receive the outcome of a call of
+    /// another.
     pub body_bytes: Vec<u8>,
-    /// What goes to the endpoint.
+    /// What is sent to the endpoint.
     pub body: WorkBody,
-    /// The form of the answer.
-    pub form: AnswerForm,
-    /// Where the caller's connection comes from.
+    /// The format of the response.
+    pub format: ResponseFormat,
+    /// The remote address of the caller's connection.
     pub remote: Option<SocketAddr>,
 }
 
 impl Submission {
-    /// Returns what makes it the same request as another one. The caller is known by the digest
-    /// of its key here, before its workspace is.
+    /// Returns the fingerprint by which duplicates are recognised. The caller is identified by the
+    /// digest of its key, because its workspace is not known yet.
     fn fingerprint(&self) -> Fingerprint {
         let key: String = self
             .headers
@@ -173,13 +177,12 @@
             ticket: self.headers.ticket,
             body_hash: stable_hash(&[self.entry.as_bytes(), &self.body_bytes]),
             fingerprint: self.fingerprint(),
-            patience: self.headers.patience,
+            patience: self.headers.max_wait,
         }
     }
 }
 
-/// Runs a request and returns its answer, of which a stream goes on after this
-/// returns.
+/// Runs a request and returns its response. The body of a stream continues after this returns.
 pub async fn submit<E: EndpointProtocol>(cx: &CallerCx<E>, submission: Submission) -> Response {
     let id = submission.id;
     let arrival = Box::new(submission.arrival());
@@ -187,40 +190,46 @@
     let orders = match cx.port.submit(arrival).await {
         Ok(orders) => orders,
         Err(NodeGone) => {
-            let error = ErrorAnswer::not_submitted(id, Reason::Stopping);
-            return submission.headers.judge(error).into_response();
+            let error = ErrorResponse::not_submitted(id, Reason::Stopping);
+            return submission.headers.qualify_outcome(error).into_response();
         }
     };
     let (head, reply) = oneshot::channel();
     let chunks = ChunkWriter::new(id, &submission.entry);
     let connection = cx.connections.state(submission.remote.as_ref());
-    let listening = connection.listen();
-    let caller = Caller::new(submission.form, chunks, head, &listening, cx.write_timeout);
+    let open_request = connection.open_request();
+    let caller = Caller::new(
+        submission.format,
+        chunks,
+        head,
+        &open_request,
+        cx.write_timeout,
+    );
     let port = cx.port.clone();
     let protocol = cx.protocol.clone();
     let relay = Relay::new(id, outcome, protocol, port, submission.body, orders, caller);
     tokio::spawn(relay.run());
     match reply.await {
-        Ok(reply) => into_response(id, reply, listening),
-        Err(_) => lost_relay(id),
+        Ok(reply) => into_response(id, reply, open_request),
+        Err(_) => relay_panicked(id),
     }
 }
 
-/// The relay ended without an answer, which only a panic does; whether the
-/// request ran is then not known here.
-fn lost_relay(id: RequestId) -> Response {
+/// Returns the response for a relay that ended without one, which only happens if it panics.
+/// Whether the request ran is not known then.
+fn relay_panicked(id: RequestId) -> Response {
     let verdict = oriolemux_core::Verdict::unknown(Reason::Internal);
-    ErrorAnswer::of_verdict(id, &verdict).into_response()
+    ErrorResponse::from_verdict(id, &verdict).into_response()
 }
 
-fn into_response(id: RequestId, reply: Reply, listening: Listening) -> Response {
+fn into_response(id: RequestId, reply: Reply, open_request: OpenRequest) -> Response {
     let builder = Response::builder().header(REQUEST_HEADER, id.to_string());
     match reply {
         Reply::Stream(pieces) => builder
             .header(CONTENT_TYPE, "text/event-stream")
             .header(CACHE_CONTROL, "no-cache")
-            .body(stream_body(pieces, listening)),
-        Reply::Whole { content_type, body } => {
+            .body(stream_body(pieces, open_request)),
+        Reply::Full { content_type, body } => {
             let octets = HeaderValue::from_static("application/octet-stream");
             builder
                 .header(CONTENT_TYPE, content_type.unwrap_or(octets))
@@ -230,14 +239,15 @@
     }
 }
 
-/// What goes wrong without the error at the end: a relay that panics would
-/// leave a stream that looks whole to a lenient client. With it the server
-/// breaks the connection instead of ending the body.
-fn stream_body(mut pieces: mpsc::Receiver<Piece>, listening: Listening) -> Body {
+/// Streams `pieces` as the body of a response.
+///
+/// If the relay panics, the body ends with an error, so that the server breaks the connection.
+/// Without the error the stream would look complete to a lenient client.
+fn stream_body(mut pieces: mpsc::Receiver<Piece>, open_request: OpenRequest) -> Body {
     let mut ended = false;
     Body::from_bytes_stream(stream::poll_fn(move |cx| {
-        // Moved in, so that the relay learns when the server drops the body.
-        let _listening = &listening;
+        // Moved in, so that the relay is notified when the server drops the body.
+        let _listening = &open_request;
         if ended {
             return core::task::Poll::Ready(None);
         }
--- a/crates/oriolemux/src/endpoints/http.rs
+++ b/crates/oriolemux/src/endpoints/http.rs
@@ -2,8 +2,8 @@
 
 use super::send_guard::SendGuard;
 use super::{
-    Answer, AnswerBody, CacheBatch, CallBody, EndpointFailure, EndpointProtocol, ResumePoint,
-    WorkBody, wire,
+    CacheBatch, CallBody, EndpointFailure, EndpointProtocol, EndpointResponse, ResponseBody,
+    ResumePoint, WorkBody, wire,
 };
 use crate::callers::port::Clock;
 use bytes::Bytes;
@@ -20,16 +20,16 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use tokio::time::timeout;
 
-/// The header by which a plain service says which attempt it answers.
+/// The header by which a plain service names the attempt that it responds to.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
 /// The header that names the request to a plain service.
 pub const REQUEST_HEADER: &str = "x-request-id";
 
 /// The largest refusal, load report or batch of cache events that is read.
-const MAX_SMALL_ANSWER: usize = 1 << 20;
+const MAX_CONTROL_RESPONSE_BYTES: usize = 1 << 20;
 
-/// An idle connection is closed by us before most servers close theirs, so
-/// that a request seldom meets a connection that is just being closed.
+/// Idle connections are closed earlier than most servers close them, so that a request is seldom
+/// sent on a connection that the server is just closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Timeouts towards endpoints.
@@ -50,7 +50,7 @@
     }
 }
 
-/// Speaks to endpoints over HTTP/1.1.
+/// The [`EndpointProtocol`] over HTTP/1.1.
 #[derive(Clone, Debug)]
 pub struct HttpProtocol {
     clients: Arc<Clients>,
@@ -61,14 +61,13 @@
 /// One client that keeps idle connections and one that never does.
 #[derive(Debug)]
 struct Clients {
-    /// For work that may run twice and for control. Replaced as a whole when
-    /// its idle connections are no longer trusted.
+    /// For work that may run twice and for control requests. Replaced when its idle connections
+    /// are no longer trusted.
     pooled: RwLock<Client>,
-    /// For work that must not run twice. A reused connection may have been
-    /// closed by the other side; the HTTP library then sends the request again
-    /// on another one, out of our sight. A new connection for every request
-    /// takes that case away; the library's own retries are off as well.
-    single: Client,
+    /// For work that must not run twice. The server may have closed a reused connection; the HTTP
+    /// library then resends the request on another one without reporting it. A new connection for
+    /// every request avoids this case; the library's own retries are off as well.
+    unpooled: Client,
 }
 
 /// The HTTP client could not be set up.
@@ -77,15 +76,15 @@
 pub struct SetUpError(#[from] reqwest::Error);
 
 impl HttpProtocol {
-    /// Sets up the clients.
+    /// Creates the HTTP clients.
     ///
     /// # Errors
     ///
-    /// Fails if the HTTP library cannot start.
+    /// Fails if the HTTP library cannot be initialised.
     pub fn new(clock: Clock, settings: HttpSettings) -> Result<Self, SetUpError> {
         let clients = Clients {
             pooled: RwLock::new(pooled_client(&settings)?),
-            single: client_builder(&settings)
+            unpooled: client_builder(&settings)
                 .pool_max_idle_per_host(0)
                 .build()?,
         };
@@ -105,7 +104,7 @@
         if dispatch.idempotent {
             self.pooled()
         } else {
-            self.clients.single.clone()
+            self.clients.unpooled.clone()
         }
     }
 
@@ -135,15 +134,15 @@
         }
     }
 
-    /// Sends a control request and reads its whole, small answer.
+    /// Sends a control request and reads its full response.
     async fn control(
         &self,
         request: RequestBuilder,
     ) -> Result<(StatusCode, Vec<u8>), EndpointFailure> {
         let exchange = async {
-            let response = request.send().await.map_err(|_| lost())?;
+            let response = request.send().await.map_err(|_| connection_lost())?;
             let status = response.status();
-            let body = read_small(response).await?;
+            let body = read_bounded(response).await?;
             Ok((status, body))
         };
         timeout(self.settings.control_timeout, exchange)
@@ -172,20 +171,20 @@
         &self,
         dispatch: &Dispatch,
         work: &WorkBody,
-    ) -> Result<Answer<HttpBody>, EndpointFailure> {
+    ) -> Result<EndpointResponse<HttpBody>, EndpointFailure> {
         let (request, bytes) = self.start_request(dispatch, work);
         let guard = SendGuard::new(self.clock, dispatch.send_before);
         let request = request.header(CONTENT_LENGTH, bytes.len());
         let request = if bytes.is_empty() {
-            // Nothing of an empty body passes the guard, so it counts as sent
-            // from here on.
+            // The HTTP client never polls an empty body, so the guard would not see it. It counts
+            // as sent from here on.
             guard.hand_over().map_err(|_| EndpointFailure::TooLate)?;
             request
         } else {
             request.body(guard.body(bytes))
         };
         match timeout(dispatch.stall_limit, request.send()).await {
-            Ok(Ok(response)) => accept_answer(response, dispatch.stall_limit).await,
+            Ok(Ok(response)) => accept_response(response, dispatch.stall_limit).await,
             Ok(Err(err)) => Err(classify_send_error(&guard, &err)),
             Err(_) if guard.give_up() => Err(EndpointFailure::Broken(Reason::Stalled)),
             Err(_) => Err(EndpointFailure::NotConnected),
@@ -196,19 +195,19 @@
         &self,
         endpoint: &EndpointTarget,
         point: ResumePoint,
-        patience: Duration,
-    ) -> Result<Answer<HttpBody>, EndpointFailure> {
-        // A GET changes nothing at the endpoint, but it is sent on a new
-        // connection all the same: the stream broke, so idle connections to
-        // this endpoint may be half open and would cost a whole stall limit.
+        limit: Duration,
+    ) -> Result<EndpointResponse<HttpBody>, EndpointFailure> {
+        // A GET changes nothing at the endpoint, but it is sent on a new connection nevertheless:
+        // the stream broke, so idle connections to this endpoint may be half open, and a request
+        // on one of them would wait for the full stall limit.
         let path = format!("/v1/completions/{}", point.attempt);
-        let mut request = self.clients.single.get(url(endpoint, &path));
+        let mut request = self.clients.unpooled.get(url(endpoint, &path));
         if let Some(index) = point.last_index {
             request = request.header("last-event-id", format!("{}:{index}", point.attempt));
         }
-        let response = match timeout(patience, request.send()).await {
+        let response = match timeout(limit, request.send()).await {
             Ok(Ok(response)) => response,
-            Ok(Err(_)) => return Err(lost()),
+            Ok(Err(_)) => return Err(connection_lost()),
             Err(_) => return Err(EndpointFailure::Broken(Reason::Stalled)),
         };
         if response.status() == StatusCode::NOT_FOUND {
@@ -217,15 +216,14 @@
         if response.status() != StatusCode::OK {
             return Err(EndpointFailure::Broken(Reason::EndpointError));
         }
-        Ok(answer(response))
+        Ok(to_response(response))
     }
 
     async fn cancel(&self, endpoint: &EndpointTarget, attempt: AttemptId) -> bool {
         let url = url(endpoint, &format!("/v1/completions/{attempt}"));
-        // Ending a generation twice is harmless, so a kept connection that
-        // turns out to be closed costs a second try and not a generation that
-        // runs on for nobody.
-        for client in [self.pooled(), self.clients.single.clone()] {
+        // Cancelling twice is harmless, so the cancellation is sent again on a new connection if a
+        // kept one turns out to be closed. Otherwise the generation would run on unread.
+        for client in [self.pooled(), self.clients.unpooled.clone()] {
             match self.control(client.delete(&url)).await {
                 Ok((status, _)) => return status.is_success(),
                 Err(_) => continue,
@@ -254,13 +252,13 @@
         kind: &OrderKind,
         send_before: Time,
     ) -> OrderResult {
-        // An order is fenced or guarded by a lease, but never worth a hidden
-        // second send, so it takes a connection of its own.
+        // Orders are fenced or protected by a lease, but must not be resent by the HTTP library
+        // either, so each one gets a new connection.
         let bytes = Bytes::from(wire::order_request(fencing, kind));
         let guard = SendGuard::new(self.clock, send_before);
         let request = self
             .clients
-            .single
+            .unpooled
             .post(url(endpoint, "/v1/orders"))
             .header(CONTENT_TYPE, "application/json")
             .header(CONTENT_LENGTH, bytes.len())
@@ -279,7 +277,7 @@
         probe(endpoint.address).await == ProbeResult::Refused
     }
 
-    fn distrust_idle_connections(&self) {
+    fn discard_idle_connections(&self) {
         let Ok(client) = pooled_client(&self.settings) else {
             return;
         };
@@ -288,15 +286,15 @@
     }
 }
 
-/// The body of an endpoint's answer.
+/// The body of an endpoint's response.
 #[derive(Debug)]
 pub struct HttpBody {
     response: Response,
 }
 
-impl AnswerBody for HttpBody {
+impl ResponseBody for HttpBody {
     async fn chunk(&mut self) -> Result<Option<Bytes>, EndpointFailure> {
-        self.response.chunk().await.map_err(|_| lost())
+        self.response.chunk().await.map_err(|_| connection_lost())
     }
 
     fn ready_chunk(&mut self) -> Option<Result<Option<Bytes>, EndpointFailure>> {
@@ -325,11 +323,11 @@
     format!("http://{}{path}", endpoint.address)
 }
 
-fn lost() -> EndpointFailure {
+fn connection_lost() -> EndpointFailure {
     EndpointFailure::Broken(Reason::ConnectionLost)
 }
 
-/// Says what a failed send means, by whether the body was handed over.
+/// Classifies a failed send by whether the body was handed over to the HTTP client.
 fn classify_send_error(guard: &SendGuard, err: &reqwest::Error) -> EndpointFailure {
     if guard.expired() {
         return EndpointFailure::TooLate;
@@ -338,24 +336,24 @@
         return EndpointFailure::NotConnected;
     }
     if err.is_connect() {
-        // Only an empty body counts as handed over before its connection stands.
+        // Only an empty body counts as handed over before its connection is established.
         return EndpointFailure::NotConnected;
     }
-    lost()
+    connection_lost()
 }
 
-/// Tells an answer from a refusal.
-async fn accept_answer(
+/// Distinguishes a response from a refusal.
+async fn accept_response(
     response: Response,
-    patience: Duration,
-) -> Result<Answer<HttpBody>, EndpointFailure> {
+    limit: Duration,
+) -> Result<EndpointResponse<HttpBody>, EndpointFailure> {
     if response.status() == StatusCode::OK {
-        return Ok(answer(response));
+        return Ok(to_response(response));
     }
     let status = response.status().as_u16();
     let retry_after = response.headers().get(RETRY_AFTER).cloned();
     let retry_after = retry_after.as_ref().and_then(text);
-    let body = timeout(patience, read_small(response)).await;
+    let body = timeout(limit, read_bounded(response)).await;
     let refusal = match body {
         Ok(Ok(body)) => Refusal::parse(status, retry_after, &body),
         _ => None,
@@ -366,14 +364,14 @@
     })
 }
 
-fn answer(response: Response) -> Answer<HttpBody> {
+fn to_response(response: Response) -> EndpointResponse<HttpBody> {
     let headers = response.headers();
     let attempt = headers
         .get(ATTEMPT_HEADER)
         .and_then(text)
         .map(str::to_owned);
     let content_type = headers.get(CONTENT_TYPE).cloned();
-    Answer {
+    EndpointResponse {
         body: HttpBody { response },
         attempt,
         content_type,
@@ -384,10 +382,10 @@
     value.to_str().ok()
 }
 
-async fn read_small(mut response: Response) -> Result<Vec<u8>, EndpointFailure> {
+async fn read_bounded(mut response: Response) -> Result<Vec<u8>, EndpointFailure> {
     let mut body = Vec::new();
-    while let Some(chunk) = response.chunk().await.map_err(|_| lost())? {
-        if body.len() + chunk.len() > MAX_SMALL_ANSWER {
+    while let Some(chunk) = response.chunk().await.map_err(|_| connection_lost())? {
+        if body.len() + chunk.len() > MAX_CONTROL_RESPONSE_BYTES {
             return Err(EndpointFailure::Broken(Reason::Garbage));
         }
         body.extend_from_slice(&chunk);
--- a/crates/oriolemux/src/relay.rs
+++ b/crates/oriolemux/src/relay.rs
@@ -1,9 +1,9 @@
-//! Runs one request: from the node's orders to the caller's last byte.
+//! Runs one request, from the node's orders to the last byte for the caller.
 //!
-//! Each request has a task of its own, the [`Relay`]. It holds both
-//! connections, so tokens never pass through the node task. What may be handed
-//! to the caller is decided by [`Delivery`], a pure machine of the core; the
-//! relay only moves bytes and reports. See `docs/design/relay.md`.
+//! Each request has a task of its own, the [`Relay`]. It holds the connections to the caller and
+//! to the endpoint, so tokens never pass through the node task. [`Delivery`], a pure state machine
+//! of the core, decides what is sent to the caller; the relay only moves bytes and reports to the
+//! node. See `docs/design/relay.md`.
 
 pub mod caller;
 pub mod chunk;
@@ -12,12 +12,12 @@
 mod attempt;
 mod interrupt;
 
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::errors::ErrorResponse;
 use crate::callers::port::{NodeGone, NodePort, RequestOrder};
 use crate::endpoints::{EndpointProtocol, WorkBody};
 use attempt::AttemptEnd;
 use caller::Caller;
-use interrupt::{Ends, Interrupt};
+use interrupt::{Interrupt, RequestChannels};
 use oriolemux_core::delivery::Delivery;
 use oriolemux_core::event::AttemptUpdate;
 use oriolemux_core::outcome::RequestOutcome;
@@ -32,13 +32,13 @@
     port: NodePort,
     work: WorkBody,
     delivery: Delivery,
-    ends: Ends,
-    /// What this task itself knows about whether the request ran.
+    channels: RequestChannels,
+    /// What this task knows about whether the request ran.
     outcome: RequestOutcome,
 }
 
 impl<E: EndpointProtocol> Relay<E> {
-    /// Prepares to run `request`, of which `outcome` is known so far.
+    /// Creates the relay of `request`; `outcome` is what is known about it so far.
     pub fn new(
         request: RequestId,
         outcome: RequestOutcome,
@@ -54,15 +54,15 @@
             port,
             work,
             delivery: Delivery::new(),
-            ends: Ends { orders, caller },
+            channels: RequestChannels { orders, caller },
             outcome,
         }
     }
 
     /// Runs the request to its end.
     pub async fn run(mut self) {
-        // The node task ends only with the process; whatever could still be
-        // told to it is lost then, and the caller has been answered.
+        // The node task ends only with the process. Reports to it are lost then, but the caller
+        // has received its response.
         let _ = self.run_orders().await;
     }
 
@@ -70,17 +70,17 @@
         loop {
             let order = tokio::select! {
                 biased;
-                order = self.ends.orders.recv() => order,
-                _gone = self.ends.caller.gone() => return self.tell_caller_gone().await,
+                order = self.channels.orders.recv() => order,
+                _gone = self.channels.caller.gone() => return self.report_caller_gone().await,
             };
             match order {
                 Some(RequestOrder::Dispatch(dispatch)) => {
                     // The node orders nothing before the claim is granted.
                     self.outcome.on_claim_granted();
-                    self.ends.caller.meter().granted();
+                    self.channels.caller.meter().granted();
                     match self.run_attempt(&dispatch).await? {
-                        AttemptEnd::Over => {}
-                        AttemptEnd::Answered => return Ok(()),
+                        AttemptEnd::Reported => {}
+                        AttemptEnd::Delivered => return Ok(()),
                         AttemptEnd::Interrupted(interrupt) => {
                             if self.on_interrupt(interrupt).await? {
                                 return Ok(());
@@ -95,31 +95,31 @@
         }
     }
 
-    /// Returns whether the request is over.
+    /// Handles an interrupted attempt; returns whether the request has ended.
     async fn on_interrupt(&mut self, interrupt: Interrupt) -> Result<bool, NodeGone> {
         match interrupt {
             Interrupt::Cancelled => return Ok(false),
-            Interrupt::CallerGone => self.tell_caller_gone().await?,
+            Interrupt::CallerGone => self.report_caller_gone().await?,
             Interrupt::Finished(verdict) => self.finish(&verdict).await?,
             Interrupt::NodeGone => self.finish_without_node().await?,
         }
         Ok(true)
     }
 
-    async fn tell_caller_gone(&mut self) -> Result<(), NodeGone> {
+    async fn report_caller_gone(&mut self) -> Result<(), NodeGone> {
         self.port.event(Event::CallerGone(self.request)).await
     }
 
     async fn finish(&mut self, verdict: &Verdict) -> Result<(), NodeGone> {
-        let error = ErrorAnswer::of_verdict(self.request, verdict);
-        match self.ends.caller.fail(error).await {
+        let error = ErrorResponse::from_verdict(self.request, verdict);
+        match self.channels.caller.fail(error).await {
             Ok(()) => Ok(()),
-            Err(caller::CallerGone) => self.tell_caller_gone().await,
+            Err(caller::CallerGone) => self.report_caller_gone().await,
         }
     }
 
-    /// The node task has ended without a verdict. What is said here leans only
-    /// on what this task itself sent, which is all that was sent.
+    /// Finishes a request after the node task ended without a verdict. The outcome follows from
+    /// what this task sent, because nothing else sends for this request.
     async fn finish_without_node(&mut self) -> Result<(), NodeGone> {
         let delivered = self.delivery.delivered();
         let verdict = self.outcome.finish(Reason::Internal, None, delivered);
--- a/crates/oriolemux/src/relay/attempt.rs
+++ b/crates/oriolemux/src/relay/attempt.rs
@@ -19,20 +19,20 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
-    /// It was reported to the node, which decides what follows.
-    Over,
-    /// The caller has its whole answer.
-    Answered,
-    /// It was ended from outside.
+    /// It was reported to the node, which decides what to do next.
+    Reported,
+    /// The caller has the complete response.
+    Delivered,
+    /// It was ended by the caller or the node.
     Interrupted(Interrupt),
 }
 
-/// What follows a step of the delivery.
+/// What to do after a step of the delivery.
 #[derive(Debug)]
 enum Next {
-    /// Go on reading.
+    /// Continue reading.
     Read,
-    /// Ask the endpoint for the rest on a new connection.
+    /// Request the rest from the endpoint on a new connection.
     Resume {
         after: Option<u32>,
         delay: core::time::Duration,
@@ -42,7 +42,7 @@
 }
 
 impl<E: EndpointProtocol> Relay<E> {
-    /// Runs an attempt and reports what becomes of it.
+    /// Runs an attempt and reports how it ended.
     pub(super) async fn run_attempt(
         &mut self,
         dispatch: &Dispatch,
@@ -50,28 +50,28 @@
         let step = self.delivery.start(dispatch, self.port.clock().now());
         if step.action != StreamAction::Send {
             self.report(dispatch.attempt, step.report).await?;
-            return Ok(AttemptEnd::Over);
+            return Ok(AttemptEnd::Reported);
         }
         self.outcome.on_dispatch(dispatch.attempt);
         let opened = self
-            .ends
+            .channels
             .watch(self.protocol.start(dispatch, &self.work))
             .await;
-        let answer = match opened {
+        let response = match opened {
             Err(interrupt) => return Ok(self.interrupted(dispatch, interrupt).await),
             Ok(Err(failure)) => {
                 let step = self.on_failure(&failure);
-                return self.follow(dispatch, step).await;
+                return self.apply_before_response(dispatch, step).await;
             }
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(response)) => response,
         };
         match &self.work {
-            WorkBody::Completion(_) => self.run_stream(dispatch, answer).await,
-            WorkBody::Call(_) => self.run_call(dispatch, answer).await,
+            WorkBody::Completion(_) => self.run_stream(dispatch, response).await,
+            WorkBody::Call(_) => self.run_call(dispatch, response).await,
         }
     }
 
-    /// Tells the delivery that the exchange did not begin or broke off.
+    /// Passes a failed exchange to the delivery.
     fn on_failure(&mut self, failure: &EndpointFailure) -> Step {
         match failure {
             EndpointFailure::NotConnected => self.delivery.on_connect_failed(),
@@ -90,16 +90,20 @@
         }
     }
 
-    /// Follows a step that came before any answer: the generation may run, so
-    /// it is resumed if the delivery says so.
-    async fn follow(&mut self, dispatch: &Dispatch, step: Step) -> Result<AttemptEnd, NodeGone> {
+    /// Applies a step that came before any response. The generation may be running, so it is
+    /// resumed if the delivery decides so.
+    async fn apply_before_response(
+        &mut self,
+        dispatch: &Dispatch,
+        step: Step,
+    ) -> Result<AttemptEnd, NodeGone> {
         match self.apply(dispatch, step).await? {
-            Next::Read | Next::End => Ok(AttemptEnd::Over),
+            Next::Read | Next::End => Ok(AttemptEnd::Reported),
             Next::Resume { after, delay } => self.resume_stream(dispatch, after, delay).await,
         }
     }
 
-    /// Carries out an act that is not about a single token, and reports.
+    /// Executes an action that is not about a single token, and reports to the node.
     async fn apply(&mut self, dispatch: &Dispatch, step: Step) -> Result<Next, NodeGone> {
         let next = match step.action {
             StreamAction::Idle
@@ -116,7 +120,7 @@
                 reason,
             } => {
                 ReasonCounter::Resumes.add(reason);
-                self.distrust_after(reason);
+                self.discard_connections_after(reason);
                 Next::Resume { after, delay }
             }
             StreamAction::Close { cancel } => {
@@ -129,9 +133,11 @@
         };
         if let Some(AttemptUpdate::Failed { reason, ran, .. }) = &step.report {
             self.outcome.on_ended(dispatch.attempt, *ran);
-            self.distrust_after(*reason);
+            self.discard_connections_after(*reason);
         }
-        if is_lost(step.report.as_ref()) && self.protocol.has_ended(&dispatch.endpoint).await {
+        if endpoint_may_have_ended(step.report.as_ref())
+            && self.protocol.has_ended(&dispatch.endpoint).await
+        {
             let ended = Some(AttemptUpdate::EndpointExited);
             self.report(dispatch.attempt, ended).await?;
         }
@@ -139,10 +145,10 @@
         Ok(next)
     }
 
-    /// Ends the attempt because of something outside of it.
+    /// Ends the attempt because of an interrupt.
     async fn interrupted(&mut self, dispatch: &Dispatch, interrupt: Interrupt) -> AttemptEnd {
         let step = match interrupt {
-            // The node learns of it by `Event::CallerGone`, not by a report.
+            // The node is informed by `Event::CallerGone`, not by a report.
             Interrupt::CallerGone => self.delivery.on_caller_gone(),
             _ => self.delivery.cancel(),
         };
@@ -152,8 +158,8 @@
         AttemptEnd::Interrupted(interrupt)
     }
 
-    /// Frees the generation's memory at the endpoint, without making the
-    /// request wait for it.
+    /// Frees the generation's memory at the endpoint, in the background, so that the request does
+    /// not wait for it.
     fn cancel_at_endpoint(&self, dispatch: &Dispatch) {
         if let WorkBody::Call(_) = self.work {
             return;
@@ -164,18 +170,18 @@
         tokio::spawn(async move { protocol.cancel(&endpoint, attempt).await });
     }
 
-    /// An endpoint that answers for another attempt has mixed up its
-    /// connections; an idle one may hold the rest of somebody else's answer.
-    fn distrust_after(&self, reason: Reason) {
+    /// An endpoint that responds for another attempt has mixed up its connections. An idle
+    /// connection may then hold the rest of another request's response.
+    fn discard_connections_after(&self, reason: Reason) {
         if reason == Reason::WrongAttempt {
-            self.protocol.distrust_idle_connections();
+            self.protocol.discard_idle_connections();
         }
     }
 }
 
-/// Returns whether an attempt ended because its endpoint was not there any more, as far as its
-/// connections tell. Only then it is looked whether the endpoint's process ended.
-fn is_lost(report: Option<&AttemptUpdate>) -> bool {
+/// Returns whether an attempt failed in a way that suggests that the endpoint's process has
+/// ended. Only then is the endpoint probed.
+fn endpoint_may_have_ended(report: Option<&AttemptUpdate>) -> bool {
     let Some(AttemptUpdate::Failed { reason, ran, .. }) = report else {
         return false;
     };
--- a/crates/oriolemux/src/relay/attempt/stream.rs
+++ b/crates/oriolemux/src/relay/attempt/stream.rs
@@ -1,9 +1,9 @@
-//! A generation: its stream, and its resumption when the stream breaks.
+//! Reads the stream of a generation, and resumes it when the connection breaks.
 
-use super::chunks::{StallTimer, chunk_at_hand, drain, next_chunk};
+use super::chunks::{StallTimer, drain, next_chunk, next_ready_chunk};
 use super::{AttemptEnd, Interrupt, Next, count_discarded};
 use crate::callers::port::NodeGone;
-use crate::endpoints::{Answer, EndpointFailure, EndpointProtocol, ResumePoint};
+use crate::endpoints::{EndpointFailure, EndpointProtocol, EndpointResponse, ResumePoint};
 use crate::relay::Relay;
 use crate::relay::events::{EngineEvent, EventReader, FinishReason, Garbage, Usage};
 use bytes::Bytes;
@@ -12,11 +12,11 @@
 use oriolemux_core::delivery::{EndMark, ResumeResponse, Step, StreamAction};
 use oriolemux_core::event::Dispatch;
 
-/// How much may wait for the caller before it is flushed, although more tokens
-/// are at hand.
+/// How many bytes are buffered for the caller before they are flushed, even if more tokens have
+/// arrived.
 const FLUSH_BYTES: usize = 64 * 1024;
 
-/// The end mark that completed the answer.
+/// The end mark that completed the response.
 #[derive(Clone, Copy, Debug)]
 struct Ending {
     finish: FinishReason,
@@ -25,9 +25,9 @@
 
 /// Why reading stopped.
 enum Stop {
-    /// The delivery wants something other than more bytes.
+    /// The delivery requires an action other than reading more bytes.
     Step(Step),
-    /// The answer is complete.
+    /// The response is complete.
     Complete(Step, Ending),
     Interrupt(Interrupt),
     NodeGone,
@@ -50,29 +50,29 @@
     pub(super) async fn run_stream(
         &mut self,
         dispatch: &Dispatch,
-        answer: Answer<E::Body>,
+        response: EndpointResponse<E::Body>,
     ) -> Result<AttemptEnd, NodeGone> {
         self.delivery.on_response_started();
         let mut reader = EventReader::new(&dispatch.attempt.to_string());
-        let mut answer = answer;
+        let mut response = response;
         loop {
-            let stop = self.read_stream(dispatch, &mut answer, &mut reader).await;
+            let stop = self.read_stream(dispatch, &mut response, &mut reader).await;
             let step = match stop {
                 Stop::Step(step) => step,
                 Stop::Complete(step, ending) => {
-                    return self.complete(dispatch, step, ending, answer.body).await;
+                    return self.complete(dispatch, step, ending, response.body).await;
                 }
                 Stop::Interrupt(interrupt) => {
                     return Ok(self.interrupted(dispatch, interrupt).await);
                 }
                 Stop::NodeGone => return Err(NodeGone),
             };
-            drop(answer);
+            drop(response);
             reader.clear();
-            answer = match self.apply(dispatch, step).await? {
-                Next::Read | Next::End => return Ok(AttemptEnd::Over),
+            response = match self.apply(dispatch, step).await? {
+                Next::Read | Next::End => return Ok(AttemptEnd::Reported),
                 Next::Resume { after, delay } => match self.reopen(dispatch, after, delay).await? {
-                    Ok(answer) => answer,
+                    Ok(response) => response,
                     Err(end) => return Ok(end),
                 },
             };
@@ -87,34 +87,34 @@
         delay: Duration,
     ) -> Result<AttemptEnd, NodeGone> {
         match self.reopen(dispatch, after, delay).await? {
-            Ok(answer) => self.run_stream(dispatch, answer).await,
+            Ok(response) => self.run_stream(dispatch, response).await,
             Err(end) => Ok(end),
         }
     }
 
-    /// Asks the same endpoint for the rest until it answers or the delivery gives up.
+    /// Requests the rest from the same endpoint until it responds or the delivery gives up.
     async fn reopen(
         &mut self,
         dispatch: &Dispatch,
         after: Option<u32>,
         delay: Duration,
-    ) -> Result<Result<Answer<E::Body>, AttemptEnd>, NodeGone> {
+    ) -> Result<Result<EndpointResponse<E::Body>, AttemptEnd>, NodeGone> {
         let (mut after, mut delay) = (after, delay);
         loop {
             let point = ResumePoint {
                 attempt: dispatch.attempt,
                 last_index: after,
             };
-            let ask = async {
+            let request = async {
                 tokio::time::sleep(delay).await;
                 let limit = dispatch.stall_limit;
                 self.protocol.resume(&dispatch.endpoint, point, limit).await
             };
-            let step = match self.ends.watch(ask).await {
+            let step = match self.channels.watch(request).await {
                 Err(interrupt) => return Ok(Err(self.interrupted(dispatch, interrupt).await)),
-                Ok(Ok(answer)) => {
+                Ok(Ok(response)) => {
                     self.delivery.on_resume_response(ResumeResponse::Ok);
-                    return Ok(Ok(answer));
+                    return Ok(Ok(response));
                 }
                 Ok(Err(EndpointFailure::Broken(Reason::GenerationLost))) => {
                     self.delivery.on_resume_response(ResumeResponse::Lost)
@@ -122,55 +122,56 @@
                 Ok(Err(failure)) => self.on_failure(&failure),
             };
             match self.apply(dispatch, step).await? {
-                Next::Read | Next::End => return Ok(Err(AttemptEnd::Over)),
+                Next::Read | Next::End => return Ok(Err(AttemptEnd::Reported)),
                 Next::Resume { after: a, delay: d } => (after, delay) = (a, d),
             }
         }
     }
 
-    /// Reads until the delivery wants something other than more bytes.
+    /// Reads until the delivery requires another action.
     async fn read_stream(
         &mut self,
         dispatch: &Dispatch,
-        answer: &mut Answer<E::Body>,
+        response: &mut EndpointResponse<E::Body>,
         reader: &mut EventReader,
     ) -> Stop {
-        if !is_event_stream(answer) {
+        if !is_event_stream(response) {
             return Stop::Step(self.delivery.on_garbage());
         }
         let mut stall = StallTimer::new(dispatch.stall_limit);
         loop {
-            let next = next_chunk(&mut answer.body, &mut stall);
-            let chunk = match self.ends.watch(next).await {
+            let next = next_chunk(&mut response.body, &mut stall);
+            let chunk = match self.channels.watch(next).await {
                 Err(interrupt) => return interrupt.into(),
                 Ok(chunk) => chunk,
             };
             if let Err(stop) = self
-                .take_chunks(dispatch, chunk, &mut answer.body, reader)
+                .process_chunks(dispatch, chunk, &mut response.body, reader)
                 .await
             {
                 return self.flush_before(stop).await;
             }
-            if let Err(interrupt) = self.ends.flush().await {
+            if let Err(interrupt) = self.channels.flush().await {
                 return interrupt.into();
             }
         }
     }
 
-    /// Flushes what was delivered before a stop: the delivery counts it as
-    /// held by the caller. The end of the answer brings it along by itself.
+    /// Flushes the buffered tokens before a stop, because the delivery counts them as delivered.
+    /// At the end of a complete response they are sent together with the end mark.
     async fn flush_before(&mut self, stop: Stop) -> Stop {
         if let Stop::Complete(..) = stop {
             return stop;
         }
-        match self.ends.flush().await {
+        match self.channels.flush().await {
             Ok(()) => stop,
             Err(interrupt) => interrupt.into(),
         }
     }
 
-    /// Takes a chunk and all that is at hand after it, so that they leave in one write.
-    async fn take_chunks(
+    /// Processes a chunk and all chunks that have already arrived after it, so that they are sent
+    /// in one write.
+    async fn process_chunks(
         &mut self,
         dispatch: &Dispatch,
         first: Result<Option<Bytes>, EndpointFailure>,
@@ -184,18 +185,18 @@
                 Ok(None) => return Err(Stop::Step(self.delivery.on_closed())),
                 Err(failure) => return Err(Stop::Step(self.on_failure(&failure))),
             }
-            self.take_events(dispatch, reader).await?;
-            if self.ends.caller.waiting() >= FLUSH_BYTES {
+            self.process_events(dispatch, reader).await?;
+            if self.channels.caller.pending_bytes() >= FLUSH_BYTES {
                 return Ok(());
             }
-            match chunk_at_hand(body).await {
+            match next_ready_chunk(body).await {
                 Some(next) => chunk = next,
                 None => return Ok(()),
             }
         }
     }
 
-    async fn take_events(
+    async fn process_events(
         &mut self,
         dispatch: &Dispatch,
         reader: &mut EventReader,
@@ -214,7 +215,7 @@
                 } => {
                     let step = self.delivery.on_token(&attempt, index, &text);
                     if step.action == StreamAction::Deliver {
-                        self.ends.caller.token(index, &text);
+                        self.channels.caller.token(index, &text);
                     }
                     step
                 }
@@ -232,7 +233,7 @@
                     step
                 }
                 EngineEvent::Failed => self.delivery.on_endpoint_error(),
-                EngineEvent::Nothing => continue,
+                EngineEvent::Ignored => continue,
             };
             match step.action {
                 StreamAction::Deliver | StreamAction::Hold => {}
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Hands on the end of the answer and reports it.
+    /// Sends the end of the response to the caller and reports it.
     async fn complete(
         &mut self,
         dispatch: &Dispatch,
@@ -255,23 +256,23 @@
     ) -> Result<AttemptEnd, NodeGone> {
         let first = self.delivery.delivered();
         for (index, text) in (first..).zip(self.delivery.held()) {
-            self.ends.caller.token(index, text);
+            self.channels.caller.token(index, text);
         }
         self.delivery.on_held_delivered();
         if self
-            .ends
+            .channels
             .caller
             .end(ending.finish, ending.usage)
             .await
             .is_err()
         {
-            // Not reported as complete: a repeat under the same name would be
-            // told that the answer was handed over, and it was not.
+            // Not reported as complete: a duplicate request under the same ticket or key would be
+            // told that the response was delivered, which it was not.
             return Ok(AttemptEnd::Interrupted(Interrupt::CallerGone));
         }
         self.report(dispatch.attempt, step.report).await?;
         drain(body).await;
-        Ok(AttemptEnd::Answered)
+        Ok(AttemptEnd::Delivered)
     }
 }
 
@@ -283,9 +284,9 @@
     }
 }
 
-fn is_event_stream<B>(answer: &Answer<B>) -> bool {
+fn is_event_stream<B>(response: &EndpointResponse<B>) -> bool {
     const EVENT_STREAM: &str = "text/event-stream";
-    let content_type = answer.content_type.as_ref();
+    let content_type = response.content_type.as_ref();
     let content_type = content_type.and_then(|value| value.to_str().ok());
     content_type.is_some_and(|text| text.trim_start().starts_with(EVENT_STREAM))
 }
--- a/crates/oriolemux/src/relay/caller.rs
+++ b/crates/oriolemux/src/relay/caller.rs
@@ -1,9 +1,9 @@
-//! The caller's end of a request: what was answered, and whether anyone listens.
+//! The caller's side of a request: writes the response and detects that the caller disconnected.
 
 use super::chunk::ChunkWriter;
 use super::events::{FinishReason, Usage};
-use crate::callers::connections::{ConnectionState, Departure, Listening};
-use crate::callers::errors::ErrorAnswer;
+use crate::callers::connections::{ConnectionState, DisconnectSignal, OpenRequest};
+use crate::callers::errors::ErrorResponse;
 use crate::metrics::RequestMeter;
 use bytes::Bytes;
 use core::time::Duration;
@@ -13,136 +13,136 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// How many written pieces wait for a caller that reads slowly.
+/// How many pieces are queued for a caller that reads slowly.
 ///
-/// One piece is written by the server while the next is filled; more would
-/// only be memory. When both are full, nothing is read from the endpoint.
-const PIECES: usize = 1;
+/// The server writes one piece while the next is filled; a longer queue would only cost memory.
+/// When both are full, nothing is read from the endpoint.
+const PIECE_QUEUE: usize = 1;
 
-/// A piece of a streamed answer.
+/// A piece of a streamed response.
 #[derive(Debug)]
 pub enum Piece {
     /// More follows.
     Part(Bytes),
-    /// The answer ends with this. Without it the server breaks the connection,
-    /// so that a caller never takes a cut answer for a whole one.
+    /// The last piece. A stream that ends without it makes the server break the connection, so
+    /// that a caller never takes a truncated response for a complete one.
     Last(Bytes),
 }
 
-/// How the answer begins, and for all but a stream the whole answer.
+/// The start of a response; for all but a stream, the full response.
 #[derive(Debug)]
 pub enum Reply {
     /// A stream of events.
     Stream(mpsc::Receiver<Piece>),
-    /// A whole answer.
-    Whole {
-        /// Its content type, if it has one.
+    /// A full response.
+    Full {
+        /// The content type, if there is one.
         content_type: Option<HeaderValue>,
-        /// Its bytes.
+        /// The body.
         body: Bytes,
     },
     /// A refusal or failure.
-    Error(ErrorAnswer),
+    Error(ErrorResponse),
 }
 
-/// The form in which a caller takes its answer.
+/// The format of a caller's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerForm {
-    /// Events as the tokens come.
+pub enum ResponseFormat {
+    /// Server-sent events, one per token.
     Events,
     /// One JSON object.
     Json,
-    /// A service's bytes as they are.
+    /// The unchanged bytes of a service.
     Bytes,
 }
 
-/// Nobody listens any more.
+/// The caller disconnected or stopped reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Writes one request's answer.
+/// Writes the response of one request.
 ///
-/// Invariant: `head` is taken when the answer begins; after that `pieces` is
-/// set if, and only if, the answer is a stream.
+/// Invariant: `head` is taken when the response begins; after that, `pieces` is set if and only
+/// if the response is a stream.
 #[derive(Debug)]
 pub struct Caller {
-    form: AnswerForm,
+    format: ResponseFormat,
     chunks: ChunkWriter,
     head: Option<oneshot::Sender<Reply>>,
     pieces: Option<mpsc::Sender<Piece>>,
     out: Vec<u8>,
     connection: Arc<ConnectionState>,
-    departure: Arc<Departure>,
+    disconnect: Arc<DisconnectSignal>,
     write_timeout: Duration,
     meter: RequestMeter,
 }
 
 impl Caller {
-    /// Answers through `head` in the form `form`.
+    /// Creates the writer of a response that is sent through `head`.
     ///
-    /// A caller that takes no byte for `write_timeout` counts as gone.
+    /// A caller that reads no byte for `write_timeout` counts as gone.
     pub fn new(
-        form: AnswerForm,
+        format: ResponseFormat,
         chunks: ChunkWriter,
         head: oneshot::Sender<Reply>,
-        listening: &Listening,
+        open_request: &OpenRequest,
         write_timeout: Duration,
     ) -> Self {
         Caller {
-            form,
+            format,
             chunks,
             head: Some(head),
             pieces: None,
             out: Vec::new(),
-            connection: Arc::clone(listening.connection()),
-            departure: Arc::clone(listening.departure()),
+            connection: Arc::clone(open_request.connection()),
+            disconnect: Arc::clone(open_request.disconnect()),
             write_timeout,
             meter: RequestMeter::start(),
         }
     }
 
-    /// Returns what measures the request.
+    /// Returns the metrics of the request.
     pub fn meter(&mut self) -> &mut RequestMeter {
         &mut self.meter
     }
 
-    /// Waits until nobody listens any more.
+    /// Waits until the caller disconnects.
     pub async fn gone(&self) -> CallerGone {
-        self.departure.wait().await;
+        self.disconnect.wait().await;
         CallerGone
     }
 
-    /// Adds a token; it leaves with the next [`Caller::flush`].
+    /// Buffers a token until the next [`Caller::flush`].
     #[inline]
     pub fn token(&mut self, index: u32, text: &[u8]) {
         self.meter.token();
-        match self.form {
-            AnswerForm::Events => self.chunks.token(&mut self.out, index, text),
-            AnswerForm::Json | AnswerForm::Bytes => self.out.extend_from_slice(text),
+        match self.format {
+            ResponseFormat::Events => self.chunks.token(&mut self.out, index, text),
+            ResponseFormat::Json | ResponseFormat::Bytes => self.out.extend_from_slice(text),
         }
     }
 
-    /// Returns how many bytes wait to be flushed.
-    pub fn waiting(&self) -> usize {
-        match self.form {
-            AnswerForm::Events => self.out.len(),
-            AnswerForm::Json | AnswerForm::Bytes => 0,
+    /// Returns how many bytes are buffered for the next flush.
+    pub fn pending_bytes(&self) -> usize {
+        match self.format {
+            ResponseFormat::Events => self.out.len(),
+            ResponseFormat::Json | ResponseFormat::Bytes => 0,
         }
     }
 
-    /// Hands what waits to the server; waits as long as the caller is slow.
+    /// Passes the buffered bytes to the server; waits while the caller is slow.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left or took nothing for the write timeout.
+    /// Fails if the caller disconnected or read nothing for the write timeout.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
-        if self.waiting() == 0 {
+        if self.pending_bytes() == 0 {
             return Ok(());
         }
         self.begin_stream()?;
         let pieces = self.pieces.as_ref().ok_or(CallerGone)?;
-        // The tokens are taken only once there is room: they count as
-        // delivered, and a wait that is given up must not lose them.
+        // The buffer is taken only once there is room: its tokens count as delivered, and a
+        // cancelled wait must not lose them.
         let wait = async {
             self.connection.wait_writable().await;
             pieces.reserve().await
@@ -153,11 +153,11 @@
         Ok(())
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete response.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left or took nothing for the write timeout.
+    /// Fails if the caller disconnected or read nothing for the write timeout.
     pub async fn end(&mut self, finish: FinishReason, usage: Usage) -> Result<(), CallerGone> {
         self.write_end(finish, usage).await?;
         self.meter.completed();
@@ -165,42 +165,42 @@
     }
 
     async fn write_end(&mut self, finish: FinishReason, usage: Usage) -> Result<(), CallerGone> {
-        if self.form == AnswerForm::Events {
+        if self.format == ResponseFormat::Events {
             self.chunks.end(&mut self.out, finish, usage);
             let last = Bytes::from(core::mem::take(&mut self.out));
             return self.send(Piece::Last(last)).await;
         }
         let text = core::mem::take(&mut self.out);
         let mut body = Vec::new();
-        self.chunks.answer(&mut body, &text, finish, usage);
-        self.reply(Reply::Whole {
+        self.chunks.full_response(&mut body, &text, finish, usage);
+        self.reply(Reply::Full {
             content_type: Some(HeaderValue::from_static("application/json")),
             body: body.into(),
         })
     }
 
-    /// Gives a service's answer as it is.
+    /// Sends the response of a service, unchanged.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left.
-    pub fn answer(
+    /// Fails if the caller disconnected.
+    pub fn send_response(
         &mut self,
         content_type: Option<HeaderValue>,
         body: Bytes,
     ) -> Result<(), CallerGone> {
-        self.reply(Reply::Whole { content_type, body })?;
+        self.reply(Reply::Full { content_type, body })?;
         self.meter.completed();
         Ok(())
     }
 
-    /// Gives the final answer of a request that did not end well: as the whole
-    /// answer, or as the last event of a stream that has begun.
+    /// Ends a failed or refused request: with an error response, or with an error as the last
+    /// event if a stream has begun.
     ///
     /// # Errors
     ///
-    /// Fails if the caller left or took nothing for the write timeout.
-    pub async fn fail(&mut self, error: ErrorAnswer) -> Result<(), CallerGone> {
+    /// Fails if the caller disconnected or read nothing for the write timeout.
+    pub async fn fail(&mut self, error: ErrorResponse) -> Result<(), CallerGone> {
         if self.head.is_some() {
             return self.reply(Reply::Error(error));
         }
@@ -236,7 +236,7 @@
         if self.pieces.is_some() {
             return Ok(());
         }
-        let (pieces, rx) = mpsc::channel(PIECES);
+        let (pieces, rx) = mpsc::channel(PIECE_QUEUE);
         self.reply(Reply::Stream(rx))?;
         self.pieces = Some(pieces);
         Ok(())
--- a/crates/oriolemux/tests/relay_support/endpoint.rs
+++ b/crates/oriolemux/tests/relay_support/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers by script, and keeps what it was sent.
+//! An endpoint that responds by script and records the requests it receives.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -7,20 +7,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// What the endpoint does after the bytes of an answer.
+/// What the endpoint does after the bytes of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Then {
     /// Waits for the next request on the same connection.
     KeepOpen,
     /// Closes the connection.
     Close,
-    /// Keeps the connection open and says nothing more.
+    /// Keeps the connection open and sends nothing more.
     Hang,
 }
 
-/// One answer of the script.
+/// One response of the script.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ScriptedResponse {
     pub bytes: Vec<u8>,
     pub then: Then,
 }
@@ -32,9 +32,9 @@
 }
 
 impl FakeEndpoint {
-    /// Answers the first request with the first answer and so on, whatever
-    /// connections they come on.
-    pub async fn start(script: Vec<Answer>) -> Self {
+    /// Responds to the first request with the first response and so on, on whichever connections
+    /// the requests arrive.
+    pub async fn start(script: Vec<ScriptedResponse>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (tx, requests) = mpsc::unbounded_channel();
@@ -53,7 +53,11 @@
     }
 }
 
-async fn serve(listener: TcpListener, script: Vec<Answer>, tx: mpsc::UnboundedSender<String>) {
+async fn serve(
+    listener: TcpListener,
+    script: Vec<ScriptedResponse>,
+    tx: mpsc::UnboundedSender<String>,
+) {
     let script = std::sync::Arc::new(std::sync::Mutex::new(script.into_iter()));
     loop {
         let (stream, _) = listener.accept().await.unwrap();
@@ -65,18 +69,18 @@
 
 async fn serve_connection(
     mut stream: TcpStream,
-    script: &std::sync::Mutex<std::vec::IntoIter<Answer>>,
+    script: &std::sync::Mutex<std::vec::IntoIter<ScriptedResponse>>,
     tx: &mpsc::UnboundedSender<String>,
 ) {
     while let Some(request) = read_request(&mut stream).await {
         let _ = tx.send(request);
-        let Some(answer) = script.lock().unwrap().next() else {
+        let Some(response) = script.lock().unwrap().next() else {
             return;
         };
-        if stream.write_all(&answer.bytes).await.is_err() {
+        if stream.write_all(&response.bytes).await.is_err() {
             return;
         }
-        match answer.then {
+        match response.then {
             Then::KeepOpen => {}
             Then::Close => return,
             Then::Hang => {
@@ -134,7 +138,7 @@
     )
 }
 
-/// Returns the events of a whole generation.
+/// Returns the events of a complete generation.
 pub fn generation(attempt: &str, texts: &[&str]) -> String {
     let mut out = String::new();
     for (index, text) in (0..).zip(texts) {
@@ -143,20 +147,19 @@
     out + &end(attempt, texts.len() as u32)
 }
 
-/// Returns an answer that is a stream of these events, after which the
-/// connection is closed.
-pub fn stream(events: &str) -> Answer {
-    Answer {
+/// Returns a response that is a stream of these events, after which the connection is closed.
+pub fn stream(events: &str) -> ScriptedResponse {
+    ScriptedResponse {
         bytes: (stream_head() + events).into_bytes(),
         then: Then::Close,
     }
 }
 
-/// Returns a whole answer with a body, after which the connection stays open.
-pub fn whole(status: &str, headers: &str, body: &str) -> Answer {
+/// Returns a full response with a body, after which the connection stays open.
+pub fn full_response(status: &str, headers: &str, body: &str) -> ScriptedResponse {
     let len = body.len();
     let bytes = format!("HTTP/1.1 {status}\r\n{headers}content-length: {len}\r\n\r\n{body}");
-    Answer {
+    ScriptedResponse {
         bytes: bytes.into_bytes(),
         then: Then::KeepOpen,
     }
