--- a/crates/oriolemux/src/peers.rs
+++ b/crates/oriolemux/src/peers.rs
@@ -22,8 +22,8 @@
 
 pub use auth::{VERSION_MAX, VERSION_MIN, common_version};
 pub use codec::{CodecError, FrameDecoder, encode_frame, encode_frames};
-pub use link::Break;
-pub use queue::QUEUE_BYTES;
+pub use link::LinkFailure;
+pub use queue::MAX_QUEUE_BYTES;
 
 use crate::metrics::Counter;
 use crate::settings::Secret;
@@ -151,7 +151,7 @@
     /// the other side uses this instance's name
     OwnName,
     /// the other side is a life that was already replaced
-    ReplacedLife,
+    ReplacedIncarnation,
     /// there is already a link to this instance
     Duplicate,
     /// too many connections are not authenticated yet
@@ -229,7 +229,7 @@
     pub fn set_links(&self, targets: Vec<PeerTarget>) {
         for key in self.shared.set_targets(targets) {
             let shared = Arc::clone(&self.shared);
-            self.shared.tasks().spawn(dial::keep_dialled(shared, key));
+            self.shared.tasks().spawn(dial::maintain_link(shared, key));
         }
     }
 
--- a/crates/oriolemux/src/peers/accept.rs
+++ b/crates/oriolemux/src/peers/accept.rs
@@ -12,7 +12,7 @@
 
 /// Pause after the operating system refused to accept, for example because
 /// there are no file descriptors left; without it the loop would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Accepts peers until the process stops.
 pub(super) async fn accept_peers(shared: Arc<Shared>, listener: TcpListener) {
@@ -23,22 +23,22 @@
 }
 
 async fn accept_loop(shared: Arc<Shared>, listener: TcpListener) {
-    let strangers = Arc::new(Semaphore::new(shared.cfg().max_unauthenticated));
+    let unauthenticated = Arc::new(Semaphore::new(shared.cfg().max_unauthenticated));
     loop {
         let Ok((io, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Whoever connects and says nothing holds a place until the limit of
-        // time; further strangers are refused, peers that are linked stay.
-        let Ok(place) = Arc::clone(&strangers).try_acquire_owned() else {
+        // Whoever connects and says nothing holds a permit until the limit of
+        // time; further unauthenticated are refused, peers that are linked stay.
+        let Ok(permit) = Arc::clone(&unauthenticated).try_acquire_owned() else {
             refused(&shared, Rejection::TooMany);
             continue;
         };
         let shared = Arc::clone(&shared);
         let tasks = shared.tasks().clone();
         tasks.spawn(async move {
-            match serve_peer(&shared, io, place).await {
+            match serve_peer(&shared, io, permit).await {
                 Ok(()) | Err(Rejection::Duplicate) => {}
                 Err(why) => refused(&shared, why),
             }
@@ -54,15 +54,15 @@
 async fn serve_peer(
     shared: &Arc<Shared>,
     mut io: TcpStream,
-    place: tokio::sync::OwnedSemaphorePermit,
+    permit: tokio::sync::OwnedSemaphorePermit,
 ) -> Result<(), Rejection> {
     let _ = io.set_nodelay(true);
     let limit = shared.cfg().connect_timeout;
     let accepted = timeout(limit, auth::accept(&mut io, shared.cfg())).await;
-    let greeted = accepted.unwrap_or(Err(Rejection::TooSlow))?;
-    drop(place);
-    let dialler = greeted.peer.instance;
-    let registration = shared.register(greeted, dialler).await?;
+    let authenticated = accepted.unwrap_or(Err(Rejection::TooSlow))?;
+    drop(permit);
+    let dialler = authenticated.peer.instance;
+    let registration = shared.register(authenticated, dialler).await?;
     run_link(shared, registration, io, Role::Accepted).await;
     Ok(())
 }
--- a/crates/oriolemux/src/peers/auth.rs
+++ b/crates/oriolemux/src/peers/auth.rs
@@ -150,7 +150,7 @@
 
 /// Who is at the other side of a connection, and what is spoken with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Greeted {
+pub(super) struct AuthenticatedPeer {
     pub peer: PeerId,
     /// The version that was chosen.
     pub version: u16,
@@ -161,7 +161,7 @@
     io: &mut Io,
     cfg: &PeersConfig,
     wanted: InstanceKey,
-) -> Result<Greeted, Rejection> {
+) -> Result<AuthenticatedPeer, Rejection> {
     let hello = Hello {
         versions: (VERSION_MIN, VERSION_MAX),
         from: cfg.id(),
@@ -189,7 +189,7 @@
     fixed.copy_from_slice(identity);
     let peer = decode_identity(&fixed);
     if peer.instance == wanted {
-        Ok(Greeted {
+        Ok(AuthenticatedPeer {
             peer,
             version: chosen,
         })
@@ -202,7 +202,7 @@
 pub(super) async fn accept<Io: AsyncRead + AsyncWrite + Unpin>(
     io: &mut Io,
     cfg: &PeersConfig,
-) -> Result<Greeted, Rejection> {
+) -> Result<AuthenticatedPeer, Rejection> {
     let bytes: [u8; HELLO_BYTES] = read(io).await?;
     let hello = Hello::decode(&bytes).ok_or(Rejection::NotAPeer)?;
     let chosen = common_version((VERSION_MIN, VERSION_MAX), hello.versions);
@@ -226,7 +226,7 @@
     welcome[..IDENTITY_BYTES].copy_from_slice(&identity);
     welcome[IDENTITY_BYTES..].copy_from_slice(&proof);
     write(io, &welcome).await?;
-    Ok(Greeted {
+    Ok(AuthenticatedPeer {
         peer: hello.from,
         version: chosen,
     })
--- a/crates/oriolemux/src/peers/codec.rs
+++ b/crates/oriolemux/src/peers/codec.rs
@@ -12,7 +12,7 @@
 const LENGTH_BYTES: usize = 4;
 
 /// The most bytes that one decoded frame may claim, also in nested parts.
-const CLAIM_LIMIT: usize = 8 * 1024 * 1024;
+const DECODE_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
 /// What is wrong with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
@@ -31,7 +31,7 @@
 }
 
 const fn format() -> impl bincode::config::Config {
-    bincode::config::standard().with_limit::<CLAIM_LIMIT>()
+    bincode::config::standard().with_limit::<DECODE_LIMIT_BYTES>()
 }
 
 /// Encodes an envelope as one frame.
--- a/crates/oriolemux/src/peers/dial.rs
+++ b/crates/oriolemux/src/peers/dial.rs
@@ -1,6 +1,6 @@
 //! Dialling peers, with pauses that grow and differ.
 
-use super::auth::Greeted;
+use super::auth::AuthenticatedPeer;
 use super::link::{LinkContext, LinkEnd, Traffic, close_when_idle, run_accepted, run_dialled};
 use super::table::{DialState, Registration, Shared};
 use super::{PeersConfig, Rejection, auth};
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Keeps a link to a peer for as long as it is wanted.
-pub(super) async fn keep_dialled(shared: Arc<Shared>, key: InstanceKey) {
+pub(super) async fn maintain_link(shared: Arc<Shared>, key: InstanceKey) {
     let stop = shared.stop().clone();
     let _ = stop.run_until_cancelled(dial_loop(shared, key)).await;
 }
@@ -72,12 +72,12 @@
 async fn connect(
     cfg: &PeersConfig,
     target: &PeerTarget,
-) -> Result<(TcpStream, Greeted), Rejection> {
+) -> Result<(TcpStream, AuthenticatedPeer), Rejection> {
     let io = TcpStream::connect(target.address).await;
     let mut io = io.map_err(|_| Rejection::Closed)?;
     let _ = io.set_nodelay(true);
-    let greeted = auth::dial(&mut io, cfg, target.key).await?;
-    Ok((io, greeted))
+    let authenticated = auth::dial(&mut io, cfg, target.key).await?;
+    Ok((io, authenticated))
 }
 
 /// Which side of a connection this process is.
@@ -100,7 +100,9 @@
         let registration = Arc::clone(&registration);
         tokio::spawn(async move { drive_link(&shared, &registration, io, role).await })
     };
-    let end = task.await.unwrap_or(LinkEnd::Broken(super::Break::Lost));
+    let end = task
+        .await
+        .unwrap_or(LinkEnd::Broken(super::LinkFailure::Lost));
     shared.ended(&registration, end).await;
 }
 
@@ -135,7 +137,7 @@
     tokio::select! {
         end = run => end,
         () = idle => LinkEnd::Closed,
-        () = registration.cut.cancelled() => LinkEnd::Closed,
+        () = registration.abort.cancelled() => LinkEnd::Closed,
         () = shared.stop().cancelled() => LinkEnd::Closed,
     }
 }
--- a/crates/oriolemux/src/peers/link.rs
+++ b/crates/oriolemux/src/peers/link.rs
@@ -25,10 +25,10 @@
 const SMALL_FRAME_BUDGET: usize = 8 * 1024 * 1024;
 
 /// After the end of the own stream the peer may still send for so long.
-const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long the connection is driven on to send out the end of the stream.
-const LINGER: Duration = Duration::from_millis(200);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Where the one stream of a link is asked for.
 const LINK_URI: &str = "http://peer.invalid/v1/link";
@@ -39,12 +39,12 @@
     /// One side closed it in order.
     Closed,
     /// It broke.
-    Broken(Break),
+    Broken(LinkFailure),
 }
 
 /// What broke a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum Break {
+pub enum LinkFailure {
     /// the connection was lost
     Lost,
     /// the peer took or answered nothing for too long
@@ -52,7 +52,7 @@
     /// the peer sent something that is not a frame
     Malformed,
     /// the stream ended within a frame
-    CutShort,
+    Truncated,
 }
 
 /// What both directions of a link share.
@@ -72,21 +72,21 @@
 #[derive(Debug)]
 pub(super) struct Traffic {
     last: Mutex<Instant>,
-    began: Notify,
+    resumed: Notify,
 }
 
 impl Traffic {
     pub fn new() -> Self {
         Traffic {
             last: Mutex::new(Instant::now()),
-            began: Notify::new(),
+            resumed: Notify::new(),
         }
     }
 
-    fn mark(&self) {
+    fn record(&self) {
         let mut last = self.last.lock().unwrap_or_else(|it| it.into_inner());
         *last = Instant::now();
-        self.began.notify_one();
+        self.resumed.notify_one();
     }
 
     fn idle(&self) -> Duration {
@@ -105,7 +105,7 @@
         .max_concurrent_streams(1)
         .enable_push(false);
     let Ok((requests, mut connection)) = builder.handshake::<_, Bytes>(io).await else {
-        return LinkEnd::Broken(Break::Lost);
+        return LinkEnd::Broken(LinkFailure::Lost);
     };
     let ping = connection.ping_pong();
     let driver = async move {
@@ -139,7 +139,7 @@
         Some((connection, (send, request.into_body(), ping)))
     });
     let Ok(Some((mut connection, streams))) = opened.await else {
-        return LinkEnd::Broken(Break::Lost);
+        return LinkEnd::Broken(LinkFailure::Lost);
     };
     let driver = async move { while let Some(Ok(_)) = connection.accept().await {} };
     drive(driver, cx, async move { Some(streams) }).await
@@ -155,22 +155,22 @@
     let mut driver = core::pin::pin!(driver);
     let opened = tokio::select! {
         opened = timeout(cx.cfg.connect_timeout, open) => opened,
-        () = &mut driver => return LinkEnd::Broken(Break::Lost),
+        () = &mut driver => return LinkEnd::Broken(LinkFailure::Lost),
     };
     let Ok(Some((mut send, mut recv, mut ping))) = opened else {
-        return LinkEnd::Broken(Break::Lost);
+        return LinkEnd::Broken(LinkFailure::Lost);
     };
     let end = tokio::select! {
         end = read(&mut recv, cx) => end,
         cause = write(&mut send, cx) => cause,
-        cause = watch_silence(&mut ping, cx) => LinkEnd::Broken(cause),
-        () = &mut driver => LinkEnd::Broken(Break::Lost),
+        cause = watch_heartbeats(&mut ping, cx) => LinkEnd::Broken(cause),
+        () = &mut driver => LinkEnd::Broken(LinkFailure::Lost),
     };
     if end == LinkEnd::Closed {
         // Without the end of this side's stream the peer would see a reset,
         // and take a link that was closed in order for one that broke.
         let _ = send.send_data(Bytes::new(), true);
-        let _ = timeout(LINGER, driver).await;
+        let _ = timeout(LINGER_TIMEOUT, driver).await;
     }
     end
 }
@@ -179,10 +179,10 @@
     let mut decoder = FrameDecoder::new(cx.cfg.max_frame);
     while let Some(chunk) = recv.data().await {
         let Ok(chunk) = chunk else {
-            return LinkEnd::Broken(Break::Lost);
+            return LinkEnd::Broken(LinkFailure::Lost);
         };
         Counter::PeerBytesReceived.add(chunk.len() as u64);
-        cx.traffic.mark();
+        cx.traffic.record();
         decoder.push(&chunk);
         loop {
             match decoder.next_envelope() {
@@ -193,7 +193,7 @@
                     }
                 }
                 Ok(None) => break,
-                Err(_) => return LinkEnd::Broken(Break::Malformed),
+                Err(_) => return LinkEnd::Broken(LinkFailure::Malformed),
             }
         }
         // Given back only after the node took the messages, so that a busy
@@ -202,7 +202,7 @@
     }
     match decoder.is_between_frames() {
         true => LinkEnd::Closed,
-        false => LinkEnd::Broken(Break::CutShort),
+        false => LinkEnd::Broken(LinkFailure::Truncated),
     }
 }
 
@@ -215,15 +215,15 @@
             () = cx.drain.cancelled() => break,
         };
         let size = batch.len() as u64;
-        cx.traffic.mark();
+        cx.traffic.record();
         match timeout(cx.cfg.silence_timeout, write_all(send, batch)).await {
             Ok(Some(())) => Counter::PeerBytesSent.add(size),
-            Ok(None) => return LinkEnd::Broken(Break::Lost),
-            Err(_) => return LinkEnd::Broken(Break::Silent),
+            Ok(None) => return LinkEnd::Broken(LinkFailure::Lost),
+            Err(_) => return LinkEnd::Broken(LinkFailure::Silent),
         }
     }
     let _ = send.send_data(Bytes::new(), true);
-    sleep(DRAIN_LIMIT).await;
+    sleep(DRAIN_TIMEOUT).await;
     LinkEnd::Closed
 }
 
@@ -245,16 +245,16 @@
 /// A peer that is frozen, or a path that drops everything, leaves the
 /// connection open for many minutes; the only sign is a heartbeat that is not
 /// answered. Idle links carry no heartbeats: at the size to design for most are.
-async fn watch_silence(ping: &mut PingPong, cx: &LinkContext<'_>) -> Break {
+async fn watch_heartbeats(ping: &mut PingPong, cx: &LinkContext<'_>) -> LinkFailure {
     loop {
         if cx.traffic.idle() > cx.cfg.silence_timeout {
-            cx.traffic.began.notified().await;
+            cx.traffic.resumed.notified().await;
             continue;
         }
         match timeout(cx.cfg.silence_timeout, ping.ping(Ping::opaque())).await {
             Ok(Ok(_)) => sleep(cx.cfg.heartbeat).await,
-            Ok(Err(_)) => return Break::Lost,
-            Err(_) => return Break::Silent,
+            Ok(Err(_)) => return LinkFailure::Lost,
+            Err(_) => return LinkFailure::Silent,
         }
     }
 }
--- a/crates/oriolemux/src/peers/queue.rs
+++ b/crates/oriolemux/src/peers/queue.rs
@@ -9,7 +9,7 @@
 ///
 /// A peer that takes nothing must not cost memory without bound: one stalled
 /// link would otherwise take the process down with it.
-pub const QUEUE_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_QUEUE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Frames are written together up to so many bytes, because each write costs a
 /// system call and a DATA frame's head.
@@ -65,7 +65,9 @@
     pub fn push(&self, frame: Bytes) -> Queued {
         let mut frames = self.lock();
         let mut dropped = 0;
-        while frames.frames.len() >= self.most_frames || frames.bytes + frame.len() > QUEUE_BYTES {
+        while frames.frames.len() >= self.most_frames
+            || frames.bytes + frame.len() > MAX_QUEUE_BYTES
+        {
             if frames.pop().is_none() {
                 break;
             }
--- a/crates/oriolemux/src/peers/table.rs
+++ b/crates/oriolemux/src/peers/table.rs
@@ -1,6 +1,6 @@
 //! Which links exist and which are wanted.
 
-use super::auth::{Greeted, VERSION_MIN};
+use super::auth::{AuthenticatedPeer, VERSION_MIN};
 use super::link::LinkEnd;
 use super::queue::Queue;
 use super::{PeerEvent, PeersConfig, Rejection};
@@ -16,23 +16,23 @@
 
 /// Two connections made within this time were dialled by both sides at once.
 /// A second one that comes later means that its dialler has lost the first.
-const SIMULTANEOUS: Duration = Duration::from_secs(2);
+const SIMULTANEOUS_DIAL_WINDOW: Duration = Duration::from_secs(2);
 
 /// Lives of an instance that are remembered as replaced.
-const REPLACED_LIVES: usize = 4;
+const MAX_REPLACED_INCARNATIONS: usize = 4;
 
 /// How long a shutdown waits for links to send what is queued.
-const SHUTDOWN_LIMIT: Duration = Duration::from_secs(3);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A link that is up.
 #[derive(Debug)]
-struct Live {
+struct ActiveLink {
     peer: PeerId,
     dialler: InstanceKey,
     since: Instant,
     drain: CancellationToken,
     retired: CancellationToken,
-    cut: CancellationToken,
+    abort: CancellationToken,
     serial: u64,
 }
 
@@ -42,7 +42,7 @@
     target: Option<PeerTarget>,
     dialling: bool,
     queue: Arc<Queue>,
-    live: Option<Live>,
+    live: Option<ActiveLink>,
     replaced: Vec<Incarnation>,
     /// The version that is spoken with it, or was last.
     version: u16,
@@ -64,7 +64,7 @@
 
     fn remember_replaced(&mut self, was: Incarnation) {
         self.replaced.push(was);
-        if self.replaced.len() > REPLACED_LIVES {
+        if self.replaced.len() > MAX_REPLACED_INCARNATIONS {
             self.replaced.remove(0);
         }
     }
@@ -80,7 +80,7 @@
     /// Cancelled when another connection takes over what waits.
     pub retired: CancellationToken,
     /// Cancelled to drop the link at once.
-    pub cut: CancellationToken,
+    pub abort: CancellationToken,
     serial: u64,
 }
 
@@ -107,7 +107,7 @@
     cfg: PeersConfig,
     events: mpsc::Sender<PeerEvent>,
     table: Mutex<Table>,
-    /// Held while a change of a link is made and told, so that the node hears
+    /// Held while a change of a link is made and events, so that the node hears
     /// of changes in the order in which they happened.
     order: tokio::sync::Mutex<()>,
     /// Cancelled when no new link is taken any more.
@@ -228,15 +228,15 @@
     /// Takes an authenticated connection as the link to its peer.
     pub async fn register(
         &self,
-        greeted: Greeted,
+        authenticated: AuthenticatedPeer,
         dialler: InstanceKey,
     ) -> Result<Registration, Rejection> {
         let _order = self.order.lock().await;
         if self.closing.is_cancelled() {
             return Err(Rejection::Closed);
         }
-        let (registration, told) = self.table().register(&self.cfg, greeted, dialler)?;
-        for event in told {
+        let (registration, events) = self.table().register(&self.cfg, authenticated, dialler)?;
+        for event in events {
             let _ = self.events.send(event).await;
         }
         Ok(registration)
@@ -287,10 +287,10 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let _ = timeout(SHUTDOWN_LIMIT, drained).await;
+        let _ = timeout(SHUTDOWN_TIMEOUT, drained).await;
         self.stop.cancel();
         self.tasks.close();
-        let _ = timeout(SHUTDOWN_LIMIT, self.tasks.wait()).await;
+        let _ = timeout(SHUTDOWN_TIMEOUT, self.tasks.wait()).await;
     }
 }
 
@@ -298,24 +298,24 @@
     fn register(
         &mut self,
         cfg: &PeersConfig,
-        greeted: Greeted,
+        authenticated: AuthenticatedPeer,
         dialler: InstanceKey,
     ) -> Result<(Registration, Vec<PeerEvent>), Rejection> {
-        let peer = greeted.peer;
+        let peer = authenticated.peer;
         let entry = self.entries.entry(peer.instance);
         let entry = entry.or_insert_with(|| Entry::new(cfg));
         if entry.replaced.contains(&peer.incarnation) {
-            return Err(Rejection::ReplacedLife);
+            return Err(Rejection::ReplacedIncarnation);
         }
-        let told = entry.make_room(peer, dialler)?;
+        let events = entry.replace_link(peer, dialler)?;
         self.serial += 1;
-        let live = Live {
+        let live = ActiveLink {
             peer,
             dialler,
             since: Instant::now(),
             drain: CancellationToken::new(),
             retired: CancellationToken::new(),
-            cut: CancellationToken::new(),
+            abort: CancellationToken::new(),
             serial: self.serial,
         };
         let registration = Registration {
@@ -323,13 +323,13 @@
             queue: Arc::clone(&entry.queue),
             drain: live.drain.clone(),
             retired: live.retired.clone(),
-            cut: live.cut.clone(),
+            abort: live.abort.clone(),
             serial: live.serial,
         };
         entry.live = Some(live);
-        entry.version = greeted.version;
+        entry.version = authenticated.version;
         entry.changed.notify_waiters();
-        Ok((registration, told))
+        Ok((registration, events))
     }
 
     /// Removes a link unless another one took its place; returns whether it did.
@@ -344,7 +344,7 @@
         };
         // A link that ends at once lost to one that both sides prefer; what
         // waits goes over that one.
-        if live.since.elapsed() > SIMULTANEOUS {
+        if live.since.elapsed() > SIMULTANEOUS_DIAL_WINDOW {
             entry.queue.clear();
         }
         entry.changed.notify_waiters();
@@ -378,8 +378,8 @@
 
 impl Entry {
     /// Decides whether a new connection takes the place of the present link;
-    /// returns what the node is to be told.
-    fn make_room(
+    /// returns what the node is to be events.
+    fn replace_link(
         &mut self,
         peer: PeerId,
         dialler: InstanceKey,
@@ -389,20 +389,20 @@
         };
         let was = live.peer;
         if was.incarnation != peer.incarnation {
-            live.cut.cancel();
+            live.abort.cancel();
             self.queue.clear();
             self.remember_replaced(was.incarnation);
             return Ok(vec![PeerEvent::Down(was), PeerEvent::Up(peer)]);
         }
         // Both sides dialled at once: both keep the connection of the smaller
         // key, or each would close the one that the other kept.
-        if live.since.elapsed() < SIMULTANEOUS && dialler > live.dialler {
+        if live.since.elapsed() < SIMULTANEOUS_DIAL_WINDOW && dialler > live.dialler {
             return Err(Rejection::Duplicate);
         }
         live.retired.cancel();
         // What was written into the old connection may never arrive: where only
         // one direction stalls, this side sees no end of it. Unless the node is
-        // told, requests asked for over it wait for an answer until they expire.
+        // events, requests asked for over it wait for an answer until they expire.
         Ok(vec![PeerEvent::Up(peer)])
     }
 }
--- a/crates/oriolemux/tests/peers_codec.rs
+++ b/crates/oriolemux/tests/peers_codec.rs
@@ -49,10 +49,10 @@
                 list_revision,
             }
         }),
-        (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(instance, life, leaving)| {
+        (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(instance, incarnation, leaving)| {
             MembershipMessage::InstanceStatus {
                 instance: InstanceKey(instance),
-                incarnation: Incarnation(life),
+                incarnation: Incarnation(incarnation),
                 leaving,
             }
         }),
@@ -92,17 +92,17 @@
 
 proptest! {
     #[test]
-    fn envelopes_come_back_however_the_stream_is_cut(
+    fn envelopes_round_trip_for_any_chunking(
         envelopes in vec(any_envelope(), 0..6),
-        cuts in vec(1_usize..200, 1..40),
+        chunk_sizes in vec(1_usize..200, 1..40),
     ) {
         let frames = envelopes.iter().map(|it| encode_frame(it, MAX_FRAME).unwrap());
         let stream: Vec<u8> = frames.flatten().collect();
         let mut decoder = FrameDecoder::new(MAX_FRAME);
         let mut decoded = Vec::new();
-        let (mut at, mut cuts) = (0, cuts.iter().cycle());
+        let (mut at, mut chunk_sizes) = (0, chunk_sizes.iter().cycle());
         while at < stream.len() {
-            let end = (at + cuts.next().unwrap()).min(stream.len());
+            let end = (at + chunk_sizes.next().unwrap()).min(stream.len());
             decoder.push(&stream[at..end]);
             decoded.extend(decode_all(&mut decoder).unwrap());
             at = end;
@@ -119,7 +119,7 @@
     }
 
     #[test]
-    fn a_damaged_frame_never_panics(
+    fn corrupted_frame_never_panics(
         envelope in any_envelope(),
         damage in vec((any::<prop::sample::Index>(), any::<u8>()), 1..8),
     ) {
@@ -134,10 +134,10 @@
     }
 
     #[test]
-    fn a_frame_that_is_cut_short_is_not_complete(envelope in any_envelope(), cut in any::<prop::sample::Index>()) {
+    fn truncated_frame_is_incomplete(envelope in any_envelope(), len in any::<prop::sample::Index>()) {
         let frame = encode_frame(&envelope, MAX_FRAME).unwrap();
         let mut decoder = FrameDecoder::new(MAX_FRAME);
-        let part = &frame[..cut.index(frame.len())];
+        let part = &frame[..len.index(frame.len())];
         decoder.push(part);
         prop_assert_eq!(decoder.next_envelope(), Ok(None));
         prop_assert_eq!(decoder.is_between_frames(), part.is_empty());
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_length_above_the_limit_is_refused_before_anything_is_stored() {
+fn length_above_the_limit_is_rejected_before_buffering() {
     let mut decoder = FrameDecoder::new(MAX_FRAME);
     decoder.push(&(MAX_FRAME as u32 + 1).to_be_bytes());
     let most = MAX_FRAME;
@@ -157,13 +157,13 @@
 }
 
 #[test]
-fn an_envelope_above_the_limit_is_not_encoded() {
+fn envelope_above_the_limit_is_not_encoded() {
     let result = encode_frame(&heartbeats(100), 50);
     assert!(matches!(result, Err(CodecError::TooLong { most: 50, .. })));
 }
 
 #[test]
-fn an_envelope_too_long_for_one_frame_goes_as_several() {
+fn long_envelope_is_split_into_frames() {
     // Symptom: a link broke each time a home told everything to a new one.
     // Sequence: more messages to one peer in one turn than a frame may hold.
     // Cause: what was sent was not held to the bound of what is taken.
@@ -180,20 +180,20 @@
 }
 
 #[test]
-fn more_messages_than_allowed_are_refused() {
+fn more_messages_than_allowed_are_rejected() {
     // Symptom: a frame of one megabyte took a hundred megabytes.
     // Sequence: a peer sends a million messages of one byte each.
     // Cause: only the bytes of a frame were bounded, not what they unfold to.
-    for (count, is_taken) in [(MAX_MESSAGES, true), (MAX_MESSAGES + 1, false)] {
+    for (count, is_accepted) in [(MAX_MESSAGES, true), (MAX_MESSAGES + 1, false)] {
         let frame = encode_frame(&heartbeats(count), MAX_FRAME).unwrap();
         let mut decoder = FrameDecoder::new(MAX_FRAME);
         decoder.push(&frame);
-        assert_eq!(decoder.next_envelope().is_ok(), is_taken, "{count}");
+        assert_eq!(decoder.next_envelope().is_ok(), is_accepted, "{count}");
     }
 }
 
 #[test]
-fn bytes_after_the_envelope_are_refused() {
+fn bytes_after_the_envelope_are_rejected() {
     let mut frame = encode_frame(&heartbeats(1), MAX_FRAME).unwrap().to_vec();
     frame.push(0);
     frame[3] += 1;
--- a/crates/oriolemux/tests/peers_links.rs
+++ b/crates/oriolemux/tests/peers_links.rs
@@ -3,7 +3,7 @@
 #[path = "fixtures/peers.rs"]
 mod fixture;
 
-use fixture::{LIMIT, Proxy, SECRET, config, envelope, start, target};
+use fixture::{Proxy, SECRET, TEST_TIMEOUT, config, envelope, start, target};
 use oriolemux::peers::{PeerEvent, Rejection, SendOutcome, common_version};
 use oriolemux::settings::Secret;
 use oriolemux_core::event::PeerId;
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-fn unknown_life(name: &str) -> PeerId {
+fn unknown_incarnation(name: &str) -> PeerId {
     PeerId {
         instance: InstanceKey::of(name),
         incarnation: Incarnation(0),
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn frames_go_both_ways_in_order() {
+async fn frames_arrive_in_order_in_both_directions() {
     let mut a = start(config("a", 1)).await;
     let mut b = start(config("b", 7)).await;
     a.dial("b", b.handle.local_addr());
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn what_was_sent_before_the_link_was_up_arrives() {
+async fn frames_queued_before_the_link_is_up_arrive() {
     let a = start(config("a", 1)).await;
     let mut b = start(config("b", 1)).await;
     a.dial("b", b.handle.local_addr());
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn a_wrong_secret_gets_no_link() {
+async fn wrong_secret_is_rejected() {
     // Symptom: a process with an old secret took part in decisions.
     // Sequence: the secret is changed; one instance is not restarted.
     // Cause: peers were told apart by address only.
@@ -80,9 +80,9 @@
     let mut b = start(wrong).await;
     b.dial("a", a.handle.local_addr());
     assert_eq!(a.next().await, PeerEvent::Rejected(Rejection::WrongSecret));
-    assert_eq!(b.next().await, PeerEvent::Down(unknown_life("a")));
+    assert_eq!(b.next().await, PeerEvent::Down(unknown_incarnation("a")));
     a.dial("b", b.handle.local_addr());
-    a.until(|it| *it == PeerEvent::Down(unknown_life("b")))
+    a.until(|it| *it == PeerEvent::Down(unknown_incarnation("b")))
         .await;
     assert_eq!((a.handle.links(), b.handle.links()), (0, 0));
 }
@@ -92,12 +92,12 @@
 #[case::preface(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".repeat(10))]
 #[case::zeros(vec![0; 500])]
 #[tokio::test]
-async fn a_stranger_gets_not_one_byte(#[case] bytes: Vec<u8>) {
+async fn unauthenticated_connection_receives_no_byte(#[case] bytes: Vec<u8>) {
     let mut a = start(config("a", 1)).await;
     let mut stranger = TcpStream::connect(a.handle.local_addr()).await.unwrap();
     stranger.write_all(&bytes).await.unwrap();
     let mut got = Vec::new();
-    let _ = timeout(LIMIT, stranger.read_to_end(&mut got))
+    let _ = timeout(TEST_TIMEOUT, stranger.read_to_end(&mut got))
         .await
         .unwrap();
     assert_eq!(got, b"");
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn a_handshake_that_was_overheard_is_worth_nothing() {
+async fn replayed_handshake_is_rejected() {
     // Symptom: a stranger that had recorded a connection got a link.
     // Sequence: it sends what a peer sent when it was authenticated.
     // Cause: what a peer proves does not change from one connection to the next.
@@ -115,11 +115,11 @@
     a.dial("b", proxy.address);
     b.until(|it| *it == PeerEvent::Up(a.id)).await;
     let (hello, proof) = (68, 32);
-    let heard = proxy.heard.lock().unwrap()[..hello + proof].to_vec();
+    let recorded = proxy.recorded.lock().unwrap()[..hello + proof].to_vec();
     let mut stranger = TcpStream::connect(b.handle.local_addr()).await.unwrap();
-    stranger.write_all(&heard).await.unwrap();
+    stranger.write_all(&recorded).await.unwrap();
     let mut got = Vec::new();
-    let _ = timeout(LIMIT, stranger.read_to_end(&mut got))
+    let _ = timeout(TEST_TIMEOUT, stranger.read_to_end(&mut got))
         .await
         .unwrap();
     assert_eq!(got.len(), 34, "a version and a nonce");
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_stranger_is_closed_and_does_not_keep_peers_out() {
+async fn silent_connections_time_out_and_do_not_block_peers() {
     // Symptom: no instance could link to one that a port scan had touched.
     // Sequence: connections are opened and nothing is ever said on them.
     // Cause: a connection that was not authenticated could stay for ever.
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn another_instance_at_the_address_is_not_taken_for_the_wanted_one() {
+async fn another_instance_at_the_address_is_rejected() {
     // Symptom: messages for one instance were obeyed by another.
     // Sequence: an address is given to a new instance; the list lags.
     // Cause: whoever answered at the address was believed to be the one listed.
@@ -159,11 +159,11 @@
         b.next().await,
         PeerEvent::Rejected(Rejection::WrongInstance)
     );
-    assert_eq!(a.next().await, PeerEvent::Down(unknown_life("c")));
+    assert_eq!(a.next().await, PeerEvent::Down(unknown_incarnation("c")));
 }
 
 #[tokio::test]
-async fn a_link_cut_within_a_frame_breaks_and_is_made_again() {
+async fn link_closed_within_a_frame_fails_and_reconnects() {
     // Symptom: a peer waited for the rest of a frame that never came.
     // Sequence: the connection is reset in the middle of a frame.
     // Cause: the end of the stream was not told from the end of a frame.
@@ -174,30 +174,30 @@
     assert_eq!(b.next().await, PeerEvent::Up(a.id));
     a.handle.send(b.id.instance, &envelope(1));
     b.until_number(1).await;
-    proxy.cut_after(700);
+    proxy.close_after(700);
     let mut large = envelope(2);
     large.messages = vec![oriolemux_core::peer::PeerMessage::Heartbeat; 3000];
     a.handle.send(b.id.instance, &large);
     b.until(|it| *it == PeerEvent::Down(a.id)).await;
     a.until(|it| *it == PeerEvent::Down(b.id)).await;
-    proxy.cut_after(usize::MAX);
+    proxy.close_after(usize::MAX);
     b.until(|it| *it == PeerEvent::Up(a.id)).await;
     a.handle.send(b.id.instance, &envelope(3));
     b.until_number(3).await;
 }
 
 #[tokio::test]
-async fn a_stalled_link_is_given_up_within_a_bound() {
+async fn stalled_link_times_out() {
     // Symptom: grants were asked of a frozen home for fifteen minutes.
     // Sequence: SIGSTOP, or a path that drops every packet; no reset comes.
     // Cause: only an error of the connection counted as a failure.
-    let quick = |name| {
+    let fast = |name| {
         config(name, 1)
             .heartbeat(Duration::from_millis(20))
             .silence_timeout(Duration::from_millis(200))
     };
-    let mut a = start(quick("a")).await;
-    let mut b = start(quick("b")).await;
+    let mut a = start(fast("a")).await;
+    let mut b = start(fast("b")).await;
     let proxy = Proxy::start(b.handle.local_addr()).await;
     a.dial("b", proxy.address);
     a.until(|it| *it == PeerEvent::Up(b.id)).await;
@@ -211,14 +211,14 @@
 }
 
 #[tokio::test]
-async fn an_idle_link_carries_no_heartbeats() {
-    let quick = |name| {
+async fn idle_link_carries_no_heartbeats() {
+    let fast = |name| {
         config(name, 1)
             .heartbeat(Duration::from_millis(10))
             .silence_timeout(Duration::from_millis(500))
     };
-    let mut a = start(quick("a")).await;
-    let mut b = start(quick("b")).await;
+    let mut a = start(fast("a")).await;
+    let mut b = start(fast("b")).await;
     let proxy = Proxy::start(b.handle.local_addr()).await;
     let carried = || proxy.bytes.load(Ordering::SeqCst);
     a.dial("b", proxy.address);
@@ -230,7 +230,9 @@
             sleep(Duration::from_millis(300)).await;
         }
     };
-    timeout(LIMIT, quiet).await.expect("the link falls silent");
+    timeout(TEST_TIMEOUT, quiet)
+        .await
+        .expect("the link falls silent");
     let before = carried();
     a.handle.send(b.id.instance, &envelope(1));
     b.until_number(1).await;
@@ -240,19 +242,19 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, beats)
+    timeout(TEST_TIMEOUT, beats)
         .await
         .expect("traffic is protected again");
 }
 
 #[tokio::test]
-async fn an_unwanted_idle_link_is_closed_without_alarm() {
+async fn unneeded_idle_link_closes_as_idle() {
     // Symptom: every link that was closed for lack of use moved homes for a moment.
     // Sequence: a link is not needed any more; its dialler closes it.
     // Cause: the peer could not tell an orderly end from a failure.
-    let quick = |name| config(name, 1).idle_timeout(Duration::from_millis(100));
-    let mut a = start(quick("a")).await;
-    let mut b = start(quick("b")).await;
+    let fast = |name| config(name, 1).idle_timeout(Duration::from_millis(100));
+    let mut a = start(fast("a")).await;
+    let mut b = start(fast("b")).await;
     a.dial("b", b.handle.local_addr());
     a.until(|it| *it == PeerEvent::Up(b.id)).await;
     assert_eq!(b.next().await, PeerEvent::Up(a.id));
@@ -262,7 +264,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_instance_is_up_as_a_new_life_and_the_old_one_stays_out() {
+async fn new_incarnation_replaces_the_old_one_for_good() {
     // Symptom: a process that had been replaced pushed its successor off the link.
     // Sequence: an instance freezes, is restarted elsewhere, then wakes.
     // Cause: the newest connection won, whoever made it.
@@ -275,7 +277,7 @@
     new.dial("a", address);
     assert_eq!(a.next().await, PeerEvent::Down(old.id));
     assert_eq!(a.next().await, PeerEvent::Up(new.id));
-    a.until(|it| *it == PeerEvent::Rejected(Rejection::ReplacedLife))
+    a.until(|it| *it == PeerEvent::Rejected(Rejection::ReplacedIncarnation))
         .await;
     old.until(|it| matches!(it, PeerEvent::Down(_) | PeerEvent::Idle(_)))
         .await;
@@ -285,14 +287,14 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_away_is_found_when_it_comes() {
+async fn absent_peer_is_linked_once_it_starts() {
     let mut a = start(config("a", 1)).await;
     let first = start(config("b", 1)).await;
     let address = first.handle.local_addr();
     first.handle.shutdown().await;
     drop(first);
     a.dial("b", address);
-    assert_eq!(a.next().await, PeerEvent::Down(unknown_life("b")));
+    assert_eq!(a.next().await, PeerEvent::Down(unknown_incarnation("b")));
     let any_port =
         oriolemux::peers::PeersConfig::new(address, "b", Incarnation(2), Secret::new(SECRET));
     let b = start(any_port).await;
@@ -300,7 +302,7 @@
 }
 
 #[tokio::test]
-async fn two_that_dial_at_once_end_with_one_link() {
+async fn simultaneous_dials_end_with_one_link() {
     // Symptom: two instances closed each other's connection over and over.
     // Sequence: both dial at the same moment; each prefers the connection that
     // the other drops.
@@ -327,7 +329,7 @@
 }
 
 #[tokio::test]
-async fn a_queue_for_a_peer_that_takes_nothing_is_bounded() {
+async fn queue_for_a_stalled_peer_is_bounded() {
     // Symptom: one dead link filled the memory of a process.
     // Sequence: a peer accepts the connection and never reads.
     // Cause: frames waited without a bound.
@@ -342,7 +344,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_is_too_long_is_refused_where_it_is_sent() {
+async fn sender_rejects_a_message_that_is_too_long() {
     let a = start(config("a", 1).max_frame(8)).await;
     a.dial("b", "127.0.0.1:1".parse().unwrap());
     let outcome = a.handle.send(InstanceKey::of("b"), &envelope(u64::MAX));
@@ -350,7 +352,7 @@
 }
 
 #[tokio::test]
-async fn what_waits_is_sent_before_a_shutdown() {
+async fn shutdown_sends_queued_frames() {
     let mut a = start(config("a", 1)).await;
     let mut b = start(config("b", 1)).await;
     a.dial("b", b.handle.local_addr());
@@ -369,7 +371,7 @@
 #[case((2, 5), (1, 3), Some(3))]
 #[case((1, 1), (2, 2), None)]
 #[case((4, 4), (1, 2), None)]
-fn the_highest_common_version_is_spoken(
+fn highest_common_version_is_chosen(
     #[case] ours: (u16, u16),
     #[case] theirs: (u16, u16),
     #[case] common: Option<u16>,
--- a/crates/oriolemux/tests/peers_memory.rs
+++ b/crates/oriolemux/tests/peers_memory.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn hostile_frames_do_not_allocate_beyond_the_bound() {
+fn hostile_frames_do_not_allocate_beyond_the_limit() {
     let mut rng = SmallRng::seed_from_u64(1);
     let before = peak_kb();
     for _ in 0..50_000 {
