--- a/crates/oriolemux/src/peers.rs
+++ b/crates/oriolemux/src/peers.rs
@@ -1,16 +1,15 @@
 //! Links to the other instances.
 //!
-//! One connection for each pair of instances that talk, over TCP, with HTTP/2
-//! prior knowledge. Both sides prove the shared secret before the first
-//! message. Links exist on demand: the node says whom to dial, and others dial
-//! us. `docs/design/peer-protocol.md` describes frames, handshake and bounds.
+//! A link is one connection between two instances, over TCP, with HTTP/2 prior knowledge. Both
+//! sides prove that they hold the shared secret before the first message. Links exist on demand:
+//! the node chooses which peers to dial, and accepts those that dial it.
+//! `docs/design/peer-protocol.md` describes frames, handshake and limits.
 //!
-//! What a link promises: a frame arrives once or not at all, after
-//! [`PeerEvent::Up`] and before [`PeerEvent::Down`] of its peer, and in order
-//! within one connection. When both sides dial at once, frames on the second
-//! connection may overtake those on the first. Frames that wait when a link
-//! breaks are dropped; whoever sent them hears of the break and decides what
-//! is worth repeating.
+//! Guarantees: a frame arrives once or not at all, after [`PeerEvent::Up`] and before
+//! [`PeerEvent::Down`] of its peer, and in order within one connection. When both sides dial at
+//! the same time, frames on the second connection may overtake those on the first. Frames that are
+//! queued when a link breaks are dropped; the node receives [`PeerEvent::Down`] and decides what to
+//! send again.
 
 mod accept;
 mod auth;
@@ -38,11 +37,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// The most bytes of one frame unless the settings say otherwise: a value of
-/// the platform, which has up to a megabyte, and its envelope.
+/// The default for the most bytes of one frame: a value of the platform, which has up to a
+/// megabyte, and its envelope.
 pub const MAX_FRAME: usize = 1024 * 1024 + 64 * 1024;
 
-/// How an instance takes part in the links.
+/// Configuration of the links of an instance.
 #[derive(Clone, Debug)]
 pub struct PeersConfig {
     listen: SocketAddr,
@@ -59,7 +58,7 @@
 }
 
 impl PeersConfig {
-    /// Returns a configuration with the usual limits.
+    /// Returns a configuration with the default limits.
     pub fn new(listen: SocketAddr, name: &str, incarnation: Incarnation, secret: Secret) -> Self {
         PeersConfig {
             listen,
@@ -85,13 +84,13 @@
         self
     }
 
-    /// Sets how many frames may wait for one link.
+    /// Sets how many frames may be queued for one link.
     pub fn max_queued_frames(mut self, frames: usize) -> Self {
         self.max_queued_frames = frames.max(1);
         self
     }
 
-    /// Sets within which time a connection is made and authenticated.
+    /// Sets the timeout for connecting and authenticating.
     pub fn connect_timeout(mut self, time: Duration) -> Self {
         self.connect_timeout = time;
         self
@@ -103,25 +102,25 @@
         self
     }
 
-    /// Sets for how long a link with traffic may be silent before it is given up.
+    /// Sets how long a link with traffic may be silent before it counts as failed.
     pub fn silence_timeout(mut self, time: Duration) -> Self {
         self.silence_timeout = time;
         self
     }
 
-    /// Sets after which time without traffic an unwanted link is closed.
+    /// Sets after which time without traffic an unneeded link is closed.
     pub fn idle_timeout(mut self, time: Duration) -> Self {
         self.idle_timeout = time;
         self
     }
 
-    /// Sets the first and the longest pause before a lost link is made again.
+    /// Sets the first and the longest backoff before a lost link is dialled again.
     pub fn reconnect(mut self, first: Duration, longest: Duration) -> Self {
         self.reconnect = (first, longest.max(first));
         self
     }
 
-    /// Returns the name and life of this process.
+    /// Returns the instance key and the incarnation of this process.
     pub fn id(&self) -> PeerId {
         self.id
     }
@@ -131,7 +130,7 @@
     }
 }
 
-/// Why a connection was not taken as a link.
+/// Why a connection was rejected.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, displaydoc::Display, thiserror::Error,
 )]
@@ -140,52 +139,52 @@
     Closed,
     /// the other side did not authenticate in time
     TooSlow,
-    /// the other side does not speak this protocol
+    /// the other side does not use this protocol
     NotAPeer,
-    /// the versions have nothing in common
+    /// the two sides have no protocol version in common
     Version,
     /// the other side does not hold the secret
     WrongSecret,
-    /// the other side is not the instance that was wanted
+    /// the other side is not the instance that was dialled
     WrongInstance,
     /// the other side uses this instance's name
     OwnName,
-    /// the other side is a life that was already replaced
+    /// the other side is an incarnation that was already replaced
     ReplacedIncarnation,
     /// there is already a link to this instance
     Duplicate,
-    /// too many connections are not authenticated yet
+    /// too many connections are waiting for authentication
     TooMany,
-    /// the operating system gave no random bytes
+    /// the operating system returned no random bytes
     NoRandomness,
 }
 
-/// What the links tell the node.
+/// An event of the links, for the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerEvent {
     /// A link is up.
     Up(PeerId),
-    /// A link broke, or could not be made; then the incarnation is 0 if it is not known.
+    /// A link broke, or could not be established. The incarnation is 0 if it is not known.
     Down(PeerId),
-    /// A link was closed in order because nobody needs it.
+    /// A link was closed in order because it is not needed.
     Idle(PeerId),
     /// A frame arrived.
     Envelope(PeerId, PeerEnvelope),
-    /// A connection was not taken. Dropped when the node is busy, because a
-    /// stranger can cause as many as it likes.
+    /// A connection was rejected. The event is dropped when the node is busy, because an
+    /// unauthenticated client can cause any number of them.
     Rejected(Rejection),
 }
 
-/// What became of a frame that was to be sent.
+/// The result of sending an envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// It waits for the link.
+    /// It is queued.
     Queued,
-    /// It waits, and the oldest waiting frames were dropped for it.
+    /// It is queued, and the oldest queued frames were dropped for it.
     Displaced,
-    /// There is no link, and none was asked for.
+    /// There is no link, and the peer is not to be dialled.
     NoLink,
-    /// A message of it is longer than a frame may be; the others wait.
+    /// One of its messages is longer than a frame may be; the others are queued.
     TooLong,
 }
 
@@ -196,7 +195,7 @@
     local_addr: SocketAddr,
 }
 
-/// Starts the links.
+/// The entry point that starts the links.
 #[derive(Clone, Copy, Debug)]
 pub struct Peers;
 
@@ -225,7 +224,7 @@
         self.local_addr
     }
 
-    /// Dials exactly these peers. Links to others stay until they are idle.
+    /// Dials exactly these peers. Links to others are kept until they are idle.
     pub fn set_links(&self, targets: Vec<PeerTarget>) {
         for key in self.shared.set_targets(targets) {
             let shared = Arc::clone(&self.shared);
@@ -233,9 +232,9 @@
         }
     }
 
-    /// Queues an envelope for a peer; never waits.
+    /// Queues an envelope for a peer, without waiting.
     ///
-    /// It goes as several frames if it is too long for one.
+    /// It is sent as several frames if it is too long for one.
     pub fn send(&self, to: InstanceKey, envelope: &PeerEnvelope) -> SendOutcome {
         let Some((queue, version)) = self.shared.queue(to) else {
             return SendOutcome::NoLink;
@@ -266,7 +265,7 @@
         self.shared.links()
     }
 
-    /// Closes all links in order; what waits is sent first, for a bounded time.
+    /// Closes all links in order. Queued frames are sent first, within a time limit.
     pub async fn shutdown(&self) {
         self.shared.shutdown().await;
     }
--- a/crates/oriolemux/src/peers/accept.rs
+++ b/crates/oriolemux/src/peers/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting peers.
+//! Accepts connections of peers.
 
 use super::dial::{Role, run_link};
 use super::table::Shared;
@@ -10,8 +10,8 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// Pause after the operating system refused to accept, for example because
-/// there are no file descriptors left; without it the loop would spin.
+/// How long to wait after a failed accept, for example because no file descriptor is left; without
+/// the delay the loop would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Accepts peers until the process stops.
--- a/crates/oriolemux/src/peers/auth.rs
+++ b/crates/oriolemux/src/peers/auth.rs
@@ -1,18 +1,19 @@
 //! Mutual authentication before the first message.
 //!
-//! Three small messages of fixed size go over the bare connection before HTTP/2
-//! begins, so that a stranger never reaches a parser that allocates:
+//! Small messages of fixed size are exchanged over the TCP connection before HTTP/2 begins, so
+//! that an unauthenticated client never reaches a parser that allocates:
 //!
-//! 1. the dialling side: versions, its name and life, whom it wants, a nonce;
-//! 2. the accepting side: the version chosen and a nonce, nothing else;
+//! 1. the dialling side: versions, its instance key and incarnation, the instance that it dials,
+//!    and a nonce;
+//! 2. the accepting side: the chosen version and a nonce, nothing else;
 //! 3. the dialling side: HMAC-SHA256 over 1 and 2;
-//! 4. the accepting side, only if that was right: its name and life, and
-//!    HMAC-SHA256 over all of the above.
+//! 4. the accepting side, only if 3 was valid: its instance key and incarnation, and HMAC-SHA256
+//!    over all of the above.
 //!
-//! A wrong or missing secret gets a random nonce and a closed connection. Both
-//! proofs cover both nonces, so none can be replayed, and each names its side,
-//! so none can be reflected. `docs/design/peer-protocol.md` says what this does
-//! not protect against.
+//! A client with a wrong or missing secret receives only a version and a random nonce before the
+//! connection is closed. Both proofs cover both nonces, so they cannot be replayed, and each names
+//! its side, so they cannot be reflected. `docs/design/peer-protocol.md` says what this does not
+//! protect against.
 
 use super::{PeersConfig, Rejection};
 use hmac::{Hmac, Mac};
@@ -23,10 +24,10 @@
 use sha2::Sha256;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The lowest version that this build speaks.
+/// The lowest protocol version that this build supports.
 pub const VERSION_MIN: u16 = 1;
 
-/// The highest version that this build speaks.
+/// The highest protocol version that this build supports.
 pub const VERSION_MAX: u16 = 2;
 
 const MAGIC: [u8; 8] = *b"oriolmx\0";
@@ -37,7 +38,7 @@
 const IDENTITY_BYTES: usize = 8 + 8;
 const WELCOME_BYTES: usize = IDENTITY_BYTES + PROOF_BYTES;
 
-/// Names the side that makes a proof.
+/// The side that makes a proof.
 #[derive(Clone, Copy)]
 enum Side {
     Dialling,
@@ -53,7 +54,7 @@
     }
 }
 
-/// What the dialling side says first.
+/// The first message of the dialling side.
 struct Hello {
     versions: (u16, u16),
     from: PeerId,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Returns the highest version that both ranges hold.
+/// Returns the highest version that is in both ranges.
 pub fn common_version(ours: (u16, u16), theirs: (u16, u16)) -> Option<u16> {
     let highest = ours.1.min(theirs.1);
     let lowest = ours.0.max(theirs.0);
@@ -148,7 +149,7 @@
     io.flush().await.map_err(|_| Rejection::Closed)
 }
 
-/// Who is at the other side of a connection, and what is spoken with it.
+/// The authenticated peer of a connection, and the protocol version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AuthenticatedPeer {
     pub peer: PeerId,
@@ -156,7 +157,7 @@
     pub version: u16,
 }
 
-/// Authenticates the connection that this side dialled to reach `wanted`.
+/// Authenticates a connection that this side dialled to the instance `wanted`.
 pub(super) async fn dial<Io: AsyncRead + AsyncWrite + Unpin>(
     io: &mut Io,
     cfg: &PeersConfig,
--- a/crates/oriolemux/src/peers/codec.rs
+++ b/crates/oriolemux/src/peers/codec.rs
@@ -1,25 +1,25 @@
 //! Frames between instances: a length, then one envelope in bincode.
 //!
-//! A frame comes from an authenticated peer, but a peer may be of another
-//! version or broken. Whatever it sends, decoding neither panics nor allocates
-//! beyond a bound: a length above the limit ends the link before anything is
-//! stored, and bincode's own limit bounds what a short frame may claim to hold.
+//! Frames come from authenticated peers, but a peer may have another version or be faulty. For any
+//! input, decoding neither panics nor allocates beyond a limit: a length above the limit ends the
+//! link before anything is buffered, and bincode's own limit bounds the sizes that a short frame
+//! may declare.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use oriolemux_core::peer::{MAX_MESSAGES, PeerEnvelope};
 
-/// Bytes of a frame's length.
+/// Size of the length field of a frame.
 const LENGTH_BYTES: usize = 4;
 
-/// The most bytes that one decoded frame may claim, also in nested parts.
+/// The most bytes that the contents of one frame may declare, nested parts included.
 const DECODE_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
 /// What is wrong with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum CodecError {
-    /// a frame has {length} bytes, the most is {most}
+    /// a frame has {length} bytes, the limit is {most}
     TooLong {
-        /// The length that was announced or produced.
+        /// The length that was received or encoded.
         length: usize,
         /// The limit.
         most: usize,
@@ -56,8 +56,8 @@
     Ok(frame.freeze())
 }
 
-/// Encodes an envelope as one frame, or as several if its messages are too many
-/// or too long for one; returns how many messages are too long for any frame.
+/// Encodes an envelope as one frame, or as several if its messages are too many or too long for
+/// one. Returns how many messages are too long for any frame.
 pub fn encode_frames(envelope: &PeerEnvelope, max_frame: usize, frames: &mut Vec<Bytes>) -> usize {
     let count = envelope.messages.len();
     if count <= MAX_MESSAGES
@@ -78,9 +78,9 @@
     too_long.sum()
 }
 
-/// Cuts a stream of bytes into envelopes.
+/// Decodes a stream of bytes into envelopes.
 ///
-/// Invariant: `buf` holds at most one incomplete frame and what arrived with it.
+/// Invariant: `buf` holds at most one incomplete frame and the bytes that arrived with it.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buf: BytesMut,
@@ -88,7 +88,7 @@
 }
 
 impl FrameDecoder {
-    /// Creates a decoder that takes frames of at most `max_frame` bytes.
+    /// Creates a decoder for frames of at most `max_frame` bytes.
     pub fn new(max_frame: usize) -> Self {
         FrameDecoder {
             buf: BytesMut::new(),
@@ -96,16 +96,16 @@
         }
     }
 
-    /// Takes in bytes from the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, chunk: &[u8]) {
         self.buf.extend_from_slice(chunk);
     }
 
-    /// Returns the next whole envelope, or `None` if more bytes are needed.
+    /// Returns the next complete envelope, or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong; the stream cannot be read any further then.
+    /// Fails if a frame is invalid. The stream cannot be read any further then.
     pub fn next_envelope(&mut self) -> Result<Option<PeerEnvelope>, CodecError> {
         let Some(head) = self.buf.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
--- a/crates/oriolemux/src/peers/dial.rs
+++ b/crates/oriolemux/src/peers/dial.rs
@@ -1,4 +1,4 @@
-//! Dialling peers, with pauses that grow and differ.
+//! Dials peers, with exponential backoff and jitter.
 
 use super::auth::AuthenticatedPeer;
 use super::link::{LinkContext, LinkEnd, Traffic, close_when_idle, run_accepted, run_dialled};
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Keeps a link to a peer for as long as it is wanted.
+/// Keeps a link to a peer established for as long as it is wanted.
 pub(super) async fn maintain_link(shared: Arc<Shared>, key: InstanceKey) {
     let stop = shared.stop().clone();
     let _ = stop.run_until_cancelled(dial_loop(shared, key)).await;
@@ -51,7 +51,7 @@
     let dialler = shared.cfg().id().instance;
     let registration = match shared.register(peer, dialler).await {
         Ok(registration) => registration,
-        // The link that was kept is watched by the caller.
+        // The caller watches the link that was kept.
         Err(Rejection::Duplicate) => return Ok(()),
         Err(why) => {
             shared.rejected(why);
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// A peer that is down is no news beyond [`super::PeerEvent::Down`].
+/// Reports a rejection. A peer that is down is reported only by [`super::PeerEvent::Down`].
 fn report(shared: &Shared, why: Rejection) {
     if !matches!(why, Rejection::Closed | Rejection::TooSlow) {
         shared.rejected(why);
@@ -80,14 +80,14 @@
     Ok((io, authenticated))
 }
 
-/// Which side of a connection this process is.
+/// The side of a connection that this process has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     Dialled,
     Accepted,
 }
 
-/// Runs a link in a task of its own, so that a fault in it ends the link only.
+/// Runs a link in a task of its own, so that a panic in it ends only the link.
 pub(super) async fn run_link(
     shared: &Arc<Shared>,
     registration: Registration,
@@ -142,8 +142,8 @@
     }
 }
 
-/// Pauses between attempts: doubling, and jittered so that peers that lost
-/// the same instance do not come back to it in step.
+/// Exponential backoff between dial attempts, with jitter so that peers that lost the same instance
+/// do not reconnect to it at the same time.
 struct Backoff {
     first: Duration,
     longest: Duration,
--- a/crates/oriolemux/src/peers/link.rs
+++ b/crates/oriolemux/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! One authenticated connection: an HTTP/2 stream that carries frames both ways.
+//! One authenticated connection: an HTTP/2 stream that carries frames in both directions.
 
 use super::codec::FrameDecoder;
 use super::queue::Queue;
@@ -16,21 +16,21 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// Bytes that a peer may send before this side has taken them.
+/// Bytes that a peer may send before this side has processed them.
 const WINDOW_BYTES: u32 = 256 * 1024;
 
-/// Small DATA frames that wait may cost so much beyond their bytes. The default
-/// is half of the window, which a peer that sends many small messages would use
-/// up while the node is busy; the link would end although nothing is wrong.
+/// The overhead beyond their bytes that queued small DATA frames may have. The default is half of
+/// the window, which a peer that sends many small messages would use up while the node is busy;
+/// the link would then end although nothing is wrong.
 const SMALL_FRAME_BUDGET: usize = 8 * 1024 * 1024;
 
-/// After the end of the own stream the peer may still send for so long.
+/// How long the peer may continue to send after this side has ended its stream.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the connection is driven on to send out the end of the stream.
+/// How long the connection is still polled in order to send the end of the stream.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Where the one stream of a link is asked for.
+/// The URI of the request that opens the single stream of a link.
 const LINK_URI: &str = "http://peer.invalid/v1/link";
 
 /// Why a link ended.
@@ -42,33 +42,33 @@
     Broken(LinkFailure),
 }
 
-/// What broke a link.
+/// Why a link broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum LinkFailure {
     /// the connection was lost
     Lost,
-    /// the peer took or answered nothing for too long
+    /// the peer read or acknowledged nothing within the silence timeout
     Silent,
-    /// the peer sent something that is not a frame
+    /// the peer sent an invalid frame
     Malformed,
     /// the stream ended within a frame
     Truncated,
 }
 
-/// What both directions of a link share.
+/// What the reading and writing sides of a link share.
 pub(super) struct LinkContext<'a> {
     pub cfg: &'a PeersConfig,
     pub peer: PeerId,
     pub queue: &'a Queue,
     pub events: &'a mpsc::Sender<PeerEvent>,
-    /// Cancelled to send what waits and close the link in order.
+    /// Cancelled to send the queued frames and close the link in order.
     pub drain: &'a CancellationToken,
-    /// Cancelled when another connection takes over what waits.
+    /// Cancelled when another connection takes over the queue.
     pub retired: &'a CancellationToken,
     pub traffic: Traffic,
 }
 
-/// When a link last carried something.
+/// When a link last had traffic.
 #[derive(Debug)]
 pub(super) struct Traffic {
     last: Mutex<Instant>,
@@ -167,8 +167,8 @@
         () = &mut driver => LinkEnd::Broken(LinkFailure::Lost),
     };
     if end == LinkEnd::Closed {
-        // Without the end of this side's stream the peer would see a reset,
-        // and take a link that was closed in order for one that broke.
+        // Without the end of this side's stream the peer would receive a reset and treat a link
+        // that was closed in order as broken.
         let _ = send.send_data(Bytes::new(), true);
         let _ = timeout(LINGER_TIMEOUT, driver).await;
     }
@@ -196,8 +196,8 @@
                 Err(_) => return LinkEnd::Broken(LinkFailure::Malformed),
             }
         }
-        // Given back only after the node took the messages, so that a busy
-        // node slows its peers down instead of filling its memory.
+        // Capacity is released only after the node has accepted the messages, so that a busy node
+        // applies backpressure to its peers instead of using more memory.
         let _ = recv.flow_control().release_capacity(chunk.len());
     }
     match decoder.is_between_frames() {
@@ -240,11 +240,11 @@
     Some(())
 }
 
-/// Ends the link when the peer does not answer while there is traffic.
+/// Ends the link when the peer does not acknowledge heartbeats while there is traffic.
 ///
-/// A peer that is frozen, or a path that drops everything, leaves the
-/// connection open for many minutes; the only sign is a heartbeat that is not
-/// answered. Idle links carry no heartbeats: at the size to design for most are.
+/// With a frozen peer, or a path that drops all packets, the connection stays open for many
+/// minutes; the only sign is a missing acknowledgement. Idle links carry no heartbeats, because in
+/// a fleet of the intended size most links are idle.
 async fn watch_heartbeats(ping: &mut PingPong, cx: &LinkContext<'_>) -> LinkFailure {
     loop {
         if cx.traffic.idle() > cx.cfg.silence_timeout {
@@ -259,7 +259,7 @@
     }
 }
 
-/// Closes a dialled link in order once it is unwanted and idle.
+/// Closes a dialled link in order once it is not wanted and idle.
 pub(super) async fn close_when_idle(cx: &LinkContext<'_>, is_wanted: impl Fn() -> bool) {
     loop {
         sleep(cx.cfg.idle_timeout / 4).await;
--- a/crates/oriolemux/src/peers/queue.rs
+++ b/crates/oriolemux/src/peers/queue.rs
@@ -1,26 +1,25 @@
-//! What waits to be sent to one peer.
+//! The queue of frames for one peer.
 
 use bytes::{Bytes, BytesMut};
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 use tokio::sync::Notify;
 
-/// The most bytes that wait for one peer.
+/// The most bytes that are queued for one peer.
 ///
-/// A peer that takes nothing must not cost memory without bound: one stalled
-/// link would otherwise take the process down with it.
+/// Without the limit, one stalled link could exhaust the memory of the process.
 pub const MAX_QUEUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Frames are written together up to so many bytes, because each write costs a
-/// system call and a DATA frame's head.
+/// Frames are batched up to this many bytes per write, because each write costs a system call and
+/// the header of a DATA frame.
 const BATCH_BYTES: usize = 64 * 1024;
 
-/// What became of a frame.
+/// The result of queueing a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Queued {
-    /// It waits.
+    /// It is queued.
     Kept,
-    /// It waits, and so many older ones were dropped for it.
+    /// It is queued, and this many older frames were dropped for it.
     Displaced(usize),
 }
 
@@ -40,8 +39,8 @@
 
 /// A bounded queue of frames; the oldest are dropped when it is full.
 ///
-/// The oldest go first because every message between instances is either
-/// repeated, or bound to a deadline that the oldest reaches first.
+/// The oldest are dropped first because every message between instances is either sent again, or
+/// has a deadline that the oldest reaches first.
 #[derive(Debug)]
 pub(super) struct Queue {
     frames: Mutex<Frames>,
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Drops everything; returns how many frames that were.
+    /// Drops all frames; returns how many there were.
     pub fn clear(&self) -> usize {
         let mut frames = self.lock();
         let dropped = frames.frames.len();
--- a/crates/oriolemux/src/peers/table.rs
+++ b/crates/oriolemux/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! Which links exist and which are wanted.
+//! The table of existing and wanted links.
 
 use super::auth::{AuthenticatedPeer, VERSION_MIN};
 use super::link::LinkEnd;
@@ -14,14 +14,14 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Two connections made within this time were dialled by both sides at once.
-/// A second one that comes later means that its dialler has lost the first.
+/// Two connections established within this time were dialled by both sides at once. A later second
+/// connection means that its dialler has lost the first.
 const SIMULTANEOUS_DIAL_WINDOW: Duration = Duration::from_secs(2);
 
-/// Lives of an instance that are remembered as replaced.
+/// How many replaced incarnations are remembered for each instance.
 const MAX_REPLACED_INCARNATIONS: usize = 4;
 
-/// How long a shutdown waits for links to send what is queued.
+/// How long a shutdown waits for links to send their queued frames.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A link that is up.
@@ -36,7 +36,7 @@
     serial: u64,
 }
 
-/// What is known of one peer.
+/// The state of one peer.
 #[derive(Debug)]
 struct Entry {
     target: Option<PeerTarget>,
@@ -44,7 +44,7 @@
     queue: Arc<Queue>,
     live: Option<ActiveLink>,
     replaced: Vec<Incarnation>,
-    /// The version that is spoken with it, or was last.
+    /// The protocol version of the current link, or of the last one.
     version: u16,
     changed: Arc<Notify>,
 }
@@ -70,28 +70,28 @@
     }
 }
 
-/// A link that may now be run.
+/// A registered link that is ready to run.
 #[derive(Debug)]
 pub(super) struct Registration {
     pub peer: PeerId,
     pub queue: Arc<Queue>,
-    /// Cancelled to send what waits and close the link in order.
+    /// Cancelled to send the queued frames and close the link in order.
     pub drain: CancellationToken,
-    /// Cancelled when another connection takes over what waits.
+    /// Cancelled when another connection takes over the queue.
     pub retired: CancellationToken,
-    /// Cancelled to drop the link at once.
+    /// Cancelled to drop the link immediately.
     pub abort: CancellationToken,
     serial: u64,
 }
 
-/// What a dialling task finds.
+/// What a dialling task is to do.
 #[derive(Debug)]
 pub(super) enum DialState {
-    /// The link is not wanted any more; the task ends.
+    /// End, because the link is no longer wanted.
     Unwanted,
-    /// There is a link; the task waits for a change.
+    /// Wait for a change, because there is a link.
     Linked(Arc<Notify>),
-    /// The peer is to be dialled.
+    /// Dial the peer.
     Dial(PeerTarget),
 }
 
@@ -101,7 +101,7 @@
     serial: u64,
 }
 
-/// What all tasks of the links share.
+/// The state that all tasks of the links share.
 #[derive(Debug)]
 pub(super) struct Shared {
     cfg: PeersConfig,
@@ -141,7 +141,7 @@
         &self.tasks
     }
 
-    /// Cancelled when no new link is taken any more.
+    /// Cancelled when no new links are accepted.
     pub fn closing(&self) -> &CancellationToken {
         &self.closing
     }
@@ -155,7 +155,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes the wanted links; returns those that need a dialling task.
+    /// Sets the wanted links; returns those that need a dialling task.
     pub fn set_targets(&self, targets: Vec<PeerTarget>) -> Vec<InstanceKey> {
         let mut table = self.table();
         let mut wanted: BTreeMap<InstanceKey, PeerTarget> =
@@ -182,8 +182,7 @@
         .collect()
     }
 
-    /// Returns the queue of a peer that is linked or is to be.
-    /// Returns what waits for a peer, and the version that is spoken with it.
+    /// Returns the queue and the protocol version of a peer that is linked or is to be linked.
     pub fn queue(&self, key: InstanceKey) -> Option<(Arc<Queue>, u16)> {
         let table = self.table();
         let entry = table.entries.get(&key)?;
@@ -208,7 +207,7 @@
             .is_some_and(|it| it.target.is_some())
     }
 
-    /// Returns what a dialling task is to do now.
+    /// Returns what the dialling task of a peer is to do.
     pub fn dial_state(&self, key: InstanceKey) -> DialState {
         let mut table = self.table();
         let Some(entry) = table.entries.get_mut(&key) else {
@@ -225,7 +224,7 @@
         }
     }
 
-    /// Takes an authenticated connection as the link to its peer.
+    /// Registers an authenticated connection as the link to its peer.
     pub async fn register(
         &self,
         authenticated: AuthenticatedPeer,
@@ -242,7 +241,7 @@
         Ok(registration)
     }
 
-    /// Notes that a link has ended.
+    /// Removes a link that has ended, and notifies the node.
     pub async fn ended(&self, registration: &Registration, end: LinkEnd) {
         let _order = self.order.lock().await;
         if !self.table().remove(registration) {
@@ -255,7 +254,7 @@
         let _ = self.events.send(event).await;
     }
 
-    /// Tells the node that a peer could not be reached.
+    /// Notifies the node that a peer could not be reached.
     pub async fn unreachable(&self, instance: InstanceKey) {
         let _order = self.order.lock().await;
         if !self.table().drop_unsent(instance) {
@@ -268,7 +267,7 @@
         let _ = self.events.send(PeerEvent::Down(peer)).await;
     }
 
-    /// Tells the node that a connection was not taken, if it has time for that.
+    /// Notifies the node of a rejected connection, unless its queue is full.
     pub fn rejected(&self, rejection: Rejection) {
         let _ = self.events.try_send(PeerEvent::Rejected(rejection));
     }
@@ -332,7 +331,7 @@
         Ok((registration, events))
     }
 
-    /// Removes a link unless another one took its place; returns whether it did.
+    /// Removes a link unless another one has replaced it; returns whether it was removed.
     fn remove(&mut self, registration: &Registration) -> bool {
         let key = registration.peer.instance;
         let Some(entry) = self.entries.get_mut(&key) else {
@@ -342,8 +341,8 @@
         let Some(live) = ended else {
             return false;
         };
-        // A link that ends at once lost to one that both sides prefer; what
-        // waits goes over that one.
+        // A link that ends soon after it was established was superseded by the one that both
+        // sides prefer; the queued frames are sent over that one.
         if live.since.elapsed() > SIMULTANEOUS_DIAL_WINDOW {
             entry.queue.clear();
         }
@@ -352,7 +351,8 @@
         true
     }
 
-    /// Drops what waits for a peer that is not linked; returns whether it is not.
+    /// Drops the queued frames of a peer that is not linked; returns `false` if it is linked or
+    /// unknown.
     fn drop_unsent(&mut self, key: InstanceKey) -> bool {
         let Some(entry) = self.entries.get(&key) else {
             return false;
@@ -364,8 +364,8 @@
         true
     }
 
-    /// Forgets a peer that nobody dials. The lives that it replaced are kept
-    /// while there are any, for a frozen process may come back.
+    /// Removes a peer that is neither linked nor dialled. Peers with replaced incarnations are
+    /// kept, because a frozen process of an old incarnation may continue.
     fn forget_unused(&mut self, key: InstanceKey) {
         let unused = self.entries.get(&key).is_some_and(|it| {
             it.live.is_none() && it.target.is_none() && !it.dialling && it.replaced.is_empty()
@@ -394,8 +394,8 @@
             self.remember_replaced(was.incarnation);
             return Ok(vec![PeerEvent::Down(was), PeerEvent::Up(peer)]);
         }
-        // Both sides dialled at once: both keep the connection of the smaller
-        // key, or each would close the one that the other kept.
+        // Both sides dialled at the same time. Both keep the connection that the smaller key
+        // dialled, otherwise each would close the one that the other keeps.
         if live.since.elapsed() < SIMULTANEOUS_DIAL_WINDOW && dialler > live.dialler {
             return Err(Rejection::Duplicate);
         }
--- a/crates/oriolemux/tests/peers_codec.rs
+++ b/crates/oriolemux/tests/peers_codec.rs
@@ -1,4 +1,4 @@
-//! Frames: whatever arrives, decoding neither panics nor allocates beyond its bound.
+//! Frames: for any input, decoding neither panics nor allocates beyond its limit.
 
 use oriolemux::peers::{CodecError, FrameDecoder, encode_frame, encode_frames};
 use oriolemux_core::ids::{EndpointKey, Incarnation, InstanceKey};
@@ -164,9 +164,9 @@
 
 #[test]
 fn long_envelope_is_split_into_frames() {
-    // Symptom: a link broke each time a home told everything to a new one.
-    // Sequence: more messages to one peer in one turn than a frame may hold.
-    // Cause: what was sent was not held to the bound of what is taken.
+    // Guards against a link that breaks each time a home sends its full state to a new one: a
+    // batch may hold more messages to one peer than the receiver accepts in a frame, so the sender
+    // must keep to the receiver's limit.
     for (count, max_frame) in [(2 * MAX_MESSAGES + 5, MAX_FRAME), (300, 100)] {
         let mut frames = Vec::new();
         assert_eq!(encode_frames(&heartbeats(count), max_frame, &mut frames), 0);
@@ -181,9 +181,8 @@
 
 #[test]
 fn more_messages_than_allowed_are_rejected() {
-    // Symptom: a frame of one megabyte took a hundred megabytes.
-    // Sequence: a peer sends a million messages of one byte each.
-    // Cause: only the bytes of a frame were bounded, not what they unfold to.
+    // Guards against a frame of one megabyte that uses a hundred megabytes of memory: a peer sends
+    // a million messages of one byte each, which a limit on the bytes of a frame does not prevent.
     for (count, is_accepted) in [(MAX_MESSAGES, true), (MAX_MESSAGES + 1, false)] {
         let frame = encode_frame(&heartbeats(count), MAX_FRAME).unwrap();
         let mut decoder = FrameDecoder::new(MAX_FRAME);
--- a/crates/oriolemux/tests/peers_links.rs
+++ b/crates/oriolemux/tests/peers_links.rs
@@ -1,4 +1,4 @@
-//! Links between instances over real sockets, and what breaks them.
+//! Links between instances over real sockets, and their failures.
 
 #[path = "fixtures/peers.rs"]
 mod fixture;
@@ -67,9 +67,8 @@
 
 #[tokio::test]
 async fn wrong_secret_is_rejected() {
-    // Symptom: a process with an old secret took part in decisions.
-    // Sequence: the secret is changed; one instance is not restarted.
-    // Cause: peers were told apart by address only.
+    // Guards against a process with an old secret that takes part in decisions: the secret is
+    // changed, one instance is not restarted, and peers are identified only by their address.
     let mut a = start(config("a", 1)).await;
     let wrong = oriolemux::peers::PeersConfig::new(
         "127.0.0.1:0".parse().unwrap(),
@@ -106,9 +105,8 @@
 
 #[tokio::test]
 async fn replayed_handshake_is_rejected() {
-    // Symptom: a stranger that had recorded a connection got a link.
-    // Sequence: it sends what a peer sent when it was authenticated.
-    // Cause: what a peer proves does not change from one connection to the next.
+    // Guards against a replay attack: an attacker records a handshake and sends the same bytes
+    // again. Proofs must differ from one connection to the next.
     let a = start(config("a", 1)).await;
     let mut b = start(config("b", 1)).await;
     let proxy = Proxy::start(b.handle.local_addr()).await;
@@ -130,9 +128,9 @@
 
 #[tokio::test]
 async fn silent_connections_time_out_and_do_not_block_peers() {
-    // Symptom: no instance could link to one that a port scan had touched.
-    // Sequence: connections are opened and nothing is ever said on them.
-    // Cause: a connection that was not authenticated could stay for ever.
+    // Guards against an instance that no peer can link to after a port scan: connections are opened
+    // and nothing is sent on them. Without a timeout they would use up all permits for
+    // unauthenticated connections.
     let cfg = config("a", 1).connect_timeout(Duration::from_millis(100));
     let mut a = start(cfg).await;
     let address = a.handle.local_addr();
@@ -149,9 +147,8 @@
 
 #[tokio::test]
 async fn another_instance_at_the_address_is_rejected() {
-    // Symptom: messages for one instance were obeyed by another.
-    // Sequence: an address is given to a new instance; the list lags.
-    // Cause: whoever answered at the address was believed to be the one listed.
+    // Guards against messages for one instance that another one processes: an address is given to a
+    // new instance before the list is updated, so the address alone does not identify the peer.
     let mut a = start(config("a", 1)).await;
     let mut b = start(config("b", 1)).await;
     a.dial("c", b.handle.local_addr());
@@ -164,9 +161,8 @@
 
 #[tokio::test]
 async fn link_closed_within_a_frame_fails_and_reconnects() {
-    // Symptom: a peer waited for the rest of a frame that never came.
-    // Sequence: the connection is reset in the middle of a frame.
-    // Cause: the end of the stream was not told from the end of a frame.
+    // Guards against a peer that waits for the rest of a frame that never arrives: the connection
+    // is reset in the middle of a frame, which differs from an end between two frames.
     let mut a = start(config("a", 1)).await;
     let mut b = start(config("b", 1)).await;
     let proxy = Proxy::start(b.handle.local_addr()).await;
@@ -188,9 +184,9 @@
 
 #[tokio::test]
 async fn stalled_link_times_out() {
-    // Symptom: grants were asked of a frozen home for fifteen minutes.
-    // Sequence: SIGSTOP, or a path that drops every packet; no reset comes.
-    // Cause: only an error of the connection counted as a failure.
+    // Guards against grants that are requested from a frozen home for fifteen minutes: after
+    // SIGSTOP, or on a path that drops every packet, no reset arrives, so connection errors alone
+    // do not reveal the failure.
     let fast = |name| {
         config(name, 1)
             .heartbeat(Duration::from_millis(20))
@@ -249,9 +245,8 @@
 
 #[tokio::test]
 async fn unneeded_idle_link_closes_as_idle() {
-    // Symptom: every link that was closed for lack of use moved homes for a moment.
-    // Sequence: a link is not needed any more; its dialler closes it.
-    // Cause: the peer could not tell an orderly end from a failure.
+    // Guards against homes that move for a moment whenever an unused link is closed: its dialler
+    // closes it in order, and the peer must distinguish that from a failure.
     let fast = |name| config(name, 1).idle_timeout(Duration::from_millis(100));
     let mut a = start(fast("a")).await;
     let mut b = start(fast("b")).await;
@@ -265,9 +260,9 @@
 
 #[tokio::test]
 async fn new_incarnation_replaces_the_old_one_for_good() {
-    // Symptom: a process that had been replaced pushed its successor off the link.
-    // Sequence: an instance freezes, is restarted elsewhere, then wakes.
-    // Cause: the newest connection won, whoever made it.
+    // Guards against a replaced process that displaces its successor from the link: an instance
+    // freezes, is restarted on another machine, and the old process continues. The newest
+    // connection must not win if its incarnation was replaced.
     let mut a = start(config("a", 1)).await;
     let address = a.handle.local_addr();
     let mut old = start(config("b", 1)).await;
@@ -303,10 +298,8 @@
 
 #[tokio::test]
 async fn simultaneous_dials_end_with_one_link() {
-    // Symptom: two instances closed each other's connection over and over.
-    // Sequence: both dial at the same moment; each prefers the connection that
-    // the other drops.
-    // Cause: nothing decided which of the two connections stays.
+    // Guards against two instances that close each other's connection in a loop: both dial at the
+    // same moment, and without a common rule each keeps the connection that the other closes.
     for round in 0..20 {
         let mut a = start(config("a", round + 1)).await;
         let mut b = start(config("b", round + 1)).await;
@@ -330,9 +323,8 @@
 
 #[tokio::test]
 async fn queue_for_a_stalled_peer_is_bounded() {
-    // Symptom: one dead link filled the memory of a process.
-    // Sequence: a peer accepts the connection and never reads.
-    // Cause: frames waited without a bound.
+    // Guards against one stalled link that exhausts the memory of a process: a peer accepts the
+    // connection and never reads, so the queue must be bounded.
     let a = start(config("a", 1).max_queued_frames(10)).await;
     let nobody = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = nobody.local_addr().unwrap();
--- a/crates/oriolemux/tests/peers_memory.rs
+++ b/crates/oriolemux/tests/peers_memory.rs
@@ -1,6 +1,6 @@
-//! What hostile frames cost in memory, measured as the peak of the process.
+//! The memory that hostile frames use, measured as the peak of the process.
 //!
-//! Alone in its file: a test that runs beside it would count too.
+//! The only test in its file, because memory of tests that run in parallel would count too.
 
 use oriolemux::peers::FrameDecoder;
 use rand::rngs::SmallRng;
@@ -8,7 +8,7 @@
 
 const MAX_FRAME: usize = 1024 * 1024;
 
-/// Growth that is allowed: one frame, its copy, and what bincode may claim.
+/// The allowed growth: one frame, its copy, and what bincode may allocate.
 const MOST_GROWTH_KB: u64 = 32 * 1024;
 
 fn peak_kb() -> u64 {
@@ -17,8 +17,8 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Returns a frame whose parts claim to be large: random bytes, among them many
-/// of bincode's marks for lengths of two, four and eight bytes.
+/// Returns a frame whose parts declare large sizes: random bytes, among them many of bincode's
+/// markers for lengths of two, four and eight bytes.
 fn hostile(rng: &mut SmallRng) -> Vec<u8> {
     let length = rng.random_range(1..4096_usize);
     let mut frame = (length as u32).to_be_bytes().to_vec();
