--- a/crates/oriolemux/src/operators.rs
+++ b/crates/oriolemux/src/operators.rs
@@ -1,8 +1,8 @@
 //! The operators' listener: health, readiness, metrics, status, explain, drain.
 //!
-//! It has an address and a key of its own, so that callers can neither reach
-//! nor guess it. `/healthz` and `/readyz` need no key, because the balancer has
-//! none; they say nothing but yes or no. See `docs/OPERATIONS.md`.
+//! It has an address and a key of its own, so that callers cannot use it. `/healthz` and `/readyz`
+//! need no key, because the load balancer has none, and they reveal nothing else. See
+//! `docs/OPERATIONS.md`.
 
 mod accept;
 mod auth;
--- a/crates/oriolemux/src/operators/accept.rs
+++ b/crates/oriolemux/src/operators/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts operators' connections, bounded in number.
+//! Accepts connections of operators, with a limit on their number.
 
 use core::pin::Pin;
 use core::task::{Context, Poll};
@@ -13,11 +13,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// How long to wait after a failed accept. The usual cause is that no file
-/// descriptor is left; trying again at once would keep a core busy with it.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// How long to wait after a failed accept. The usual cause is that no file descriptor is left;
+/// without the delay the retries would keep a core busy.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts at most so many connections at a time; further ones wait in the kernel's queue.
+/// Accepts connections up to a limit; further ones wait in the kernel's queue.
 #[derive(Debug)]
 pub(super) struct OperatorAcceptor {
     listener: TcpListener,
@@ -50,7 +50,7 @@
         let (stream, remote) = match self.listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 return Err(error);
             }
         };
@@ -63,7 +63,7 @@
     }
 }
 
-/// A connection that gives its place back when it ends.
+/// A connection that releases its permit when it is dropped.
 #[derive(Debug)]
 pub(super) struct OperatorStream {
     stream: TcpStream,
--- a/crates/oriolemux/src/operators/auth.rs
+++ b/crates/oriolemux/src/operators/auth.rs
@@ -1,4 +1,4 @@
-//! Lets in who has the operators' key.
+//! Checks the operators' key.
 
 use super::routes::error_response;
 use crate::events::{self, ShellNote};
@@ -23,7 +23,7 @@
     }
 }
 
-/// An endpoint behind the key.
+/// A handler that requires the key.
 pub(super) struct Guarded<E> {
     inner: E,
     key: Secret,
--- a/crates/oriolemux/src/operators/gauges.rs
+++ b/crates/oriolemux/src/operators/gauges.rs
@@ -1,10 +1,10 @@
-//! Shows the state of the instance as gauges.
+//! Sets gauges from the state of the instance.
 
 use crate::metrics::Gauge;
 use crate::status::{NodeStatus, Readiness};
 
-/// Sets the gauges that follow from the state of the node.
-pub(super) fn show(status: &NodeStatus) {
+/// Sets the gauges that are derived from the state of the node.
+pub(super) fn update(status: &NodeStatus) {
     let queued: u32 = status.cells.iter().map(|cell| cell.queued).sum();
     let links = status.links.iter().filter(|link| link.up).count();
     let requests = &status.requests;
--- a/crates/oriolemux/src/operators/port.rs
+++ b/crates/oriolemux/src/operators/port.rs
@@ -1,39 +1,39 @@
-//! The door between the operators' listener and the task that owns the node.
+//! The interface between the operators' listener and the task that owns the node.
 
 use crate::status::{Explanation, NodeStatus, Readiness};
 use core::time::Duration;
 use oriolemux_core::RequestId;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// How many questions wait for the node task; operators are few.
+/// How many queries are queued for the node task; operators are few.
 pub const QUERY_QUEUE: usize = 64;
 
-/// An answer that takes longer than this will not come: the node task is stuck.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest wait for a reply. If it takes longer, the node task is stuck.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What operators ask of the node task.
+/// A query of an operator to the node task.
 #[derive(Debug)]
 pub enum OperatorQuery {
-    /// Is anybody there? Asked for `/healthz`.
+    /// Checks that the node task replies, for `/healthz`.
     Ping(oneshot::Sender<()>),
-    /// What is the state of the instance?
+    /// Returns the state of the instance.
     Status(oneshot::Sender<NodeStatus>),
-    /// Why did a request go as it did? `None` if the instance holds no record of it.
+    /// Returns the decisions about a request; `None` if the instance has no record of it.
     Explain(RequestId, oneshot::Sender<Option<Explanation>>),
-    /// Begin a planned stop. Asking again changes nothing.
+    /// Begins a planned stop. It is idempotent.
     Drain(oneshot::Sender<()>),
 }
 
-/// Why a question has no answer.
+/// Why a query failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum QueryError {
     /// the node task did not answer in time
-    Silent,
+    TimedOut,
     /// the node task has ended
     Gone,
 }
 
-/// Asks the node task.
+/// Sends queries to the node task.
 #[derive(Clone, Debug)]
 pub struct OperatorPort {
     queries: mpsc::Sender<OperatorQuery>,
@@ -41,27 +41,27 @@
 }
 
 impl OperatorPort {
-    /// Returns a port and the end that the node task serves.
+    /// Returns a port and the receiver for the node task.
     ///
-    /// `readiness` is told apart from the questions, because the balancer asks
-    /// often and must learn of a stop even if the node task is busy.
+    /// `readiness` does not use the query queue, because the load balancer polls it often and must
+    /// be informed of a stop even if the node task is busy.
     pub fn new(readiness: watch::Receiver<Readiness>) -> (Self, mpsc::Receiver<OperatorQuery>) {
         let (queries, rx) = mpsc::channel(QUERY_QUEUE);
         (OperatorPort { queries, readiness }, rx)
     }
 
-    /// Returns whether the balancer may send requests here.
+    /// Returns whether the load balancer may send requests here.
     pub fn readiness(&self) -> Readiness {
         *self.readiness.borrow()
     }
 
-    /// Returns whether the node task answers.
+    /// Checks that the node task replies.
     ///
     /// # Errors
     ///
-    /// Fails if it does not.
+    /// Fails if it does not reply in time.
     pub async fn ping(&self) -> Result<(), QueryError> {
-        self.ask(OperatorQuery::Ping).await
+        self.query(OperatorQuery::Ping).await
     }
 
     /// Returns the state of the instance.
@@ -70,16 +70,16 @@
     ///
     /// Fails if the node task does not answer.
     pub async fn status(&self) -> Result<NodeStatus, QueryError> {
-        self.ask(OperatorQuery::Status).await
+        self.query(OperatorQuery::Status).await
     }
 
-    /// Returns why a request went as it did, if the instance holds a record of it.
+    /// Returns the decisions about a request, if the instance has a record of it.
     ///
     /// # Errors
     ///
     /// Fails if the node task does not answer.
     pub async fn explain(&self, id: RequestId) -> Result<Option<Explanation>, QueryError> {
-        self.ask(|reply| OperatorQuery::Explain(id, reply)).await
+        self.query(|reply| OperatorQuery::Explain(id, reply)).await
     }
 
     /// Begins a planned stop.
@@ -88,20 +88,20 @@
     ///
     /// Fails if the node task does not answer.
     pub async fn drain(&self) -> Result<(), QueryError> {
-        self.ask(OperatorQuery::Drain).await
+        self.query(OperatorQuery::Drain).await
     }
 
-    async fn ask<T>(
+    async fn query<T>(
         &self,
         query: impl FnOnce(oneshot::Sender<T>) -> OperatorQuery,
     ) -> Result<T, QueryError> {
-        let (reply, answer) = oneshot::channel();
-        let asked = async {
+        let (reply, rx) = oneshot::channel();
+        let exchange = async {
             let sent = self.queries.send(query(reply)).await;
             sent.map_err(|_| QueryError::Gone)?;
-            answer.await.map_err(|_| QueryError::Gone)
+            rx.await.map_err(|_| QueryError::Gone)
         };
-        let answered = tokio::time::timeout(ANSWER_TIMEOUT, asked).await;
-        answered.unwrap_or(Err(QueryError::Silent))
+        let result = tokio::time::timeout(REPLY_TIMEOUT, exchange).await;
+        result.unwrap_or(Err(QueryError::TimedOut))
     }
 }
--- a/crates/oriolemux/src/operators/routes.rs
+++ b/crates/oriolemux/src/operators/routes.rs
@@ -1,4 +1,4 @@
-//! What operators may ask for.
+//! The routes of the operators' listener.
 
 use super::auth::RequireKey;
 use super::gauges;
@@ -49,7 +49,7 @@
     readiness: Readiness,
 }
 
-/// Returns an error in the shape that callers know too.
+/// Returns an error in the same JSON shape as errors for callers.
 pub(super) fn error_response(status: StatusCode, reason: &str, message: &str) -> Response {
     let error = ErrorDetail { reason, message };
     json_response(status, &ErrorBody { error })
@@ -67,7 +67,7 @@
     }
 }
 
-fn no_answer(error: QueryError) -> Response {
+fn query_failed(error: QueryError) -> Response {
     let message = error.to_string();
     error_response(StatusCode::SERVICE_UNAVAILABLE, "no_answer", &message)
 }
@@ -76,7 +76,7 @@
 async fn show_health(Data(port): Data<&OperatorPort>) -> Response {
     match port.ping().await {
         Ok(()) => "ok\n".into_response(),
-        Err(error) => no_answer(error),
+        Err(error) => query_failed(error),
     }
 }
 
@@ -94,10 +94,10 @@
 
 #[handler]
 async fn show_metrics(Data(port): Data<&OperatorPort>) -> Response {
-    // Gauges are of the moment of the scrape. Without an answer the last ones stay: counters
-    // still help to find out why the node task is silent.
+    // Gauges are updated at each scrape. If the node task does not reply, their last values are
+    // kept: the counters still help to find out why it is stuck.
     if let Ok(status) = port.status().await {
-        gauges::show(&status);
+        gauges::update(&status);
     }
     Response::builder()
         .content_type(METRICS_TYPE)
@@ -108,7 +108,7 @@
 async fn show_status(Data(port): Data<&OperatorPort>) -> Response {
     match port.status().await {
         Ok(status) => json_response(StatusCode::OK, &status),
-        Err(error) => no_answer(error),
+        Err(error) => query_failed(error),
     }
 }
 
@@ -134,7 +134,7 @@
             );
             error_response(StatusCode::NOT_FOUND, "unknown_request", &message)
         }
-        Err(error) => no_answer(error),
+        Err(error) => query_failed(error),
     }
 }
 
@@ -145,6 +145,6 @@
             let readiness = Readiness::Stopping;
             json_response(StatusCode::ACCEPTED, &DrainBody { readiness })
         }
-        Err(error) => no_answer(error),
+        Err(error) => query_failed(error),
     }
 }
--- a/crates/oriolemux/src/operators/server.rs
+++ b/crates/oriolemux/src/operators/server.rs
@@ -10,12 +10,13 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Operators, balancers and scrapers are few. Without a bound, whoever reaches the port could
-/// use up the process's file descriptors, and callers would be refused.
+/// The most connections. Operators, load balancers and scrapers are few. Without a limit, any
+/// client that reaches the port could use up the process's file descriptors, and callers would be
+/// refused.
 const MAX_CONNECTIONS: usize = 64;
-/// An idle connection is closed after this time, so that silent ones cannot hold all places.
+/// Idle connections are closed after this time, so that they cannot hold all permits.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A request that is still answered when the listener stops gets this long.
+/// How long a request that is in progress when the listener stops may take.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Binds the operators' address.
@@ -29,7 +30,7 @@
     Ok(listener)
 }
 
-/// Serves operators. It can be run again on the same listener if a run failed.
+/// The server for operators. It can be run again on the same listener if a run failed.
 #[derive(Debug)]
 pub struct OperatorServer {
     listener: TcpListener,
@@ -38,7 +39,7 @@
 }
 
 impl OperatorServer {
-    /// Serves on `listener` those who have `key`.
+    /// Creates a server on `listener` for clients that have `key`.
     pub fn new(listener: TcpListener, port: OperatorPort, key: Secret) -> Self {
         OperatorServer {
             listener,
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Serves until `stop` resolves. The listener should be the last to stop, so
-    /// that operators can watch the others do it.
+    /// Serves until `stop` resolves. The listener should be the last to stop, so that operators can
+    /// observe how the other parts stop.
     ///
     /// # Errors
     ///
--- a/crates/oriolemux/src/peers.rs
+++ b/crates/oriolemux/src/peers.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Why a connection was rejected.
+/// Why a connection was rejected. The texts are values of the field `why` in the log.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, displaydoc::Display, thiserror::Error,
 )]
@@ -139,23 +139,23 @@
     Closed,
     /// the other side did not authenticate in time
     TooSlow,
-    /// the other side does not use this protocol
+    /// the other side does not speak this protocol
     NotAPeer,
-    /// the two sides have no protocol version in common
+    /// the versions have nothing in common
     Version,
     /// the other side does not hold the secret
     WrongSecret,
-    /// the other side is not the instance that was dialled
+    /// the other side is not the instance that was wanted
     WrongInstance,
     /// the other side uses this instance's name
     OwnName,
-    /// the other side is an incarnation that was already replaced
+    /// the other side is a life that was already replaced
     ReplacedIncarnation,
     /// there is already a link to this instance
     Duplicate,
-    /// too many connections are waiting for authentication
+    /// too many connections are not authenticated yet
     TooMany,
-    /// the operating system returned no random bytes
+    /// the operating system gave no random bytes
     NoRandomness,
 }
 
--- a/crates/oriolemux/src/peers/accept.rs
+++ b/crates/oriolemux/src/peers/accept.rs
@@ -29,8 +29,8 @@
             sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Whoever connects and says nothing holds a permit until the limit of
-        // time; further unauthenticated are refused, peers that are linked stay.
+        // A client that connects and sends nothing holds a permit until the timeout. Further
+        // connections are refused meanwhile; established links are not affected.
         let Ok(permit) = Arc::clone(&unauthenticated).try_acquire_owned() else {
             refused(&shared, Rejection::TooMany);
             continue;
--- a/crates/oriolemux/src/peers/table.rs
+++ b/crates/oriolemux/src/peers/table.rs
@@ -107,8 +107,8 @@
     cfg: PeersConfig,
     events: mpsc::Sender<PeerEvent>,
     table: Mutex<Table>,
-    /// Held while a change of a link is made and events, so that the node hears
-    /// of changes in the order in which they happened.
+    /// Held while a link changes and the events are sent, so that the node receives events in the
+    /// order of the changes.
     order: tokio::sync::Mutex<()>,
     /// Cancelled when no new link is taken any more.
     closing: CancellationToken,
@@ -377,8 +377,8 @@
 }
 
 impl Entry {
-    /// Decides whether a new connection takes the place of the present link;
-    /// returns what the node is to be events.
+    /// Decides whether a new connection replaces the current link; returns the events for the
+    /// node.
     fn replace_link(
         &mut self,
         peer: PeerId,
@@ -400,9 +400,9 @@
             return Err(Rejection::Duplicate);
         }
         live.retired.cancel();
-        // What was written into the old connection may never arrive: where only
-        // one direction stalls, this side sees no end of it. Unless the node is
-        // events, requests asked for over it wait for an answer until they expire.
+        // What was written to the old connection may never arrive: if only one direction stalls,
+        // this side sees no failure. Without the event, requests that the node sent over it would
+        // wait for an answer until they expire.
         Ok(vec![PeerEvent::Up(peer)])
     }
 }
--- a/crates/oriolemux/src/platform.rs
+++ b/crates/oriolemux/src/platform.rs
@@ -1,9 +1,9 @@
-//! The platform's configuration service, which can only be read and watched.
+//! The client of the platform's configuration service, which can only be read and watched.
 //!
-//! What is assumed about it stands in `docs/INTERFACES.md` and behind the trait
-//! [`Platform`]. When to call, how often, and what to make of an answer is
-//! decided in the core; here is one call and its bounds: every wait ends, and
-//! no answer takes more memory than a value may have.
+//! Everything that is assumed about the service is behind the trait [`Platform`] and listed in
+//! `docs/INTERFACES.md`. The core decides when and how often to call, and how to use a response.
+//! This module makes single calls within limits: every wait has a timeout, and no response uses
+//! more memory than a value may have.
 
 mod http;
 
@@ -15,9 +15,9 @@
 use oriolemux_core::Event;
 use oriolemux_core::event::ValueName;
 
-/// What the service answered.
+/// A response of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ValueResponse {
     /// The value.
     Value {
         /// The service's own revision of it.
@@ -25,7 +25,7 @@
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// There is nothing above the revision that was given.
+    /// There is no revision above the given one.
     Unchanged,
 }
 
@@ -42,24 +42,26 @@
     NoRevision,
 }
 
-/// The service as the node task uses it.
+/// The operations of the service.
 pub trait Platform: Clone + Send + Sync + 'static {
     /// Reads a value.
-    fn read(&self, name: &ValueName) -> impl Future<Output = Result<Answer, PlatformError>> + Send;
+    fn read(
+        &self,
+        name: &ValueName,
+    ) -> impl Future<Output = Result<ValueResponse, PlatformError>> + Send;
 
-    /// Waits for a value above a revision of the service, as long as the
-    /// service holds the call.
+    /// Waits for a value with a revision above `above`, for as long as the service holds the call.
     fn watch(
         &self,
         name: &ValueName,
         above: u64,
-    ) -> impl Future<Output = Result<Answer, PlatformError>> + Send;
+    ) -> impl Future<Output = Result<ValueResponse, PlatformError>> + Send;
 }
 
-/// Makes one call and tells the node what came of it.
+/// Makes one call and sends the result to the node.
 ///
-/// There is no retry here: a failure is an event too, and the core decides when
-/// to try again, within the budget of its calls.
+/// Calls are not retried here: a failure is an event too, and the core decides when to retry,
+/// within the budget of its calls.
 ///
 /// # Errors
 ///
@@ -71,24 +73,24 @@
     port: &NodePort,
 ) -> Result<(), NodeGone> {
     Counter::PlatformCalls.add(1);
-    let answer = match above {
+    let response = match above {
         Some(above) => platform.watch(&name, above).await,
         None => platform.read(&name).await,
     };
-    if let Err(error) = &answer {
+    if let Err(error) = &response {
         log::debug!("the platform's `{name}`: {error}");
     }
-    port.event(event(name, answer)).await
+    port.event(event(name, response)).await
 }
 
-fn event(name: ValueName, answer: Result<Answer, PlatformError>) -> Event {
-    match answer {
-        Ok(Answer::Value { revision, bytes }) => Event::Value {
+fn event(name: ValueName, response: Result<ValueResponse, PlatformError>) -> Event {
+    match response {
+        Ok(ValueResponse::Value { revision, bytes }) => Event::Value {
             name,
             revision,
             bytes,
         },
-        Ok(Answer::Unchanged) => Event::ValueUnchanged { name },
+        Ok(ValueResponse::Unchanged) => Event::ValueUnchanged { name },
         Err(_) => Event::ValueFailed { name },
     }
 }
--- a/crates/oriolemux/src/platform/http.rs
+++ b/crates/oriolemux/src/platform/http.rs
@@ -1,6 +1,6 @@
-//! The platform's service over HTTP/1.1.
+//! The platform's configuration service over HTTP/1.1.
 
-use super::{Answer, Platform, PlatformError};
+use super::{Platform, PlatformError, ValueResponse};
 use core::time::Duration;
 use http::StatusCode;
 use oriolemux_core::catalogue::MAX_VALUE_BYTES;
@@ -14,16 +14,16 @@
 /// The header that carries the service's revision of a value.
 pub const REVISION_HEADER: &str = "x-revision";
 
-/// An idle connection is closed by us before the service closes its end.
+/// Idle connections are closed earlier than the service closes them.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bounds of the calls.
+/// Timeouts of the calls.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformLimits {
-    /// The longest wait for a connection, and for the answer to a read.
+    /// The longest wait for a connection, and for the response to a read.
     pub read_timeout: Duration,
-    /// The longest wait for the answer to a watch. It must be longer than the
-    /// service holds a watch, or every quiet watch looks like a failure.
+    /// The longest wait for the response to a watch. It must be longer than the service holds a
+    /// watch, otherwise every watch without a change would count as a failure.
     pub watch_timeout: Duration,
 }
 
@@ -51,17 +51,17 @@
     client: Client,
     limits: PlatformLimits,
     addresses: Arc<[SocketAddr]>,
-    /// Which address is used now. A failed call moves it on, so that a replica
-    /// of the service that is gone costs one call and not every call.
+    /// The index of the address in use. A failed call advances it, so that a replica of the service
+    /// that is down fails one call and not every call.
     current: Arc<AtomicUsize>,
 }
 
 impl PlatformClient {
-    /// Sets up a client for the replicas of the service at `addresses`.
+    /// Creates a client for the replicas of the service at `addresses`.
     ///
     /// # Errors
     ///
-    /// Fails if there is no address or the HTTP library cannot start.
+    /// Fails if there is no address or the HTTP library cannot be initialised.
     pub fn new(addresses: &[SocketAddr], limits: PlatformLimits) -> Result<Self, SetUpError> {
         if addresses.is_empty() {
             return Err(SetUpError::NoAddress);
@@ -88,19 +88,19 @@
         name: &ValueName,
         above: Option<u64>,
         limit: Duration,
-    ) -> Result<Answer, PlatformError> {
+    ) -> Result<ValueResponse, PlatformError> {
         let current = self.current.load(Ordering::Relaxed);
         let address = self.addresses[current % self.addresses.len()];
         let answered = timeout(limit, self.exchange(address, name, above)).await;
-        let answer = answered.unwrap_or(Err(PlatformError::Timeout(limit)));
-        if answer.is_err() {
-            self.leave(current);
+        let response = answered.unwrap_or(Err(PlatformError::Timeout(limit)));
+        if response.is_err() {
+            self.switch_address(current);
         }
-        answer
+        response
     }
 
-    /// Moves on from an address that failed, once for all calls that failed there.
-    fn leave(&self, failed: usize) {
+    /// Advances from an address that failed, once for all calls that failed there.
+    fn switch_address(&self, failed: usize) {
         let next = failed.wrapping_add(1);
         let order = Ordering::Relaxed;
         let _ = self.current.compare_exchange(failed, next, order, order);
@@ -111,7 +111,7 @@
         address: SocketAddr,
         name: &ValueName,
         above: Option<u64>,
-    ) -> Result<Answer, PlatformError> {
+    ) -> Result<ValueResponse, PlatformError> {
         let mut url = format!("http://{address}/v1/values/{name}");
         if let Some(above) = above {
             url.push_str(&format!("?above={above}"));
@@ -120,18 +120,18 @@
         let response = response.map_err(PlatformError::Connection)?;
         match response.status() {
             StatusCode::OK => value(response).await,
-            StatusCode::NO_CONTENT => Ok(Answer::Unchanged),
+            StatusCode::NO_CONTENT => Ok(ValueResponse::Unchanged),
             status => Err(PlatformError::Status(status.as_u16())),
         }
     }
 }
 
 impl Platform for PlatformClient {
-    async fn read(&self, name: &ValueName) -> Result<Answer, PlatformError> {
+    async fn read(&self, name: &ValueName) -> Result<ValueResponse, PlatformError> {
         self.call(name, None, self.limits.read_timeout).await
     }
 
-    async fn watch(&self, name: &ValueName, above: u64) -> Result<Answer, PlatformError> {
+    async fn watch(&self, name: &ValueName, above: u64) -> Result<ValueResponse, PlatformError> {
         self.call(name, Some(above), self.limits.watch_timeout)
             .await
     }
@@ -142,14 +142,14 @@
     header.to_str().ok()?.parse().ok()
 }
 
-async fn value(response: Response) -> Result<Answer, PlatformError> {
+async fn value(response: Response) -> Result<ValueResponse, PlatformError> {
     let revision = revision(&response).ok_or(PlatformError::NoRevision)?;
     let bytes = body(response).await?;
-    Ok(Answer::Value { revision, bytes })
+    Ok(ValueResponse::Value { revision, bytes })
 }
 
-/// Reads the body, at most one byte more than a value may have. That byte
-/// tells the core that the value is too large, which is its finding to make.
+/// Reads the body, at most one byte more than a value may have. By the extra byte the core detects
+/// that the value is too large.
 async fn body(mut response: Response) -> Result<Vec<u8>, PlatformError> {
     const MOST: usize = MAX_VALUE_BYTES + 1;
     let mut body = Vec::new();
--- a/crates/oriolemux/src/supervisor.rs
+++ b/crates/oriolemux/src/supervisor.rs
@@ -1,10 +1,9 @@
 //! Keeps the parts of an instance running, and stops them in order.
 //!
-//! A [`Supervisor`] starts its parts in the order given. A part that fails is
-//! started again, alone; one that fails more often than the [`Intensity`] allows
-//! ends the supervisor, and with it its parent or the process. A planned stop
-//! ends the parts one by one in the reverse order and waits for each, however
-//! long it takes. A supervisor may itself be a part of another one.
+//! A [`Supervisor`] starts its parts in the given order. A part that fails is restarted alone. If
+//! it fails more often than the [`Intensity`] allows, the supervisor ends with an error, and its
+//! parent fails too, or the process ends. A planned stop ends the parts one by one in reverse
+//! order and waits for each without a timeout. A supervisor can be a part of another one.
 
 mod part;
 mod pause;
@@ -20,12 +19,11 @@
 use tokio::task::{Id, JoinError, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-/// Pause before a failed part is started again. A part that fails at once would
-/// otherwise use up its restarts before the cause (a port still held, a peer that
-/// restarts too) can pass.
-const RESTART_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a failed part is restarted. A part that fails immediately would otherwise use up
+/// its restarts before the cause (a port still in use, a peer that restarts too) can pass.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// How often a part may fail.
+/// How often a part may be restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Intensity {
     /// Restarts allowed within the window.
@@ -34,21 +32,21 @@
     pub window: Duration,
 }
 
-/// Why a supervisor ended before it was told to.
+/// Why a supervisor ended without a planned stop.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum SupervisorError {
     /// the part `{part}` was given up: {error}
     PartGivenUp {
         /// The part.
         part: &'static str,
-        /// How it failed last.
+        /// Its last failure.
         error: String,
     },
     /// stopped at once by a second signal
     StoppedNow,
 }
 
-/// Keeps parts running.
+/// Runs parts and restarts those that fail.
 pub struct Supervisor {
     intensity: Intensity,
     parts: Vec<Part>,
@@ -67,9 +65,9 @@
 
     /// Adds a part.
     ///
-    /// `start` is called for the first start and for each restart. The future
-    /// that it returns ends with `Ok` once the token is cancelled and the part
-    /// has finished what it had begun; any other end is a failure.
+    /// `start` is called for the first start and for each restart. The future that it returns must
+    /// end with `Ok` once the token is cancelled and the part has finished its work; any other end
+    /// is a failure.
     pub fn part<F, Fut>(mut self, name: &'static str, mut start: F) -> Self
     where
         F: FnMut(CancellationToken) -> Fut + Send + 'static,
@@ -80,17 +78,17 @@
         self
     }
 
-    /// Starts the parts and runs them until a stop is asked for.
+    /// Starts the parts and runs them until a stop is requested.
     ///
     /// # Errors
     ///
-    /// Returns which part was given up, or that the stop was immediate. The other
-    /// parts are ended at once then.
+    /// Returns which part was given up, or that the stop was immediate. The other parts are aborted
+    /// then.
     pub async fn run(mut self, stop: &StopTokens) -> Result<(), SupervisorError> {
         for part in &mut self.parts {
             part.start(&mut self.running, Duration::ZERO);
         }
-        // Parts before this index were not yet told to stop.
+        // Parts before this index have not been told to stop.
         let mut kept = self.parts.len();
         loop {
             let stopping = kept < self.parts.len();
@@ -98,7 +96,7 @@
                 biased;
                 () = stop.now.cancelled() => return Err(SupervisorError::StoppedNow),
                 () = stop.planned.cancelled(), if !stopping => {
-                    if !self.stop_before(&mut kept) {
+                    if !self.stop_last(&mut kept) {
                         return Ok(());
                     }
                 }
@@ -108,7 +106,7 @@
                         self.restart(index, result)?;
                     } else {
                         result.map_err(|error| self.give_up(index, error))?;
-                        if !self.stop_before(&mut kept) {
+                        if !self.stop_last(&mut kept) {
                             return Ok(());
                         }
                     }
@@ -117,8 +115,8 @@
         }
     }
 
-    /// Tells the last part that is kept to stop. Returns whether there was one.
-    fn stop_before(&mut self, kept: &mut usize) -> bool {
+    /// Tells the last part that has not been told yet to stop. Returns whether there was one.
+    fn stop_last(&mut self, kept: &mut usize) -> bool {
         let Some(last) = kept.checked_sub(1) else {
             return false;
         };
@@ -127,7 +125,7 @@
         true
     }
 
-    /// Finds out which part ended, and turns a panic into an error.
+    /// Returns the index of the part that ended, and its result; a panic becomes an error.
     fn identify(&self, ended: Ended) -> (usize, Result<(), PartError>) {
         let (id, result) = match ended {
             Ok((id, result)) => (id, result),
@@ -156,7 +154,7 @@
             part,
             error: &error,
         });
-        self.parts[index].start(&mut self.running, RESTART_PAUSE);
+        self.parts[index].start(&mut self.running, RESTART_DELAY);
         Ok(())
     }
 
@@ -174,8 +172,8 @@
 /// How a task of a [`JoinSet`] ended.
 type Ended = Result<(Id, Result<(), PartError>), JoinError>;
 
-/// Describes a panic. Without it a panic in one part would be lost with its task, seen as
-/// a part that silently does nothing any more.
+/// Converts a panic to an error. Otherwise a panic would be lost with its task, and the part would
+/// silently do nothing.
 fn panic_error(error: JoinError) -> PartError {
     let message = match error.try_into_panic() {
         Ok(payload) => match payload.downcast::<&'static str>() {
--- a/crates/oriolemux/src/supervisor/part.rs
+++ b/crates/oriolemux/src/supervisor/part.rs
@@ -11,7 +11,7 @@
 /// How a part failed.
 pub type PartError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The run of a part.
+/// The future that runs a part.
 pub type PartFuture = Pin<Box<dyn Future<Output = Result<(), PartError>> + Send>>;
 
 /// Starts a part; called again for each restart.
@@ -22,7 +22,7 @@
     name: &'static str,
     start: StartPart,
     stop: CancellationToken,
-    /// The task that runs the part, once it was started.
+    /// The task that runs the part, once it is started.
     task: Option<Id>,
     /// Restarts within the window, oldest first.
     restarts: VecDeque<Instant>,
@@ -48,11 +48,11 @@
         self.task == Some(id)
     }
 
-    /// Starts the part after a pause.
-    pub(super) fn start(&mut self, running: &mut JoinSet<Result<(), PartError>>, pause: Duration) {
+    /// Starts the part after a delay.
+    pub(super) fn start(&mut self, running: &mut JoinSet<Result<(), PartError>>, delay: Duration) {
         let run = (self.start)(self.stop.clone());
         let task = running.spawn(async move {
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
             run.await
         });
         self.task = Some(task.id());
--- a/crates/oriolemux/src/supervisor/stop.rs
+++ b/crates/oriolemux/src/supervisor/stop.rs
@@ -1,26 +1,26 @@
-//! Who asks a process to stop, and how.
+//! Requests to stop the process: planned or immediate.
 
 use crate::events::{self, ShellNote};
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Tells all parts of a process that it is to stop.
+/// The tokens that are cancelled when the process is to stop.
 #[derive(Clone, Debug, Default)]
 pub struct StopTokens {
-    /// Take nothing new, finish what runs, then end.
+    /// Accept no new work, finish what runs, then end.
     pub planned: CancellationToken,
-    /// End at once, whatever runs.
+    /// End immediately, without finishing what runs.
     pub now: CancellationToken,
 }
 
 impl StopTokens {
-    /// Returns tokens that nobody has used.
+    /// Returns tokens that are not cancelled.
     pub fn new() -> Self {
         StopTokens::default()
     }
 
-    /// Asks for a planned stop on behalf of `by`. Asking again changes nothing.
+    /// Requests a planned stop on behalf of `by`. It is idempotent.
     pub fn request(&self, by: &'static str) {
         if !self.planned.is_cancelled() {
             events::emit_shell(&ShellNote::StopRequested { by });
@@ -28,14 +28,13 @@
         }
     }
 
-    /// Listens to SIGTERM and SIGINT from now on: the first asks for a planned
-    /// stop, any further one for an immediate end. A signal after a stop that an
-    /// operator asked for ends the process at once too: whoever sends it has seen
-    /// the stop and does not want to wait.
+    /// Starts to handle SIGTERM and SIGINT: the first signal requests a planned stop, any further
+    /// one an immediate end. A signal after a stop that an operator requested also ends the process
+    /// immediately, because its sender does not want to wait for the stop to finish.
     ///
     /// # Errors
     ///
-    /// Fails if the signals cannot be listened to.
+    /// Fails if the signal handlers cannot be installed.
     pub fn listen_to_signals(&self) -> io::Result<()> {
         let terminate = signal(SignalKind::terminate())?;
         let interrupt = signal(SignalKind::interrupt())?;
--- a/crates/oriolemux/tests/operators_listener.rs
+++ b/crates/oriolemux/tests/operators_listener.rs
@@ -1,4 +1,4 @@
-//! The operators' listener and the commands that ask it.
+//! The operators' listener and the commands that query it.
 
 use oriolemux::operators::{OperatorPort, OperatorQuery, OperatorServer, bind};
 use oriolemux::settings::Secret;
@@ -13,7 +13,7 @@
 const KNOWN: &str = "r-0000000000000001-0000000000000002-3";
 const UNKNOWN: &str = "r-0000000000000001-0000000000000002-4";
 
-/// A listener in front of a node task that answers with fixed values.
+/// A listener in front of a node task that replies with fixed values.
 struct Fixture {
     address: SocketAddr,
     readiness: watch::Sender<Readiness>,
@@ -97,7 +97,7 @@
 #[case::drain_is_not_read("/drain", Some(KEY), 405)]
 #[case::nothing_there("/nothing", Some(KEY), 404)]
 #[tokio::test]
-async fn path_answers(#[case] path: &str, #[case] key: Option<&str>, #[case] expected: u16) {
+async fn path_responds(#[case] path: &str, #[case] key: Option<&str>, #[case] expected: u16) {
     let fixture = serve().await;
 
     let (status, body) = get(&fixture, path, key).await;
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn readiness_follows_the_node_without_asking_it() {
+async fn readiness_follows_the_node_without_a_query() {
     let fixture = serve().await;
 
     fixture.readiness.send_replace(Readiness::Ready);
@@ -120,9 +120,9 @@
 
 #[tokio::test]
 async fn health_fails_when_the_node_task_has_ended() {
-    // Symptom: an instance whose node task is gone still takes requests from the balancer
-    // and answers none. Sequence: the task ends, the listener goes on. Cause: health was
-    // answered by the listener alone.
+    // Guards against an instance whose node task has ended and that still receives requests from
+    // the load balancer: the task ends while the listener continues, so the listener alone must
+    // not report health.
     let (_, readiness) = watch::channel(Readiness::Ready);
     let (port, queries) = OperatorPort::new(readiness);
     drop(queries);
@@ -146,7 +146,7 @@
 #[case::drain(KEY, &["drain"], 0, "the instance stops")]
 #[case::wrong_key("another key of ours", &["status"], 7, "")]
 #[tokio::test]
-async fn command_asks_the_listener(
+async fn command_queries_the_listener(
     #[case] key: &str,
     #[case] args: &[&str],
     #[case] code: i32,
--- a/crates/oriolemux/tests/platform_client.rs
+++ b/crates/oriolemux/tests/platform_client.rs
@@ -1,9 +1,9 @@
-//! Calls of the platform's service: every answer, and every way to fail.
+//! Calls of the platform's service: every kind of response and of failure.
 
 use core::time::Duration;
 use oriolemux::callers::port::{Clock, NodeInput, NodePort, RequestIds};
 use oriolemux::platform::{
-    self, Answer, Platform, PlatformClient, PlatformError, PlatformLimits, SetUpError,
+    self, Platform, PlatformClient, PlatformError, PlatformLimits, SetUpError, ValueResponse,
 };
 use oriolemux_core::catalogue::{MAX_VALUE_BYTES, parse_index};
 use oriolemux_core::event::ValueName;
@@ -14,29 +14,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// How a server goes on after its answer.
+/// What a server does after its response.
 #[derive(Clone, Copy)]
 enum Then {
     Close,
     Hold,
 }
 
-/// Answers every connection with these bytes; tells the request lines it saw.
-async fn server(answer: Vec<u8>, then: Then) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
+/// Responds to every connection with these bytes; returns the request lines that it receives.
+async fn server(response: Vec<u8>, then: Then) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (tx, rx) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(answer_one(stream, answer.clone(), then, tx.clone()));
+            tokio::spawn(respond(stream, response.clone(), then, tx.clone()));
         }
     });
     (address, rx)
 }
 
-async fn answer_one(
+async fn respond(
     mut stream: TcpStream,
-    answer: Vec<u8>,
+    response: Vec<u8>,
     then: Then,
     seen: mpsc::UnboundedSender<String>,
 ) {
@@ -49,7 +49,7 @@
     }
     let text = String::from_utf8(request).unwrap();
     let _ = seen.send(text.lines().next().unwrap().to_owned());
-    let _ = stream.write_all(&answer).await;
+    let _ = stream.write_all(&response).await;
     if let Then::Hold = then {
         core::future::pending::<()>().await;
     }
@@ -70,7 +70,7 @@
     }
 }
 
-/// Limits that no test that expects an answer meets.
+/// Timeouts that do not fire in tests that expect a response.
 fn generous() -> PlatformLimits {
     limits(Duration::from_secs(30))
 }
@@ -84,23 +84,23 @@
     let (address, mut seen) = server(value(7, b"revision = 1"), Then::Close).await;
     let client = client(&[address], generous());
 
-    let answer = client.read(&ValueName::CatalogueShard(3)).await.unwrap();
+    let response = client.read(&ValueName::CatalogueShard(3)).await.unwrap();
 
     let bytes = b"revision = 1".to_vec();
-    assert_eq!(answer, Answer::Value { revision: 7, bytes });
+    assert_eq!(response, ValueResponse::Value { revision: 7, bytes });
     let line = seen.recv().await.unwrap();
     assert_eq!(line, "GET /v1/values/catalogue-shard-3 HTTP/1.1");
 }
 
 #[tokio::test]
-async fn watch_says_above_what_and_may_find_nothing_newer() {
+async fn watch_sends_the_revision_and_may_find_no_newer_one() {
     let nothing = b"HTTP/1.1 204 No Content\r\n\r\n".to_vec();
     let (address, mut seen) = server(nothing, Then::Close).await;
     let client = client(&[address], generous());
 
-    let answer = client.watch(&ValueName::CatalogueIndex, 41).await.unwrap();
+    let response = client.watch(&ValueName::CatalogueIndex, 41).await.unwrap();
 
-    assert_eq!(answer, Answer::Unchanged);
+    assert_eq!(response, ValueResponse::Unchanged);
     let line = seen.recv().await.unwrap();
     assert_eq!(line, "GET /v1/values/catalogue-index?above=41 HTTP/1.1");
 }
@@ -116,15 +116,15 @@
     "HTTP/1.1 200 OK\r\nX-Revision: -1\r\nContent-Length: 0\r\n\r\n",
     "which revision"
 )]
-#[case::cut_off(
+#[case::truncated(
     "HTTP/1.1 200 OK\r\nX-Revision: 1\r\nContent-Length: 9\r\n\r\nhalf",
     "connection"
 )]
 #[case::garbage("\u{1}\u{2}\u{3}\r\n\r\n", "connection")]
 #[case::nothing("", "connection")]
 #[tokio::test]
-async fn bad_answer_is_an_error(#[case] answer: &str, #[case] expected: &str) {
-    let (address, _seen) = server(answer.as_bytes().to_vec(), Then::Close).await;
+async fn invalid_response_is_an_error(#[case] response: &str, #[case] expected: &str) {
+    let (address, _seen) = server(response.as_bytes().to_vec(), Then::Close).await;
     let client = client(&[address], generous());
 
     let error = client.read(&ValueName::Instances).await.unwrap_err();
@@ -132,15 +132,14 @@
     assert!(error.to_string().contains(expected), "{error}");
 }
 
-// Symptom: the node waits for the platform for ever.
-// Sequence: the service takes the call and then says nothing, or stops half way.
-// Cause: a wait without a limit.
+// Guards against a node that waits for the platform for ever: the service accepts the call and then
+// sends nothing, or stops in the middle of the body.
 #[rstest]
 #[case::silent(b"".to_vec())]
 #[case::half_a_body(value(1, b"0123456789")[..50].to_vec())]
 #[tokio::test]
-async fn stalled_answer_times_out(#[case] answer: Vec<u8>) {
-    let (address, _seen) = server(answer, Then::Hold).await;
+async fn stalled_response_times_out(#[case] response: Vec<u8>) {
+    let (address, _seen) = server(response, Then::Hold).await;
     let client = client(&[address], limits(Duration::from_millis(50)));
 
     let read = client.read(&ValueName::Instances).await;
@@ -150,26 +149,24 @@
     assert!(matches!(watch, Err(PlatformError::Timeout(_))));
 }
 
-// Symptom: memory grows with what the service sends.
-// Sequence: a value of many megabytes is published, by mistake or in malice.
-// Cause: the body is read to its end before its size is looked at.
+// Guards against memory that grows with what the service sends: a value of many megabytes is
+// published by mistake or on purpose, so the size must be checked before the body is fully read.
 #[tokio::test]
-async fn value_that_is_too_large_is_cut_and_found_by_the_core() {
+async fn value_that_is_too_large_is_truncated_and_rejected_by_the_core() {
     let (address, _seen) = server(value(1, &vec![b'#'; 8 << 20]), Then::Hold).await;
     let client = client(&[address], generous());
 
-    let answer = client.read(&ValueName::CatalogueIndex).await.unwrap();
+    let response = client.read(&ValueName::CatalogueIndex).await.unwrap();
 
-    let Answer::Value { bytes, .. } = answer else {
+    let ValueResponse::Value { bytes, .. } = response else {
         panic!("a value was sent");
     };
     assert_eq!(bytes.len(), MAX_VALUE_BYTES + 1);
     assert!(parse_index(&bytes).is_err());
 }
 
-// Symptom: one replica of the service is gone, and no call is answered.
-// Sequence: the first of two addresses refuses connections.
-// Cause: the same address is called again and again.
+// Guards against calls that all fail because one replica of the service is down: the first of two
+// addresses refuses connections, and must not be used for every call.
 #[tokio::test]
 async fn next_address_is_used_after_a_failure() {
     let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -195,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn node_is_told_of_answers_and_of_failures() {
+async fn node_receives_values_and_failures() {
     let (address, _seen) = server(value(7, b"x"), Then::Close).await;
     let client = client(&[address], generous());
     let ids = RequestIds::new(InstanceKey::of("i"), Incarnation(1));
@@ -205,7 +202,7 @@
     platform::call(&client, name.clone(), None, &port)
         .await
         .unwrap();
-    let answered = inputs.recv().await.unwrap();
+    let received = inputs.recv().await.unwrap();
     drop(client);
     let nowhere = PlatformClient::new(&["127.0.0.1:1".parse().unwrap()], generous()).unwrap();
     platform::call(&nowhere, name, Some(7), &port)
@@ -215,9 +212,9 @@
 
     let NodeInput::Event(Event::Value {
         revision, bytes, ..
-    }) = answered
+    }) = received
     else {
-        panic!("the value is told");
+        panic!("the value is sent to the node");
     };
     assert_eq!((revision, bytes), (7, b"x".to_vec()));
     assert!(matches!(
--- a/crates/oriolemux/tests/supervisor_pause.rs
+++ b/crates/oriolemux/tests/supervisor_pause.rs
@@ -1,6 +1,6 @@
-//! A pause of the process is told to operators.
+//! A pause of the process is logged for operators.
 //!
-//! One test in a file of its own, because the metrics are one for the process.
+//! The only test in its file, because the metrics are global to the process.
 
 use core::time::Duration;
 use oriolemux::metrics;
@@ -10,7 +10,7 @@
 const PAUSES: &str = "oriolemux_events_total{event=\"paused\"}";
 
 #[tokio::test(start_paused = true)]
-async fn late_wake_up_is_told_and_a_timely_one_is_not() {
+async fn late_wake_up_is_logged_and_a_timely_one_is_not() {
     metrics::install().expect("a recorder");
     let watch = tokio::spawn(watch_for_pauses());
     sleep(Duration::from_secs(10)).await;
--- a/crates/oriolemux/tests/supervisor_restarts.rs
+++ b/crates/oriolemux/tests/supervisor_restarts.rs
@@ -1,4 +1,4 @@
-//! Parts are restarted within their intensity, else the supervisor ends.
+//! Parts are restarted within the intensity; otherwise the supervisor ends.
 
 use core::time::Duration;
 use oriolemux::supervisor::{Intensity, PartError, StopTokens, Supervisor, SupervisorError};
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn failures_farther_apart_than_the_window_are_forgiven() {
+async fn failures_farther_apart_than_the_window_do_not_count() {
     let starts = Starts::default();
     let counted = starts.clone();
     let supervisor = Supervisor::new(INTENSITY).part("failing", move |_| {
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn restart_waits_a_moment() {
+async fn restart_is_delayed() {
     let begun = Instant::now();
     let supervisor =
         Supervisor::new(INTENSITY).part("failing", |_| async { Err("at once".into()) });
--- a/crates/oriolemux/tests/supervisor_stop.rs
+++ b/crates/oriolemux/tests/supervisor_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop ends the parts in order and cuts nothing off; a second signal does.
+//! A planned stop ends the parts in order and lets them finish; a second signal does not.
 
 use core::time::Duration;
 use oriolemux::supervisor::{Intensity, PartError, StopTokens, Supervisor, SupervisorError};
@@ -11,7 +11,7 @@
     window: Duration::from_secs(30),
 };
 
-/// What happened, in order.
+/// The recorded events, in order.
 #[derive(Clone, Default)]
 struct Journal(Arc<Mutex<Vec<&'static str>>>);
 
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn planned_stop_waits_for_streams_and_goes_backwards() {
+async fn planned_stop_waits_for_streams_in_reverse_order() {
     let journal = Journal::default();
     let stop = StopTokens::new();
     stop.request("operator");
@@ -96,10 +96,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn part_that_fails_while_others_stop_is_not_taken_for_a_clean_end() {
-    // Symptom: a planned stop reports success although streams were cut off. Sequence: the
-    // stop begins, the callers' part finishes its streams, the node fails meanwhile. Cause:
-    // once a stop had begun, any end of any part was taken for the end that was asked for.
+async fn part_that_fails_while_others_stop_is_a_failure() {
+    // Guards against a planned stop that reports success although streams were aborted: the stop
+    // begins, the callers' part finishes its streams, and the node fails meanwhile. That failure
+    // must not count as the requested end of the node part.
     let journal = Journal::default();
     let hour = Duration::from_secs(3600);
     let supervisor = Supervisor::new(INTENSITY)
