--- a/crates/oriolemux/src/peers/dial.rs
+++ b/crates/oriolemux/src/peers/dial.rs
@@ -1,6 +1,6 @@
-//! Dialling peers, with pauses that grow and differ.
+//! Dials peers, with exponential backoff and jitter.
 
-use super::auth::Greeted;
+use super::auth::AuthenticatedPeer;
 use super::link::{LinkContext, LinkEnd, Traffic, close_when_idle, run_accepted, run_dialled};
 use super::table::{DialState, Registration, Shared};
 use super::{PeersConfig, Rejection, auth};
@@ -12,8 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Keeps a link to a peer for as long as it is wanted.
-pub(super) async fn keep_dialled(shared: Arc<Shared>, key: InstanceKey) {
+/// Keeps a link to a peer established for as long as it is wanted.
+pub(super) async fn maintain_link(shared: Arc<Shared>, key: InstanceKey) {
     let stop = shared.stop().clone();
     let _ = stop.run_until_cancelled(dial_loop(shared, key)).await;
 }
@@ -51,7 +51,7 @@
     let dialler = shared.cfg().id().instance;
     let registration = match shared.register(peer, dialler).await {
         Ok(registration) => registration,
-        // The link that was kept is watched by the caller.
+        // The caller watches the link that was kept.
         Err(Rejection::Duplicate) => return Ok(()),
         Err(why) => {
             shared.rejected(why);
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// A peer that is down is no news beyond [`super::PeerEvent::Down`].
+/// Reports a rejection. A peer that is down is reported only by [`super::PeerEvent::Down`].
 fn report(shared: &Shared, why: Rejection) {
     if !matches!(why, Rejection::Closed | Rejection::TooSlow) {
         shared.rejected(why);
@@ -72,22 +72,22 @@
 async fn connect(
     cfg: &PeersConfig,
     target: &PeerTarget,
-) -> Result<(TcpStream, Greeted), Rejection> {
+) -> Result<(TcpStream, AuthenticatedPeer), Rejection> {
     let io = TcpStream::connect(target.address).await;
     let mut io = io.map_err(|_| Rejection::Closed)?;
     let _ = io.set_nodelay(true);
-    let greeted = auth::dial(&mut io, cfg, target.key).await?;
-    Ok((io, greeted))
+    let authenticated = auth::dial(&mut io, cfg, target.key).await?;
+    Ok((io, authenticated))
 }
 
-/// Which side of a connection this process is.
+/// The side of a connection that this process has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     Dialled,
     Accepted,
 }
 
-/// Runs a link in a task of its own, so that a fault in it ends the link only.
+/// Runs a link in a task of its own, so that a panic in it ends only the link.
 pub(super) async fn run_link(
     shared: &Arc<Shared>,
     registration: Registration,
@@ -100,7 +100,9 @@
         let registration = Arc::clone(&registration);
         tokio::spawn(async move { drive_link(&shared, &registration, io, role).await })
     };
-    let end = task.await.unwrap_or(LinkEnd::Broken(super::Break::Lost));
+    let end = task
+        .await
+        .unwrap_or(LinkEnd::Broken(super::LinkFailure::Lost));
     shared.ended(&registration, end).await;
 }
 
@@ -135,13 +137,13 @@
     tokio::select! {
         end = run => end,
         () = idle => LinkEnd::Closed,
-        () = registration.cut.cancelled() => LinkEnd::Closed,
+        () = registration.abort.cancelled() => LinkEnd::Closed,
         () = shared.stop().cancelled() => LinkEnd::Closed,
     }
 }
 
-/// Pauses between attempts: doubling, and jittered so that peers that lost
-/// the same instance do not come back to it in step.
+/// Exponential backoff between dial attempts, with jitter so that peers that lost the same instance
+/// do not reconnect to it at the same time.
 struct Backoff {
     first: Duration,
     longest: Duration,
--- a/crates/oriolemux/src/peers/table.rs
+++ b/crates/oriolemux/src/peers/table.rs
@@ -1,6 +1,6 @@
-//! Which links exist and which are wanted.
+//! The table of existing and wanted links.
 
-use super::auth::{Greeted, VERSION_MIN};
+use super::auth::{AuthenticatedPeer, VERSION_MIN};
 use super::link::LinkEnd;
 use super::queue::Queue;
 use super::{PeerEvent, PeersConfig, Rejection};
@@ -14,37 +14,37 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Two connections made within this time were dialled by both sides at once.
-/// A second one that comes later means that its dialler has lost the first.
-const SIMULTANEOUS: Duration = Duration::from_secs(2);
+/// Two connections established within this time were dialled by both sides at once. A later second
+/// connection means that its dialler has lost the first.
+const SIMULTANEOUS_DIAL_WINDOW: Duration = Duration::from_secs(2);
 
-/// Lives of an instance that are remembered as replaced.
-const REPLACED_LIVES: usize = 4;
+/// How many replaced incarnations are remembered for each instance.
+const MAX_REPLACED_INCARNATIONS: usize = 4;
 
-/// How long a shutdown waits for links to send what is queued.
-const SHUTDOWN_LIMIT: Duration = Duration::from_secs(3);
+/// How long a shutdown waits for links to send their queued frames.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A link that is up.
 #[derive(Debug)]
-struct Live {
+struct ActiveLink {
     peer: PeerId,
     dialler: InstanceKey,
     since: Instant,
     drain: CancellationToken,
     retired: CancellationToken,
-    cut: CancellationToken,
+    abort: CancellationToken,
     serial: u64,
 }
 
-/// What is known of one peer.
+/// The state of one peer.
 #[derive(Debug)]
 struct Entry {
     target: Option<PeerTarget>,
     dialling: bool,
     queue: Arc<Queue>,
-    live: Option<Live>,
+    live: Option<ActiveLink>,
     replaced: Vec<Incarnation>,
-    /// The version that is spoken with it, or was last.
+    /// The protocol version of the current link, or of the last one.
     version: u16,
     changed: Arc<Notify>,
 }
@@ -64,34 +64,34 @@
 
     fn remember_replaced(&mut self, was: Incarnation) {
         self.replaced.push(was);
-        if self.replaced.len() > REPLACED_LIVES {
+        if self.replaced.len() > MAX_REPLACED_INCARNATIONS {
             self.replaced.remove(0);
         }
     }
 }
 
-/// A link that may now be run.
+/// A registered link that is ready to run.
 #[derive(Debug)]
 pub(super) struct Registration {
     pub peer: PeerId,
     pub queue: Arc<Queue>,
-    /// Cancelled to send what waits and close the link in order.
+    /// Cancelled to send the queued frames and close the link in order.
     pub drain: CancellationToken,
-    /// Cancelled when another connection takes over what waits.
+    /// Cancelled when another connection takes over the queue.
     pub retired: CancellationToken,
-    /// Cancelled to drop the link at once.
-    pub cut: CancellationToken,
+    /// Cancelled to drop the link immediately.
+    pub abort: CancellationToken,
     serial: u64,
 }
 
-/// What a dialling task finds.
+/// What a dialling task is to do.
 #[derive(Debug)]
 pub(super) enum DialState {
-    /// The link is not wanted any more; the task ends.
+    /// End, because the link is no longer wanted.
     Unwanted,
-    /// There is a link; the task waits for a change.
+    /// Wait for a change, because there is a link.
     Linked(Arc<Notify>),
-    /// The peer is to be dialled.
+    /// Dial the peer.
     Dial(PeerTarget),
 }
 
@@ -101,14 +101,14 @@
     serial: u64,
 }
 
-/// What all tasks of the links share.
+/// The state that all tasks of the links share.
 #[derive(Debug)]
 pub(super) struct Shared {
     cfg: PeersConfig,
     events: mpsc::Sender<PeerEvent>,
     table: Mutex<Table>,
-    /// Held while a change of a link is made and told, so that the node hears
-    /// of changes in the order in which they happened.
+    /// Held while a link changes and the events are sent, so that the node receives events in the
+    /// order of the changes.
     order: tokio::sync::Mutex<()>,
     /// Cancelled when no new link is taken any more.
     closing: CancellationToken,
@@ -141,7 +141,7 @@
         &self.tasks
     }
 
-    /// Cancelled when no new link is taken any more.
+    /// Cancelled when no new links are accepted.
     pub fn closing(&self) -> &CancellationToken {
         &self.closing
     }
@@ -155,7 +155,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes the wanted links; returns those that need a dialling task.
+    /// Sets the wanted links; returns those that need a dialling task.
     pub fn set_targets(&self, targets: Vec<PeerTarget>) -> Vec<InstanceKey> {
         let mut table = self.table();
         let mut wanted: BTreeMap<InstanceKey, PeerTarget> =
@@ -182,8 +182,7 @@
         .collect()
     }
 
-    /// Returns the queue of a peer that is linked or is to be.
-    /// Returns what waits for a peer, and the version that is spoken with it.
+    /// Returns the queue and the protocol version of a peer that is linked or is to be linked.
     pub fn queue(&self, key: InstanceKey) -> Option<(Arc<Queue>, u16)> {
         let table = self.table();
         let entry = table.entries.get(&key)?;
@@ -208,7 +207,7 @@
             .is_some_and(|it| it.target.is_some())
     }
 
-    /// Returns what a dialling task is to do now.
+    /// Returns what the dialling task of a peer is to do.
     pub fn dial_state(&self, key: InstanceKey) -> DialState {
         let mut table = self.table();
         let Some(entry) = table.entries.get_mut(&key) else {
@@ -225,24 +224,24 @@
         }
     }
 
-    /// Takes an authenticated connection as the link to its peer.
+    /// Registers an authenticated connection as the link to its peer.
     pub async fn register(
         &self,
-        greeted: Greeted,
+        authenticated: AuthenticatedPeer,
         dialler: InstanceKey,
     ) -> Result<Registration, Rejection> {
         let _order = self.order.lock().await;
         if self.closing.is_cancelled() {
             return Err(Rejection::Closed);
         }
-        let (registration, told) = self.table().register(&self.cfg, greeted, dialler)?;
-        for event in told {
+        let (registration, events) = self.table().register(&self.cfg, authenticated, dialler)?;
+        for event in events {
             let _ = self.events.send(event).await;
         }
         Ok(registration)
     }
 
-    /// Notes that a link has ended.
+    /// Removes a link that has ended, and notifies the node.
     pub async fn ended(&self, registration: &Registration, end: LinkEnd) {
         let _order = self.order.lock().await;
         if !self.table().remove(registration) {
@@ -255,7 +254,7 @@
         let _ = self.events.send(event).await;
     }
 
-    /// Tells the node that a peer could not be reached.
+    /// Notifies the node that a peer could not be reached.
     pub async fn unreachable(&self, instance: InstanceKey) {
         let _order = self.order.lock().await;
         if !self.table().drop_unsent(instance) {
@@ -268,7 +267,7 @@
         let _ = self.events.send(PeerEvent::Down(peer)).await;
     }
 
-    /// Tells the node that a connection was not taken, if it has time for that.
+    /// Notifies the node of a rejected connection, unless its queue is full.
     pub fn rejected(&self, rejection: Rejection) {
         let _ = self.events.try_send(PeerEvent::Rejected(rejection));
     }
@@ -287,10 +286,10 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let _ = timeout(SHUTDOWN_LIMIT, drained).await;
+        let _ = timeout(SHUTDOWN_TIMEOUT, drained).await;
         self.stop.cancel();
         self.tasks.close();
-        let _ = timeout(SHUTDOWN_LIMIT, self.tasks.wait()).await;
+        let _ = timeout(SHUTDOWN_TIMEOUT, self.tasks.wait()).await;
     }
 }
 
@@ -298,24 +297,24 @@
     fn register(
         &mut self,
         cfg: &PeersConfig,
-        greeted: Greeted,
+        authenticated: AuthenticatedPeer,
         dialler: InstanceKey,
     ) -> Result<(Registration, Vec<PeerEvent>), Rejection> {
-        let peer = greeted.peer;
+        let peer = authenticated.peer;
         let entry = self.entries.entry(peer.instance);
         let entry = entry.or_insert_with(|| Entry::new(cfg));
         if entry.replaced.contains(&peer.incarnation) {
-            return Err(Rejection::ReplacedLife);
+            return Err(Rejection::ReplacedIncarnation);
         }
-        let told = entry.make_room(peer, dialler)?;
+        let events = entry.replace_link(peer, dialler)?;
         self.serial += 1;
-        let live = Live {
+        let live = ActiveLink {
             peer,
             dialler,
             since: Instant::now(),
             drain: CancellationToken::new(),
             retired: CancellationToken::new(),
-            cut: CancellationToken::new(),
+            abort: CancellationToken::new(),
             serial: self.serial,
         };
         let registration = Registration {
@@ -323,16 +322,16 @@
             queue: Arc::clone(&entry.queue),
             drain: live.drain.clone(),
             retired: live.retired.clone(),
-            cut: live.cut.clone(),
+            abort: live.abort.clone(),
             serial: live.serial,
         };
         entry.live = Some(live);
-        entry.version = greeted.version;
+        entry.version = authenticated.version;
         entry.changed.notify_waiters();
-        Ok((registration, told))
+        Ok((registration, events))
     }
 
-    /// Removes a link unless another one took its place; returns whether it did.
+    /// Removes a link unless another one has replaced it; returns whether it was removed.
     fn remove(&mut self, registration: &Registration) -> bool {
         let key = registration.peer.instance;
         let Some(entry) = self.entries.get_mut(&key) else {
@@ -342,9 +341,9 @@
         let Some(live) = ended else {
             return false;
         };
-        // A link that ends at once lost to one that both sides prefer; what
-        // waits goes over that one.
-        if live.since.elapsed() > SIMULTANEOUS {
+        // A link that ends soon after it was established was superseded by the one that both
+        // sides prefer; the queued frames are sent over that one.
+        if live.since.elapsed() > SIMULTANEOUS_DIAL_WINDOW {
             entry.queue.clear();
         }
         entry.changed.notify_waiters();
@@ -352,7 +351,8 @@
         true
     }
 
-    /// Drops what waits for a peer that is not linked; returns whether it is not.
+    /// Drops the queued frames of a peer that is not linked; returns `false` if it is linked or
+    /// unknown.
     fn drop_unsent(&mut self, key: InstanceKey) -> bool {
         let Some(entry) = self.entries.get(&key) else {
             return false;
@@ -364,8 +364,8 @@
         true
     }
 
-    /// Forgets a peer that nobody dials. The lives that it replaced are kept
-    /// while there are any, for a frozen process may come back.
+    /// Removes a peer that is neither linked nor dialled. Peers with replaced incarnations are
+    /// kept, because a frozen process of an old incarnation may continue.
     fn forget_unused(&mut self, key: InstanceKey) {
         let unused = self.entries.get(&key).is_some_and(|it| {
             it.live.is_none() && it.target.is_none() && !it.dialling && it.replaced.is_empty()
@@ -377,9 +377,9 @@
 }
 
 impl Entry {
-    /// Decides whether a new connection takes the place of the present link;
-    /// returns what the node is to be told.
-    fn make_room(
+    /// Decides whether a new connection replaces the current link; returns the events for the
+    /// node.
+    fn replace_link(
         &mut self,
         peer: PeerId,
         dialler: InstanceKey,
@@ -389,20 +389,20 @@
         };
         let was = live.peer;
         if was.incarnation != peer.incarnation {
-            live.cut.cancel();
+            live.abort.cancel();
             self.queue.clear();
             self.remember_replaced(was.incarnation);
             return Ok(vec![PeerEvent::Down(was), PeerEvent::Up(peer)]);
         }
-        // Both sides dialled at once: both keep the connection of the smaller
-        // key, or each would close the one that the other kept.
-        if live.since.elapsed() < SIMULTANEOUS && dialler > live.dialler {
+        // Both sides dialled at the same time. Both keep the connection that the smaller key
+        // dialled, otherwise each would close the one that the other keeps.
+        if live.since.elapsed() < SIMULTANEOUS_DIAL_WINDOW && dialler > live.dialler {
             return Err(Rejection::Duplicate);
         }
         live.retired.cancel();
-        // What was written into the old connection may never arrive: where only
-        // one direction stalls, this side sees no end of it. Unless the node is
-        // told, requests asked for over it wait for an answer until they expire.
+        // What was written to the old connection may never arrive: if only one direction stalls,
+        // this side sees no failure. Without the event, requests that the node sent over it would
+        // wait for an answer until they expire.
         Ok(vec![PeerEvent::Up(peer)])
     }
 }
