--- a/crates/oriolemux/src/cli.rs
+++ b/crates/oriolemux/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line.
 //!
-//! Every command has output for people and, with `--json`, for programs, and
-//! ends with an [`ExitStatus`] that tells apart what a script has to tell apart.
+//! Every command prints text or, with `--json`, JSON for programs, and ends with an [`ExitStatus`]
+//! by which scripts can distinguish the results.
 
 mod check;
 mod client;
@@ -101,7 +101,7 @@
     target: client::Target,
 }
 
-/// How a command prints what it has to say.
+/// The output format of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Output {
     Human,
@@ -117,7 +117,7 @@
     let cli = match Cli::try_parse_from(args) {
         Ok(cli) => cli,
         Err(error) => {
-            // Nothing is left to tell if the terminal itself is gone.
+            // There is nowhere to report that the terminal is closed.
             let _ = error.print();
             return match error.use_stderr() {
                 true => ExitStatus::Usage,
@@ -150,14 +150,14 @@
     ExitStatus::Done
 }
 
-/// Prints a line on standard output. Whoever reads it may stop early, as `head` does;
-/// that is no failure of the command.
+/// Prints a line on standard output. Its reader may stop early, as `head` does, which is not a
+/// failure of the command.
 fn print_line(line: impl std::fmt::Display) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// Prints why a command failed. `eprintln!` would panic when standard error is closed, and
-/// the exit code that a script waits for would be lost with it.
+/// Prints why a command failed. `eprintln!` would panic if standard error is closed, and the exit
+/// code that a script expects would be lost.
 fn print_error(error: &dyn std::error::Error) {
     let _ = writeln!(std::io::stderr(), "oriolemux: {error}");
 }
--- a/crates/oriolemux/src/cli/client.rs
+++ b/crates/oriolemux/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Asks the operators' listener of a running instance.
+//! The client of the operators' listener of a running instance.
 
 use super::ExitStatus;
 use crate::settings::{GatewaySettings, Secret, Settings};
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The longest wait for an answer; the instance gives up on its own part sooner.
+/// The longest wait for a response. It is longer than the instance's own timeout for a query.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Which instance to ask.
+/// The instance to query.
 #[derive(Debug, clap::Args)]
 pub(super) struct Target {
     /// The settings file of the instance, which names its operators' address and key file.
@@ -29,7 +29,7 @@
     key_file: Option<PathBuf>,
 }
 
-/// Why there is no answer.
+/// Why a query failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub(super) enum ClientError {
     /// {0}
@@ -44,14 +44,14 @@
     Key {
         /// The file.
         path: String,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// cannot reach the operators' listener at {address}: {source}
     Unreachable {
         /// Its address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
     /// cannot start the runtime: {0}
@@ -65,7 +65,7 @@
 }
 
 impl ClientError {
-    /// Returns the exit status that tells a script the kind of failure.
+    /// Returns the exit status of the command for this error.
     pub(super) const fn exit_status(&self) -> ExitStatus {
         match self {
             ClientError::Settings(_) | ClientError::Key { .. } => ExitStatus::Findings,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Which of the product's two kinds of instance is asked.
+/// The kind of the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
     /// One of `oriolemux serve`.
@@ -90,7 +90,7 @@
     Gateway,
 }
 
-/// Asks one instance.
+/// Sends queries to one instance.
 pub(super) struct Client {
     address: SocketAddr,
     key: Option<Secret>,
@@ -98,7 +98,7 @@
 }
 
 impl Client {
-    /// Finds out the address and the key of the instance.
+    /// Creates a client with the address and the key of the instance.
     pub(super) fn new(target: &Target) -> Result<Self, ClientError> {
         if let Some(client) = Client::of_gateway(target)? {
             return Ok(client);
@@ -128,7 +128,8 @@
         let Some(path) = &target.settings else {
             return Ok(None);
         };
-        // A file that cannot be read becomes a finding of the usual settings.
+        // A file that cannot be read is reported as a finding when it is loaded as settings of a
+        // node.
         let text = std::fs::read_to_string(path).unwrap_or_default();
         if !GatewaySettings::is_of_gateway(&text) {
             return Ok(None);
@@ -146,8 +147,8 @@
         self.kind
     }
 
-    /// Sends one request and reads its JSON answer.
-    pub(super) fn ask<T: DeserializeOwned>(
+    /// Sends one request and parses its JSON response.
+    pub(super) fn query<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
@@ -157,9 +158,9 @@
             .build()
             .map_err(ClientError::Runtime)?;
         runtime.block_on(async {
-            let answer = self.send(method, path).await;
-            let answer = answer.map_err(|source| self.unreachable(source))?;
-            self.read(answer).await
+            let response = self.send(method, path).await;
+            let response = response.map_err(|source| self.unreachable(source))?;
+            self.read(response).await
         })
     }
 
@@ -176,13 +177,13 @@
         req.send().await
     }
 
-    async fn read<T: DeserializeOwned>(&self, answer: Response) -> Result<T, ClientError> {
-        let status = answer.status();
+    async fn read<T: DeserializeOwned>(&self, response: Response) -> Result<T, ClientError> {
+        let status = response.status();
         if status.is_success() {
-            let value = answer.json().await;
+            let value = response.json().await;
             return value.map_err(|source| self.unreachable(source));
         }
-        let error = answer.json::<ErrorBody>().await;
+        let error = response.json::<ErrorBody>().await;
         let message = error.map_or_else(|_| status.to_string(), |body| body.error.message);
         Err(match status {
             StatusCode::UNAUTHORIZED => ClientError::KeyRefused(self.address),
--- a/crates/oriolemux/src/cli/exit.rs
+++ b/crates/oriolemux/src/cli/exit.rs
@@ -1,4 +1,4 @@
-//! What a command's exit code says.
+//! The exit codes of commands.
 
 use std::process::ExitCode;
 
@@ -22,7 +22,7 @@
     Unreachable = 6,
     /// The operators' listener refused the key.
     KeyRefused = 7,
-    /// The instance does not know what was asked for.
+    /// The instance has no record of the requested item.
     NotFound = 8,
 }
 
--- a/crates/oriolemux/src/cli/explain.rs
+++ b/crates/oriolemux/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `oriolemux explain --logs`: why a request of a gateway went as it did.
+//! `oriolemux explain --logs`: explains a request of a gateway from its log lines.
 
 use super::{ExitStatus, ExplainArgs, Output, print_error, print_json, print_line};
 use crate::story::{LogLine, Story};
@@ -6,14 +6,14 @@
 use std::io::{self, BufRead, BufReader};
 use std::path::Path;
 
-/// Why there is no story.
+/// Why a request could not be explained.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 enum ExplainError {
     /// cannot read {file}: {source}
     File {
         /// The file.
         file: String,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// no line names attempt {attempt}, of {lines} lines of numbered events
@@ -26,7 +26,7 @@
 }
 
 pub(super) fn run(args: &ExplainArgs, output: Output) -> ExitStatus {
-    let story = match tell(args) {
+    let story = match explain(args) {
         Ok(story) => story,
         Err(error) => {
             print_error(&error);
@@ -43,7 +43,7 @@
     ExitStatus::Done
 }
 
-fn tell(args: &ExplainArgs) -> Result<Story, ExplainError> {
+fn explain(args: &ExplainArgs) -> Result<Story, ExplainError> {
     let mut lines = Vec::new();
     for file in &args.logs {
         read(file, &mut lines).map_err(|source| ExplainError::File {
@@ -57,7 +57,7 @@
     })
 }
 
-/// Reads the lines of numbered events; others, and what is no text, are passed over.
+/// Reads the lines of numbered events; other lines and invalid text are skipped.
 fn read(file: &Path, lines: &mut Vec<LogLine>) -> io::Result<()> {
     let name = file.file_stem().unwrap_or_default().to_string_lossy();
     match file.to_str() {
--- a/crates/oriolemux/src/cli/gateway.rs
+++ b/crates/oriolemux/src/cli/gateway.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why the process did not start, or ended before it was told to.
+/// Why the process did not start, or ended without a planned stop.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 enum StartError {
     /// cannot start the logs: {0}
@@ -66,8 +66,8 @@
     }
 }
 
-/// One thread serves an instance: the processor of one is a part of a core, and a
-/// second thread would only cost memory and wake-ups.
+/// Runs the instance on a single thread: an instance is given only a part of a core, and a second
+/// thread would only cost memory and wake-ups.
 fn start(settings: &GatewaySettings) -> Result<(), StartError> {
     let logs = &settings.logs;
     let target = LogTarget {
@@ -99,7 +99,7 @@
     stop.listen_to_signals().map_err(StartError::Signals)?;
     let hangup = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
     let (reloaded, reloads) = watch::channel(None);
-    tokio::spawn(follow_settings(hangup, settings.file.clone(), reloaded));
+    tokio::spawn(reload_settings(hangup, settings.file.clone(), reloaded));
     if settings.metrics.enabled {
         metrics::install().map_err(StartError::Metrics)?;
     }
@@ -124,30 +124,30 @@
     Ok(())
 }
 
-/// How often the settings file is looked at, because it may change without a signal.
-const LOOK_AT_SETTINGS: Duration = Duration::from_secs(2);
+/// How often the settings file is checked, because it may change without a signal.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings anew when they change or SIGHUP comes, and says what came of it.
+/// Reloads the settings when the file changes or on SIGHUP, and logs the result.
 ///
-/// Seeds and the bound of repeats take effect at once. Addresses hold for the life of
-/// a process, so that nothing that runs is disturbed. A file with findings changes
-/// nothing; it would keep the next start from serving, and is told now.
-async fn follow_settings(
+/// Seeds and the retry budget take effect immediately. Addresses stay unchanged until a restart, so
+/// that running work is not disturbed. A file with findings changes nothing; the findings are logged
+/// now, because the next start would fail on them.
+async fn reload_settings(
     mut hangup: tokio::signal::unix::Signal,
     file: String,
     reloaded: watch::Sender<Option<ReloadedSettings>>,
 ) {
     let mut known = std::fs::read(&file).ok();
     loop {
-        let asked = tokio::select! {
-            asked = hangup.recv() => match asked {
+        let requested = tokio::select! {
+            requested = hangup.recv() => match requested {
                 Some(()) => true,
                 None => return,
             },
-            () = tokio::time::sleep(LOOK_AT_SETTINGS) => false,
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
         let text = std::fs::read(&file).ok();
-        if !asked && text == known {
+        if !requested && text == known {
             continue;
         }
         known = text;
@@ -197,7 +197,8 @@
     }
 }
 
-/// Seeds name any listener of an instance; peers are heard on the same port everywhere.
+/// Returns the peer addresses of the seeds. A seed may name any listener of an instance; the port
+/// for peers is the same on all instances.
 fn seeds(settings: &GatewaySettings) -> Vec<SocketAddrV4> {
     let port = settings.peers.listen.port();
     let seeds = settings.peers.seeds.iter();
--- a/crates/oriolemux/src/cli/operate.rs
+++ b/crates/oriolemux/src/cli/operate.rs
@@ -1,4 +1,4 @@
-//! `oriolemux status`, `explain` and `drain`, which ask a running instance.
+//! `oriolemux status`, `explain` and `drain`, which query a running instance.
 
 use super::client::{Client, ClientError, Kind, Target};
 use super::{ExitStatus, Output, print_error, print_json, print_line};
@@ -12,7 +12,7 @@
 mod text;
 
 #[derive(Serialize, Deserialize)]
-struct DrainAnswer {
+struct DrainResponse {
     readiness: Readiness,
 }
 
@@ -20,26 +20,26 @@
 pub(super) fn status(target: &Target, output: Output) -> ExitStatus {
     ended(Client::new(target).and_then(|client| match client.kind() {
         Kind::Node => {
-            let status: NodeStatus = client.ask(Method::GET, "/status")?;
+            let status: NodeStatus = client.query(Method::GET, "/status")?;
             show(&status, output, text::print_status);
             Ok(())
         }
         Kind::Gateway => {
-            let status: GatewayStatus = client.ask(Method::GET, "/status")?;
+            let status: GatewayStatus = client.query(Method::GET, "/status")?;
             show(&status, output, gateway_text::print_status);
             Ok(())
         }
     }))
 }
 
-/// Prints why a request went as it did.
+/// Prints the decisions about a request.
 pub(super) fn explain(target: &Target, request: &str, output: Output) -> ExitStatus {
     ended(Client::new(target).and_then(|client| {
         if client.kind() == Kind::Gateway {
             return Err(ClientError::NoMemory);
         }
         let request: RequestId = request.parse().map_err(ClientError::BadRequestId)?;
-        let explanation: Explanation = client.ask(Method::GET, &format!("/explain/{request}"))?;
+        let explanation: Explanation = client.query(Method::GET, &format!("/explain/{request}"))?;
         show(&explanation, output, text::print_explanation);
         Ok(())
     }))
@@ -48,8 +48,8 @@
 /// Begins a planned stop of an instance.
 pub(super) fn drain(target: &Target, output: Output) -> ExitStatus {
     ended(Client::new(target).and_then(|client| {
-        let answer: DrainAnswer = client.ask(Method::POST, "/drain")?;
-        show(&answer, output, |_| {
+        let response: DrainResponse = client.query(Method::POST, "/drain")?;
+        show(&response, output, |_| {
             print_line("the instance stops; running streams are finished first");
         });
         Ok(())
--- a/crates/oriolemux/src/cli/operate/gateway_text.rs
+++ b/crates/oriolemux/src/cli/operate/gateway_text.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway as text for people.
+//! Prints the state of a gateway as text.
 
 use crate::cli::print_line;
 use oriolemux_gateway::GatewayStatus;
--- a/crates/oriolemux/src/cli/operate/text.rs
+++ b/crates/oriolemux/src/cli/operate/text.rs
@@ -1,4 +1,4 @@
-//! Status and explanations as text for people.
+//! Prints status and explanations as text.
 
 use crate::cli::print_line;
 use crate::status::{CellStatus, EndpointStatus, Explanation, NodeStatus};
--- a/crates/oriolemux/src/cli/report.rs
+++ b/crates/oriolemux/src/cli/report.rs
@@ -1,17 +1,17 @@
-//! Findings as `check` and `serve --check` print them.
+//! Prints the findings of `check` and `serve --check`.
 
 use super::{ExitStatus, Output, print_json, print_line};
 use oriolemux_core::findings::Findings;
 use serde::Serialize;
 
-/// What is wrong with the files that were checked.
+/// The findings in the files that were checked.
 #[derive(Debug)]
 pub(super) struct Report {
     files: usize,
     by_file: Vec<Findings>,
 }
 
-/// The report as programs read it.
+/// The report as JSON.
 #[derive(Debug, Serialize)]
 struct JsonReport {
     files: usize,
@@ -29,7 +29,7 @@
 }
 
 impl Report {
-    /// A report about so many files, without findings yet.
+    /// Returns an empty report about `files` files.
     pub(super) fn of_files(files: usize) -> Self {
         Report {
             files,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Adds what is wrong with one file.
+    /// Adds the findings of one file.
     pub(super) fn add(&mut self, findings: Findings) {
         self.by_file.push(findings);
     }
 
-    /// Prints the report and returns the exit status that says whether it is empty.
+    /// Prints the report and returns the exit status for it.
     pub(super) fn print(&self, output: Output) -> ExitStatus {
         match output {
             Output::Json => print_json(&self.to_json()),
@@ -94,8 +94,8 @@
     }
 }
 
-/// Returns the settings that an instance starts with. Where they have findings, or were
-/// only to be checked, the command ends with the report of that.
+/// Returns the settings for a start. If they have findings, or `only_check` is set, prints the
+/// report and returns its exit status as an error.
 pub(super) fn to_start<T>(
     loaded: Result<T, Findings>,
     only_check: bool,
--- a/crates/oriolemux/src/cli/serve.rs
+++ b/crates/oriolemux/src/cli/serve.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Why the process did not start, or ended before it was told to.
+/// Why the process did not start, or ended without a planned stop.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 enum StartError {
     /// cannot start the logs: {0}
@@ -46,8 +46,8 @@
     }
 }
 
-/// Reads the settings, and for `--check` the files with secrets too. A start reads those
-/// itself, because it needs what they hold.
+/// Loads the settings, and for `--check` the files with secrets too. A normal start reads the
+/// secrets itself, because it needs their contents.
 fn checked_settings(args: &ServeArgs) -> Result<Settings, Findings> {
     let settings = Settings::load(&args.settings)?;
     if args.check {
@@ -56,7 +56,7 @@
     Ok(settings)
 }
 
-/// Starts what the whole process shares, then runs the instance.
+/// Installs the global logger, then runs the instance.
 fn start(settings: Settings) -> Result<(), StartError> {
     logs::install(&settings.logs).map_err(StartError::Logs)?;
     let result = run_instance(settings);
--- a/crates/oriolemux/src/lib.rs
+++ b/crates/oriolemux/src/lib.rs
@@ -1,11 +1,11 @@
-//! The oriolemux process: sockets, settings, logs and metrics around the decisions.
+//! The oriolemux process: sockets, settings, logs and metrics around the decision logic.
 //!
-//! # The story
+//! # Overview
 //!
-//! The decisions live in `oriolemux_core` and know no clock and no socket. This
-//! crate is the shell around them. [`cli`] reads the command line; `serve` loads
-//! the [`settings`] and hands them to [`serve::run`], which starts the listeners
-//! and the node under a supervisor tree and feeds the node until it is told to stop.
+//! All decisions are made in `oriolemux_core`, which uses no clock and no socket. This crate does
+//! the I/O. [`cli`] parses the command line; its command `serve` loads the [`settings`] and passes
+//! them to [`serve::run`], which starts the listeners and the node under a supervisor tree and sends
+//! events to the node until the process is stopped.
 
 pub mod callers;
 pub mod cli;
--- a/crates/oriolemux/src/logs.rs
+++ b/crates/oriolemux/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error or output, for people or as JSON.
+//! Writes log lines to standard error or output, as text or JSON.
 
 mod format;
 mod writer;
@@ -9,17 +9,17 @@
 use log::LevelFilter;
 use std::time::SystemTime;
 
-/// Libraries log at this level at most, unless all is asked for.
+/// The most verbose level of libraries, unless the level is `Trace`.
 const LIBRARIES: LevelFilter = LevelFilter::Warn;
 
-/// What is logged, and where to.
+/// The destination, format and level of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogTarget {
-    /// Where lines go.
+    /// The destination of lines.
     pub output: LogOutput,
-    /// How lines look.
+    /// The format of lines.
     pub format: LogFormat,
-    /// The least severe level.
+    /// The least severe level that is logged.
     pub level: LogLevel,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Starts to log as `target` says.
+/// Installs the global logger.
 ///
 /// # Errors
 ///
@@ -66,8 +66,8 @@
         .apply()
 }
 
-/// Waits until the lines logged so far are written, but not for long: standard error may be
-/// the very thing that is stuck.
+/// Waits until the lines logged so far are written, with a timeout, because standard error itself
+/// may be blocked.
 pub fn flush() {
     writer::flush();
 }
--- a/crates/oriolemux/src/logs/format.rs
+++ b/crates/oriolemux/src/logs/format.rs
@@ -1,4 +1,4 @@
-//! How a log record looks as a line.
+//! Formats a log record as a line.
 
 use crate::events::NUMBER_KEY;
 use log::Record;
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::time::SystemTime;
 
-/// Returns a line for people: time, level, number of the event, message, fields.
+/// Returns a line of text: time, level, number of the event, message, fields.
 pub fn format_human(time: SystemTime, record: &Record<'_>) -> String {
     let time = humantime::format_rfc3339_millis(time);
     let mut line = format!("{time} {:<5} ", record.level());
@@ -28,8 +28,8 @@
             return Ok(());
         }
         let value = value.to_string();
-        // Text from outside may hold line ends and quotes; quoted, it cannot
-        // pretend to be another field or line.
+        // Text from outside may contain newlines and quotes. It is escaped, so that it cannot forge
+        // another field or line.
         let is_plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
         let _ = match !value.is_empty() && value.chars().all(is_plain) {
             true => write!(self.0, " {key}={value}"),
--- a/crates/oriolemux/src/logs/writer.rs
+++ b/crates/oriolemux/src/logs/writer.rs
@@ -1,9 +1,8 @@
-//! A writer that never makes the thread that logs wait.
+//! A writer that never blocks the thread that logs.
 //!
-//! What goes wrong without it: whoever reads standard error stops reading, the
-//! pipe fills, and the next log line blocks the thread that writes it. One
-//! would see every stream of the instance stall at once. Here a thread of its
-//! own writes; lines that it cannot take are dropped and counted.
+//! If the reader of standard error stops reading, the pipe fills, and a direct write of the next
+//! log line would block its thread, so that every stream of the instance stalls at once. Here a
+//! separate thread writes the lines; lines that do not fit into its queue are dropped and counted.
 
 use crate::metrics::Counter;
 use std::io::{self, Write};
@@ -11,8 +10,8 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::Duration;
 
-/// Lines that wait to be written.
-const MAX_WAITING_LINES: usize = 4096;
+/// The most lines that are queued.
+const MAX_QUEUED_LINES: usize = 4096;
 /// The longest that a flush waits.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -23,16 +22,16 @@
 
 static JOBS: OnceLock<SyncSender<Job>> = OnceLock::new();
 
-/// Hands lines to the thread that writes them.
+/// Sends lines to the thread that writes them.
 pub(super) struct LineWriter {
     jobs: SyncSender<Job>,
-    /// The line so far; it comes in pieces and ends with a flush.
+    /// The current line; it arrives in parts and ends with a flush.
     line: Vec<u8>,
 }
 
-/// Starts the thread that writes to `out` and returns a writer that feeds it.
+/// Starts the thread that writes to `out` and returns a writer that sends lines to it.
 pub(super) fn spawn(out: impl Write + Send + 'static) -> LineWriter {
-    let (jobs, rx) = sync_channel(MAX_WAITING_LINES);
+    let (jobs, rx) = sync_channel(MAX_QUEUED_LINES);
     let spawned = std::thread::Builder::new()
         .name("logs".to_owned())
         .spawn(move || write_all(&rx, out));
@@ -44,7 +43,7 @@
     }
 }
 
-/// Waits until the lines handed over so far are written, at most [`FLUSH_TIMEOUT`].
+/// Waits until the lines queued so far are written, at most [`FLUSH_TIMEOUT`].
 pub(super) fn flush() {
     let Some(jobs) = JOBS.get() else { return };
     let (done, rx) = sync_channel(1);
--- a/crates/oriolemux/src/metrics/request.rs
+++ b/crates/oriolemux/src/metrics/request.rs
@@ -1,10 +1,10 @@
-//! Measures one request from its arrival to its end.
+//! Metrics of one request, from its arrival to its end.
 
 use super::{Counter, Histogram};
 use std::time::Instant;
 
-/// Measures one request. What it has gathered is recorded when it is dropped, so that
-/// requests that end badly are measured too.
+/// Measures one request. The measurements are recorded when it is dropped, so that failed requests
+/// are measured too.
 #[derive(Debug)]
 pub struct RequestMeter {
     arrived: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl RequestMeter {
-    /// Counts a request that arrives now.
+    /// Counts a request and starts its measurements.
     pub fn start() -> Self {
         Counter::Requests.add(1);
         RequestMeter {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The request was granted an endpoint. Only the first grant ends its wait.
+    /// Records that the request was granted an endpoint. Only the first grant ends its wait.
     pub fn granted(&mut self) {
         if !self.is_granted {
             self.is_granted = true;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A token is written to the caller.
+    /// Records that a token is written to the caller.
     #[inline]
     pub fn token(&mut self) {
         let now = Instant::now();
@@ -48,7 +48,7 @@
         self.tokens += 1;
     }
 
-    /// The whole answer was handed over.
+    /// Records that the complete response was sent.
     pub fn completed(&self) {
         Counter::Completed.add(1);
     }
--- a/crates/oriolemux/src/serve.rs
+++ b/crates/oriolemux/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs one instance until it is told to stop.
+//! Runs one instance until it is stopped.
 
 use crate::callers::port::{Clock, NodePort, RequestIds};
 use crate::callers::server::CallerServer;
@@ -26,10 +26,10 @@
 /// The name of the node task in logs and errors.
 const NODE_PART: &str = "node";
 
-/// How many events of links wait for the node task before the links wait too.
+/// How many events of links are queued for the node task before the links have to wait.
 const PEER_EVENTS: usize = 1_024;
 
-/// Why an instance could not start, or ended before it was told to.
+/// Why an instance could not start, or ended without a planned stop.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum ServeError {
     /// {0}
@@ -40,7 +40,7 @@
         listener: &'static str,
         /// Its address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// the part `{0}` failed more often than its supervisor allows
@@ -56,7 +56,7 @@
 }
 
 impl ServeError {
-    /// Returns the exit status that says so to a script.
+    /// Returns the exit status of the process for this error.
     pub const fn exit_status(&self) -> ExitStatus {
         match self {
             ServeError::Secrets(_) => ExitStatus::Findings,
@@ -70,7 +70,7 @@
     }
 }
 
-/// What all parts of one process share.
+/// The state that all parts of one process share.
 struct Process {
     settings: Settings,
     incarnation: Incarnation,
@@ -80,8 +80,8 @@
     platform: PlatformClient,
 }
 
-/// The listeners, bound before anything starts, so that a port that is in use
-/// ends the process at once and not in the middle of its work.
+/// The listeners, bound before anything starts, so that a port that is in use ends the process
+/// immediately and not after it has accepted work.
 struct Listeners {
     callers: std::net::TcpListener,
     operators: std::net::TcpListener,
@@ -111,16 +111,15 @@
     }
 }
 
-/// Runs one instance until it is told to stop.
+/// Runs one instance until it is stopped.
 ///
-/// The node task is the root of the supervisor tree: its state cannot be made
-/// again, so its end is the end of the process. The listeners below it are
-/// restarted by a [`Supervisor`]. A planned stop goes through the node first,
-/// which keeps the listeners open until its last request is answered.
+/// The node task is the root of the supervisor tree: its state cannot be recreated, so the process
+/// ends with it. The listeners below it are restarted by a [`Supervisor`]. A planned stop begins at
+/// the node, and the listeners stay open until its last request has ended.
 ///
 /// # Errors
 ///
-/// Returns why the instance could not start, or ended before it was told to.
+/// Returns why the instance could not start, or ended without a planned stop.
 pub async fn run(settings: Settings) -> Result<(), ServeError> {
     let secrets = Secrets::read(&settings).map_err(ServeError::Secrets)?;
     let stop = StopTokens::new();
@@ -157,14 +156,14 @@
         stop: process.stop.clone(),
     };
     let node = process.node_task(channels, peers.clone());
-    let doors = process.doors(listeners, operators, secrets.operators);
-    let ended = process.run_to_the_end(node, doors).await;
+    let listeners = process.listener_supervisor(listeners, operators, secrets.operators);
+    let ended = process.run_until_end(node, listeners).await;
     peers.shutdown().await;
     ended
 }
 
 impl Process {
-    /// Starts the links and passes on what they bring.
+    /// Starts the links and forwards their events to the node.
     async fn start_peers(&self, secret: Secret) -> Result<PeersHandle, ServeError> {
         let peers = &self.settings.peers;
         let cfg = PeersConfig::new(peers.listen, &self.settings.name, self.incarnation, secret)
@@ -180,7 +179,7 @@
         let (tx, rx) = mpsc::channel(PEER_EVENTS);
         let started = Peers::start(cfg, tx).await;
         let handle = started.map_err(listen_error("peers", peers.listen))?;
-        tokio::spawn(pass_on_peer_events(rx, self.port.clone()));
+        tokio::spawn(forward_peer_events(rx, self.port.clone()));
         Ok(handle)
     }
 
@@ -200,9 +199,14 @@
         NodeTask::new(node, effects, identity, channels)
     }
 
-    /// Returns the supervisor of the listeners. Operators are the last to stop,
-    /// so that they can watch the callers' side do it.
-    fn doors(&self, listeners: Listeners, port: OperatorPort, key: Secret) -> Supervisor {
+    /// Returns the supervisor of the listeners. The operators' listener stops last, so that
+    /// operators can observe how the callers' listener stops.
+    fn listener_supervisor(
+        &self,
+        listeners: Listeners,
+        port: OperatorPort,
+        key: Secret,
+    ) -> Supervisor {
         let supervisor = &self.settings.supervisor;
         let intensity = Intensity {
             max_restarts: supervisor.max_restarts,
@@ -236,22 +240,22 @@
             .build()
     }
 
-    async fn run_to_the_end(
+    async fn run_until_end(
         &self,
         node: NodeTask<LiveEffects>,
-        doors: Supervisor,
+        listeners: Supervisor,
     ) -> Result<(), ServeError> {
         let closing = StopTokens::new();
         let mut node = tokio::spawn(node.run());
-        let mut doors = core::pin::pin!(doors.run(&closing));
+        let mut listeners = core::pin::pin!(listeners.run(&closing));
         tokio::select! {
             ended = &mut node => self.check_node_end(ended)?,
-            ended = &mut doors => return Err(door_error(ended)),
+            ended = &mut listeners => return Err(listener_failure(ended)),
             () = self.stop.now.cancelled() => return Err(ServeError::StoppedNow),
         }
         closing.planned.cancel();
         tokio::select! {
-            ended = doors => ended.map_err(|error| door_error(Err(error)))?,
+            ended = listeners => ended.map_err(|error| listener_failure(Err(error)))?,
             () = self.stop.now.cancelled() => return Err(ServeError::StoppedNow),
         }
         events::emit_shell(&ShellNote::StopFinished);
@@ -273,8 +277,8 @@
     }
 }
 
-/// Turns what the links bring into events for the node.
-async fn pass_on_peer_events(mut rx: mpsc::Receiver<PeerEvent>, port: NodePort) {
+/// Converts the events of the links to events for the node.
+async fn forward_peer_events(mut rx: mpsc::Receiver<PeerEvent>, port: NodePort) {
     while let Some(event) = rx.recv().await {
         let event = match event {
             PeerEvent::Up(peer) => Event::PeerUp(peer),
@@ -293,7 +297,7 @@
     }
 }
 
-fn door_error(ended: Result<(), SupervisorError>) -> ServeError {
+fn listener_failure(ended: Result<(), SupervisorError>) -> ServeError {
     match ended {
         Err(SupervisorError::PartGivenUp { part, .. }) => ServeError::PartFailed(part),
         Err(SupervisorError::StoppedNow) => ServeError::StoppedNow,
--- a/crates/oriolemux/src/status.rs
+++ b/crates/oriolemux/src/status.rs
@@ -1,8 +1,8 @@
-//! What an instance tells operators about itself.
+//! The state of an instance, as operators see it.
 //!
-//! The operators' listener sends these as JSON, and `oriolemux status` and
-//! `oriolemux explain` show them as text; both ends share the types, so that
-//! neither can drift from the other. All durations are in milliseconds.
+//! The operators' listener sends these types as JSON, and `oriolemux status` and `oriolemux explain`
+//! print them as text. Both sides share the types, so that they cannot diverge. All durations are in
+//! milliseconds.
 
 use oriolemux_core::explain::Line;
 use serde::{Deserialize, Serialize};
@@ -16,13 +16,13 @@
     pub instance: String,
     /// Its data centre.
     pub data_centre: String,
-    /// This life of it, in hexadecimal.
+    /// Its incarnation, in hexadecimal.
     pub incarnation: String,
     /// The version of the program.
     pub version: String,
-    /// Since when the process runs.
+    /// How long the process has been running.
     pub uptime_ms: u64,
-    /// Whether the balancer may send requests here.
+    /// Whether the load balancer may send requests here.
     pub readiness: Readiness,
     /// The catalogue.
     pub catalogue: CatalogueStatus,
@@ -45,7 +45,7 @@
     pub rejected: Option<RejectedCatalogue>,
 }
 
-/// A catalogue revision that was rejected whole.
+/// A catalogue revision that was rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedCatalogue {
     /// The revision.
@@ -59,20 +59,20 @@
 pub struct ListStatus {
     /// The revision in force; 0 for none.
     pub revision: u64,
-    /// Since when the list was not confirmed; `None` before the first.
+    /// The time since the list was last confirmed; `None` before the first list.
     pub age_ms: Option<u64>,
-    /// Instances that may be homes.
+    /// Instances that may be homes, which are the instances that decide for a key.
     pub live_instances: u32,
 }
 
-/// How many requests stand where.
+/// The number of requests in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestsStatus {
-    /// Wait for their part of the catalogue.
+    /// Requests that wait for their part of the catalogue.
     pub judging: u32,
-    /// Wait for a grant.
+    /// Requests that wait for a grant.
     pub waiting: u32,
-    /// Run at an endpoint.
+    /// Requests that run at an endpoint.
     pub running: u32,
 }
 
@@ -90,15 +90,15 @@
 pub struct CellStatus {
     /// The cell's key.
     pub cell: String,
-    /// What its endpoints serve; empty if the list no longer makes this cell.
+    /// What its endpoints serve; empty if the current list has no such cell.
     pub serves: Vec<String>,
-    /// Its data centre; empty if the list no longer makes this cell.
+    /// Its data centre; empty if the current list has no such cell.
     pub data_centre: String,
     /// Requests that wait.
     pub queued: u32,
     /// Requests that run.
     pub running: u32,
-    /// How long the request that has waited longest has waited.
+    /// The wait of the request that has waited longest.
     pub oldest_wait_ms: u64,
     /// The cell's endpoints.
     pub endpoints: Vec<EndpointStatus>,
@@ -109,27 +109,27 @@
 pub struct EndpointStatus {
     /// The endpoint's published name, or its key if the name is not known.
     pub endpoint: String,
-    /// It is leaving and gets no new work.
+    /// It is leaving and receives no new work.
     pub leaving: bool,
-    /// It was ejected on evidence and gets no new work but probes.
+    /// It was ejected after failures and receives only probes.
     pub ejected: bool,
     /// Requests that run there under this cell's grants.
     pub running: u32,
-    /// KV tokens (or calls, for a service) in all.
+    /// KV tokens (or calls, for a service) in total.
     pub total: u64,
-    /// KV tokens counted with for this cell's requests.
+    /// KV tokens reserved for this cell's requests.
     pub counted: u64,
-    /// KV tokens that others hold there.
+    /// KV tokens used there by others.
     pub foreign: u64,
     /// KV tokens (or calls) that may still be granted.
     pub free: u64,
 }
 
-/// Why a request went as it did.
+/// The decisions about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The request's id.
     pub request: String,
-    /// What was decided, in order.
+    /// The decisions, in order.
     pub steps: Vec<Line>,
 }
--- a/crates/oriolemux/tests/cli_check.rs
+++ b/crates/oriolemux/tests/cli_check.rs
@@ -1,4 +1,4 @@
-//! `oriolemux check` and `serve --check` report every finding with its place.
+//! `oriolemux check` and `serve --check` report every finding with its position.
 
 use oriolemux_core::catalogue::Digest;
 use rstest::rstest;
@@ -62,7 +62,7 @@
         .expect("the binary runs")
 }
 
-/// A directory with a catalogue and settings without mistakes.
+/// A directory with a valid catalogue and valid settings.
 fn fixture() -> tempfile::TempDir {
     let dir = tempfile::tempdir().expect("a directory");
     write_shard(dir.path(), SHARD);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn serve_check_asks_for_secrets_too_and_does_not_serve() {
+fn serve_check_reads_secrets_too_and_does_not_serve() {
     let dir = fixture();
     let args = ["serve", "--settings", "settings.toml", "--check"];
 
--- a/crates/oriolemux/tests/cli_serve.rs
+++ b/crates/oriolemux/tests/cli_serve.rs
@@ -1,4 +1,4 @@
-//! A real process starts, is asked, and stops.
+//! A real process starts, responds to queries, and stops.
 
 use nix::fcntl::{FcntlArg, fcntl};
 use nix::sys::signal::{Signal, kill};
@@ -12,7 +12,7 @@
 
 const KEY: &str = "an operators' key";
 
-/// The least that a pipe holds: one page.
+/// The smallest capacity of a pipe: one page.
 const SMALL_PIPE: i32 = 4096;
 /// Refusals whose log lines fill the small pipe several times.
 const REFUSALS: usize = 90;
@@ -52,7 +52,7 @@
 struct Instance {
     dir: tempfile::TempDir,
     child: Child,
-    /// What is left of the log; `None` once nobody reads it any more.
+    /// The rest of the log; `None` once it is no longer read.
     logs: Option<BufReader<ChildStderr>>,
     callers: SocketAddr,
     operators: SocketAddr,
@@ -85,7 +85,7 @@
     }
 
     /// Runs a command against the operators' listener.
-    fn ask(&self, args: &[&str]) -> std::process::Output {
+    fn query(&self, args: &[&str]) -> std::process::Output {
         let address = self.operators.to_string();
         command(self.dir.path(), args)
             .args(["--address", &address, "--key-file", "key"])
@@ -106,13 +106,13 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // It may have ended by itself, which is what most tests ask of it.
+        // It may have ended by itself, as in most tests.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Reads log lines until the listener is told, and returns its address.
+/// Reads log lines until the listener is logged, and returns its address.
 fn wait_for_listener(logs: &mut impl BufRead, listener: &str) -> SocketAddr {
     loop {
         let line = wait_for(logs, "listening");
@@ -123,14 +123,14 @@
     }
 }
 
-/// Asks a caller's question without a key, and returns whether it was refused as it should be.
+/// Sends a caller's request without a key, and returns whether it was refused.
 fn is_refused(callers: SocketAddr) -> bool {
     let mut connection = TcpStream::connect(callers).expect("connected");
-    let question = "GET /v1/models HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
-    connection.write_all(question.as_bytes()).expect("sent");
-    let mut answer = String::new();
-    connection.read_to_string(&mut answer).expect("answered");
-    answer.starts_with("HTTP/1.1 401")
+    let request = "GET /v1/models HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
+    connection.write_all(request.as_bytes()).expect("sent");
+    let mut response = String::new();
+    connection.read_to_string(&mut response).expect("response");
+    response.starts_with("HTTP/1.1 401")
 }
 
 /// Reads log lines until one has the message; fails at the end of the log.
@@ -163,10 +163,10 @@
 #[case::nothing_sent("")]
 #[case::half_a_head("POST /v1/completions HTTP/1.1\r\nhost: a\r\n")]
 #[case::half_a_body("POST /v1/completions HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\n{")]
-fn connection_without_a_request_does_not_hold_up_a_stop(#[case] sent: &str) {
-    // Symptom: a planned stop never ends although nothing runs. Sequence: a caller connects,
-    // sends nothing or half a request, and stays; the stop begins. Cause: the listener waits
-    // for each connection to close, as it must for those that carry a stream.
+fn connection_without_a_request_does_not_delay_a_stop(#[case] sent: &str) {
+    // Guards against a planned stop that never ends although nothing runs: a caller connects, sends
+    // nothing or half a request, and stays connected. The listener waits for connections to close,
+    // which is required only for those with a stream.
     let mut instance = Instance::start(0);
     let addresses = [instance.callers, instance.operators];
     let connections = addresses.map(|address| {
@@ -196,12 +196,12 @@
 }
 
 #[test]
-fn operators_can_ask_and_drain() {
+fn operators_can_query_and_drain() {
     let mut instance = Instance::start(0);
 
-    let status = instance.ask(&["--json", "status"]);
-    let unknown = instance.ask(&["explain", "r-1-2-3"]);
-    let drain = instance.ask(&["drain"]);
+    let status = instance.query(&["--json", "status"]);
+    let unknown = instance.query(&["explain", "r-1-2-3"]);
+    let drain = instance.query(&["drain"]);
 
     let status: serde_json::Value = serde_json::from_slice(&status.stdout).expect("JSON");
     assert_eq!(status["instance"], "arima-1");
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn port_in_use_is_told_and_nothing_starts() {
+fn port_in_use_is_reported_and_nothing_starts() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = taken.local_addr().expect("an address").to_string();
     let dir = tempfile::tempdir().expect("a directory");
@@ -232,23 +232,22 @@
 
 #[test]
 fn closed_standard_error_does_not_stop_an_instance() {
-    // Symptom: every stream of an instance stalls or the process dies, and nothing is logged.
-    // Sequence: whoever reads standard error goes away; the next line is written. Cause: a
-    // write of a log line that blocks, or fails, in the thread that serves.
+    // Guards against an instance whose streams all stall, or that dies, without a log line: the
+    // reader of standard error closes it, and the next write of a log line blocks or fails in the
+    // thread that serves.
     let mut instance = Instance::start(0);
     drop(instance.logs.take());
 
-    let drain = instance.ask(&["drain"]);
+    let drain = instance.query(&["drain"]);
 
     assert_eq!(drain.status.code(), Some(0));
     assert_eq!(instance.end().code(), Some(0));
 }
 
 #[test]
-fn standard_error_that_nobody_reads_stalls_nobody() {
-    // Symptom: every stream of an instance stalls at once. Sequence: whoever reads standard
-    // error hangs; the pipe fills; the next line is logged. Cause: the thread that logs waits
-    // for room in the pipe.
+fn unread_standard_error_stalls_no_request() {
+    // Guards against an instance whose streams all stall at once: the reader of standard error
+    // hangs, the pipe fills, and the thread that logs the next line waits for room in the pipe.
     let mut instance = Instance::start(0);
     let logs = instance.logs.as_ref().expect("still read").get_ref();
     fcntl(logs, FcntlArg::F_SETPIPE_SZ(SMALL_PIPE)).expect("a small pipe");
@@ -256,7 +255,7 @@
     let refused = (0..REFUSALS)
         .filter(|_| is_refused(instance.callers))
         .count();
-    let status = instance.ask(&["status"]);
+    let status = instance.query(&["status"]);
 
     assert_eq!(refused, REFUSALS);
     assert_eq!(status.status.code(), Some(0));
--- a/crates/oriolemux/tests/gateway_process.rs
+++ b/crates/oriolemux/tests/gateway_process.rs
@@ -1,5 +1,5 @@
-//! Real processes of `oriolemux gateway` in front of the platform's stand-in, in
-//! both users' shapes.
+//! Real processes of `oriolemux gateway` in front of the platform's stand-in, in the fleet shapes of
+//! both users.
 
 #[path = "gateway_support/process.rs"]
 mod process;
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpSocket;
 
-/// One user's fleet, smaller: engines, plain services, instances in data centres.
+/// A scaled-down fleet of one user: engines, plain services, instances in data centres.
 struct Shape {
     engines: usize,
     services: usize,
@@ -46,10 +46,10 @@
     _dir: tempfile::TempDir,
 }
 
-/// Events of a generation of these engines.
+/// Number of events of a generation of these engines.
 const EVENTS: u64 = 60;
 
-fn whole_generation(attempt: &str) -> String {
+fn full_generation(attempt: &str) -> String {
     (1..=EVENTS)
         .map(|event| Engines::event(attempt, event))
         .collect()
@@ -100,7 +100,7 @@
 #[case::savannah_threads(&SAVANNAH_THREADS)]
 #[case::qafsa_lyricworks(&QAFSA_LYRICWORKS)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_fleet_serves_through_departures(#[case] shape: &'static Shape) {
+async fn fleet_serves_while_engines_and_instances_leave(#[case] shape: &'static Shape) {
     let mut fleet = fleet(shape).await;
     let fronts: Vec<_> = fleet
         .processes
@@ -132,7 +132,7 @@
     for (number, generation) in generations.into_iter().enumerate() {
         let reply = generation.await.expect("no panic");
         assert!(reply.complete);
-        assert_eq!(reply.body, whole_generation(&format!("g{number}")));
+        assert_eq!(reply.body, full_generation(&format!("g{number}")));
     }
     assert_eq!(fleet.engines.late_events(), 0);
     assert!(
@@ -141,20 +141,20 @@
     );
 }
 
-/// Symptom: callers of other instances wait, or a key that was taken away works again.
-/// Sequence: an instance is frozen with a generation under way; its peers serve on, a
-/// catalogue takes a key away, and the instance wakes. Nobody may have waited for it, its
-/// generation goes on, once, and it comes to judge by the newer catalogue for good.
+/// Guards against callers of other instances that wait, and against a revoked key that works again.
+/// An instance is frozen with a running generation; its peers continue to serve, a new catalogue
+/// revokes a key, and the instance continues. No other caller may wait for it, its generation must
+/// continue without a second start, and it must use the newer catalogue permanently.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_frozen_instance_holds_nobody_up_and_goes_on_when_it_wakes() {
+async fn frozen_instance_blocks_no_caller_and_continues_when_it_wakes() {
     let fleet = fleet(&SAVANNAH_THREADS).await;
     let (frozen, other) = (&fleet.processes[0], &fleet.processes[1]);
-    let under_way = tokio::spawn(Caller::generation("g0").send_at(frozen.front));
+    let running = tokio::spawn(Caller::generation("g0").send_at(frozen.front));
     until(|| async { fleet.engines.running() == 1 }).await;
 
     frozen.signal(Signal::SIGSTOP);
     let reply = Caller::generation("g1").send_at(other.front).await;
-    assert_eq!(reply.body, whole_generation("g1"));
+    assert_eq!(reply.body, full_generation("g1"));
     let read = Caller::new("r1", "/read/1").send_at(other.front).await;
     assert_eq!(read.status, StatusCode::OK);
     fleet.deployment.publish(&["key-2"], &[]);
@@ -167,17 +167,17 @@
     until(|| refuses(frozen)).await;
 
     assert!(refuses(frozen).await, "the older catalogue is back");
-    let reply = under_way.await.expect("no panic");
+    let reply = running.await.expect("no panic");
     assert!(reply.complete);
-    assert_eq!(reply.body, whole_generation("g0"));
+    assert_eq!(reply.body, full_generation("g0"));
     let starts = fleet.engines.starts();
     assert_eq!(starts.iter().filter(|(_, name, _)| name == "g0").count(), 1);
 }
 
-/// Symptom: nobody can tell afterwards why a request failed. The line of its attempt
-/// names the reason.
+/// Guards against failed requests that cannot be explained later: the log line of the attempt must
+/// name the reason.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refused_request_is_found_by_its_attempt() {
+async fn refused_request_is_found_by_its_attempt() {
     let fleet = fleet(&QAFSA_LYRICWORKS).await;
     let process = &fleet.processes[0];
 
@@ -193,30 +193,33 @@
     assert_eq!(line["event"], 802);
 }
 
-/// Symptom: a process that was told to read its settings anew does not start again
-/// later. Sequence: the file is spoilt, and SIGHUP is sent. The findings are said at
-/// once, and serving goes on.
+/// Guards against a settings file that makes a later restart fail unnoticed: the file becomes
+/// invalid and SIGHUP is sent. The findings must be logged at once, and the process must continue to
+/// serve.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn settings_with_findings_change_nothing_that_runs() {
+async fn settings_with_findings_leave_the_process_unchanged() {
     let fleet = fleet(&QAFSA_LYRICWORKS).await;
     let process = &fleet.processes[0];
 
-    process.spoil_settings("name = 7\n");
+    process.overwrite_settings("name = 7\n");
     process.signal(Signal::SIGHUP);
 
-    let told = || process.lines_of("settings_rejected");
-    until(|| async { !told().is_empty() }).await;
-    let findings = told()[0]["findings"].as_str().unwrap_or("").to_owned();
+    let rejections = || process.lines_of("settings_rejected");
+    until(|| async { !rejections().is_empty() }).await;
+    let findings = rejections()[0]["findings"]
+        .as_str()
+        .unwrap_or("")
+        .to_owned();
     assert!(findings.contains("data_centre"), "{findings}");
     let reply = Caller::new("a1", "/once/1").send_at(process.front).await;
     assert_eq!(reply.status, StatusCode::OK);
 }
 
-/// Symptom: every request of an instance stalls at once. Sequence: whoever reads its
-/// log stops reading, and the pipe fills. Cause: a line was written by the thread
-/// that serves. Lines are lost then, and requests are not.
+/// Guards against an instance whose requests all stall at once: the reader of its log stops reading,
+/// the pipe fills, and a line is written by the thread that serves. Log lines may be lost then, but
+/// no requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_log_that_nobody_reads_holds_up_no_request() {
+async fn unread_log_blocks_no_request() {
     let deployment = Deployment::start().await;
     let service = Service::start("s-1").await;
     deployment.add_service(&service, "ready");
@@ -239,11 +242,10 @@
     }
 }
 
-/// How often a test asks for the state until it shows what must come; only a test that fails
-/// asks so often.
-const STATUS_LOOKS: usize = 200;
+/// How often a test polls the status for an expected value; only a failing test polls so often.
+const MAX_STATUS_POLLS: usize = 200;
 
-/// What operators ask of an instance, by the commands that they type.
+/// The operators' commands against a running instance.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn operators_see_the_state_of_an_instance_and_stop_it() {
     let mut fleet = fleet(&QAFSA_LYRICWORKS).await;
@@ -251,7 +253,7 @@
 
     // It probes its peers soon after its start.
     let mut json = process.command(&["status", "--json"]);
-    for _ in 0..STATUS_LOOKS {
+    for _ in 0..MAX_STATUS_POLLS {
         let status: GatewayStatus = serde_json::from_slice(&json.stdout).expect("JSON");
         if status.sent.iter().any(|it| it.purpose == "probes") {
             break;
@@ -280,10 +282,10 @@
     assert!(process.wait().success(), "the planned stop ends with 0");
 }
 
-/// Symptom: an instance stops although no operator of it asked. Cause: its page for
-/// metrics, which anybody on the network may read, took the planned stop from anywhere.
+/// Guards against an instance that any host can stop: its listener for metrics is readable from the
+/// whole network, so it must accept the planned stop only from the local machine.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_planned_stop_is_taken_from_the_own_machine_only() {
+async fn planned_stop_is_accepted_from_the_local_machine_only() {
     let fleet = fleet(&QAFSA_LYRICWORKS).await;
     let process = &fleet.processes[0];
     let socket = TcpSocket::new_v4().expect("a socket");
@@ -298,16 +300,19 @@
         .write_all(b"POST /drain HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
         .await
         .expect("sent");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("an answer");
+    let mut response = String::new();
+    stream
+        .read_to_string(&mut response)
+        .await
+        .expect("a response");
 
-    assert!(answer.starts_with("HTTP/1.1 403"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 403"), "{response}");
     assert_eq!(readiness(process.readiness).await, StatusCode::OK);
 }
 
-/// A failed request is explained from the lines of its instance alone.
+/// A failed request is explained from the log lines of its instance alone.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failed_request_is_explained_from_the_log() {
+async fn failed_request_is_explained_from_the_log() {
     let fleet = fleet(&QAFSA_LYRICWORKS).await;
     let process = &fleet.processes[0];
     for engine in &fleet.all {
@@ -328,12 +333,12 @@
             .expect("the command runs")
     };
     let (known, unknown) = (explain("g1"), explain("g2"));
-    let asked = process.command(&["explain", "g1"]);
+    let queried = process.command(&["explain", "g1"]);
 
     let story = String::from_utf8_lossy(&known.stdout);
     assert!(story.contains("placed [820]"), "{story}");
     assert!(story.contains("\ncause: its engine e-"), "{story}");
     assert_eq!(unknown.status.code(), Some(8), "{unknown:?}");
-    let hint = String::from_utf8_lossy(&asked.stderr);
+    let hint = String::from_utf8_lossy(&queried.stderr);
     assert!(hint.contains("--logs"), "{hint}");
 }
--- a/crates/oriolemux/tests/gateway_support/process.rs
+++ b/crates/oriolemux/tests/gateway_support/process.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, ChildStdout, Command, ExitStatus, Output, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What a test sets of a process.
+/// The settings of a process that tests choose.
 pub struct Settings<'a> {
     pub name: &'a str,
     pub data_centre: &'a str,
@@ -38,16 +38,16 @@
     }
 }
 
-/// Whether somebody reads what the process logs.
+/// Whether the log of the process is read.
 #[derive(Clone, Copy)]
 pub enum Reader {
-    /// Up to its end.
+    /// It is read to its end.
     Follows,
-    /// Until it listens; the pipe stays open.
+    /// It is read until the process listens; the pipe stays open.
     Stops,
 }
 
-/// A process, ended when it is dropped.
+/// A process, killed when it is dropped.
 pub struct Process {
     child: Child,
     file: PathBuf,
@@ -60,7 +60,7 @@
 }
 
 impl Process {
-    /// Starts a process in `dir` and waits until it says where it listens.
+    /// Starts a process in `dir` and waits until it has logged its listeners.
     pub fn start(dir: &Path, settings: &Settings<'_>, reader: Reader) -> Process {
         let file = dir.join(format!("{}.toml", settings.name));
         std::fs::write(&file, settings.text()).expect("settings written");
@@ -121,8 +121,8 @@
             .collect()
     }
 
-    /// Writes other text into the settings file.
-    pub fn spoil_settings(&self, text: &str) {
+    /// Overwrites the settings file with `text`.
+    pub fn overwrite_settings(&self, text: &str) {
         std::fs::write(&self.file, text).expect("settings written");
     }
 
@@ -132,7 +132,7 @@
         kill(Pid::from_raw(pid), signal).expect("the process is there");
     }
 
-    /// Runs a command of the product against this process, and returns what it printed.
+    /// Runs a command of the binary against this process, and returns its output.
     pub fn command(&self, words: &[&str]) -> Output {
         let command = Command::new(env!("CARGO_BIN_EXE_oriolemux"))
             .args(words)
@@ -144,7 +144,7 @@
         command.expect("the command runs")
     }
 
-    /// Returns all lines so far.
+    /// Returns all log lines so far.
     pub fn log(&self) -> String {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.join("\n")
@@ -156,7 +156,7 @@
     }
 
     fn end(&mut self) {
-        // It may have ended by itself, which is what some tests wait for.
+        // It may have ended by itself, as some tests expect.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -168,7 +168,7 @@
     }
 }
 
-/// An address that nobody answers at, as a stale seed has.
+/// An address where nothing listens, like that of a stale seed.
 pub fn stale_seed() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(127, 0, 0, 9), 9))
 }
