--- a/crates/oriolemux/tests/events_throttle.rs
+++ b/crates/oriolemux/tests/events_throttle.rs
@@ -1,6 +1,6 @@
-//! A flood of one event is counted whole and logged in part.
+//! All events of a flood are counted, and only some of them are logged.
 //!
-//! One test in a file of its own, because logger and recorder are one for the process.
+//! The only test in its file, because logger and recorder are global to the process.
 
 use log::{Log, Metadata, Record};
 use oriolemux::events::{ShellNote, emit_shell};
@@ -27,10 +27,9 @@
 }
 
 #[test]
-fn flood_does_not_drown_other_events() {
-    // Symptom: the log of an instance holds nothing but refused connections, and its reader
-    // cannot keep up. Sequence: a stranger connects to the peers' port in a loop. Cause: each
-    // refusal was a line.
+fn flood_of_one_event_does_not_suppress_others() {
+    // Guards against a log that holds nothing but refused connections and that its reader cannot keep
+    // up with: a client connects to the peers' port in a loop, and each refusal writes a line.
     log::set_logger(&LINES).expect("no logger yet");
     log::set_max_level(log::LevelFilter::Info);
     metrics::install().expect("a recorder");
