--- a/crates/core/src/gateway/gossip.rs
+++ b/crates/core/src/gateway/gossip.rs
@@ -99,13 +99,13 @@
 impl Datagram {
     /// Returns the revisions and digests of the store that the datagram claims some instance has.
     pub fn claims(&self) -> impl Iterator<Item = (u64, u64)> {
-        let news = match &self.body {
-            Body::Probe { gossip: news, .. }
-            | Body::Ack { gossip: news, .. }
-            | Body::Gossip(news) => Some(news),
+        let gossip = match &self.body {
+            Body::Probe { gossip, .. } | Body::Ack { gossip, .. } | Body::Gossip(gossip) => {
+                Some(gossip)
+            }
             _ => None,
         };
-        let beacons = news.into_iter().flat_map(|it| &it.beacons);
+        let beacons = gossip.into_iter().flat_map(|it| &it.beacons);
         let beacons = beacons.map(|it| (it.revision, it.digest));
         [(self.revision, self.digest)].into_iter().chain(beacons)
     }
@@ -164,7 +164,7 @@
 impl Body {
     /// Returns a probe that carries what is `believed` of its target.
     pub fn probe(number: u64, members: u64, believed: Option<MemberUpdate>) -> Self {
-        let news = GossipItems {
+        let gossip = GossipItems {
             members: believed.into_iter().collect(),
             ..GossipItems::default()
         };
@@ -172,7 +172,7 @@
             number,
             members,
             suspects: 0,
-            gossip: news,
+            gossip,
         }
     }
 
@@ -196,7 +196,7 @@
     /// Returns the gossip that is attached to a probe or its answer.
     pub fn gossip_mut(&mut self) -> Option<&mut GossipItems> {
         match self {
-            Body::Probe { gossip: news, .. } | Body::Ack { gossip: news, .. } => Some(news),
+            Body::Probe { gossip, .. } | Body::Ack { gossip, .. } => Some(gossip),
             _ => None,
         }
     }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -2,7 +2,7 @@
 
 mod peers;
 mod places;
-mod repeats;
+mod retries;
 mod suspects;
 
 pub use peers::{DatagramOutcome, DropReason, GOSSIP_DELAY, TICK};
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -100,10 +100,10 @@
         if reason == Reason::EndpointRefused {
             self.paused_until = now + BUSY_PAUSE;
         }
-        let blame = failure_weight(reason);
-        self.failures += blame;
+        let weight = failure_weight(reason);
+        self.failures += weight;
         match self.standing {
-            EjectionState::Probing { .. } if blame > 0.0 => self.eject(now),
+            EjectionState::Probing { .. } if weight > 0.0 => self.eject(now),
             EjectionState::Open if self.exceeds_thresholds() => self.eject(now),
             _ => return false,
         }
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -166,7 +166,7 @@
             exclude: Vec::new(),
         };
         self.core(index).request_placement(now, request);
-        self.fleet.hurry(index);
+        self.fleet.schedule_tick(index);
         self.pending.push((index, id));
     }
 
@@ -197,7 +197,7 @@
                     core.usage.begin(key, 10, 0);
                     core.withdraw_placement(id);
                     self.sent.push((now, key));
-                    self.fleet.hurry(index);
+                    self.fleet.schedule_tick(index);
                 }
                 None => unresolved.push((index, id)),
             }
@@ -355,7 +355,7 @@
     assert!(is_cold(&one, open + COLD.duration));
     let reported_at = open + Duration::from_millis(100);
     one.endpoints.observe_cold(reported_at, key, Duration::ZERO);
-    assert!(!is_cold(&one, reported_at), "its own word is fresher");
+    assert!(!is_cold(&one, reported_at), "its own report is newer");
 }
 
 /// Guards against an endpoint that reports that it is cold again and is ignored.
--- a/crates/core/tests/gateway_cordons.rs
+++ b/crates/core/tests/gateway_cordons.rs
@@ -78,10 +78,10 @@
     // A watcher learns of a change with this delay.
     let left = IN_FORCE - WATCH_PAUSE - STORE_RESPONSE;
 
-    fleet.tell_cordon(0, &cordon("north", 10, true));
+    fleet.apply_cordon(0, &cordon("north", 10, true));
     fleet.run(left);
     let closed = count_closed(&fleet, "north");
-    fleet.tell_cordon(0, &cordon("north", 11, false));
+    fleet.apply_cordon(0, &cordon("north", 11, false));
     fleet.run(left);
     let open = size - count_closed(&fleet, "north");
 
@@ -96,14 +96,14 @@
 fn the_cost_of_a_cordon_per_instance_is_bounded(#[case] size: usize) {
     let usual = {
         let mut fleet = settled(size, 0.0);
-        fleet.forget_sent();
+        fleet.reset_sent();
         fleet.run(Duration::from_secs(2));
         fleet.nodes.iter().map(|it| it.sent.bytes).max()
     };
     let mut fleet = settled(size, 0.0);
-    fleet.forget_sent();
+    fleet.reset_sent();
 
-    fleet.tell_cordon(0, &cordon("north", 10, true));
+    fleet.apply_cordon(0, &cordon("north", 10, true));
     fleet.run(Duration::from_secs(2));
 
     let busiest = fleet.nodes.iter().map(|it| it.sent.bytes).max();
--- a/crates/core/tests/gateway_home.rs
+++ b/crates/core/tests/gateway_home.rs
@@ -188,11 +188,11 @@
 #[test]
 fn a_repeated_request_gets_the_same_grant() {
     let mut scene = Scene::new(2);
-    let ask = [request(1, 5, PlacementKind::Queued)];
-    scene.report(1, &[], &ask);
+    let requests = [request(1, 5, PlacementKind::Queued)];
+    scene.report(1, &[], &requests);
     let first = granted(scene.decision(1));
 
-    scene.report(1, &[], &ask);
+    scene.report(1, &[], &requests);
 
     assert!(first.is_some());
     assert_eq!(granted(scene.decision(1)), first);
@@ -325,35 +325,35 @@
 /// answers, or after it has queued the request, and nothing bounded the wait for its decision.
 #[test]
 fn an_unresponsive_home_times_out() {
-    let mut asks = PlacementTable::default();
-    asks.insert(NOW, request(1, 0, PlacementKind::Queued));
+    let mut table = PlacementTable::default();
+    table.insert(NOW, request(1, 0, PlacementKind::Queued));
     let soon = NOW + Duration::from_millis(5);
-    assert_eq!(asks.status(soon, 1), PlacementStatus::Pending);
+    assert_eq!(table.status(soon, 1), PlacementStatus::Pending);
     assert_eq!(
-        asks.status(NOW + HOME_TIMEOUT, 1),
+        table.status(NOW + HOME_TIMEOUT, 1),
         PlacementStatus::TimedOut
     );
 
     let waits = PlacementDecision::Queued(PlacementError::Full);
-    asks.on_decision(soon, 1, waits);
+    table.on_decision(soon, 1, waits);
 
     let later = NOW + HOME_TIMEOUT * 2;
-    assert_eq!(asks.status(later, 1), PlacementStatus::Decided(waits));
+    assert_eq!(table.status(later, 1), PlacementStatus::Decided(waits));
     let much_later = NOW + Duration::from_secs(1);
-    assert_eq!(asks.status(much_later, 1), PlacementStatus::TimedOut);
+    assert_eq!(table.status(much_later, 1), PlacementStatus::TimedOut);
 }
 
 /// A "queued" answer that was sent before a grant and arrives after it does not revoke the grant.
 #[test]
 fn an_older_decision_does_not_revoke_a_grant() {
-    let mut asks = PlacementTable::default();
-    asks.insert(NOW, request(1, 0, PlacementKind::Queued));
+    let mut table = PlacementTable::default();
+    table.insert(NOW, request(1, 0, PlacementKind::Queued));
     let grant = PlacementDecision::Granted(engine(3));
 
-    asks.on_decision(NOW, 1, grant);
-    asks.on_decision(NOW, 1, PlacementDecision::Queued(PlacementError::Full));
+    table.on_decision(NOW, 1, grant);
+    table.on_decision(NOW, 1, PlacementDecision::Queued(PlacementError::Full));
 
-    assert_eq!(asks.status(NOW, 1), PlacementStatus::Decided(grant));
+    assert_eq!(table.status(NOW, 1), PlacementStatus::Decided(grant));
 }
 
 /// Guards against 120 generations a second that are refused within 50 ms while engines have room:
@@ -460,12 +460,12 @@
 #[test]
 fn an_engine_that_leaves_is_not_granted_again() {
     let mut scene = Scene::new(2);
-    let ask = [request(1, 5, PlacementKind::Queued)];
-    scene.report(1, &[], &ask);
+    let requests = [request(1, 5, PlacementKind::Queued)];
+    scene.report(1, &[], &requests);
     let first = granted(scene.decision(1)).expect("there is room");
     scene.endpoints.mark_leaving(scene.now, first);
 
-    scene.report(1, &[], &ask);
+    scene.report(1, &[], &requests);
 
     let second = granted(scene.decision(1)).expect("there is room elsewhere");
     assert_ne!(second, first);
@@ -480,13 +480,13 @@
     scene
         .named
         .observe_limit(scene.now, engine(0), scene.now, limit);
-    let ask: Vec<PlacementRequest> = (1..=6)
+    let requests: Vec<PlacementRequest> = (1..=6)
         .map(|id| request(id, 5, PlacementKind::Queued))
         .collect();
 
     let mut grants = 0;
     for _ in 0..4 {
-        scene.report(1, &[], &ask);
+        scene.report(1, &[], &requests);
         for (_, answer) in scene.decide() {
             let granted = answer.decisions.iter();
             grants = granted
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -169,7 +169,7 @@
             }
             let change = self.core(index).observe_limit(now, key, sent, reported);
             if change.is_some() {
-                self.fleet.hurry(index);
+                self.fleet.schedule_tick(index);
             }
         }
     }
@@ -301,7 +301,7 @@
             .filter_map(|it| it.core.as_ref());
         cores.filter(|it| it.limits.of(key) == limit).count()
     };
-    assert_eq!(all_know(&scenario, Some(RATE)), size, "all heard of it");
+    assert_eq!(all_know(&scenario, Some(RATE)), size, "all received it");
 
     scenario.limits.clear();
     scenario.advance_with_calls(Duration::from_secs(4));
--- a/crates/core/tests/gateway_members.rs
+++ b/crates/core/tests/gateway_members.rs
@@ -61,12 +61,12 @@
 #[case::large_without_a_store(195, false)]
 fn traffic_of_one_instance_does_not_grow_with_the_fleet(
     #[case] size: usize,
-    #[case] store_answers: bool,
+    #[case] store_responds: bool,
 ) {
     let mut fleet = settled(size, 0.0);
-    fleet.store_answers = store_answers;
+    fleet.store_responds = store_responds;
     fleet.run(Duration::from_secs(3));
-    fleet.forget_sent();
+    fleet.reset_sent();
 
     fleet.run(Duration::from_secs(3));
 
@@ -86,7 +86,7 @@
 
     assert!(took.is_some(), "{:?}", fleet.counts());
     assert!(fleet.all_count(size - 1), "{:?}", fleet.counts());
-    let most = fleet.nodes.iter().map(|it| it.counted_gone).max();
+    let most = fleet.nodes.iter().map(|it| it.peers_counted_gone).max();
     assert!(most <= Some(1), "another instance was considered gone");
 }
 
@@ -120,7 +120,7 @@
 
     fleet.run(Duration::from_secs(10));
 
-    assert_eq!(fleet.nodes[4].counted_gone, 0);
+    assert_eq!(fleet.nodes[4].peers_counted_gone, 0);
     assert!(fleet.all_count(12), "{:?}", fleet.counts());
 }
 
@@ -180,13 +180,13 @@
     let endpoint = EndpointKey::of("e-1");
     let sent = fleet.now;
 
-    fleet.tell_leaving(0, endpoint);
+    fleet.observe_leaving(0, endpoint);
     fleet.run(Duration::from_millis(500));
 
     let received = fleet
         .nodes
         .iter()
-        .filter_map(|it| it.heard_leaving.get(&endpoint));
+        .filter_map(|it| it.leaving_seen_at.get(&endpoint));
     let last = received.clone().max().map(|at| at.since(sent));
     assert_eq!(received.count(), size, "the last at {last:?}");
 }
@@ -202,13 +202,13 @@
 #[case::planned_before_a_small_store(390, 1_600)]
 fn instances_that_start_together_read_the_store_soon(
     #[case] size: usize,
-    #[case] calls_a_second: usize,
+    #[case] calls_per_second: usize,
 ) {
     let mut fleet = Fleet::start(size, SEEDS, 4);
     fleet.model_store(StoreModel {
-        calls_a_second,
-        answers_in: Duration::from_millis(4),
-        heartbeats_each: Duration::from_millis(18),
+        calls_per_second,
+        response_time: Duration::from_millis(4),
+        heartbeat_interval: Duration::from_millis(18),
     });
     let started = fleet.now;
 
--- a/crates/core/tests/gateway_places.rs
+++ b/crates/core/tests/gateway_places.rs
@@ -134,7 +134,7 @@
             exclude: Vec::new(),
         };
         self.core(instance).request_placement(now, request);
-        self.fleet.hurry(instance);
+        self.fleet.schedule_tick(instance);
         self.open.push(OpenRequest {
             instance,
             id,
@@ -158,7 +158,7 @@
         for it in over {
             if let Some(core) = &mut self.fleet.nodes[it.instance].core {
                 core.usage.end(it.at, TOKENS, 0);
-                self.fleet.hurry(it.instance);
+                self.fleet.schedule_tick(it.instance);
             }
         }
         self.note_fullest();
@@ -190,7 +190,7 @@
         };
         core.usage.begin(at, TOKENS, 0);
         core.withdraw_placement(request.id);
-        self.fleet.hurry(request.instance);
+        self.fleet.schedule_tick(request.instance);
         self.longest = self.longest.max(now.since(request.since));
         self.running.push(Running {
             instance: request.instance,
@@ -272,7 +272,7 @@
 #[case::planned(390)]
 fn traffic_per_request_does_not_grow_with_the_fleet(#[case] size: usize) {
     let mut scene = Scene::new(size);
-    scene.fleet.forget_sent();
+    scene.fleet.reset_sent();
 
     scene.play(Duration::from_secs(4), 50, None);
 
@@ -368,18 +368,18 @@
         let key = EndpointKey::of(&format!("e-{number}"));
         scene.core(other).usage.begin(key, 19_000, 0);
     }
-    scene.fleet.hurry(other);
+    scene.fleet.schedule_tick(other);
     (0..10).for_each(|_| scene.step());
     scene.request(home);
     (0..20).for_each(|_| scene.step());
     assert_eq!(scene.open.len(), 1, "there is no room");
-    scene.fleet.nodes[home].told_decided = 0;
+    scene.fleet.nodes[home].decisions_received = 0;
 
     let key = EndpointKey::of("e-0");
     scene.core(other).usage.end(key, 19_000, 0);
-    scene.fleet.hurry(other);
+    scene.fleet.schedule_tick(other);
     (0..6).for_each(|_| scene.step());
 
     assert!(scene.open.is_empty(), "it is placed");
-    assert!(scene.fleet.nodes[home].told_decided > 0);
+    assert!(scene.fleet.nodes[home].decisions_received > 0);
 }
--- a/crates/core/tests/gateway_reader.rs
+++ b/crates/core/tests/gateway_reader.rs
@@ -4,7 +4,7 @@
 mod instances;
 
 use core::time::Duration;
-use instances::{address, alive, beacon, datagram, gateway, sign_of_life};
+use instances::{address, alive, beacon, datagram, gateway, heartbeat};
 use oriolemux_core::gateway::members::{MemberUpdate, Status};
 use oriolemux_core::gateway::reader::{CallFailure, Step, WATCHER_TIMEOUT, WATCHERS};
 use oriolemux_core::gateway::state::DropReason;
@@ -22,7 +22,7 @@
         for number in (1..=size).filter(|&number| usize::from(number) != index + 1) {
             let datagram = match number <= BEACON_SENDERS {
                 true => beacon(number, 1, store_age_ms),
-                false => sign_of_life(number),
+                false => heartbeat(number),
             };
             receive(one, now, datagram);
         }
@@ -124,7 +124,7 @@
         ..alive(number)
     };
     for other in (0..6).filter(|&it| it != index) {
-        let mut datagram = sign_of_life(number);
+        let mut datagram = heartbeat(number);
         datagram.from = stopping;
         receive(&mut fleet[other], now, datagram);
     }
@@ -141,16 +141,16 @@
     let now = Time::from_secs(1);
     let foreign = Datagram {
         deployment: 2,
-        ..sign_of_life(3)
+        ..heartbeat(3)
     };
     let newer = Datagram {
         version: u8::MAX,
-        ..sign_of_life(3)
+        ..heartbeat(3)
     };
 
     assert_eq!(one.on_datagram(now, foreign), Err(DropReason::Deployment));
     assert_eq!(one.on_datagram(now, newer), Err(DropReason::Version));
-    assert_eq!(one.on_datagram(now, sign_of_life(1)), Err(DropReason::Own));
+    assert_eq!(one.on_datagram(now, heartbeat(1)), Err(DropReason::Own));
     assert_eq!(one.instances(), 1);
 }
 
--- a/crates/core/tests/gateway_suspects.rs
+++ b/crates/core/tests/gateway_suspects.rs
@@ -144,7 +144,7 @@
             core.on_endpoint_crash(now, attempt.run.fingerprint, &place);
             core.end_run(attempt.run);
         }
-        self.fleet.hurry(attempt.instance);
+        self.fleet.schedule_tick(attempt.instance);
     }
 
     /// An attempt that is refused while it runs is cancelled.
@@ -175,7 +175,7 @@
                 None
             }
             Admission::Wait if now.since(attempt.arrived_at) < CALLER_TIMEOUT => {
-                self.fleet.hurry(attempt.instance);
+                self.fleet.schedule_tick(attempt.instance);
                 Some(attempt)
             }
             Admission::Wait | Admission::NoHome => {
@@ -339,7 +339,7 @@
         let now = scene.fleet.now;
         let core = scene.core(number).expect("the instance runs");
         core.on_endpoint_crash(now, popular, &place(number as u32));
-        scene.fleet.hurry(number);
+        scene.fleet.schedule_tick(number);
     }
     scene.fleet.run(Duration::from_millis(300));
 
@@ -348,12 +348,12 @@
         .core(7)
         .expect("the instance runs")
         .on_run_succeeded(now, popular);
-    scene.fleet.hurry(7);
+    scene.fleet.schedule_tick(7);
     scene.fleet.run(Duration::from_millis(300));
     let now = scene.fleet.now;
     let core = scene.core(3).expect("the instance runs");
     core.on_endpoint_crash(now, popular, &place(9));
-    scene.fleet.hurry(3);
+    scene.fleet.schedule_tick(3);
     scene.fleet.run(Duration::from_millis(300));
 
     let now = scene.fleet.now;
@@ -382,9 +382,9 @@
         };
         let core = scene.core(index).expect("the instance runs");
         core.on_endpoint_crash(now, fingerprint(&format!("r-{number}")), &place);
-        scene.fleet.hurry(index);
+        scene.fleet.schedule_tick(index);
     }
-    scene.fleet.forget_sent();
+    scene.fleet.reset_sent();
 
     let time = Duration::from_secs(20);
     scene.fleet.run(time);
@@ -415,7 +415,7 @@
         };
         let core = scene.core(index).expect("the instance runs");
         core.on_endpoint_crash(now, fingerprint(&format!("r-{number}")), &place);
-        scene.fleet.hurry(index);
+        scene.fleet.schedule_tick(index);
     }
     scene.send_request(0);
     for _ in 0..800 {
--- a/crates/core/tests/limits_leases.rs
+++ b/crates/core/tests/limits_leases.rs
@@ -379,7 +379,7 @@
     }
     assert!(
         world.requests_sent < 60,
-        "{} asks for 2,000 requests in 20 s",
+        "{} lease requests for 2,000 requests in 20 s",
         world.requests_sent
     );
 }
@@ -401,10 +401,14 @@
     world.run(Duration::from_secs(10));
     assert_eq!(world.running(), 240);
     println!(
-        "{} asks, {} leases in 10 s",
+        "{} lease requests, {} leases in 10 s",
         world.requests_sent, world.leases_sent
     );
-    assert!(world.requests_sent < 1_000, "{} asks", world.requests_sent);
+    assert!(
+        world.requests_sent < 1_000,
+        "{} lease requests",
+        world.requests_sent
+    );
     assert!(world.leases_sent < 1_100, "{} leases", world.leases_sent);
 }
 
--- a/crates/core/tests/membership_failures.rs
+++ b/crates/core/tests/membership_failures.rs
@@ -175,7 +175,7 @@
     let list = fleet(1, 5, 4);
     let mut net = Network::new(&list);
     let endpoint = EndpointKey::of("e0-001");
-    net.cut_off("i0-002");
+    net.isolate("i0-002");
     net.call("i0-000", |it, now, out| {
         it.endpoint_refused_leaving(now, endpoint, out);
     });
@@ -296,7 +296,7 @@
             .values()
             .all(|it| it.live_instances().all(|it| it != instance))
     );
-    net.cut_off("i0-004");
+    net.isolate("i0-004");
     net.run(Duration::from_millis(500));
     let mut config =
         oriolemux_core::membership::MembershipConfig::new("i0-004", Incarnation(2), "dc0", 3);
@@ -433,7 +433,7 @@
     let before = watchers(&net);
     assert_eq!(before.len(), 2);
     net.list_reads.clear();
-    net.cut_off(&before[0]);
+    net.isolate(&before[0]);
     net.run(Duration::from_millis(1500));
     let after = watchers(&net);
     let new: Vec<_> = after.iter().filter(|it| !before.contains(it)).collect();
--- a/crates/core/tests/membership_sizes.rs
+++ b/crates/core/tests/membership_sizes.rs
@@ -88,10 +88,10 @@
 #[rstest]
 #[case::notice(notice(), 20)]
 #[case::leaving(leaving(), 30)]
-#[case::life(status(), 40)]
+#[case::incarnation_status(status(), 40)]
 #[case::one_change(one_change(), 80)]
-#[case::whole_list(full_list(), 24_000)]
-#[case::ask(request(), 55)]
+#[case::full_list(full_list(), 24_000)]
+#[case::request(request(), 55)]
 #[case::lease(lease(), 38)]
 fn a_message_is_small(#[case] message: PeerMessage, #[case] most: usize) {
     let size = size(message);
--- a/crates/core/tests/rendezvous_rank.rs
+++ b/crates/core/tests/rendezvous_rank.rs
@@ -21,10 +21,10 @@
 #[test]
 fn the_order_of_candidates_does_not_matter() {
     let all = instances(20);
-    let mut turned = all.clone();
-    turned.reverse();
+    let mut reversed = all.clone();
+    reversed.reverse();
     for key in 0..100 {
-        assert_eq!(home(key, &all), home(key, &turned));
+        assert_eq!(home(key, &all), home(key, &reversed));
     }
 }
 
