--- a/crates/core/src/gateway/endpoints.rs
+++ b/crates/core/src/gateway/endpoints.rs
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Returns the content that is compared in a [`ContentHash`](super::replica::ContentHash), as text. The
-    /// remaining cold time decreases with each heartbeat, so only whether it is zero is part of the
-    /// text.
+    /// Returns the content that is compared in a [`ContentHash`](super::replica::ContentHash), as
+    /// text. The remaining cold time decreases with each heartbeat, so only whether it is zero is
+    /// part of the text.
     pub fn canonical_form(&self) -> String {
         let EndpointRecord {
             name,
--- a/crates/core/src/gateway/home.rs
+++ b/crates/core/src/gateway/home.rs
@@ -1,11 +1,11 @@
 //! The home of a service's engines, and how it grants their room.
 //!
 //! The home is the instance that decides for a key, chosen by rendezvous hashing. Instances report
-//! what they run and which placements they request ([`placement`](super::placement)). The home keeps the last
-//! report of each instance, decides whose request is next ([`queue`](super::queue)) and reserves
-//! what it grants until a report of the instance includes it. The report of an instance expires
-//! after a second, with its usage, its placement requests and its reservations, so that a frozen
-//! instance holds nobody up for longer.
+//! what they run and which placements they request ([`placement`](super::placement)). The home
+//! keeps the last report of each instance, decides whose request is next ([`queue`](super::queue))
+//! and reserves what it grants until a report of the instance includes it. The report of an
+//! instance expires after a second, with its usage, its placement requests and its reservations, so
+//! that a frozen instance holds nobody up for longer.
 
 mod ejections;
 mod message;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -105,13 +105,13 @@
 
 /// Returns whether the last event that the caller names can be part of its generation. For a
 /// generation that is not resumable, the event is ignored and the caller gets it from the start.
-fn is_valid_last_event_id(repeat: RequestKind, head: &CallerHead) -> bool {
+fn is_valid_last_event_id(kind: RequestKind, head: &CallerHead) -> bool {
     match head.last_event_id {
-        LastEventId::Event(number) if repeat == RequestKind::ResumableStream => {
+        LastEventId::Event(number) if kind == RequestKind::ResumableStream => {
             // Each event holds at least one token.
             head.max_tokens == 0 || number <= u64::from(head.max_tokens)
         }
-        LastEventId::Invalid => repeat != RequestKind::ResumableStream,
+        LastEventId::Invalid => kind != RequestKind::ResumableStream,
         LastEventId::Absent | LastEventId::Event(_) => true,
     }
 }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Datagrams that instances send each other.
 //!
-//! The core decides what to send to whom and when ([`Gateway::tick`], [`Gateway::on_datagram`]). Records
-//! of the store do not fit a datagram and are fetched over TCP: [`catch_up`].
+//! The core decides what to send to whom and when ([`Gateway::tick`], [`Gateway::on_datagram`]).
+//! Records of the store do not fit a datagram and are fetched over TCP: [`catch_up`].
 //!
 //! [`catch_up`]: crate::catch_up
 //! [`Gateway::tick`]: oriolemux_core::gateway::Gateway::tick
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -148,7 +148,7 @@
         all.filter(|endpoint| wanted(&endpoint.state)).count() as f64
     };
     let version = state.catalogue().map_or(0, |catalogue| catalogue.version());
-    let age = state.reader.last_answer().map(|heard| now.since(heard));
+    let age = state.reader.last_answer().map(|at| now.since(at));
     let values = [
         (Gauge::Ready, f64::from(u8::from(state.is_ready()))),
         (Gauge::CatalogueVersion, version as f64),
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,8 +1,8 @@
 //! Placement requests for engines, sent to the home of their service.
 //!
 //! The home is the instance that decides for a service, chosen by rendezvous hashing. The core
-//! chooses whom to ask and interprets the decision ([`core::gateway::placement`]); this module makes a
-//! request wait for it.
+//! chooses whom to ask and interprets the decision ([`core::gateway::placement`]); this module makes
+//! a request wait for it.
 //!
 //! [`core::gateway::placement`]: oriolemux_core::gateway::placement
 
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -215,10 +215,7 @@
             catalogue_version: state.catalogue().map(|it| it.version()),
             store: StoreStatus {
                 revision: state.replica.revision(),
-                answered_ms_ago: state
-                    .reader
-                    .last_answer()
-                    .map(|heard| millis(now.since(heard))),
+                answered_ms_ago: state.reader.last_answer().map(|at| millis(now.since(at))),
                 watches: state.watches(now),
                 unsettled: state.may_miss_records(now),
             },
@@ -329,7 +326,7 @@
 fn peer_status(now: Time, address: SocketAddrV4, peer: &Member) -> PeerStatus {
     PeerStatus {
         address,
-        heard_ms_ago: peer.last_datagram.map(|heard| millis(now.since(heard))),
+        heard_ms_ago: peer.last_datagram.map(|at| millis(now.since(at))),
         revision: peer.revision,
         stopping: peer.is_stopping(),
     }
