--- a/crates/core/src/value.rs
+++ b/crates/core/src/value.rs
@@ -81,7 +81,7 @@
         max_tokens: Option<u32>,
         /// Whether the caller requested streaming.
         stream: bool,
-        /// Stable hashes of the prompt's prefixes in whole blocks, longest prefix last.
+        /// Stable hashes of the prompt's leading blocks. The last one covers the longest prefix.
         prefix: Vec<u64>,
     },
     /// A call of a plain service.
--- a/crates/core/tests/catalogue_bytes.rs
+++ b/crates/core/tests/catalogue_bytes.rs
@@ -59,7 +59,12 @@
 proptest! {
     #[test]
     fn no_bytes_panic_the_readers(
-        bytes in prop_oneof![mutated(GOOD), mutated(GOOD_SHARD), shuffled_tokens(), vec(any::<u8>(), 0..300)],
+        bytes in prop_oneof![
+            mutated(GOOD),
+            mutated(GOOD_SHARD),
+            shuffled_tokens(),
+            vec(any::<u8>(), 0..300),
+        ],
         number in any::<u32>(),
         count in any::<u32>(),
     ) {
--- a/crates/core/tests/catalogue_size.rs
+++ b/crates/core/tests/catalogue_size.rs
@@ -1,5 +1,5 @@
-//! The catalogue at the size to design for: 390 nodes in 10 data centres, 256
-//! shards. Prints the figures that `docs/design/catalogue.md` quotes.
+//! The catalogue sync at the target size: 390 instances in 10 data centres, and 256 shards. Prints
+//! the figures that `docs/design/catalogue.md` quotes.
 
 #[path = "support/catalogue_fleet.rs"]
 mod catalogue_fleet;
@@ -14,22 +14,22 @@
 const DATA_CENTRES: usize = 10;
 const SHARDS: u32 = 256;
 const WORKSPACES: usize = 2_000;
-/// Workspaces of the letter.
+/// Number of workspaces at the target size.
 const ALL_WORKSPACES: usize = 48_000;
-/// Memory for all shards in use; `SyncConfig` allows 12 MiB.
+/// Memory limit for all shards in use; the default of `SyncConfig` is 12 MiB.
 const SHARD_MEMORY: usize = 12 << 20;
-/// Goal of the platform's calls while the whole fleet restarts.
+/// Limit of the calls to the platform while the entire fleet restarts.
 const RESTART_CALLS_PER_SECOND: usize = 500;
-/// Goal of the platform's calls in ordinary times.
+/// Limit of the calls to the platform in normal operation.
 const STEADY_CALLS_PER_SECOND: f64 = 50.0;
-/// Bytes of one of 256 shards that hold all workspaces.
+/// Size in bytes of one of the 256 shards with all workspaces.
 const SHARD_BYTES: usize = 35_000;
-/// Changes of the letter.
-const CHANGES_A_DAY: u64 = 300;
-/// Goal of the bytes that a node sends for control.
+/// Number of catalogue changes per day at the target size.
+const CHANGES_PER_DAY: u64 = 300;
+/// Limit of the control traffic that an instance sends.
 const CONTROL_BYTES_PER_SECOND: u64 = 2_000;
-/// Goal of the spread of a change.
-const SPREAD: Duration = Duration::from_secs(3);
+/// Time within which a change must be in force everywhere.
+const MAX_SPREAD: Duration = Duration::from_secs(3);
 
 fn running_fleet() -> Fleet {
     let mut fleet = Fleet::new(NODES, DATA_CENTRES);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn restart_of_the_whole_fleet_stays_below_the_platforms_rate() {
+fn restart_of_the_fleet_stays_below_the_platform_call_limit() {
     let mut fleet = Fleet::new(NODES, DATA_CENTRES);
     fleet.publish(&publication(1, SHARDS, WORKSPACES, 0));
     let start = fleet.now;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn ordinary_times_need_few_calls() {
+fn normal_operation_needs_few_calls() {
     let mut fleet = running_fleet();
     fleet.run_for(Duration::from_secs(120));
     let start = fleet.now;
@@ -69,8 +69,8 @@
     assert!(rate < STEADY_CALLS_PER_SECOND, "{rate} calls a second");
 }
 
-/// A catalogue whose shard of workspace 0 has the size it has with all workspaces.
-fn with_a_shard_of_full_size(revision: u64) -> Publication {
+/// Returns a catalogue in which the shard of workspace 0 is padded to its size with all workspaces.
+fn publication_with_full_size_shard(revision: u64) -> Publication {
     let mut published = publication(revision, SHARDS, WORKSPACES, revision);
     let shard = &mut published.shards[shard_of(&key_digest(0), SHARDS) as usize];
     while shard.len() < SHARD_BYTES {
@@ -83,7 +83,7 @@
 #[test]
 fn change_is_in_force_everywhere_within_seconds() {
     let mut fleet = Fleet::new(NODES, DATA_CENTRES);
-    fleet.publish(&with_a_shard_of_full_size(1));
+    fleet.publish(&publication_with_full_size_shard(1));
     fleet.start_all();
     fleet.run_until(fleet.now + Duration::from_secs(60), |fleet| fleet.all_at(1));
     let number = shard_of(&key_digest(0), SHARDS);
@@ -94,8 +94,8 @@
     fleet.sent_bytes.fill(0);
     let start = fleet.now;
 
-    fleet.publish(&with_a_shard_of_full_size(2));
-    let done = fleet.run_until(start + SPREAD, |fleet| fleet.all_at(2));
+    fleet.publish(&publication_with_full_size_shard(2));
+    let done = fleet.run_until(start + MAX_SPREAD, |fleet| fleet.all_at(2));
 
     let spread = fleet.now.since(start);
     fleet.run_for(Duration::from_secs(30));
@@ -104,8 +104,8 @@
     let calls = fleet.calls_since(start);
     println!("change of a shard that all use: everywhere after {spread:?}");
     println!("  {calls} calls in 30 s; bytes sent by a node: mean {mean}, most {most}");
-    assert!(done, "not everywhere after {SPREAD:?}");
-    let per_second = mean * CHANGES_A_DAY / 86_400;
+    assert!(done, "not everywhere after {MAX_SPREAD:?}");
+    let per_second = mean * CHANGES_PER_DAY / 86_400;
     assert!(
         per_second < CONTROL_BYTES_PER_SECOND,
         "{per_second} bytes a second"
--- a/crates/core/tests/catalogue_sync.rs
+++ b/crates/core/tests/catalogue_sync.rs
@@ -250,8 +250,8 @@
         revision: 6,
         shards: 1,
     };
-    let told = fleet.notes(watcher).iter().filter(|it| **it == waiting);
-    assert_eq!(told.count(), 1);
+    let reported = fleet.notes(watcher).iter().filter(|it| **it == waiting);
+    assert_eq!(reported.count(), 1);
     fleet.publish(&next);
 
     assert!(reach(&mut fleet, 6, secs(8)));
