--- a/crates/oriolemux/src/cli/check.rs
+++ b/crates/oriolemux/src/cli/check.rs
@@ -50,7 +50,7 @@
 
 fn check_settings(file: CheckFile<'_>) -> Result<(), Findings> {
     match std::str::from_utf8(file.bytes) {
-        Ok(text) if GatewaySettings::is_of_gateway(text) => {
+        Ok(text) if GatewaySettings::is_gateway_settings(text) => {
             GatewaySettings::parse(file.name, text).map(|_| ())
         }
         Ok(text) => Settings::parse(file.name, text).map(|_| ()),
--- a/crates/oriolemux/src/cli/client.rs
+++ b/crates/oriolemux/src/cli/client.rs
@@ -131,7 +131,7 @@
         // A file that cannot be read is reported as a finding when it is loaded as settings of a
         // node.
         let text = std::fs::read_to_string(path).unwrap_or_default();
-        if !GatewaySettings::is_of_gateway(&text) {
+        if !GatewaySettings::is_gateway_settings(&text) {
             return Ok(None);
         }
         let settings = GatewaySettings::load(path).map_err(ClientError::Settings)?;
--- a/crates/oriolemux/src/metrics.rs
+++ b/crates/oriolemux/src/metrics.rs
@@ -112,7 +112,7 @@
     /// Returns whether the counter can be expected to count `reason`, so that it
     /// is shown from the start: a rate over a series that appears only with its first
     /// count misses that count.
-    fn shows(self, reason: Reason) -> bool {
+    fn may_count(self, reason: Reason) -> bool {
         let group = reason.group();
         match self {
             ReasonCounter::Refusals => group != ReasonGroup::Discard,
@@ -200,7 +200,7 @@
     if ::metrics::set_global_recorder(recorder).is_ok() {
         let _ = REGISTRY.set(registry);
         describe();
-        show_zeros();
+        export_zeros();
     }
     Ok(())
 }
@@ -234,12 +234,12 @@
     }
 }
 
-fn show_zeros() {
+fn export_zeros() {
     for event in LogEvent::ALL {
         ::metrics::counter!(EVENTS, "event" => event.name()).absolute(0);
     }
     for m in ReasonCounter::ALL {
-        for &reason in Reason::ALL.iter().filter(|&&reason| m.shows(reason)) {
+        for &reason in Reason::ALL.iter().filter(|&&reason| m.may_count(reason)) {
             ::metrics::counter!(m.name(), "reason" => reason.as_str()).absolute(0);
         }
     }
--- a/crates/oriolemux/src/settings.rs
+++ b/crates/oriolemux/src/settings.rs
@@ -69,7 +69,7 @@
 
     /// Tells the settings of an instance for HTTP entries by the table that only they have.
     /// A text that is no TOML is left to the reader, which says where it goes wrong.
-    pub fn is_of_gateway(text: &str) -> bool {
+    pub fn is_gateway_settings(text: &str) -> bool {
         let document = toml_edit::Document::parse(text);
         document.is_ok_and(|document| document.contains_key("store"))
     }
--- a/crates/oriolemux/src/settings/reader.rs
+++ b/crates/oriolemux/src/settings/reader.rs
@@ -92,7 +92,7 @@
     }
 
     /// Pushes a finding for each key that is not `known`.
-    pub(super) fn refuse_unknown(&mut self, known: &[&str]) {
+    pub(super) fn report_unknown_keys(&mut self, known: &[&str]) {
         let Some(table) = self.table else { return };
         for (name, item) in table.iter() {
             if known.contains(&name) {
--- a/crates/oriolemux/src/settings/relations.rs
+++ b/crates/oriolemux/src/settings/relations.rs
@@ -98,7 +98,7 @@
 fn check_order(settings: &Settings, cx: &mut RelationContext<'_>) {
     let peers = &settings.peers;
     let claims = &settings.claims;
-    let sent_late = claims.valid_ms.0.saturating_add(claims.list_fresh_ms.0);
+    let latest_send_ms = claims.valid_ms.0.saturating_add(claims.list_fresh_ms.0);
     let rules = [
         AtLeast {
             section: "peers",
@@ -128,7 +128,7 @@
             key: "settle_ms",
             value: claims.settle_ms,
             floor_key: "valid_ms",
-            floor: Millis(sent_late.saturating_add(1)),
+            floor: Millis(latest_send_ms.saturating_add(1)),
         },
         // A claim that is void when it is granted serves nobody.
         AtLeast {
--- a/crates/oriolemux/src/settings/rows.rs
+++ b/crates/oriolemux/src/settings/rows.rs
@@ -25,7 +25,7 @@
         impl $Root {
             /// Reads all tables; `None` means that findings were pushed.
             pub(in crate::settings) fn read(root: &mut $crate::settings::reader::SectionReader<'_>) -> Option<Self> {
-                root.refuse_unknown(&[$(stringify!($root_field),)* $(stringify!($section),)*]);
+                root.report_unknown_keys(&[$(stringify!($root_field),)* $(stringify!($section),)*]);
                 $(let $root_field = root.field(stringify!($root_field), $root_spec);)*
                 $(let $section = $Section::read(&mut root.section(stringify!($section)));)*
                 Some($Root {
@@ -60,7 +60,7 @@
 
             impl $Section {
                 fn read(section: &mut $crate::settings::reader::SectionReader<'_>) -> Option<Self> {
-                    section.refuse_unknown(&[$(stringify!($field),)*]);
+                    section.report_unknown_keys(&[$(stringify!($field),)*]);
                     $(let $field = section.field(stringify!($field), $spec);)*
                     Some($Section { $($field: $field?,)* })
                 }
--- a/crates/oriolemux/tests/settings_reading.rs
+++ b/crates/oriolemux/tests/settings_reading.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 
 /// The least that settings must say.
-const LEAST: &str = r#"
+const MINIMAL: &str = r#"
 name = "chaguanas-1"
 data_centre = "chaguanas"
 
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn least_settings_take_defaults() {
-    let settings = Settings::parse("dir/settings.toml", LEAST).expect("no findings");
+fn required_keys_alone_use_defaults() {
+    let settings = Settings::parse("dir/settings.toml", MINIMAL).expect("no findings");
 
     assert_eq!(settings.name, "chaguanas-1");
     assert_eq!(settings.platform.addresses.len(), 2);
@@ -130,7 +130,7 @@
 #[test]
 fn value_in_place_of_a_section_is_one_finding() {
     let section = "[callers]\nlisten = \"127.0.0.1:8080\"\n";
-    let text = format!("callers = 3\n{}", LEAST.replace(section, ""));
+    let text = format!("callers = 3\n{}", MINIMAL.replace(section, ""));
 
     let findings = findings_of(&text);
 
@@ -143,7 +143,7 @@
 #[case::other_address("127.0.0.2:8080", false)]
 #[case::any_port("127.0.0.1:0", false)]
 fn two_listeners_on_one_address_are_found(#[case] peers: &str, #[case] found: bool) {
-    let text = LEAST.replace("127.0.0.1:8081", peers);
+    let text = MINIMAL.replace("127.0.0.1:8081", peers);
 
     let findings = findings_of(&text);
 
@@ -182,7 +182,7 @@
 )]
 fn settings_that_contradict_each_other_are_found(#[case] line: &str, #[case] expected: &str) {
     let secret = "secret_file = \"peers.secret\"";
-    let text = LEAST.replace(secret, &format!("{secret}\n{line}"));
+    let text = MINIMAL.replace(secret, &format!("{secret}\n{line}"));
 
     let findings = findings_of(&text);
 
@@ -204,7 +204,7 @@
 fn secrets_come_from_files_and_are_never_shown() {
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("settings.toml");
-    std::fs::write(&file, LEAST).expect("settings written");
+    std::fs::write(&file, MINIMAL).expect("settings written");
     std::fs::write(dir.path().join("peers.secret"), "0123456789abcdef\n").expect("secret written");
     std::fs::write(dir.path().join("operators.key"), "short").expect("key written");
     let settings = Settings::load(&file).expect("no findings");
