--- a/crates/oriolemux/src/metrics.rs
+++ b/crates/oriolemux/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters, gauges and histograms, and their text for Prometheus.
+//! Counters, gauges and histograms, exported in the Prometheus text format.
 //!
-//! The tables here are the only place that names metrics; `docs/EVENTS.md`
-//! lists them. Nothing is exported until [`install`] has been called.
+//! The tables here define this crate's metrics; `docs/EVENTS.md` lists them. Nothing is
+//! exported until [`install`] has been called.
 
 mod request;
 
@@ -19,8 +19,8 @@
 const EVENTS: &str = "oriolemux_events_total";
 const EVENTS_DOC: &str = "Numbered events, by name; see the table of events.";
 
-/// Upper bounds of the buckets of durations, in seconds; they follow the users' targets
-/// of 32 ms between tokens and 0.98 s to the first one.
+/// Upper bounds of the histogram buckets, in seconds. They include the latency targets of 32 ms
+/// between tokens and 0.98 s to the first token.
 const SECONDS_BUCKETS: &[f64] = &[
     0.002, 0.004, 0.008, 0.016, 0.032, 0.064, 0.125, 0.25, 0.5, 0.98, 2.0, 4.0, 8.0, 16.0, 32.0,
     64.0, 128.0,
@@ -33,11 +33,12 @@
         Refusals = "oriolemux_refusals_total";
         /// Attempts that ended early and were followed by another.
         Retries = "oriolemux_retries_total";
-        /// Streams that broke and were asked for again at the same endpoint.
+        /// Streams that were interrupted and requested again from the same endpoint.
         Resumes = "oriolemux_resumes_total";
         /// Requests that failed after they may have run.
         Failures = "oriolemux_failures_total";
-        /// Answers and parts of answers that were dropped because they did not belong.
+        /// Responses and parts of responses that were dropped because they did not match the
+        /// state of their attempt.
         Discards = "oriolemux_discards_total";
     }
 }
@@ -47,9 +48,9 @@
     Counter {
         /// Requests that arrived on the callers' listener.
         Requests = "oriolemux_requests_total";
-        /// Requests whose whole answer was delivered.
+        /// Requests whose complete response was delivered.
         Completed = "oriolemux_completed_total";
-        /// Tokens sent on to callers, added when the request ends.
+        /// Tokens delivered to callers, added when the request ends.
         TokensDelivered = "oriolemux_tokens_delivered_total";
         /// Connections closed at once because the listener was full.
         ConnectionsRefused = "oriolemux_connections_refused_total";
@@ -59,12 +60,12 @@
         PeerBytesReceived = "oriolemux_peer_bytes_received_total";
         /// Frames dropped because a link's queue was full.
         PeerFramesDropped = "oriolemux_peer_frames_dropped_total";
-        /// Connections on the peers' port that were not taken as links.
+        /// Connections to the peers' port that were not accepted as links.
         PeerConnectionsRefused = "oriolemux_peer_connections_refused_total";
         /// Calls of the platform's service; a waiting watch counts as one.
         PlatformCalls = "oriolemux_platform_calls_total";
         /// Log lines dropped because there were more than 100 of one event in a second, or
-        /// because standard error did not take them.
+        /// because standard error did not accept them.
         LogLinesDropped = "oriolemux_log_lines_dropped_total";
     }
 }
@@ -96,7 +97,7 @@
     Histogram {
         /// From the arrival of a request to its first token.
         FirstToken = "oriolemux_first_token_seconds";
-        /// The longest silence between two tokens of an answer, once an answer.
+        /// The longest interval between two tokens of a response, recorded once per response.
         LongestGap = "oriolemux_longest_token_gap_seconds";
         /// From the arrival of a request to its grant.
         Wait = "oriolemux_wait_seconds";
@@ -104,14 +105,14 @@
 }
 
 impl ReasonCounter {
-    /// Counts one.
+    /// Increments the series of `reason` by one.
     pub fn add(self, reason: Reason) {
         ::metrics::counter!(self.name(), "reason" => reason.as_str()).increment(1);
     }
 
-    /// Returns whether the counter can be expected to count `reason`, so that it
-    /// is shown from the start: a rate over a series that appears only with its first
-    /// count misses that count.
+    /// Returns whether the counter may count `reason`. Such a series is exported at zero from
+    /// the start, because a rate over a series that appears only with its first count misses
+    /// that count.
     fn may_count(self, reason: Reason) -> bool {
         let group = reason.group();
         match self {
@@ -125,12 +126,12 @@
 }
 
 impl Counter {
-    /// Counts `n`.
+    /// Increments the counter by `n`.
     pub fn add(self, n: u64) {
         self.handle().increment(n);
     }
 
-    /// Returns a handle that counts without a look-up, for what happens once a token.
+    /// Returns a handle that counts without a look-up, for events that occur once per token.
     pub fn handle(self) -> ::metrics::Counter {
         ::metrics::counter!(self.name())
     }
@@ -157,25 +158,25 @@
 
 static REGISTRY: OnceLock<Registry> = OnceLock::new();
 
-/// Why metrics cannot be collected.
+/// The reason why metrics cannot be collected.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum InstallError {
     /// the histogram `{name}` cannot be registered: {source}
     Histogram {
         /// Its name.
         name: &'static str,
-        /// What the library said.
+        /// The error of the `prometheus` library.
         source: prometheus::Error,
     },
 }
 
-/// Starts to collect metrics in this process and shows every counter at zero.
+/// Starts to collect metrics in this process and exports every counter at zero.
 /// A second call does nothing.
 ///
-/// The recorder must cost no time at the start of a process. What goes wrong otherwise:
-/// one that measures the processor's clock for up to 0.2 s keeps an instance that
-/// restarts from its callers for so long, seen in the times of `started` and
-/// `gateway_listening`. This one counts and takes no times.
+/// The recorder must not delay the start of a process. A recorder that calibrates the CPU clock
+/// takes up to 0.2 s, during which a restarting instance serves no callers; the delay is visible
+/// in the times of the events `started` and `gateway_listening`. This recorder only counts and
+/// does not measure time.
 ///
 /// # Errors
 ///
@@ -196,7 +197,7 @@
             .map_err(|source| InstallError::Histogram { name, source })?;
     }
     let recorder = builder.build();
-    // A recorder that some other caller installed first keeps its place; ours then shows nothing.
+    // If another recorder is already installed, it stays in use and `render` returns an empty string.
     if ::metrics::set_global_recorder(recorder).is_ok() {
         let _ = REGISTRY.set(registry);
         describe();
--- a/crates/oriolemux/src/settings.rs
+++ b/crates/oriolemux/src/settings.rs
@@ -1,11 +1,11 @@
 //! The settings of one instance, read from a TOML file and checked.
 //!
-//! `docs/SETTINGS.md` describes every setting. It is generated from the table
-//! in `settings/table.rs`, which also makes the types, the defaults, the ranges and the
-//! reader, so that none of them can differ from the others.
+//! `docs/SETTINGS.md` describes every setting. It is generated from the tables in
+//! `settings/table.rs` and `settings/gateway.rs`, which also generate the types, the defaults,
+//! the ranges and the reader, so that they cannot diverge.
 //!
-//! A mistake does not end the reading: all findings are reported together with
-//! line and column. Secrets never stand in the file; it names files that hold them.
+//! Reading continues after an error: all findings are reported together, with line and column.
+//! The file never contains secrets; it names the files that hold them.
 
 mod docs;
 mod gateway;
@@ -40,18 +40,18 @@
     ///
     /// # Errors
     ///
-    /// Returns every finding with its place.
+    /// Returns every finding with its line and column.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Findings> {
         load(path.as_ref(), Self::parse)
     }
 
     /// Checks the text of the settings file named `file`.
     ///
-    /// Relative paths in the text are taken from the directory of `file`.
+    /// Relative paths in the text are resolved against the directory of `file`.
     ///
     /// # Errors
     ///
-    /// Returns every finding with its place.
+    /// Returns every finding with its line and column.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         parse(file, text, Self::read, relations::check)
     }
@@ -62,13 +62,14 @@
     ///
     /// # Errors
     ///
-    /// Returns every finding with its place.
+    /// Returns every finding with its line and column.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Findings> {
         load(path.as_ref(), Self::parse)
     }
 
-    /// Tells the settings of an instance for HTTP entries by the table that only they have.
-    /// A text that is no TOML is left to the reader, which says where it goes wrong.
+    /// Returns whether `text` holds the settings of an instance for HTTP entries, which alone
+    /// have a table `store`. Returns `false` for invalid TOML; the reader then reports where the
+    /// syntax error is.
     pub fn is_gateway_settings(text: &str) -> bool {
         let document = toml_edit::Document::parse(text);
         document.is_ok_and(|document| document.contains_key("store"))
@@ -78,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every finding with its place.
+    /// Returns every finding with its line and column.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         parse(file, text, Self::read, relations::check_gateway)
     }
--- a/crates/oriolemux/src/settings/docs.rs
+++ b/crates/oriolemux/src/settings/docs.rs
@@ -1,4 +1,4 @@
-//! Renders `docs/SETTINGS.md` from the table.
+//! Renders `docs/SETTINGS.md` from the tables of settings.
 
 use super::spec::Description;
 use super::{GatewaySettings, SectionDescription, Settings};
@@ -8,10 +8,11 @@
 The settings of one instance are a TOML file. `oriolemux check FILE` checks its
 text anywhere; `oriolemux serve --settings FILE --check` checks it as a start
 would, the files with secrets included. Both report every finding together, as
-`file:line:column: problem`. Unknown keys are refused. Relative paths are taken
-from the directory of the settings file. Addresses are IP numbers; names are
-not resolved. A secret never stands in the settings: they name a file that
-holds it (16 to 4096 bytes; space around it is not part of it).
+`file:line:column: problem`. Unknown keys are refused. Relative paths are
+resolved against the directory of the settings file. Addresses are IP
+addresses; names are not resolved. The settings never contain a secret: they
+name a file that holds it (16 to 4096 bytes; whitespace around it is not part
+of it).
 
 This page is generated from `crates/oriolemux/src/settings/table.rs`; to
 renew it, run the tests of `settings_docs` with `ORIOLEMUX_RENEW=1`.
@@ -21,8 +22,8 @@
 ## Instances for HTTP entries
 
 `oriolemux gateway --settings FILE` reads a file of its own. `deploy/gateway.toml` is the template
-from which the users' platform makes it; `oriolemux check FILE` tells the two kinds apart by the
-table `[store]`.
+from which the users' platform generates it; `oriolemux check FILE` distinguishes the two kinds by
+the table `[store]`.
 ";
 
 /// Returns the text of `docs/SETTINGS.md`.
--- a/crates/oriolemux/src/settings/reader.rs
+++ b/crates/oriolemux/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the tables of a settings file and collects what is wrong with them.
+//! Reads the tables of a settings file and collects the findings.
 
 use super::spec::{Absent, Spec};
 use super::value::{Value, ValueContext};
@@ -7,7 +7,7 @@
 use std::path::Path;
 use toml_edit::{Item, Table, TableLike};
 
-/// Keys under which people write a secret itself.
+/// Keys under which users may write the secret itself instead of a file's name.
 const SECRET_KEYS: &[&str] = &["secret", "key", "password", "token"];
 
 /// Reads one table.
@@ -16,10 +16,10 @@
     section: &'static str,
     /// The table, if the file has it.
     table: Option<&'a dyn TableLike>,
-    /// Where the table stands, for what is missing from it.
+    /// The span of the table, at which missing keys are reported.
     span: Option<Range<usize>>,
-    /// Something else stands in the table's place. That is one mistake, so what is missing
-    /// from the table is not reported as well.
+    /// The file has a value of another type in place of the table. That is one mistake, so keys
+    /// missing from the table are not reported as well.
     is_replaced: bool,
     text: &'a str,
     base: &'a Path,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Reads the section `name` of the root. A section that is not there is read as an empty one.
+    /// Reads the section `name` of the root. An absent section is read as an empty one.
     pub(super) fn section(&mut self, name: &'static str) -> SectionReader<'_> {
         let item = self.table.and_then(|table| table.get(name));
         let table = item.and_then(Item::as_table_like);
--- a/crates/oriolemux/src/settings/relations.rs
+++ b/crates/oriolemux/src/settings/relations.rs
@@ -1,4 +1,4 @@
-//! Checks settings against each other, once each is right by itself.
+//! Checks settings against each other, after each one has been checked by itself.
 
 use super::{GatewaySettings, Millis, Settings};
 use core::ops::Range;
@@ -65,8 +65,8 @@
     }
 }
 
-/// Two listeners on one address would fail only when the second one binds, long after
-/// the file was checked; so they are told apart here.
+/// Reports two listeners on one address. Otherwise the second one would fail only when it binds,
+/// long after the file was checked.
 fn check_listeners(listeners: &[(&str, SocketAddr)], cx: &mut RelationContext<'_>) {
     for (index, &(section, address)) in listeners.iter().enumerate() {
         let mut earlier = listeners[..index].iter();
@@ -77,7 +77,7 @@
     }
 }
 
-/// Port 0 asks the operating system for any free port, so two of those never collide.
+/// Port 0 requests any free port from the operating system, so two of those never collide.
 fn collide(a: SocketAddr, b: SocketAddr) -> bool {
     a.port() != 0
         && a.port() == b.port()
@@ -93,8 +93,10 @@
     floor: Millis,
 }
 
-/// A heartbeat as long as the silence that ends a link would end every quiet link, seen as
-/// links that go up and down all the time.
+/// Reports settings that are less than the minimum that another setting of their section requires.
+///
+/// If the heartbeat interval were as long as the silence time-out, every quiet link would be closed
+/// and reconnected all the time.
 fn check_order(settings: &Settings, cx: &mut RelationContext<'_>) {
     let peers = &settings.peers;
     let claims = &settings.claims;
@@ -114,8 +116,8 @@
             floor_key: "reconnect_min_ms",
             floor: peers.reconnect_min_ms,
         },
-        // A new home that grants before the old one's outcomes are past their
-        // promise, or while a holder may still send, runs work twice.
+        // Work would run twice if a new home granted a key before the outcomes kept by the old
+        // home have expired, or while the holder of an earlier claim may still send.
         AtLeast {
             section: "claims",
             key: "settle_ms",
@@ -130,7 +132,7 @@
             floor_key: "valid_ms",
             floor: Millis(latest_send_ms.saturating_add(1)),
         },
-        // A claim that is void when it is granted serves nobody.
+        // A claim that has expired by the time it is granted is useless.
         AtLeast {
             section: "claims",
             key: "valid_ms",
--- a/crates/oriolemux/src/settings/rows.rs
+++ b/crates/oriolemux/src/settings/rows.rs
@@ -1,6 +1,6 @@
-//! The macro that makes settings from a table of rows.
+//! The macro that generates settings from a table of rows.
 
-/// Makes the types, the reader and the descriptions of the settings.
+/// Generates the types, the reader and the descriptions of the settings.
 ///
 /// A row is `name: type = rules;` below the sentences that the docs show.
 macro_rules! settings {
--- a/crates/oriolemux/src/settings/secret.rs
+++ b/crates/oriolemux/src/settings/secret.rs
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 use subtle::ConstantTimeEq;
 
-/// A shorter secret could be found by trying.
+/// A shorter secret could be found by brute force.
 const MIN_SECRET_BYTES: usize = 16;
-/// A larger file is hardly a secret and would be held in memory for nothing.
+/// A larger file is unlikely to hold a secret and would occupy memory needlessly.
 const MAX_SECRET_BYTES: usize = 4096;
 
 /// The path of a file that holds a secret, and the place in the settings that names it.
@@ -63,7 +63,7 @@
 pub struct Secret(Vec<u8>);
 
 impl Secret {
-    /// Takes the bytes of a secret.
+    /// Makes a secret from its bytes.
     pub fn new(bytes: impl Into<Vec<u8>>) -> Self {
         Secret(bytes.into())
     }
@@ -74,7 +74,7 @@
     }
 
     /// Returns whether `other` is the secret. The time taken does not depend on
-    /// how many leading bytes are right, which would let a stranger find the
+    /// how many leading bytes are right, which would let an attacker find the
     /// secret byte by byte.
     pub fn matches(&self, other: &[u8]) -> bool {
         self.0.ct_eq(other).into()
@@ -90,14 +90,14 @@
 /// The secrets that the settings name.
 #[derive(Clone, Debug)]
 pub struct Secrets {
-    /// What instances prove to each other.
+    /// The secret by which instances authenticate to each other.
     pub peers: Secret,
     /// The operators' key.
     pub operators: Secret,
 }
 
 impl Secrets {
-    /// Reads the files that `settings` name. Space around a secret is not part of it.
+    /// Reads the files that `settings` name. Whitespace around a secret is not part of it.
     ///
     /// # Errors
     ///
--- a/crates/oriolemux/src/settings/spec.rs
+++ b/crates/oriolemux/src/settings/spec.rs
@@ -2,12 +2,12 @@
 
 use super::value::Value;
 
-/// What holds when a setting is not given.
+/// What applies when a setting is absent.
 #[derive(Clone, Debug)]
 pub(super) enum Absent<T> {
     /// It must be given.
     Refused,
-    /// This value holds.
+    /// This value applies.
     Default(T),
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// One setting as the docs show it.
+/// The description of one setting in the docs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Description {
     /// The key, with the section in front.
--- a/crates/oriolemux/src/settings/table.rs
+++ b/crates/oriolemux/src/settings/table.rs
@@ -11,7 +11,7 @@
 pub struct SectionDescription {
     /// The section's name; empty for the keys above all sections.
     pub name: &'static str,
-    /// What the section is about.
+    /// What the section configures.
     pub doc: String,
     /// Its settings.
     pub settings: Vec<Description>,
@@ -25,7 +25,7 @@
     root Settings {
         /// The instance's name, as the platform's list of instances publishes it.
         name: String = required();
-        /// The data centre that the instance stands in, as the list publishes it.
+        /// The data centre of the instance, as the list publishes it.
         data_centre: String = required();
     }
 
@@ -33,17 +33,17 @@
     callers: CallersSettings {
         /// Address and port on which callers are served.
         listen: SocketAddr = required();
-        /// The most connections at once; further ones are refused with the reason
+        /// The maximum number of open connections; further ones are refused with the reason
         /// `instance_full` and closed.
         max_connections: u32 = default(4096).range(1, 1_000_000);
-        /// The most requests that are held at once, running or waiting;
+        /// The maximum number of requests held at once, running or waiting;
         /// further ones are refused with the reason `instance_full`.
         max_requests: u32 = default(4096).range(1, 1_000_000);
         /// The largest request body in bytes.
         max_body_bytes: usize = default(MIB).range(1024, 64 * MIB as i64);
-        /// A request must have arrived whole within this time.
+        /// A request must have arrived completely within this time.
         read_timeout_ms: Millis = default(Millis(10_000)).range(100, DAY_MS);
-        /// A caller that takes nothing for this long counts as gone.
+        /// A caller that accepts no data for this long counts as disconnected.
         write_timeout_ms: Millis = default(Millis(60_000)).range(100, DAY_MS);
         /// An idle connection is closed after this time.
         idle_timeout_ms: Millis = default(Millis(75_000)).range(100, DAY_MS);
@@ -53,23 +53,23 @@
     peers: PeersSettings {
         /// Address and port on which other instances connect.
         listen: SocketAddr = required();
-        /// A file with the secret that instances prove to each other. It is the same on all.
+        /// A file with the secret by which instances authenticate to each other. It is the same on all instances.
         secret_file: SecretFile = required();
-        /// The largest frame in bytes; a larger one ends the link. Pieces of the
-        /// catalogue have 32 KiB, so that smaller frames could not carry them.
+        /// The largest frame in bytes; a larger one closes the link. The catalogue is sent
+        /// in pieces of 32 KiB, which smaller frames could not carry.
         max_frame_bytes: usize = default(256 * 1024).range(64 * 1024, 16 * MIB as i64);
-        /// The most frames that wait for one link; further ones are dropped and counted.
+        /// The maximum number of frames queued for one link; further ones are dropped and counted.
         max_queued_frames: u32 = default(1024).range(1, 1_000_000);
-        /// A connection must be made and authenticated within this time.
+        /// A connection must be established and authenticated within this time.
         connect_timeout_ms: Millis = default(Millis(1_000)).range(10, 60_000);
         /// A heartbeat is sent on a link after so long without other traffic.
         heartbeat_ms: Millis = default(Millis(2_000)).range(10, 60_000);
         /// A link that was silent for this long is closed.
         silence_timeout_ms: Millis = default(Millis(4_000)).range(20, 600_000);
-        /// The first pause before a lost link is made again; it doubles up to
+        /// The first delay before a lost link is reconnected; it doubles up to
         /// `reconnect_max_ms`, with jitter.
         reconnect_min_ms: Millis = default(Millis(100)).range(1, 60_000);
-        /// The longest pause before a lost link is made again.
+        /// The longest delay before a lost link is reconnected.
         reconnect_max_ms: Millis = default(Millis(3_000)).range(1, 600_000);
     }
 
@@ -77,7 +77,7 @@
     operators: OperatorsSettings {
         /// Address and port on which operators are served.
         listen: SocketAddr = required();
-        /// A file with the key that operators send as bearer token.
+        /// A file with the key that operators send as a bearer token.
         key_file: SecretFile = required();
     }
 
@@ -94,7 +94,7 @@
 
     /// The connections to endpoints.
     endpoints: EndpointsSettings {
-        /// A connection must be made within this time.
+        /// A connection must be established within this time.
         connect_timeout_ms: Millis = default(Millis(1_000)).range(10, 60_000);
         /// An endpoint that sends nothing for this long counts as stalled.
         stall_timeout_ms: Millis = default(Millis(5_000)).range(10, DAY_MS);
@@ -104,45 +104,45 @@
 
     /// What is logged, to standard error.
     logs: LogsSettings {
-        /// How lines look.
+        /// The format of log lines.
         format: LogFormat = default(LogFormat::Human);
         /// The least severe level that is logged. `debug` adds a line for each refusal and retry.
         level: LogLevel = default(LogLevel::Info);
     }
 
-    /// Bounds of the instance itself; what a workspace may take stands in the catalogue.
+    /// Bounds of the instance itself; the limits of workspaces are in the catalogue.
     limits: LimitsSettings {
-        /// Loads of models, versions and adapters that the weight store bears in a minute.
-        /// It is the same on all instances, which share it.
+        /// The maximum number of loads of models, versions and adapters from the weight store
+        /// per minute. All instances share it, so it is the same on all of them.
         loads_per_minute: u32 = default(30).range(1, 100_000);
-        /// Decision records that are kept for `explain`.
+        /// The number of decision records kept for `explain`.
         explain_records: u32 = default(4096).range(16, 1_000_000);
     }
 
-    /// Claims of tickets and idempotency keys, by which work that must not run twice is kept
-    /// from it. The values must be the same on every instance; docs/design/at-most-once.md
+    /// Claims of tickets and idempotency keys, which prevent work that must not run twice from
+    /// doing so. The values must be the same on every instance; docs/design/at-most-once.md
     /// says what each protects.
     claims: ClaimsSettings {
-        /// How long the outcome of a request under a key is remembered after its end. A repeat
-        /// that comes later runs as a new request.
+        /// How long the outcome of a request under a key is kept after the request ends. A duplicate
+        /// request that arrives later runs as a new request.
         memory_ms: Millis = default(Millis(120_000)).range(100, DAY_MS);
-        /// How long a key's new home grants no key that it knows nothing of; also after every
+        /// How long the new home of a key grants no key that it has no record of; also after every
         /// start. At least `memory_ms`, and more than `valid_ms` and `list_fresh_ms` together.
         settle_ms: Millis = default(Millis(120_000)).range(100, DAY_MS);
-        /// How long after it was asked for a claim may be used for a send.
+        /// How long a claim may be used for a send, counted from when the claim was requested.
         valid_ms: Millis = default(Millis(60_000)).range(100, DAY_MS);
         /// A home grants keys only if the platform confirmed the list within this time.
         list_fresh_ms: Millis = default(Millis(30_000)).range(50, DAY_MS);
         /// How long a request waits for its claim.
         ask_limit_ms: Millis = default(Millis(900)).range(50, 60_000);
-        /// How long a ticket may lie unused.
+        /// How long an unused ticket stays valid.
         ticket_life_ms: Millis = default(Millis(600_000)).range(100, DAY_MS);
     }
 
     /// The planned stop. Running streams are always finished, however long they take.
     stop: StopSettings {
-        /// How long new requests are still taken after readiness was withdrawn, so that
-        /// the balancer has noticed before the first one is refused.
+        /// How long new requests are still accepted after readiness was withdrawn, so that
+        /// the balancer notices before the first one is refused.
         notice_ms: Millis = default(Millis(2_000)).range(0, 600_000);
     }
 
--- a/crates/oriolemux/src/settings/value.rs
+++ b/crates/oriolemux/src/settings/value.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 use toml_edit::Item;
 
-/// Where a value stands and how it is to be read.
+/// The position of a value and the rules for reading it.
 pub(super) struct ValueContext<'a> {
     /// The full key, for messages.
     pub(super) key: &'a str,
     /// The place of the value.
     pub(super) place: Place,
-    /// The directory that relative paths are taken from.
+    /// The directory that relative paths are resolved against.
     pub(super) base: &'a Path,
     /// The least and the greatest number allowed.
     pub(super) range: Option<(i64, i64)>,
@@ -78,7 +78,7 @@
     /// Reads the value from TOML.
     fn read(item: &Item, cx: &ValueContext<'_>) -> Result<Self, Problem>;
 
-    /// Writes the value as it would stand in TOML.
+    /// Formats the value as TOML.
     fn to_toml(&self) -> String;
 }
 
@@ -296,13 +296,13 @@
     }
 }
 
-/// How log lines look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One readable line an event.
+    /// One human-readable line per event.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -320,7 +320,7 @@
     }
 }
 
-/// Where log lines go.
+/// Where log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogOutput {
--- a/crates/oriolemux/tests/events_metrics.rs
+++ b/crates/oriolemux/tests/events_metrics.rs
@@ -1,6 +1,6 @@
-//! Each refusal and retry reason has a counter, shown from the start.
+//! Tests that each refusal and retry reason has a counter that is exported from the start.
 //!
-//! One test in a file of its own, because the recorder is one for the process.
+//! The file has only one test, because a process has only one recorder.
 
 use oriolemux::events::emit;
 use oriolemux::metrics;
--- a/crates/oriolemux/tests/settings_docs.rs
+++ b/crates/oriolemux/tests/settings_docs.rs
@@ -1,4 +1,4 @@
-//! `docs/SETTINGS.md` says what the code does.
+//! Tests that `docs/SETTINGS.md` matches the tables of settings.
 
 use oriolemux::settings::render_docs;
 use std::path::PathBuf;
--- a/crates/oriolemux/tests/settings_examples.rs
+++ b/crates/oriolemux/tests/settings_examples.rs
@@ -1,4 +1,4 @@
-//! The examples of both users are valid and agree with each other.
+//! Tests that the example files of both users are valid and consistent with each other.
 
 use oriolemux::settings::Settings;
 use oriolemux_core::catalogue::check::{CheckFile, check_files};
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// What the brief says of a user.
+/// The sizes that the brief gives for a user.
 struct User {
     dir: &'static str,
     data_centres: [&'static str; 3],
--- a/crates/oriolemux/tests/settings_reading.rs
+++ b/crates/oriolemux/tests/settings_reading.rs
@@ -1,9 +1,9 @@
-//! Settings are read whole, and every mistake is reported with its place.
+//! Tests that settings are read completely and every mistake is reported with its line and column.
 
 use oriolemux::settings::{LogFormat, LogLevel, Millis, Secret, Secrets, Settings};
 use rstest::rstest;
 
-/// The least that settings must say.
+/// Settings that contain only the required keys.
 const MINIMAL: &str = r#"
 name = "chaguanas-1"
 data_centre = "chaguanas"
