--- a/crates/core/src/node/placement.rs
+++ b/crates/core/src/node/placement.rs
@@ -232,7 +232,7 @@
             {
                 self.refuse(seq, Reason::NoCatalogue);
             }
-            Stage::AwaitingRunLease if over => self.refuse(seq, Reason::TurnTaken),
+            Stage::AwaitingRunLease if over => self.refuse(seq, Reason::NoRunLease),
             Stage::Placing { .. } | Stage::Admitting if over => {
                 self.refuse(seq, Reason::HomeSilent);
             }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -109,8 +109,8 @@
         let standing = self.suspects.ledger.standing(self.now, run.fingerprint);
         match self.suspects.runs.admit(self.now, run, standing) {
             Admission::Go => return true,
-            Admission::Refused => self.refuse(seq, Reason::EndsEndpoints),
-            Admission::NoHome => self.refuse(seq, Reason::TurnTaken),
+            Admission::Refused => self.refuse(seq, Reason::CrashesEndpoints),
+            Admission::NoHome => self.refuse(seq, Reason::NoRunLease),
             Admission::Wait => self.await_run_lease(seq),
         }
         false
--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -110,7 +110,7 @@
     /// A ticket is malformed or was never issued.
     BadTicket = "bad_ticket", 400, Input;
     /// The same request crashed several endpoints that had started it.
-    EndsEndpoints = "ends_endpoints", 400, Input;
+    CrashesEndpoints = "ends_endpoints", 400, Input;
 
     /// The entry's limit of concurrent requests is reached.
     EntryConcurrency = "entry_concurrency", 429, Limit;
@@ -127,7 +127,7 @@
     /// The instance holds as many connections or requests as its settings allow.
     InstanceFull = "instance_full", 503, Limit;
     /// The same request crashed an endpoint, and is currently running at another one.
-    TurnTaken = "turn_taken", 503, Limit;
+    NoRunLease = "turn_taken", 503, Limit;
     /// No live endpoint serves the entry.
     NoEndpoint = "no_endpoint", 503, Limit;
     /// The retry budget is used up.
