--- a/crates/oriolemux/src/story.rs
+++ b/crates/oriolemux/src/story.rs
@@ -1,9 +1,9 @@
-//! The story of one request of a gateway, told from log lines alone.
+//! Reconstructs the history of one gateway request from log lines.
 //!
-//! What a gateway decides about a request stands in its log lines, under the caller's
-//! name of the attempt; [`Story::of`] puts those in order, adds the lines beside them
-//! that explain them, and names the cause. It needs no running process: the one that
-//! served the request may be gone. `docs/OPERATIONS.md` shows how it is used.
+//! A gateway logs each decision about a request under the caller's name of the attempt.
+//! [`Story::of`] orders these lines, adds other lines that explain them, and determines the
+//! cause of the outcome. It works without a running process, because the instance that served
+//! the request may be gone. `docs/OPERATIONS.md` shows how it is used.
 
 mod cause;
 mod line;
@@ -20,33 +20,35 @@
 
 use crate::events::LogEvent;
 
-/// How long before a request's first line other lines may explain it. An endpoint that
-/// leaves is gone some two seconds later; a store that is away is told once, when it goes.
-const BEFORE: Duration = Duration::from_secs(30);
+/// How long before a request's first line other lines may explain it. A leaving endpoint is gone
+/// about two seconds after its line, but the loss of the store is logged only once.
+const WINDOW_BEFORE: Duration = Duration::from_secs(30);
 
-/// How long after a request's last line other lines may explain it: the departure of an
-/// endpoint may be known only after its connections broke.
-const AFTER: Duration = Duration::from_secs(2);
+/// How long after a request's last line other lines may explain it. An endpoint's departure may
+/// become known only after its connections broke.
+const WINDOW_AFTER: Duration = Duration::from_secs(2);
 
-/// The same for a request of which no line tells the end: its process may have ended at
-/// any moment of the time that a request may take.
-const AFTER_NO_END: Duration = Duration::from_secs(60);
+/// Like [`WINDOW_AFTER`], for a request whose end was not logged. Its process may have ended at
+/// any time while the request ran.
+const WINDOW_AFTER_NO_END: Duration = Duration::from_secs(60);
 
-/// A request as its log lines tell it.
+/// The history of one request, reconstructed from log lines.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Story {
     /// The caller's name of the attempt.
     pub attempt: String,
-    /// The lines that name it, in order.
+    /// The lines that name the attempt, ordered by time.
     pub steps: Vec<LogLine>,
-    /// Lines that do not name it and say what happened to its endpoints and instance.
-    pub beside: Vec<LogLine>,
-    /// What became of it, and why.
+    /// Lines that do not name the attempt but report what happened to its endpoints and
+    /// instances, ordered by time.
+    #[serde(rename = "beside")]
+    pub context: Vec<LogLine>,
+    /// The outcome of the request and its cause.
     pub cause: Cause,
 }
 
 impl Story {
-    /// Returns the story of `attempt`; nothing if no line names it.
+    /// Reconstructs the history of `attempt`. Returns `None` if no line names it.
     pub fn of(attempt: &str, lines: &[LogLine]) -> Option<Self> {
         let names_it = |line: &&LogLine| line.field("attempt") == Some(attempt);
         let mut steps: Vec<LogLine> = lines.iter().filter(names_it).cloned().collect();
@@ -54,48 +56,50 @@
         let (first, last) = (steps.first()?.time, steps.last()?.time);
         let endpoints: BTreeSet<&str> = steps.iter().flat_map(LogLine::endpoints).collect();
         let instances: BTreeSet<&str> = steps.iter().map(|line| line.source.as_str()).collect();
-        let after = match steps.iter().any(ends_it) {
-            true => AFTER,
-            false => AFTER_NO_END,
+        let after = match steps.iter().any(is_end) {
+            true => WINDOW_AFTER,
+            false => WINDOW_AFTER_NO_END,
         };
-        let span = first.checked_sub(BEFORE).unwrap_or(first)..=last + after;
+        let span = first.checked_sub(WINDOW_BEFORE).unwrap_or(first)..=last + after;
         let explains = |line: &&LogLine| {
             let of_instance = instances.contains(line.source.as_str());
-            let of_endpoint = is_of_endpoint(line.event)
+            let of_endpoint = is_endpoint_event(line.event)
                 && line.endpoints().any(|it| endpoints.contains(it))
                 && line.field("attempt").is_none();
-            span.contains(&line.time) && of_instance && (of_endpoint || is_of_instance(line.event))
+            span.contains(&line.time)
+                && of_instance
+                && (of_endpoint || is_instance_event(line.event))
         };
-        let mut beside: Vec<LogLine> = lines.iter().filter(explains).cloned().collect();
-        beside.sort_by_key(|line| line.time);
-        keep_judging_catalogue(&mut beside, first);
-        let cause = Cause::of(&steps, &beside);
+        let mut context: Vec<LogLine> = lines.iter().filter(explains).cloned().collect();
+        context.sort_by_key(|line| line.time);
+        retain_applied_catalogue(&mut context, first);
+        let cause = Cause::of(&steps, &context);
         Some(Story {
             attempt: attempt.to_owned(),
             steps,
-            beside,
+            context,
             cause,
         })
     }
 }
 
-/// Leaves only the line of the catalogue by which a request that came at `first` was
-/// judged; those before and after it decided nothing.
-fn keep_judging_catalogue(beside: &mut Vec<LogLine>, first: SystemTime) {
+/// Removes all `catalogue_in_force` lines except that of the catalogue in force when the request
+/// arrived at `first`; the others did not affect the request.
+fn retain_applied_catalogue(context: &mut Vec<LogLine>, first: SystemTime) {
     let in_force = |line: &LogLine| line.event == GatewayEvent::CatalogueInForce.number();
-    let judged_by = beside
+    let applied = context
         .iter()
         .rposition(|line| in_force(line) && line.time <= first);
     let mut at = 0;
-    beside.retain(|line| {
-        let keep = !in_force(line) || Some(at) == judged_by;
+    context.retain(|line| {
+        let keep = !in_force(line) || Some(at) == applied;
         at += 1;
         keep
     });
 }
 
-/// Returns whether a line tells the end of a request.
-fn ends_it(line: &LogLine) -> bool {
+/// Returns whether a line reports the end of a request.
+fn is_end(line: &LogLine) -> bool {
     let ends = [
         GatewayEvent::RefusedAtFront,
         GatewayEvent::GenerationRefused,
@@ -105,14 +109,14 @@
     ends.iter().any(|known| known.number() == line.event) || line.field("repeat") == Some("false")
 }
 
-/// Returns whether an event tells what became of an endpoint.
-fn is_of_endpoint(event: u32) -> bool {
+/// Returns whether an event reports a change of state of an endpoint.
+fn is_endpoint_event(event: u32) -> bool {
     event == GatewayEvent::EndpointLeaving.number()
         || event == GatewayEvent::EndpointEjected.number()
 }
 
-/// Returns whether an event tells what became of an instance or its store.
-fn is_of_instance(event: u32) -> bool {
+/// Returns whether an event reports a change of state of an instance, its store or its catalogue.
+fn is_instance_event(event: u32) -> bool {
     let of_process = [
         LogEvent::Started,
         LogEvent::StopRequested,
@@ -132,17 +136,17 @@
 }
 
 impl fmt::Display for Story {
-    /// Writes the story for people, with times since its first line.
+    /// Writes the history as text, with times relative to the attempt's first line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "attempt {}", self.attempt)?;
         let first = self.steps.first().map(|line| line.time);
         for line in &self.steps {
             write_line(f, first, line)?;
         }
-        if !self.beside.is_empty() {
+        if !self.context.is_empty() {
             writeln!(f, "beside it")?;
         }
-        for line in &self.beside {
+        for line in &self.context {
             write_line(f, first, line)?;
         }
         writeln!(f, "cause: {}", self.cause)
--- a/crates/oriolemux/src/story/cause.rs
+++ b/crates/oriolemux/src/story/cause.rs
@@ -1,4 +1,4 @@
-//! What became of a request, and why, as far as its lines tell.
+//! Determines the outcome of a request and its cause from log lines.
 
 use super::line::LogLine;
 use oriolemux_gateway::event_log::GatewayEvent;
@@ -7,7 +7,7 @@
 
 use crate::events::LogEvent;
 
-/// What became of a request, and why.
+/// The outcome of a request and its cause.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
@@ -15,11 +15,11 @@
     Well,
     /// complete, but late: {waited_ms} ms for room, first event after {first_ms} ms, longest pause {pause_ms} ms
     Late {
-        /// How long it waited for room at an engine.
+        /// How long it waited for a slot at an engine.
         waited_ms: u64,
-        /// When its first event came.
+        /// The time until its first event.
         first_ms: u64,
-        /// Its longest pause.
+        /// The longest pause between its events.
         pause_ms: u64,
     },
     /// refused at the front and not run: {0}
@@ -41,55 +41,60 @@
         endpoint: String,
     },
     /// {endpoint} answered with a failure of its own; {attempts} attempts in all
-    FailedThere {
+    #[serde(rename = "failed_there")]
+    EndpointFailed {
         /// The endpoint that was tried last.
         endpoint: String,
         /// How often the call was sent.
         attempts: usize,
     },
     /// refused: request {request} had ended {ended} endpoints that began it
-    EndsEndpoints {
-        /// What makes two attempts the same request.
+    #[serde(rename = "ends_endpoints")]
+    CrashesEndpoints {
+        /// The fingerprint that is the same for all attempts of the request.
         request: String,
-        /// How many endpoints it had ended.
+        /// How many endpoints it had crashed.
         ended: u64,
     },
     /// its endpoint {endpoint} ended while it began; endpoints that ended so with request {request}: {ended}
-    EndedEndpoint {
-        /// The endpoint.
+    #[serde(rename = "ended_endpoint")]
+    CrashedEndpoint {
+        /// The endpoint that crashed.
         endpoint: String,
-        /// What makes two attempts the same request.
+        /// The fingerprint that is the same for all attempts of the request.
         request: String,
-        /// How many endpoints it had ended then.
+        /// How many endpoints it had crashed by then.
         ended: u64,
     },
     /// its engine {engine} went, and {asked} did not go on with it: {why}
-    NotTakenUp {
-        /// The engine that it ran at.
+    #[serde(rename = "not_taken_up")]
+    ResumeFailed {
+        /// The engine at which it ran.
         engine: String,
-        /// The engine that was asked to go on.
+        /// The engine that was to resume it.
         asked: String,
-        /// What that one said.
+        /// Why that engine did not resume it.
         why: String,
     },
     /// its engine {engine} went, and no copy of it was complete: {why}
     NoCopy {
-        /// The engine that it ran at.
+        /// The engine at which it ran.
         engine: String,
-        /// What its lines say of copies.
+        /// Why no copy was complete.
         why: NoCopyReason,
     },
     /// ended early: {0}
     Ended(String),
     /// its instance started anew before it ended
-    InstanceWentDown,
+    #[serde(rename = "instance_went_down")]
+    InstanceRestarted,
     /// its instance was stopped before it ended
     InstanceStopped,
     /// no line tells its end: it still runs, or lines were left out
     Unknown,
 }
 
-/// Why a generation had no copy to go on from.
+/// Why a generation had no copy of its KV cache from which it could resume.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum NoCopyReason {
@@ -104,17 +109,18 @@
 }
 
 impl Cause {
-    /// Returns the cause that the lines of a request tell.
-    pub(super) fn of(steps: &[LogLine], beside: &[LogLine]) -> Self {
-        let cause = Self::of_last(steps, beside);
+    /// Determines the cause. What is known of endpoint crashes takes precedence unless the request
+    /// completed.
+    pub(super) fn of(steps: &[LogLine], context: &[LogLine]) -> Self {
+        let cause = Self::of_last(steps, context);
         match of_suspect(steps) {
             Some(suspect) if !matches!(cause, Cause::Well | Cause::Late { .. }) => suspect,
             _ => cause,
         }
     }
 
-    /// Returns the cause that the last line tells by which it ended.
-    fn of_last(steps: &[LogLine], beside: &[LogLine]) -> Self {
+    /// Determines the cause from the last line that reports an end.
+    fn of_last(steps: &[LogLine], context: &[LogLine]) -> Self {
         for line in steps.iter().rev() {
             let reason = || line.field("reason").unwrap_or("?").to_owned();
             let ms = line.number("ms");
@@ -122,7 +128,7 @@
                 Some(GatewayEvent::GenerationRefused | GatewayEvent::CallFailed)
                     if line.field("reason") == Some(CORDONED) =>
                 {
-                    return Cause::Cordoned(closed_before(line, beside));
+                    return Cause::Cordoned(cordoned_at(line, context));
                 }
                 Some(GatewayEvent::RefusedAtFront) => return Cause::RefusedAtFront(reason()),
                 Some(GatewayEvent::GenerationRefused) => {
@@ -138,44 +144,44 @@
                         endpoint,
                     };
                 }
-                Some(GatewayEvent::GenerationEnded) => return of_end(line, steps, beside),
+                Some(GatewayEvent::GenerationEnded) => return of_end(line, steps, context),
                 Some(GatewayEvent::CallAttempt) if line.field("repeat") == Some("false") => {
                     return match line.field("what") {
                         Some("answered") => Cause::Well,
-                        Some("failed") => failed_there(line, steps),
+                        Some("failed") => endpoint_failed(line, steps),
                         what => Cause::Ended(what.unwrap_or("?").to_owned()),
                     };
                 }
                 _ => {}
             }
         }
-        without_end(steps, beside)
+        without_end(steps, context)
     }
 }
 
-/// The reason with which callers are refused whose data centres are all closed.
+/// The reason of a refusal because all data centres that serve the request are cordoned.
 const CORDONED: &str = "data_centres_cordoned";
 
-/// Returns which data centres were closed when `refused` was written, and by which revision.
-fn closed_before(refused: &LogLine, beside: &[LogLine]) -> String {
-    let mut closed = BTreeMap::new();
-    for line in beside.iter().filter(|it| it.time <= refused.time) {
+/// Lists the data centres that were cordoned when `refused` was logged, each with its revision.
+fn cordoned_at(refused: &LogLine, context: &[LogLine]) -> String {
+    let mut cordoned = BTreeMap::new();
+    for line in context.iter().filter(|it| it.time <= refused.time) {
         let data_centre = line.field("data_centre").unwrap_or("-").to_owned();
         match event_of(line) {
             Some(GatewayEvent::DataCentreCordoned) => {
-                closed.insert(data_centre, line.number("revision"));
+                cordoned.insert(data_centre, line.number("revision"));
             }
             Some(GatewayEvent::CordonLifted) => {
-                closed.remove(&data_centre);
+                cordoned.remove(&data_centre);
             }
             _ => {}
         }
     }
-    let closed: Vec<String> = closed
+    let cordoned: Vec<String> = cordoned
         .into_iter()
         .map(|(data_centre, revision)| format!("{data_centre} by revision {revision}"))
         .collect();
-    closed.join(", ")
+    cordoned.join(", ")
 }
 
 fn event_of(line: &LogLine) -> Option<GatewayEvent> {
@@ -183,26 +189,26 @@
     known.find(|event| event.number() == line.event).copied()
 }
 
-/// Returns what the lines say of endpoints that ended with the request.
+/// Returns the cause if the lines report that the request crashed endpoints.
 fn of_suspect(steps: &[LogLine]) -> Option<Cause> {
     let last = |event| steps.iter().rfind(|line| event_of(line) == Some(event));
     let field = |line: &LogLine, name| line.field(name).unwrap_or("-").to_owned();
     if let Some(line) = last(GatewayEvent::SuspectRefused) {
-        return Some(Cause::EndsEndpoints {
+        return Some(Cause::CrashesEndpoints {
             request: field(line, "request"),
             ended: line.number("ended"),
         });
     }
-    last(GatewayEvent::EndpointCrashed).map(|line| Cause::EndedEndpoint {
+    last(GatewayEvent::EndpointCrashed).map(|line| Cause::CrashedEndpoint {
         endpoint: field(line, "endpoint"),
         request: field(line, "request"),
         ended: line.number("ended"),
     })
 }
 
-fn failed_there(line: &LogLine, steps: &[LogLine]) -> Cause {
+fn endpoint_failed(line: &LogLine, steps: &[LogLine]) -> Cause {
     let attempts = steps.iter().map(event_of);
-    Cause::FailedThere {
+    Cause::EndpointFailed {
         endpoint: line.field("endpoint").unwrap_or("-").to_owned(),
         attempts: attempts
             .filter(|event| *event == Some(GatewayEvent::CallAttempt))
@@ -210,7 +216,7 @@
     }
 }
 
-fn of_end(end: &LogLine, steps: &[LogLine], beside: &[LogLine]) -> Cause {
+fn of_end(end: &LogLine, steps: &[LogLine], context: &[LogLine]) -> Cause {
     match end.field("how") {
         Some("complete") if end.field("late") == Some("true") => Cause::Late {
             waited_ms: end.number("wait_ms"),
@@ -218,12 +224,12 @@
             pause_ms: end.number("pause_ms"),
         },
         Some("complete") => Cause::Well,
-        Some("no_copy") => without_copy(end, steps, beside),
+        Some("no_copy") => without_copy(end, steps, context),
         how => Cause::Ended(how.unwrap_or("?").to_owned()),
     }
 }
 
-fn without_copy(end: &LogLine, steps: &[LogLine], beside: &[LogLine]) -> Cause {
+fn without_copy(end: &LogLine, steps: &[LogLine], context: &[LogLine]) -> Cause {
     let last = |event| steps.iter().rfind(|line| event_of(line) == Some(event));
     let moved = steps.iter().rfind(|line| {
         let event = event_of(line);
@@ -234,13 +240,13 @@
     if let (Some(moved), Some(refused)) = (moved, last(GatewayEvent::ResumeFailed))
         && refused.time >= moved.time
     {
-        return Cause::NotTakenUp {
+        return Cause::ResumeFailed {
             engine: moved.field("from").unwrap_or("-").to_owned(),
             asked: refused.field("endpoint").unwrap_or("-").to_owned(),
             why: refused.field("why").unwrap_or("?").to_owned(),
         };
     }
-    let told = beside.iter().any(|line| {
+    let had_notice = context.iter().any(|line| {
         event_of(line) == Some(GatewayEvent::EndpointLeaving)
             && line.field("endpoint") == Some(engine.as_str())
             && line.time < end.time
@@ -251,7 +257,7 @@
         .filter(|line| line.field("from") == Some(engine.as_str()))
         .and_then(|line| line.field("how"));
     let why = match failed {
-        _ if !told => NoCopyReason::NoNotice,
+        _ if !had_notice => NoCopyReason::NoNotice,
         Some(how) => NoCopyReason::Failed(how.to_owned()),
         None if no_room => NoCopyReason::NoRoom,
         None => NoCopyReason::NotInTime,
@@ -259,20 +265,21 @@
     Cause::NoCopy { engine, why }
 }
 
-/// A request without a line of its end ended with its process, or runs on.
-fn without_end(steps: &[LogLine], beside: &[LogLine]) -> Cause {
+/// Determines the cause for a request whose end was not logged: it ended with its process, or it
+/// is still running.
+fn without_end(steps: &[LogLine], context: &[LogLine]) -> Cause {
     let Some(last) = steps.last() else {
         return Cause::Unknown;
     };
     let after = |event: LogEvent| {
-        beside
+        context
             .iter()
             .any(|line| line.event == event.number() && line.time > last.time)
     };
     if after(LogEvent::StoppedNow) || after(LogEvent::StopFinished) {
         Cause::InstanceStopped
     } else if after(LogEvent::Started) {
-        Cause::InstanceWentDown
+        Cause::InstanceRestarted
     } else {
         Cause::Unknown
     }
--- a/crates/oriolemux/src/story/line.rs
+++ b/crates/oriolemux/src/story/line.rs
@@ -1,29 +1,29 @@
-//! One line of a log, as [`crate::logs`] writes it.
+//! Parses log lines that [`crate::logs`] writes.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::SystemTime;
 
-/// Keys that every line has, and that are no fields of its event.
+/// Keys that every line has and that are not fields of its event.
 const COMMON: [&str; 5] = ["event", "level", "message", "target", "time"];
 
 /// Fields that name an endpoint.
 const ENDPOINTS: [&str; 4] = ["endpoint", "from", "to", "source"];
 
-/// One line of a numbered event.
+/// One log line of a numbered event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LogLine {
-    /// Where it was found: the name of a file, or the words before the line that a
-    /// collector of logs put there.
+    /// Where the line was found: the name of its file, or the last word that a log collector put
+    /// before the line.
     pub source: String,
-    /// When it was written.
+    /// When the line was logged.
     #[serde(serialize_with = "as_text")]
     pub time: SystemTime,
     /// The number of its event.
     pub event: u32,
     /// The name of its event.
     pub name: String,
-    /// Its fields, by name.
+    /// The fields of its event, by name.
     pub fields: BTreeMap<String, String>,
 }
 
@@ -32,8 +32,8 @@
 }
 
 impl LogLine {
-    /// Reads a line; nothing if it is none of a numbered event. Collectors of logs put
-    /// times and names of machines before a line; its last such word is its source.
+    /// Parses a line. Returns `None` if it is not the line of a numbered event. Log collectors put
+    /// times and host names before a line; the last word before it becomes its source, else `file`.
     pub fn read(file: &str, text: &str) -> Option<Self> {
         let (before, json) = text.split_at(text.find('{')?);
         let mut object: BTreeMap<String, serde_json::Value> =
@@ -50,7 +50,7 @@
             name,
             fields: object
                 .into_iter()
-                .map(|(key, value)| (key, as_word(value)))
+                .map(|(key, value)| (key, as_text_value(value)))
                 .collect(),
         })
     }
@@ -60,7 +60,7 @@
         self.fields.get(name).map(String::as_str)
     }
 
-    /// Returns a field that is a number; 0 if there is none.
+    /// Returns a numeric field, or 0 if it is missing or not a number.
     pub fn number(&self, name: &str) -> u64 {
         let field = self.field(name);
         field.and_then(|text| text.parse().ok()).unwrap_or(0)
@@ -72,7 +72,7 @@
     }
 }
 
-fn as_word(value: serde_json::Value) -> String {
+fn as_text_value(value: serde_json::Value) -> String {
     match value {
         serde_json::Value::String(text) => text,
         other => other.to_string(),
--- a/crates/oriolemux/tests/story.rs
+++ b/crates/oriolemux/tests/story.rs
@@ -1,5 +1,5 @@
-//! Requests of real runs, explained from their log lines: each file `stories/NAME.log`
-//! begins with the attempt, and `NAME.txt` beside it holds what is to be said of it.
+//! Explains requests of real runs from their log lines. Each file `stories/NAME.log` names the
+//! attempt in its first line; `stories/NAME.txt` holds the expected explanation.
 
 use oriolemux::story::{Cause, LogLine, Story};
 use std::path::PathBuf;
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn stories_are_told_as_expected() {
-    let mut told = 0;
+fn stories_match_the_expected_texts() {
+    let mut compared = 0;
     for entry in std::fs::read_dir(stories()).expect("the stories") {
         let path = entry.expect("an entry").path();
         if path.extension().is_none_or(|it| it != "log") {
@@ -37,16 +37,17 @@
         if std::env::var_os(RENEW).is_some() {
             std::fs::write(&expected, &story).expect("written");
         }
-        let expected_text = std::fs::read_to_string(&expected).expect("what is expected");
+        let expected_text = std::fs::read_to_string(&expected).expect("an expected text");
         assert_eq!(story, expected_text, "{}", expected.display());
-        told += 1;
+        compared += 1;
     }
-    assert!(told > 0, "no stories");
+    assert!(compared > 0, "no stories");
 }
 
-/// The last line alone would say that it was not run, and not why.
+/// Guards against an explanation from the last line alone, which says that the request was not run
+/// but not that it had crashed endpoints.
 #[test]
-fn a_request_that_is_refused_for_what_it_did_is_told_so() {
+fn refused_suspect_is_explained_by_its_crashes() {
     let texts = [
         r#"{"event":832,"time":"2026-03-29T00:52:10.000Z","message":"suspect_refused","attempt":"a","request":"c5","ended":3}"#,
         r#"{"event":806,"time":"2026-03-29T00:52:10.000Z","message":"generation_refused","attempt":"a","reason":"ends_endpoints","ms":1}"#,
@@ -56,25 +57,25 @@
 
     let story = Story::of("a", &lines).expect("a story");
 
-    let expected = Cause::EndsEndpoints {
+    let expected = Cause::CrashesEndpoints {
         request: "c5".to_owned(),
         ended: 3,
     };
     assert_eq!(story.cause, expected);
 }
 
-/// Lines that a process cut off, that are no JSON, or that are of no numbered event are
-/// passed over; they end nothing.
+/// Truncated lines, lines that are not JSON and lines without a numbered event are skipped and do
+/// not stop the parsing of later lines.
 #[test]
-fn lines_that_are_none_are_passed_over() {
-    let whole = r#"{"event":802,"time":"2026-03-29T00:52:10.000Z","message":"refused_at_front","attempt":"a","reason":"no_entry"}"#;
+fn unparsable_lines_are_skipped() {
+    let valid = r#"{"event":802,"time":"2026-03-29T00:52:10.000Z","message":"refused_at_front","attempt":"a","reason":"no_entry"}"#;
     let texts = [
         "",
         "{",
         "plain text",
-        &whole[..60],
+        &valid[..60],
         r#"{"message":"x"}"#,
-        whole,
+        valid,
     ];
 
     let lines: Vec<LogLine> = texts
