--- a/crates/oriolemux/src/events.rs
+++ b/crates/oriolemux/src/events.rs
@@ -1,10 +1,9 @@
-//! Numbered events: what operators are told in logs and counters.
+//! Numbered events, reported to operators as log lines and counters.
 //!
-//! The core says what happened as a [`Note`], the shell as a [`ShellNote`].
-//! [`emit`] and [`emit_shell`] turn either into one log line with the number of
-//! its [`LogEvent`] and into a count of `oriolemux_events_total`. The numbers
-//! and what to do about each stand in `docs/EVENTS.md`, which is generated from
-//! the tables here.
+//! The core reports an event as a [`Note`], the shell as a [`ShellNote`]. [`emit`] and
+//! [`emit_shell`] log either as one line with the number of its [`LogEvent`] and count it in
+//! `oriolemux_events_total`. `docs/EVENTS.md` lists the events and is generated from the tables
+//! here.
 
 mod docs;
 mod shell_note;
@@ -28,13 +27,13 @@
 /// The key under which a log record carries the number of its event.
 pub const NUMBER_KEY: &str = "event";
 
-/// Logs and counts what the core noted, with keys in place of names.
+/// Logs and counts a note of the core, with keys in place of names.
 pub fn emit(note: &Note) {
     emit_named(note, &NoNames);
 }
 
-/// Logs and counts what the core noted. Endpoints and instances are shown under the names
-/// that are known, because an operator looks for those in the list.
+/// Logs and counts a note of the core. Endpoints and instances are logged by name where it is
+/// known, because operators look for the names in the list, and else by key.
 pub fn emit_named(note: &Note, names: &impl Names) {
     match note {
         Note::Refused { request, reason } => {
@@ -134,7 +133,7 @@
     }
 }
 
-/// Knows no name.
+/// Resolves no name, so that keys are logged.
 struct NoNames;
 
 impl Names for NoNames {
@@ -157,7 +156,7 @@
     name.map_or_else(|| key.to_string(), str::to_owned)
 }
 
-/// Logs and counts what the shell noted.
+/// Logs and counts a note of the shell.
 pub fn emit_shell(note: &ShellNote<'_>) {
     note.with_fields(record);
 }
@@ -171,7 +170,7 @@
     }
 }
 
-/// Returns the event of something that was dropped for `reason`.
+/// Returns the event of a received message that was dropped for `reason`.
 const fn discard_event(reason: Reason) -> LogEvent {
     match reason {
         Reason::WrongAttempt => LogEvent::AnswerCrossed,
--- a/crates/oriolemux/src/events/docs.rs
+++ b/crates/oriolemux/src/events/docs.rs
@@ -10,15 +10,16 @@
 
 This page is generated from `crates/oriolemux/src/events/table.rs`,
 `crates/core/src/reason.rs` and `crates/oriolemux/src/metrics.rs`; to renew
-it, run the tests of `events_docs` with `ORIOLEMUX_RENEW=1`. What to do about
-each failure stands in [OPERATIONS.md](OPERATIONS.md).
+it, run the tests of `events_docs` with `ORIOLEMUX_RENEW=1`.
+[OPERATIONS.md](OPERATIONS.md) says what to do about each failure.
 
 ## Events
 
 Each log line of a numbered event has the number as `event` and the name as its
 message. Each is counted in `oriolemux_events_total` with the name as label
-`event`, whatever the level of the log. Of one event at most 100 lines a second
-are logged, so that no flood drowns the rest; the counters count all.
+`event`, whatever the level of the log. At most 100 lines a
+second are logged for each event, so that a surge of one event does not hide
+the others; the counters count all.
 
 | number | name | level | meaning |
 | --- | --- | --- | --- |
@@ -27,10 +28,10 @@
 const GATEWAY: &str = "
 ## Events of instances for HTTP entries
 
-They come from `crates/gateway/src/event_log.rs`. Of each event so many lines a second
-are logged; `left_out` on a line of its own says how many were not. The field
-`attempt` is the caller's own name of its attempt, so that a failed request is
-found by what its caller holds.
+They are defined in `crates/gateway/src/event_log.rs`. The table gives the most lines
+a second that are logged for each event; a separate line reports in `left_out` how
+many were suppressed. The field `attempt` is the caller's own name of its attempt, so
+that a failed request can be found by the name that its caller knows.
 
 | number | name | level | lines a second | meaning |
 | --- | --- | --- | --- | --- |
@@ -41,7 +42,7 @@
 
 The same name is the `reason` of an error sent to a caller, the label `reason`
 of the counters and the field `reason` of log lines. Status is what a caller
-sees, unless part of the answer was sent before.
+sees, unless part of the response was sent before.
 
 | reason | group | status | meaning |
 | --- | --- | --- | --- |
@@ -50,8 +51,8 @@
 const METRICS: &str = "
 ## Metrics
 
-`GET /metrics` on the operators' listener gives them in the Prometheus text
-format. Counters by reason show each reason from the start, at zero.
+`GET /metrics` on the operators' listener returns them in the Prometheus text
+format. Counters by reason list every reason from the start, at zero.
 
 | metric | kind | meaning |
 | --- | --- | --- |
--- a/crates/oriolemux/src/events/shell_note.rs
+++ b/crates/oriolemux/src/events/shell_note.rs
@@ -1,37 +1,37 @@
-//! What the shell tells operators, besides the core's notes.
+//! Events that the shell reports, in addition to the core's notes.
 
 use super::{Field, LogEvent, display};
 use core::time::Duration;
 use oriolemux_core::ids::Incarnation;
 use std::net::{IpAddr, SocketAddr};
 
-/// Something that happened in the shell and that operators should be able to see.
+/// An event in the shell that is reported to operators.
 #[derive(Clone, Copy, Debug)]
 pub enum ShellNote<'a> {
     /// The process starts.
     Started {
         /// The instance's published name.
         instance: &'a str,
-        /// This life of it.
+        /// The instance's incarnation.
         incarnation: Incarnation,
     },
-    /// The settings were read and have no findings.
+    /// The settings were read and are valid.
     SettingsRead {
-        /// Their file.
+        /// The settings file.
         file: &'a str,
     },
-    /// Settings that were read anew have findings.
+    /// The settings were read again and have findings.
     SettingsRejected {
-        /// Their file.
+        /// The settings file.
         file: &'a str,
         /// All findings.
         findings: &'a str,
     },
     /// A listener accepts connections.
     Listening {
-        /// For whom, for example `callers`.
+        /// Which clients it serves, for example `callers`.
         listener: &'static str,
-        /// On which address.
+        /// The address it is bound to.
         address: SocketAddr,
     },
     /// The process could not start.
@@ -41,14 +41,14 @@
     },
     /// A planned stop begins.
     StopRequested {
-        /// Who asked for it: `signal` or `operator`.
+        /// Who requested it: `signal` or `operator`.
         by: &'static str,
     },
-    /// The planned stop is done.
+    /// The planned stop is complete.
     StopFinished,
-    /// A second signal ended the process at once.
+    /// A second signal ended the process immediately.
     StoppedNow,
-    /// A part failed and is started again.
+    /// A part failed and is restarted.
     PartRestarted {
         /// The part's name.
         part: &'static str,
@@ -64,7 +64,7 @@
     },
     /// The process was paused.
     Paused {
-        /// For how long, at least.
+        /// The shortest time for which it was paused.
         pause: Duration,
     },
     /// A link to another instance is up.
@@ -72,13 +72,13 @@
         /// The peer's published name.
         peer: &'a str,
     },
-    /// A link to another instance is gone.
+    /// A link to another instance broke.
     PeerDown {
         /// The peer's published name.
         peer: &'a str,
     },
-    /// A connection between instances was not taken, because one side did not prove that it
-    /// knows the secret or is the instance that was wanted.
+    /// A connection between instances was refused, because one side did not prove that it knows
+    /// the secret or that it is the expected instance.
     PeerRefused {
         /// Why.
         why: &'a str,
@@ -91,7 +91,7 @@
 }
 
 impl ShellNote<'_> {
-    /// Calls `f` with the event of the note and the fields of its log line.
+    /// Calls `f` with the note's event and the fields of its log line.
     pub(super) fn with_fields(&self, f: impl FnOnce(LogEvent, &[Field<'_>])) {
         match self {
             ShellNote::Started {
--- a/crates/oriolemux/src/events/throttle.rs
+++ b/crates/oriolemux/src/events/throttle.rs
@@ -1,8 +1,8 @@
 //! Rate limit for the log lines of each kind of event.
 //!
-//! Without the limit, a client that connects in a loop, or a surge of refusals at level debug, could
-//! repeat one line a million times: other lines would be hard to find, and the disk for the logs
-//! would fill. The counters still count every event.
+//! Without the limit, a client that connects in a loop, or a surge of refusals at level debug,
+//! could repeat one line a million times: other lines would be hard to find, and the disk for the
+//! logs would fill. The counters still count every event.
 
 use super::LogEvent;
 use std::sync::OnceLock;
@@ -12,8 +12,8 @@
 /// The most lines of one event that are logged within one second.
 pub(super) const MAX_LINES_PER_SECOND: u64 = 100;
 
-/// For each event, the second in which it was last logged, and in the low bits the number of lines in
-/// that second.
+/// For each event, the second in which it was last logged, and in the low bits the number of lines
+/// in that second.
 static SEEN: [AtomicU64; LogEvent::ALL.len()] = [const { AtomicU64::new(0) }; LogEvent::ALL.len()];
 
 const COUNT_BITS: u32 = 16;
--- a/crates/oriolemux/src/story.rs
+++ b/crates/oriolemux/src/story.rs
@@ -115,7 +115,8 @@
         || event == GatewayEvent::EndpointEjected.number()
 }
 
-/// Returns whether an event reports a change of state of an instance, its store or its catalogue.
+/// Returns whether an event reports a change of state of an instance, its store or its
+/// catalogue, or of a data centre's cordon.
 fn is_instance_event(event: u32) -> bool {
     let of_process = [
         LogEvent::Started,
--- a/crates/oriolemux/tests/docs_links.rs
+++ b/crates/oriolemux/tests/docs_links.rs
@@ -1,8 +1,8 @@
-//! Links of pages, and pages that doc comments name, lead to what exists.
+//! Checks that the targets of links in pages, and the pages that doc comments name, exist.
 
 use std::path::{Path, PathBuf};
 
-/// Where pages and sources stand, from the root of the repository.
+/// The paths of pages and sources, relative to the root of the repository.
 const ROOTS: &[&str] = &["README.md", "DEVELOPERS.md", "docs", "examples", "crates"];
 
 fn root() -> PathBuf {
@@ -34,7 +34,7 @@
     words.filter(|word| word.starts_with("docs/") && word.ends_with(".md"))
 }
 
-/// Returns the targets of the links of a page, without anchors and without links elsewhere.
+/// Returns the targets of the links of a page, without anchors and without URLs.
 fn link_targets(text: &str) -> impl Iterator<Item = &str> {
     let links = text.split("](").skip(1);
     links
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn links_of_pages_lead_somewhere() {
+fn link_targets_exist() {
     let mut broken = Vec::new();
 
     for page in files("md") {
--- a/crates/oriolemux/tests/events_docs.rs
+++ b/crates/oriolemux/tests/events_docs.rs
@@ -1,4 +1,4 @@
-//! `docs/EVENTS.md` says what the code does.
+//! Checks that `docs/EVENTS.md` and `docs/OPERATIONS.md` agree with the tables of events.
 
 use oriolemux::events::{LogEvent, render_docs};
 use oriolemux_gateway::event_log::GatewayEvent;
@@ -37,7 +37,7 @@
     assert_eq!(names.len(), numbers.len());
 }
 
-/// Returns the numbers that stand in brackets in a text, as pages name events.
+/// Returns the numbers in brackets in a text; pages refer to events by these.
 fn named_events(text: &str) -> BTreeSet<u32> {
     let brackets = text.split('[').skip(1);
     brackets
--- a/crates/oriolemux/tests/events_logs.rs
+++ b/crates/oriolemux/tests/events_logs.rs
@@ -1,4 +1,5 @@
-//! Log lines look as the docs say, and nothing from outside can forge one.
+//! Log lines have the documented format, and field values from outside cannot forge a line or a
+//! field.
 
 use log::kv::{self, Key, Source, Value, VisitSource};
 use log::{Level, Record};
@@ -6,7 +7,7 @@
 use rstest::rstest;
 use std::time::{Duration, SystemTime};
 
-/// Fields of a log line, in order.
+/// The fields of a log line, in order.
 struct Fields<'a>(&'a [(&'a str, &'a str)]);
 
 impl Source for Fields<'_> {
--- a/crates/oriolemux/tests/events_names.rs
+++ b/crates/oriolemux/tests/events_names.rs
@@ -1,6 +1,6 @@
-//! Log lines of notes carry the published names.
+//! Log lines of notes contain the published names of endpoints and instances.
 //!
-//! One test in a file of its own, because the logger is one for the process.
+//! The test has its own file, because a process has only one logger.
 
 use log::{Log, Metadata, Record};
 use oriolemux::events::emit_named;
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::time::SystemTime;
 
-/// Keeps the lines.
+/// A logger that stores its lines.
 struct Lines(Mutex<Vec<String>>);
 
 static LINES: Lines = Lines(Mutex::new(Vec::new()));
@@ -29,7 +29,7 @@
     fn flush(&self) {}
 }
 
-/// Knows one endpoint.
+/// Resolves the name of one endpoint only.
 struct OneName;
 
 impl Names for OneName {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn known_names_stand_in_for_keys() {
+fn known_names_are_logged_instead_of_keys() {
     log::set_logger(&LINES).expect("no logger yet");
     log::set_max_level(log::LevelFilter::Info);
 
