--- a/crates/oriolemux/src/events/table.rs
+++ b/crates/oriolemux/src/events/table.rs
@@ -88,7 +88,7 @@
     EndpointLeaving = 301, "endpoint_leaving", Info;
     /// An endpoint stalls or fails, and receives no new requests except probes.
     EndpointEjected = 302, "endpoint_ejected", Warn;
-    /// An ejected endpoint passed its probes and receives requests again, slowly at first.
+    /// An ejected endpoint passed a probe and receives requests again, slowly at first.
     EndpointReadmitted = 303, "endpoint_readmitted", Info;
     /// An order was sent to an endpoint.
     EndpointOrdered = 304, "endpoint_ordered", Info;
