--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -39,27 +39,26 @@
 meters! {
     /// A counter with the label `reason`.
     ByReason {
-        /// Requests that the gateway refused or failed itself.
+        /// Requests that the gateway answered itself.
         Refused = "oriolemux_gateway_refusals_total";
-        /// Attempts of calls, by outcome.
+        /// Attempts of calls, by how they ended.
         Attempts = "oriolemux_gateway_attempts_total";
-        /// Calls that were retried, by the outcome of the previous attempt.
+        /// Calls that were sent once more, by how the attempt before ended.
         Repeats = "oriolemux_gateway_repeats_total";
-        /// Generations that were to resume at another engine: from a pre-copy (`ahead`), from a
-        /// standby copy (`standing`), by recomputing (`anew`), or `failed`.
+        /// Generations that were to go on at another engine: from a copy `ahead`, from a
+        /// `standing` one, read `anew`, or `failed`.
         Relocations = "oriolemux_gateway_relocations_total";
         /// Generations, by how they ended.
         Generations = "oriolemux_gateway_generations_total";
-        /// Requests to peers for records of the store, by outcome.
+        /// Questions to peers about what the store published, by how they ended.
         PeerAnswers = "oriolemux_gateway_peer_answers_total";
-        /// Bytes sent to peers, by purpose.
+        /// Bytes sent to peers, by their purpose.
         PeerBytes = "oriolemux_gateway_peer_bytes_total";
-        /// Datagrams and responses over connections sent to peers, by purpose.
+        /// Datagrams, and answers over connections, sent to peers, by their purpose.
         PeerMessages = "oriolemux_gateway_peer_messages_total";
-        /// Datagrams of peers that were dropped, by reason.
+        /// Datagrams of peers that were dropped, by what is wrong with them.
         DatagramsDropped = "oriolemux_gateway_datagrams_dropped_total";
-        /// Placements of generations and copies, by who decided: the `home`, or this instance
-        /// without a home (`alone`).
+        /// Places at engines and for copies, by who decided: the `home`, or this instance `alone`.
         Places = "oriolemux_gateway_places_total";
     }
 }
@@ -67,29 +66,29 @@
 meters! {
     /// A gauge.
     Gauge {
-        /// 1 while the instance accepts callers, else 0.
+        /// 1 while callers are taken, else 0.
         Ready = "oriolemux_gateway_ready";
         /// The version of the catalogue in force; 0 before the first.
         CatalogueVersion = "oriolemux_gateway_catalogue_version";
-        /// The store's revision up to which all records are known.
+        /// The store's revision up to which everything is known.
         StoreRevision = "oriolemux_gateway_store_revision";
-        /// Seconds since the store last answered this instance, 0 if it never did.
+        /// Seconds since the store last answered this instance, if it ever did.
         StoreAge = "oriolemux_gateway_store_age";
-        /// Endpoints that accept requests.
+        /// Endpoints that take work.
         EndpointsServing = "oriolemux_gateway_endpoints_serving";
-        /// Endpoints whose records were removed around an outage of the store.
+        /// Endpoints whose entry vanished around an outage of the store.
         EndpointsLapsed = "oriolemux_gateway_endpoints_lapsed";
-        /// Endpoints that are leaving.
+        /// Endpoints that leave.
         EndpointsLeaving = "oriolemux_gateway_endpoints_leaving";
-        /// Data centres that the operator cordoned.
+        /// Data centres that the operator closed to new work.
         DataCentresCordoned = "oriolemux_gateway_data_centres_cordoned";
-        /// Other live instances.
+        /// Other instances that take part.
         Peers = "oriolemux_gateway_peers";
         /// Connections of callers.
         Connections = "oriolemux_gateway_connections";
-        /// Generations that are being forwarded.
+        /// Generations that are passed on.
         Running = "oriolemux_gateway_generations_running";
-        /// Log lines that were dropped since the start because their event exceeded its rate limit.
+        /// Log lines that were above an event's bound, since the start.
         LinesLeftOut = "oriolemux_gateway_log_lines_left_out";
     }
 }
@@ -101,11 +100,11 @@
         FirstEvent = "oriolemux_gateway_first_event_seconds";
         /// The longest pause between two events of a generation.
         LongestPause = "oriolemux_gateway_longest_pause_seconds";
-        /// How long a generation was queued in this instance.
+        /// How long a generation waited here for room at an engine.
         Wait = "oriolemux_gateway_wait_seconds";
         /// From a generation's arrival to its end.
         Generation = "oriolemux_gateway_generation_seconds";
-        /// From a call's arrival to its response.
+        /// From a call's arrival to its answer.
         Call = "oriolemux_gateway_call_seconds";
     }
 }
--- a/crates/oriolemux/src/metrics.rs
+++ b/crates/oriolemux/src/metrics.rs
@@ -33,12 +33,11 @@
         Refusals = "oriolemux_refusals_total";
         /// Attempts that ended early and were followed by another.
         Retries = "oriolemux_retries_total";
-        /// Streams that were interrupted and requested again from the same endpoint.
+        /// Streams that broke and were asked for again at the same endpoint.
         Resumes = "oriolemux_resumes_total";
         /// Requests that failed after they may have run.
         Failures = "oriolemux_failures_total";
-        /// Responses and parts of responses that were dropped because they did not match the
-        /// state of their attempt.
+        /// Answers and parts of answers that were dropped because they did not belong.
         Discards = "oriolemux_discards_total";
     }
 }
@@ -48,9 +47,9 @@
     Counter {
         /// Requests that arrived on the callers' listener.
         Requests = "oriolemux_requests_total";
-        /// Requests whose complete response was delivered.
+        /// Requests whose whole answer was delivered.
         Completed = "oriolemux_completed_total";
-        /// Tokens delivered to callers, added when the request ends.
+        /// Tokens sent on to callers, added when the request ends.
         TokensDelivered = "oriolemux_tokens_delivered_total";
         /// Connections closed at once because the listener was full.
         ConnectionsRefused = "oriolemux_connections_refused_total";
@@ -60,12 +59,12 @@
         PeerBytesReceived = "oriolemux_peer_bytes_received_total";
         /// Frames dropped because a link's queue was full.
         PeerFramesDropped = "oriolemux_peer_frames_dropped_total";
-        /// Connections to the peers' port that were not accepted as links.
+        /// Connections on the peers' port that were not taken as links.
         PeerConnectionsRefused = "oriolemux_peer_connections_refused_total";
         /// Calls of the platform's service; a waiting watch counts as one.
         PlatformCalls = "oriolemux_platform_calls_total";
         /// Log lines dropped because there were more than 100 of one event in a second, or
-        /// because standard error did not accept them.
+        /// because standard error did not take them.
         LogLinesDropped = "oriolemux_log_lines_dropped_total";
     }
 }
@@ -97,7 +96,7 @@
     Histogram {
         /// From the arrival of a request to its first token.
         FirstToken = "oriolemux_first_token_seconds";
-        /// The longest interval between two tokens of a response, recorded once per response.
+        /// The longest silence between two tokens of an answer, once an answer.
         LongestGap = "oriolemux_longest_token_gap_seconds";
         /// From the arrival of a request to its grant.
         Wait = "oriolemux_wait_seconds";
