--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -109,7 +109,7 @@
     KeyReused = "key_reused", 422, Input;
     /// A ticket is malformed or was never issued.
     BadTicket = "bad_ticket", 400, Input;
-    /// The same request crashed several endpoints that had started it.
+    /// The same request ended several endpoints that had begun it.
     CrashesEndpoints = "ends_endpoints", 400, Input;
 
     /// The entry's limit of concurrent requests is reached.
@@ -126,13 +126,13 @@
     WaitExpired = "wait_expired", 503, Limit;
     /// The instance holds as many connections or requests as its settings allow.
     InstanceFull = "instance_full", 503, Limit;
-    /// The same request crashed an endpoint, and is currently running at another one.
+    /// The same request ended an endpoint, and runs at another one at the moment.
     NoRunLease = "turn_taken", 503, Limit;
     /// No live endpoint serves the entry.
     NoEndpoint = "no_endpoint", 503, Limit;
     /// The retry budget is used up.
     RetryBudget = "retry_budget", 503, Limit;
-    /// The instance is stopping and accepts no new requests.
+    /// The instance is stopping and takes no new work.
     Stopping = "stopping", 503, Limit;
     /// No catalogue has been accepted yet.
     NoCatalogue = "no_catalogue", 503, Limit;
@@ -141,52 +141,52 @@
 
     /// No connection to the endpoint could be made.
     ConnectFailed = "connect_failed", 502, Failure;
-    /// The endpoint refused the request and ran nothing.
+    /// The endpoint refused definitely and ran nothing.
     EndpointRefused = "endpoint_refused", 503, Failure;
-    /// The endpoint is leaving and refused the request.
+    /// The endpoint is leaving and refused.
     EndpointLeaving = "endpoint_leaving", 503, Failure;
-    /// The endpoint has not loaded the model, version or adapter and refused the request.
+    /// The endpoint does not hold the model, version or adapter and refused.
     EndpointNotLoaded = "endpoint_not_loaded", 503, Failure;
     /// The connection to the endpoint broke.
     ConnectionLost = "connection_lost", 502, Failure;
-    /// The endpoint sent nothing for longer than the stall timeout.
+    /// The endpoint sent nothing for longer than the stall limit.
     Stalled = "stalled", 504, Failure;
     /// The stream ended without its end mark.
     Truncated = "truncated", 502, Failure;
-    /// The endpoint violated its protocol.
+    /// The endpoint sent something that is not in its protocol.
     Garbage = "garbage", 502, Failure;
     /// The endpoint failed while it generated.
     EndpointError = "endpoint_error", 502, Failure;
     /// The endpoint no longer holds the generation that was to be resumed.
     GenerationLost = "generation_lost", 502, Failure;
-    /// A replay at another endpoint differed from the tokens already delivered.
+    /// A replay elsewhere differed from what was already delivered.
     ReplayDiverged = "replay_diverged", 502, Failure;
     /// The process that held the ticket or key is gone.
     HolderGone = "holder_gone", 409, Failure;
     /// The home did not answer in time.
     HomeSilent = "home_silent", 503, Failure;
-    /// The request with this key or ticket is not known to have ended.
+    /// The request with this key or ticket has not been heard to end.
     AlreadyRunning = "already_running", 409, Failure;
     /// The request with this key or ticket already ran.
     AlreadyRan = "already_ran", 409, Failure;
-    /// The ticket was issued so long ago that its use is no longer recorded.
+    /// The ticket was issued so long ago that its use is not remembered.
     TicketExpired = "ticket_expired", 409, Failure;
     /// The caller went away.
     CallerGone = "caller_gone", 499, Failure;
-    /// The process resumed after a pause that made its pending decision obsolete.
+    /// The process woke after a pause that outlasted what it was about to do.
     PausedTooLong = "paused_too_long", 503, Failure;
-    /// The instance was stopped immediately.
+    /// The instance was told to stop at once.
     StoppedNow = "stopped_now", 503, Failure;
-    /// An internal component failed.
+    /// An internal part failed.
     Internal = "internal", 500, Failure;
 
-    /// A response carried the id of another attempt.
+    /// An answer carried another attempt's id.
     WrongAttempt = "wrong_attempt", 502, Discard;
     /// A token arrived that was delivered before.
     DuplicateToken = "duplicate_token", 502, Discard;
     /// A token arrived out of order.
     TokenGap = "token_gap", 502, Discard;
-    /// A response arrived after its attempt had ended.
+    /// An answer arrived after its attempt had ended.
     LateAnswer = "late_answer", 502, Discard;
 }
 
--- a/crates/gateway/src/page.rs
+++ b/crates/gateway/src/page.rs
@@ -113,7 +113,7 @@
             }
             (&Method::POST, "/drain") => plain(
                 StatusCode::FORBIDDEN,
-                "POST /drain is accepted only from the machine of the instance\n",
+                "the planned stop is taken from the machine of the instance only\n",
             ),
             (&Method::GET, _) => {
                 meters::publish_gauges(&self.cx);
